--- /dev/null
+++ b/daemon/tests/stored_data.rs
@@ -0,0 +1,140 @@
+//! Data stored by an earlier build is read back, and the commands that read it print what they printed before the
+//! code was renamed. The fixtures were written by a planner on a short scripted day with edits, a kill, failing
+//! servers and an overload; versions 1 and 2 of the record leave out the kinds of entries that those did not have.
+//!
+//! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
+
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// What `runloom` prints and how it ends; paths of this machine are left out.
+fn runloom(arguments: &[&str]) -> String {
+    let run = Command::new(env!("CARGO_BIN_EXE_runloom")).args(arguments).output().unwrap();
+    let printed = String::from_utf8(run.stdout).unwrap() + &String::from_utf8(run.stderr).unwrap();
+    let folders = printed.replace(fixture("").to_str().unwrap(), "");
+    format!("{folders}code {}\n", run.status.code().unwrap())
+}
+
+fn assert_unchanged(name: &str, seen: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/snapshots").join(name);
+    if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
+        std::fs::write(&path, seen).unwrap();
+    }
+    assert_eq!(seen, std::fs::read_to_string(&path).unwrap(), "{}", path.display());
+}
+
+/// A copy of the state folder, since reading it may set files aside.
+fn state_folder(name: &str) -> PathBuf {
+    let copy = std::env::temp_dir().join(format!("runloom-stored-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&copy);
+    std::fs::create_dir_all(&copy).unwrap();
+    for file in std::fs::read_dir(fixture("state")).unwrap() {
+        let file = file.unwrap();
+        std::fs::copy(file.path(), copy.join(file.file_name())).unwrap();
+    }
+    copy
+}
+
+/// Ages count from now, and so does what is left of a hint: `16 s ago` reads `N s ago`, and the hint is left out.
+fn without_ages(text: &str) -> String {
+    let lines = text.lines().map(|line| line.split("  counts ").next().unwrap());
+    let text: String = lines.flat_map(|line| [line, "\n"]).collect();
+    let mut words: Vec<&str> = text.split(' ').collect();
+    for place in 2..words.len() {
+        if words[place].starts_with("ago") && words[place - 1] == "s" {
+            words[place - 2] = "N";
+        }
+    }
+    words.join(" ")
+}
+
+#[test]
+fn a_state_folder_is_read_as_before() {
+    let folder = state_folder("state");
+    let path = folder.to_str().unwrap();
+    let seen: String = ["ls", "show", "verify"].map(|command| runloom(&["state", command, path])).concat();
+    std::fs::remove_dir_all(&folder).unwrap();
+    assert_unchanged("state.txt", &without_ages(&seen));
+}
+
+/// FNV-1a, 64 bits.
+fn digest(text: &str) -> u64 {
+    text.bytes().fold(0xcbf29ce484222325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x100000001b3))
+}
+
+/// All entries as JSON, of which the snapshot holds the first and a digest of the rest.
+fn export(folder: &str) -> String {
+    let entries = runloom(&["record", "export", folder]);
+    let first: String = entries.lines().take(40).flat_map(|line| [line, "\n"]).collect();
+    format!("{first}{} lines, digest {:016x}\n", entries.lines().count(), digest(&entries))
+}
+
+#[test]
+fn records_of_all_versions_are_read_as_before() {
+    for version in ["1", "2", "3"] {
+        let folder = fixture("record").join(version);
+        let path = folder.to_str().unwrap();
+        let seen: String = ["ls", "verify"].map(|command| runloom(&["record", command, path])).concat();
+        let shown = runloom(&["record", "show", path, "--name", "f1"]);
+        assert_unchanged(&format!("record-{version}.txt"), &(seen + &shown + &export(path)));
+    }
+}
+
+#[test]
+fn a_record_gives_the_same_orders_again() {
+    let folder = fixture("record/3");
+    let path = folder.to_str().unwrap();
+    let seen =
+        runloom(&["replay", "--folder", path]) + &runloom(&["replay", "--folder", path, "--back", "1"]);
+    assert_unchanged("replay.txt", &seen);
+}
+
+#[test]
+fn settings_are_checked_as_before() {
+    let names = ["valid", "bad-weight", "unknown-element", "not-xml"];
+    let files = names.map(|name| fixture(&format!("settings/{name}.xml")));
+    let seen: String = files.iter().map(|file| runloom(&["check", file.to_str().unwrap()])).collect();
+    assert_unchanged("check.txt", &seen);
+}
+
+/// Names of options and sub-commands, without their descriptions.
+#[test]
+fn the_command_line_keeps_its_names() {
+    let commands: [&[&str]; 17] = [
+        &[],
+        &["planner"],
+        &["platform"],
+        &["forwarder"],
+        &["check"],
+        &["edit"],
+        &["show"],
+        &["replay"],
+        &["guard"],
+        &["guard", "explain"],
+        &["state"],
+        &["state", "ls"],
+        &["state", "prune"],
+        &["record"],
+        &["record", "show"],
+        &["record", "export"],
+        &["record", "verify"],
+    ];
+    let mut seen = String::new();
+    for command in commands {
+        let help = runloom(&[command, &["--help"]].concat());
+        let is_name = |word: &&str| word.starts_with(['-', '<', '[']);
+        let first =
+            |line: &str| line.strip_prefix("  ").and_then(|l| l.split_whitespace().next().map(String::from));
+        let names = help.split_whitespace().filter(is_name).map(String::from);
+        let mut names: Vec<String> = names.chain(help.lines().filter_map(first)).collect();
+        names.retain(|name| name.chars().next().is_some_and(|c| !c.is_uppercase()));
+        names.sort();
+        names.dedup();
+        seen += &format!("{}: {}\n", command.join(" "), names.join(" "));
+    }
+    assert_unchanged("command-line.txt", &seen);
+}
--- /dev/null
+++ b/mqtt/tests/wire_snapshot.rs
@@ -0,0 +1,66 @@
+//! MQTT topics and bodies, byte for byte as they were before the code was renamed.
+//!
+//! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
+
+use runloom_model::order::{ByClass, Came, Met, Report};
+use runloom_mqtt::{body, names, report};
+use runloom_publish::{Change, Key, Kind, Part, Topic};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+fn assert_unchanged(name: &str, seen: &str) {
+    let path = format!("tests/snapshots/{name}");
+    if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
+        std::fs::write(&path, seen).unwrap();
+    }
+    assert_eq!(seen, std::fs::read_to_string(&path).unwrap(), "{path}");
+}
+
+fn change(key: Key, value: Option<&str>) -> Change {
+    Change { key, value: value.map(Into::into) }
+}
+
+#[test]
+fn tables_and_their_topics_are_as_they_were() {
+    let mut seen = String::new();
+    for kind in [Kind::Weights, Kind::Subset, Kind::Range, Kind::Withdrawn, Kind::Binds] {
+        let topic = Topic { kind, table: 3 };
+        let changes = [
+            change(Key::Withdrawn("s7".into()), Some("out")),
+            change(Key::Line("s\"1".into()), Some("127.0.0.1:81 0.75")),
+            change(Key::Line("s2".into()), None),
+            change(Key::Level("lookup".into()), Some("12.5 unrun")),
+            change(Key::Bind("order".into()), Some("3")),
+        ];
+        for from in [None, Some(4)] {
+            let part =
+                Part { topic, epoch: 77, from, to: 9, part: 0, of: 2, changes: changes.clone().into() };
+            seen += &format!(
+                "{} {}\n",
+                names::table("p1", "f1", topic),
+                String::from_utf8(body::write(&part)).unwrap()
+            );
+        }
+    }
+    assert_unchanged("mqtt-tables.txt", &seen);
+}
+
+#[test]
+fn a_report_is_as_it_was() {
+    let class =
+        ByClass { class: "lookup".into(), tries: 9, in_time: 7, took: BTreeMap::from([(3, 4), (12, 5)]) };
+    let met = |load| Met {
+        server: "s1".into(),
+        tries: 12,
+        failed: 2,
+        took: Duration::from_micros(81_250),
+        in_time: 9,
+        load,
+        classes: vec![class.clone()],
+    };
+    let came = Came { class: "order".into(), queries: 30, unanswered: 1 };
+    let met = vec![met(vec![]), met(vec![0.5, f64::NAN])];
+    let sent = Report { span: Duration::from_millis(1000), met, came: vec![came] };
+    let seen = String::from_utf8(report::write(&sent)).unwrap();
+    assert_unchanged("mqtt-report.txt", &(seen + "\n"));
+}
