--- a/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,10 +1,10 @@
 //! Hosts many planners that share nothing and translates between the wire and their interface.
 
 use crate::wire::{Host as HostEntry, In, Out};
-use runloom::ids::Ids;
-use runloom::interface::{Entry, Event, Found, FurtherTries, Listing, Mode, Order};
-use runloom::Planner;
-use runloom_facts::Said;
+use runloom_controller::ids::Ids;
+use runloom_controller::interface::{Entry, Event, Found, FurtherTries, Listing, Mode, Order};
+use runloom_controller::Planner;
+use runloom_deployment_config::Said;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -42,7 +42,7 @@
 
 impl Instance {
     fn new(seed: u64, settings: &Value) -> Self {
-        let Said { facts, classes, zones, open_level, .. } = runloom_facts::read(settings);
+        let Said { facts, classes, zones, open_level, .. } = runloom_deployment_config::read(settings);
         Instance {
             planner: Planner::default(),
             servers: Ids::default(),
--- a/driver/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -1,4 +1,4 @@
-//! The driver between the fronts and [`runloom::Planner`], free of I/O: names in, messages out. It keeps the
+//! The driver between the fronts and [`runloom_controller::Planner`], free of I/O: names in, messages out. It keeps the
 //! tables as they were ordered, lays one message a proxy and reply, and counts what waits for confirmation.
 //! It decides nothing about servers; its own matters are what a message holds, and when a report is handed on.
 
@@ -6,14 +6,16 @@
 mod tables;
 pub mod witness;
 
-use runloom::ids::{named, Ids};
-use runloom::interface::{Entry, Event, Found, Hint, Learned, Listing, Mode, Order, Proxy, Server, Table};
-use runloom::Planner;
+use runloom_controller::ids::{named, Ids};
+use runloom_controller::interface::{
+    Entry, Event, Found, Hint, Learned, Listing, Mode, Order, Proxy, Server, Table,
+};
+use runloom_controller::Planner;
+use runloom_event_log::Happened;
 use runloom_guard::{Guard, Terms};
+use runloom_inventory::Change;
 use runloom_model::fleet::Fleet;
 use runloom_model::order::{Message, Report, TableEdit};
-use runloom_record::Happened;
-use runloom_roster::Change;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/driver/src/sums.rs
+++ b/crates/control-session/src/sums.rs
@@ -1,7 +1,7 @@
 //! Reports add up here by zone and server, and are handed on once a period, so many lines a second at most,
 //! the oldest first: the decisions take a report for the sum over the proxies of a zone.
 
-use runloom::interface::{Class, Event, Proxy, Server, Zone};
+use runloom_controller::interface::{Class, Event, Proxy, Server, Zone};
 use runloom_model::order::{Came, Met};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/driver/src/tables.rs
+++ b/crates/control-session/src/tables.rs
@@ -1,6 +1,6 @@
 //! The tables as ordered, who is on them, and the messages that carry what changed.
 
-use runloom::interface::{Class, FurtherTries, Proxy, Server, Table};
+use runloom_controller::interface::{Class, FurtherTries, Proxy, Server, Table};
 use runloom_model::order::{Message, TableEdit};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/driver/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
+use runloom_inventory::Server as Listed;
 use runloom_model::order::{Came, Met};
 use runloom_netconf::tree::Element;
-use runloom_roster::Server as Listed;
 
 const FLEET: &str = "<fleet xmlns='urn:runloom:fleet'><zone><name>a</name></zone><class><name>q</name>\
     <payoff>1</payoff><soft-limit-ms>500</soft-limit-ms><outer-limit-ms>900</outer-limit-ms><repeats>safe</repeats>\
--- a/driver/src/witness.rs
+++ b/crates/control-session/src/witness.rs
@@ -1,10 +1,10 @@
 //! The driver's calls in the record's words, and back.
 
 use crate::{Deed, Driver};
-use runloom::interface::{Found, Listing};
+use runloom_controller::interface::{Found, Listing};
+use runloom_event_log::entry::{self, Happened};
+use runloom_inventory::{Change, Server};
 use runloom_model::order::{ByClass, Came, Met, Report};
-use runloom_record::entry::{self, Happened};
-use runloom_roster::{Change, Server};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/ids.rs
+++ b/crates/controller/src/ids.rs
@@ -5,7 +5,7 @@
 /// Numbers things in the order in which they are first met; numbers that were released are given out anew.
 ///
 /// ```
-/// let mut servers = runloom::ids::Ids::default();
+/// let mut servers = runloom_controller::ids::Ids::default();
 /// assert_eq!((servers.index(51530247), servers.index(7), servers.index(51530247)), (0, 1, 0));
 /// assert_eq!(servers.outside(1), Some(&7));
 /// assert_eq!(servers.known(&9), None);
@@ -73,8 +73,8 @@
 ///
 /// ```
 /// let name = |server: usize| (server == 4).then(|| "s-77".to_string());
-/// assert_eq!(runloom::ids::named("server 4 Withdrawn: all", name), "server s-77 Withdrawn: all");
-/// assert_eq!(runloom::ids::named("server 5 Withdrawn", name), "server 5 Withdrawn");
+/// assert_eq!(runloom_controller::ids::named("server 4 Withdrawn: all", name), "server s-77 Withdrawn: all");
+/// assert_eq!(runloom_controller::ids::named("server 5 Withdrawn", name), "server 5 Withdrawn");
 /// ```
 pub fn named(text: &str, name: impl Fn(usize) -> Option<String>) -> String {
     let mut words = text.splitn(3, ' ');
--- a/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,7 +4,7 @@
 //! returns what is to be done; the words for both stand in [`interface`].
 //!
 //! ```
-//! use runloom::{interface::*, Planner};
+//! use runloom_controller::{interface::*, Planner};
 //! let start = Event::Start { seed: 1, facts: Facts::default() };
 //! let orders = Planner::default().decide(std::time::Duration::ZERO, &[start]);
 //! assert!(matches!(orders[..], [Order::Wake { .. }]));
--- a/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,10 +1,10 @@
 //! An operator's NETCONF client: one session, operations one after the other, answers waited for.
 
 use crate::papers::{server_name, Terms, PLANNER};
+use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn};
 use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
-use runloom_turn::{Bounds, Conn, Happened, Security, Turn};
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
--- a/daemon/src/keeper.rs
+++ b/crates/daemon/src/keeper.rs
@@ -2,11 +2,11 @@
 //! on its way at a time; the next one gathers meanwhile, so that many edits share one sync.
 
 use crate::planner::Failed;
+use runloom_event_loop::Waker;
 use runloom_store::accepted::{Accepted, Patch};
 use runloom_store::disk::{Folder, Lock};
 use runloom_store::learned::Book;
 use runloom_store::{Layout, Store};
-use runloom_turn::Waker;
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender, TryRecvError};
 use std::thread::JoinHandle;
--- a/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -7,6 +7,7 @@
 use runloom_daemon::settings::read;
 use runloom_daemon::state;
 use runloom_daemon::{run, wall_ms};
+use runloom_event_log::Entry;
 use runloom_guard::case::Case;
 use runloom_identity::access::{May, Rule, Whom};
 use runloom_identity::id::Id;
@@ -14,7 +15,6 @@
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::{BASE, NOTIFY};
-use runloom_record::Entry;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -124,7 +124,7 @@
         /// Looks at the day up to this second.
         #[arg(long)]
         until: Option<f64>,
-        /// Writes the whole record as a day that runloom-rig plays: sizes, traffic, edits, and the troubles it shows.
+        /// Writes the whole record as a day that runloom-testbed plays: sizes, traffic, edits, and the troubles it shows.
         #[arg(long)]
         day: Option<PathBuf>,
     },
@@ -286,8 +286,8 @@
     | RecordCommand::Verify { folder }) = command;
     let told = |e: std::io::Error| Told::Record(format!("{}: {e}", folder.display()));
     let mut bad = 0;
-    for segment in runloom_record::folder::segments(folder).map_err(told)? {
-        let (entries, torn) = match runloom_record::folder::read(&segment) {
+    for segment in runloom_event_log::folder::segments(folder).map_err(told)? {
+        let (entries, torn) = match runloom_event_log::folder::read(&segment) {
             Ok(read) => read,
             Err(e) => {
                 bad += 1;
@@ -317,7 +317,7 @@
                         && name.as_ref().is_none_or(|n| e.what.name() == n)
                 };
                 for e in entries.iter().filter(fits) {
-                    let (queries, failed, lines) = runloom_record::columns::sums(&e.what);
+                    let (queries, failed, lines) = runloom_event_log::columns::sums(&e.what);
                     let sums = format!("queries {queries} failed {failed} lines {lines}");
                     writeln!(out, "{:>12.6} {:8} {:16} {sums}", seconds(e.at), e.what.kind(), e.what.name())?;
                 }
@@ -347,7 +347,7 @@
 
 /// The record as a day of the rig.
 fn inferred(folder: &Path, file: &Path) -> Result<(), String> {
-    let days = runloom_record::folder::days(folder).map_err(|e| e.to_string())?;
+    let days = runloom_event_log::folder::days(folder).map_err(|e| e.to_string())?;
     let found = runloom_replay::infer::infer(&days).map_err(|e| e.to_string())?;
     std::fs::write(file, found.xml()).map_err(|e| format!("{}: {e}", file.display()))?;
     println!("{}: {} troubles, {} edits", file.display(), found.troubles.len(), found.edits.len());
@@ -369,7 +369,7 @@
             false
         })
     };
-    runloom_record::folder::each(folder, back, &mut take).map_err(|e| e.to_string())?;
+    runloom_event_log::folder::each(folder, back, &mut take).map_err(|e| e.to_string())?;
     match (broken, replay) {
         (Some(why), _) => Err(why),
         (None, Some(replay)) => Ok(replay.done()),
@@ -394,7 +394,7 @@
         }
         return same.first.map_or(Ok(()), |d| Err(format!("it differs: {}", d.what)));
     }
-    let entries = runloom_record::folder::day(folder, back).map_err(|e| e.to_string())?;
+    let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
     let read = |f: &PathBuf| std::fs::read_to_string(f).map_err(|e| format!("{}: {e}", f.display()));
     let text = fleet.as_ref().map(read).transpose()?;
     let fleet = text.map(|t| runloom_replay::fleet(&t)).transpose().map_err(|e| e.to_string())?;
@@ -577,7 +577,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use runloom::interface::{Mode, Order};
+    use runloom_controller::interface::{Mode, Order};
     use runloom_guard::{Guard, Terms as GuardTerms};
 
     /// A refusal stands in a text log as it is, in a JSON log once more escaped; both are found and judged anew.
--- a/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -9,21 +9,21 @@
 use crate::{earliest, wall_ms, wall_text};
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
-use runloom::interface::{Found as Probed, Listing};
-use runloom_driver::{Deed, Driver, Spoil, LEAD};
-use runloom_front::{Front, Way};
+use runloom_control_session::{Deed, Driver, Spoil, LEAD};
+use runloom_controller::interface::{Found as Probed, Listing};
+use runloom_distribution::{Front, Way};
+use runloom_event_log::{Happened as Recorded, Recorder, Writer};
+use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
 use runloom_guard::refusal::Refusal;
 use runloom_identity::access::Action;
+use runloom_inventory::ledger::Ledger;
+use runloom_inventory::{Change, Roster};
 use runloom_model::fleet::{Fleet, Place};
 use runloom_model::{FLEET, STATE, YANG};
 use runloom_netconf::service::{Limits, Service, CAPABILITIES};
 use runloom_netconf::session::{Bounds as SessionBounds, Broken, Heard, Role, Session};
 use runloom_netconf::tree::Element;
-use runloom_record::{Happened as Recorded, Recorder, Writer};
-use runloom_roster::ledger::Ledger;
-use runloom_roster::{Change, Roster};
 use runloom_store::learned::{Book, Learned};
-use runloom_turn::{Bounds, Conn, Happened, Security, Turn, Why};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -1012,7 +1012,7 @@
     epoch: u64,
 ) -> Result<Option<Writer>, Failed> {
     let Some(folder) = &place.record else { return Ok(None) };
-    let terms = runloom_record::Terms { most: place.record_bytes, ..runloom_record::Terms::default() };
+    let terms = runloom_event_log::Terms { most: place.record_bytes, ..runloom_event_log::Terms::default() };
     let recorder = Recorder::open(folder, terms)?;
     let (build, planner, fleet) = (BUILD.to_string(), place.name.clone(), desk.fleet_text());
     driver.witness = Some(vec![(Duration::ZERO, Recorded::Start { build, planner, seed, epoch, fleet })]);
@@ -1069,7 +1069,7 @@
 /// What an earlier start learned of servers that are listed as they were, as far as it still counts.
 fn hints(found: &Found, roster: &Roster) -> Vec<(String, f64, f64)> {
     let Some(book) = &found.learned else { return vec![] };
-    let hint = |(name, server): (&String, &runloom_roster::Server)| {
+    let hint = |(name, server): (&String, &runloom_inventory::Server)| {
         let hint = book.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
         Some((name.clone(), hint.swift, hint.doubt))
     };
--- a/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,14 +1,14 @@
-//! A planner on the platform: sockets, signals, files and clocks round [`runloom_platform::Platform`], on the
+//! A planner on the platform: sockets, signals, files and clocks round [`runloom_platform_protocol::Platform`], on the
 //! one loop. Nothing here decides on servers.
 
 use crate::{earliest, wall_ms};
-use runloom::interface::Found;
-use runloom_platform::discovery;
-use runloom_platform::probe::{self, Ending, Probe};
-use runloom_platform::station::{Station, Told};
-use runloom_platform::watching::Watching;
-use runloom_platform::{Deed, Platform};
-use runloom_turn::{Bounds, Conn, Happened, Security, Turn};
+use runloom_controller::interface::Found;
+use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn};
+use runloom_platform_protocol::discovery;
+use runloom_platform_protocol::probe::{self, Ending, Probe};
+use runloom_platform_protocol::station::{Station, Told};
+use runloom_platform_protocol::watching::Watching;
+use runloom_platform_protocol::{Deed, Platform};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::ErrorKind;
--- a/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -4,7 +4,7 @@
 use crate::planner::{Planner, Trial};
 use crate::settings::{read, Settings};
 use crate::wall_ms;
-use runloom_turn::Turn;
+use runloom_event_loop::Turn;
 use std::path::Path;
 
 fn looped() -> Result<Turn, String> {
--- a/facts/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The platform's start message, told to every planner alike: its settings as [`Facts`], which the adapter
 //! and the running planner both read here, so that the same decisions go by the same facts.
 
-use runloom::ids::Ids;
-use runloom::interface::{Fact, Facts};
+use runloom_controller::ids::Ids;
+use runloom_controller::interface::{Fact, Facts};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
--- a/front/src/doubt.rs
+++ b/crates/distribution/src/doubt.rs
@@ -1,7 +1,7 @@
 //! Whether a proxy does what it confirms: one that says it took a server out, and goes on trying it, has tables
 //! that are not the planner's.
 
-use runloom_publish::Version;
+use runloom_versioned_publisher::Version;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/front/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -8,8 +8,8 @@
 
 use doubt::{Doubt, Dropped, Verdict, DROPPED_MOST};
 use runloom_model::order::{level_text, line_text, read_level, read_line, Message, TableEdit};
-use runloom_publish::admit::{Admission, Age};
-use runloom_publish::{Change, Key, Kind, Part, Publisher, Topic, Version, Wanted, Whole};
+use runloom_versioned_publisher::admit::{Admission, Age};
+use runloom_versioned_publisher::{Change, Key, Kind, Part, Publisher, Topic, Version, Wanted, Whole};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
--- a/front/src/subset.rs
+++ b/crates/distribution/src/subset.rs
@@ -1,7 +1,7 @@
 //! Subsets for proxies that know no weights: which servers of a table are theirs to pick from, evenly.
 
 use runloom_model::order::read_line;
-use runloom_publish::Key;
+use runloom_versioned_publisher::Key;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/front/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use proptest::prelude::*;
-use runloom::interface::FurtherTries;
-use runloom_forward::published;
-use runloom_forward::tables::Held;
+use runloom_controller::interface::FurtherTries;
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, Operation};
 use runloom_netconf::tree::Element;
-use runloom_publish::reader::{Reader, Taken};
+use runloom_proxy::published;
+use runloom_proxy::tables::Held;
+use runloom_versioned_publisher::reader::{Reader, Taken};
 use std::sync::Arc;
 
 const ZERO: Duration = Duration::ZERO;
@@ -197,7 +197,7 @@
             let Some(out) = self.front.next(ZERO, p) else { return };
             self.peers[p].flying.push_back(out);
         }
-        assert!(self.peers[p].flying.len() <= runloom_publish::WINDOW);
+        assert!(self.peers[p].flying.len() <= runloom_versioned_publisher::WINDOW);
     }
 
     fn take(&mut self, p: usize, count: usize) {
--- a/guard/src/case.rs
+++ b/crates/guard/src/case.rs
@@ -2,7 +2,7 @@
 
 use crate::refusal::{Reason, Refusal};
 use crate::{Guard, Terms};
-use runloom::interface::{Mode, Order};
+use runloom_controller::interface::{Mode, Order};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -10,7 +10,7 @@
 
 use case::Case;
 use refusal::{Reason, Refusal};
-use runloom::interface::{Class, Fact, Facts, FurtherTries, Mode, Order, Proxy, Server, Table};
+use runloom_controller::interface::{Class, Fact, Facts, FurtherTries, Mode, Order, Proxy, Server, Table};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use watch::{Lines, Watched};
--- a/guard/src/refusal.rs
+++ b/crates/guard/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Why an order was refused: for people in a sentence, and as data.
 
 use crate::case::Case;
-use runloom::interface::{Order, Proxy, Server, Table};
+use runloom_controller::interface::{Order, Proxy, Server, Table};
 use std::time::Duration;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/guard/src/watch.rs
+++ b/crates/guard/src/watch.rs
@@ -1,6 +1,6 @@
 //! One table as it may be in force: the versions since the oldest that some proxy may still be on.
 
-use runloom::interface::{Proxy, Server};
+use runloom_controller::interface::{Proxy, Server};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub type Lines = BTreeMap<Server, f64>;
--- a/guard/tests/naive.rs
+++ b/crates/guard/tests/naive.rs
@@ -2,7 +2,7 @@
 //! random sequences on larger ones; and the reasons one by one.
 
 use proptest::prelude::*;
-use runloom::interface::{FurtherTries, Mode, Order, Proxy, Server, Table};
+use runloom_controller::interface::{FurtherTries, Mode, Order, Proxy, Server, Table};
 use runloom_guard::refusal::Reason;
 use runloom_guard::{edit, Guard, Terms};
 use std::collections::{BTreeMap, BTreeSet};
--- a/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A planner's settings, typed: the fleet that operators edit and the roster that the feed edits.
 
 use crate::FLEET;
-use runloom::interface::{Fact, Facts};
+use runloom_controller::interface::{Fact, Facts};
 use runloom_identity::access::{May, Rule, Whom};
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
--- a/model/src/order.rs
+++ b/crates/model/src/order.rs
@@ -1,7 +1,7 @@
 //! What passes between a planner and a proxy: orders as one `<edit-config>`, reports as notifications.
 
 use crate::PROXY;
-use runloom::interface::FurtherTries;
+use runloom_controller::interface::FurtherTries;
 use runloom_netconf::tree::{escape, Element};
 use runloom_netconf::BASE;
 use std::collections::BTreeMap;
--- a/model/tests/wire_snapshot.rs
+++ b/crates/model/tests/wire_snapshot.rs
@@ -2,7 +2,7 @@
 //!
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
-use runloom::interface::FurtherTries;
+use runloom_controller::interface::FurtherTries;
 use runloom_model::order::{level_text, line_text, ByClass, Came, Message, Met, Report, TableEdit};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/mqtt/src/body.rs
+++ b/crates/mqtt/src/body.rs
@@ -1,6 +1,6 @@
 //! A part of an update as JSON, for proxies in any language; its topic is the message's.
 
-use runloom_publish::{Change, Key, Part, Topic, PART_MOST};
+use runloom_versioned_publisher::{Change, Key, Part, Topic, PART_MOST};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
--- a/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -9,7 +9,7 @@
 use mqtt_protocol_core::mqtt::packet::{GenericPacketTrait, MaximumPacketSize, ReceiveMaximum};
 use mqtt_protocol_core::mqtt::result_code::{ConnectReasonCode, PubackReasonCode};
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
-use runloom_publish::{Kind, Part, Topic, WINDOW};
+use runloom_versioned_publisher::{Kind, Part, Topic, WINDOW};
 use std::time::Duration;
 
 /// The largest message that is taken: a part of 128 changes with names and addresses of the greatest length.
--- a/mqtt/src/names.rs
+++ b/crates/mqtt/src/names.rs
@@ -1,7 +1,7 @@
 //! Topics, and who may have them: `runloom/<planner>/<proxy>/<kind>/<table>` for tables, which the planner alone
 //! writes, and `runloom/<planner>/<proxy>/report`, which that proxy alone writes.
 
-use runloom_publish::{Kind, Topic, Wanted};
+use runloom_versioned_publisher::{Kind, Topic, Wanted};
 
 /// The first level of all topics.
 const ROOT: &str = "runloom";
--- a/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -14,7 +14,7 @@
     ConnectReasonCode, DisconnectReasonCode, PubackReasonCode, SubackReasonCode, UnsubackReasonCode,
 };
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
-use runloom_publish::{Topic, Wanted};
+use runloom_versioned_publisher::{Topic, Wanted};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -12,8 +12,8 @@
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
 use proptest::prelude::*;
 use runloom_model::order::{Met, Report};
-use runloom_publish::reader::{Reader, Taken};
-use runloom_publish::{Change, Key, Kind, Part, Publisher, Topic, Wanted, WINDOW};
+use runloom_versioned_publisher::reader::{Reader, Taken};
+use runloom_versioned_publisher::{Change, Key, Kind, Part, Publisher, Topic, Wanted, WINDOW};
 use std::time::Duration;
 
 const TABLE: Topic = Topic { kind: Kind::Weights, table: 3 };
--- a/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -4,7 +4,7 @@
 
 use runloom_model::order::{ByClass, Came, Met, Report};
 use runloom_mqtt::{body, names, report};
-use runloom_publish::{Change, Key, Kind, Part, Topic};
+use runloom_versioned_publisher::{Change, Key, Kind, Part, Topic};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/platform/src/clients.rs
+++ b/crates/platform-protocol/src/clients.rs
@@ -1,7 +1,7 @@
 //! Who is connected: newcomers, collectors and streams; who may stay, for how long, and how many.
 
 use crate::frame::{Reader, FIRST_MOST, MESSAGE_MOST};
-use runloom::interface::{Proxy, Zone};
+use runloom_controller::interface::{Proxy, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/platform/src/discovery.rs
+++ b/crates/platform-protocol/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: one list and watch over HTTP/1.1 as lists of changes, each judged entry by entry.
 
 use crate::message::Names;
-use runloom::interface::{Entry, Listing, Mode, Server};
+use runloom_controller::interface::{Entry, Listing, Mode, Server};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -276,7 +276,7 @@
     }
 }
 
-fn index(ids: &mut runloom::ids::Ids<String>, name: Option<&str>) -> usize {
+fn index(ids: &mut runloom_controller::ids::Ids<String>, name: Option<&str>) -> usize {
     let name = name.unwrap_or_default();
     ids.known(name)
         .unwrap_or_else(|| if ids.iter().count() < NAMES_MOST { ids.index(name.into()) } else { 0 })
--- a/platform/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol, free of sockets and clocks: bytes, connections' ends, probes' endings and a time
 //! go in; bytes, closes, probes and a time to wake come out. All decisions on servers come from
-//! [`runloom::Planner`]; what is settled here is the protocol's own: framing, who may stay, when the other
+//! [`runloom_controller::Planner`]; what is settled here is the protocol's own: framing, who may stay, when the other
 //! side is taken for dead.
 
 pub mod clients;
@@ -16,9 +16,9 @@
 use discovery::{List, Unreadable};
 use message::{Message, Names, Spoilt};
 use probe::Ending;
-use runloom::ids::named;
-use runloom::interface::{Event, Listing, Order, Proxy, Server};
-use runloom::Planner;
+use runloom_controller::ids::named;
+use runloom_controller::interface::{Event, Listing, Order, Proxy, Server};
+use runloom_controller::Planner;
 use station::Station;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -110,7 +110,7 @@
     /// milliseconds, and lies before this start, as those of servers do. `room` is for how many connections
     /// there are descriptors.
     pub fn new(station: &Station, epoch: u64, room: usize) -> Platform {
-        let said = runloom_facts::read(&station.settings);
+        let said = runloom_deployment_config::read(&station.settings);
         let most = said.facts.number("proxies").unwrap_or(PROXIES_MOST);
         let mut names = Names {
             zones: said.zones,
--- a/platform/src/message.rs
+++ b/crates/platform-protocol/src/message.rs
@@ -1,8 +1,8 @@
 //! What the platform says on a connection, typed. Every field is judged here: a message of which one is
 //! missing, mistyped or out of range, or names what does not exist, never reaches the decisions.
 
-use runloom::ids::Ids;
-use runloom::interface::{Event, Proxy, Zone};
+use runloom_controller::ids::Ids;
+use runloom_controller::interface::{Event, Proxy, Zone};
 use serde_json::{Map, Value};
 use std::time::Duration;
 
--- a/platform/src/probe.rs
+++ b/crates/platform-protocol/src/probe.rs
@@ -1,7 +1,7 @@
 //! One probe of a server: what is asked, and what its answer says.
 
 use crate::message::load;
-use runloom::interface::Found;
+use runloom_controller::interface::Found;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/platform/src/stream.rs
+++ b/crates/platform-protocol/src/stream.rs
@@ -3,7 +3,7 @@
 
 use crate::frame;
 use crate::message::Names;
-use runloom::interface::{Class, FurtherTries, Order, Proxy, Server, Table};
+use runloom_controller::interface::{Class, FurtherTries, Order, Proxy, Server, Table};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/platform/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -10,7 +10,7 @@
 use crate::station::Told;
 use crate::stream::Part;
 use proptest::prelude::*;
-use runloom::interface::{Found, FurtherTries, Mode};
+use runloom_controller::interface::{Found, FurtherTries, Mode};
 use serde_json::{json, Value};
 
 const fn ms(n: u64) -> Duration {
--- a/platform/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -3,10 +3,10 @@
 //!
 //! `UPDATE_SNAPSHOTS=1` writes the snapshot anew.
 
-use runloom::interface::Found;
-use runloom_platform::probe::Ending;
-use runloom_platform::station::{Station, Told};
-use runloom_platform::{Deed, Platform};
+use runloom_controller::interface::Found;
+use runloom_platform_protocol::probe::Ending;
+use runloom_platform_protocol::station::{Station, Told};
+use runloom_platform_protocol::{Deed, Platform};
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::time::Duration;
--- a/forward/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -8,7 +8,7 @@
 
 use nanorand::{Rng, WyRand};
 use query::{Ended, Query, Refusal, Step};
-use runloom::interface::FurtherTries;
+use runloom_controller::interface::FurtherTries;
 use runloom_model::fleet::{Class, Repeats};
 use runloom_model::order::{halved, ByClass, Came, Halved, Met, Report};
 use std::collections::BTreeMap;
--- a/forward/src/published.rs
+++ b/crates/proxy/src/published.rs
@@ -2,8 +2,8 @@
 
 use crate::tables::{Held, Line, Table};
 use runloom_model::order::{read_level, read_line};
-use runloom_publish::reader::{self, Reader};
-use runloom_publish::{Key, Kind, Topic};
+use runloom_versioned_publisher::reader::{self, Reader};
+use runloom_versioned_publisher::{Key, Kind, Topic};
 use std::collections::btree_map::Entry;
 
 /// Which class goes by which table, as it is published to one proxy.
--- a/forward/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -1,6 +1,6 @@
 //! One query on its way: its tries, their proofs, and what follows an ending.
 
-use runloom::interface::FurtherTries;
+use runloom_controller::interface::FurtherTries;
 use runloom_model::fleet::Repeats;
 use std::time::Duration;
 
--- a/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -1,10 +1,10 @@
 //! The same again: every turn's orders against those recorded.
 
 use crate::{at, fleet, set_out, turned, Unusable};
-use runloom_driver::witness::call;
-use runloom_driver::Driver;
-use runloom_record::entry::Sent;
-use runloom_record::{Entry, Happened};
+use runloom_control_session::witness::call;
+use runloom_control_session::Driver;
+use runloom_event_log::entry::Sent;
+use runloom_event_log::{Entry, Happened};
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 
--- a/replay/src/force.rs
+++ b/crates/replay/src/force.rs
@@ -1,13 +1,13 @@
 //! The tables in force at each proxy, from the messages that went out and when they were confirmed; and which
 //! rules that breaks.
 
-use runloom_forward::tables::Held;
+use runloom_event_log::{Entry, Happened};
 use runloom_model::fleet::Fleet;
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, Operation};
 use runloom_netconf::tree::Element;
-use runloom_record::{Entry, Happened};
+use runloom_proxy::tables::Held;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -255,7 +255,7 @@
                         self.broken.insert(format!("rule 1: {name} had no server for {}", class.name));
                     }
                 }
-                let late = |l: &&runloom_forward::tables::Line| {
+                let late = |l: &&runloom_proxy::tables::Line| {
                     let since = self.closed.get(&l.server).copied();
                     since.is_some_and(|at| now > at.max(place.joined) + self.fleet.grace.drain)
                 };
--- a/replay/src/infer.rs
+++ b/crates/replay/src/infer.rs
@@ -2,9 +2,9 @@
 //! each with the servers that had it. What a record cannot tell is left out, and named.
 
 use crate::{fleet, Unusable};
+use runloom_event_log::entry::{Met, Server};
+use runloom_event_log::{Entry, Happened};
 use runloom_model::fleet::Fleet;
-use runloom_record::entry::{Met, Server};
-use runloom_record::{Entry, Happened};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
--- a/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -9,10 +9,10 @@
 pub mod other;
 pub mod page;
 
-use runloom_driver::Driver;
+use runloom_control_session::Driver;
+use runloom_event_log::{Entry, Happened};
 use runloom_model::fleet::Fleet;
 use runloom_netconf::tree::Element;
-use runloom_record::{Entry, Happened};
 use std::time::Duration;
 
 #[derive(Debug, thiserror::Error, PartialEq)]
--- a/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -3,11 +3,11 @@
 use crate::estimate::{Estimate, Flow, Service, Shares};
 use crate::force::Force;
 use crate::{at, fleet, set_out, turned, Unusable};
-use runloom_driver::witness::call;
-use runloom_driver::Driver;
+use runloom_control_session::witness::call;
+use runloom_control_session::Driver;
+use runloom_event_log::entry::{Outcome, Sent};
+use runloom_event_log::{Entry, Happened};
 use runloom_model::fleet::Fleet;
-use runloom_record::entry::{Outcome, Sent};
-use runloom_record::{Entry, Happened};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -1,11 +1,11 @@
 use crate::estimate::Estimate;
 use crate::exact::replay;
 use crate::other::{compare, Setting};
-use runloom::interface::Listing;
-use runloom_driver::{Deed, Driver};
+use runloom_control_session::{Deed, Driver};
+use runloom_controller::interface::Listing;
+use runloom_event_log::{Entry, Happened};
+use runloom_inventory::{Change, Server};
 use runloom_model::order::{Came, Met, Report};
-use runloom_record::{Entry, Happened};
-use runloom_roster::{Change, Server};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -200,7 +200,7 @@
 #[test]
 fn a_cold_server_that_tables_heap_queries_on_breaks_rule_four() {
     let fleet = crate::fleet(FLEET).unwrap();
-    let listed = |name: &str, started| runloom_record::entry::Server {
+    let listed = |name: &str, started| runloom_event_log::entry::Server {
         name: name.into(),
         address: "127.0.0.1:9".into(),
         zone: "a".into(),
@@ -222,7 +222,7 @@
             Happened::Report {
                 proxy: "f".into(),
                 span: 1_000_000,
-                met: vec![runloom_record::entry::Met {
+                met: vec![runloom_event_log::entry::Met {
                     server: "w".into(),
                     tries: 10,
                     failed: 0,
@@ -230,7 +230,7 @@
                     in_time: 9,
                     load: vec![],
                 }],
-                came: vec![runloom_record::entry::Came { class: "q".into(), queries: 30, unanswered: 0 }],
+                came: vec![runloom_event_log::entry::Came { class: "q".into(), queries: 30, unanswered: 0 }],
             },
         ];
         what.into_iter().for_each(|what| force.happened(&Entry { at: 0, what }));
--- a/rig/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use runloom_daemon::http::{write_query, Message, Reader};
-use runloom_turn::{Bounds, Conn, Security, Turn};
+use runloom_event_loop::{Bounds, Conn, Security, Turn};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/rig/src/fronts.rs
+++ b/crates/testbed/src/fronts.rs
@@ -4,12 +4,12 @@
 use crate::day::{Day, Fronts, Trouble};
 use crate::measure::{figure, sized, told_path, Told};
 use crate::world::World;
-use runloom_front::{Front, Newcomer, Out, Way};
+use runloom_distribution::{Front, Newcomer, Out, Way};
 use runloom_model::order::{Message, TableEdit};
 use runloom_mqtt::client::{Client, Told as Say, Wish};
 use runloom_mqtt::session::{Heard, Hello, Session};
 use runloom_mqtt::{body, report};
-use runloom_publish::Wanted;
+use runloom_versioned_publisher::Wanted;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -147,8 +147,8 @@
     Ok(())
 }
 
-const TABLE: runloom_publish::Topic =
-    runloom_publish::Topic { kind: runloom_publish::Kind::Weights, table: 1 };
+const TABLE: runloom_versioned_publisher::Topic =
+    runloom_versioned_publisher::Topic { kind: runloom_versioned_publisher::Kind::Weights, table: 1 };
 
 /// A report on five servers, two classes each.
 fn sample() -> runloom_model::order::Report {
--- a/rig/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -2,15 +2,15 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use runloom_daemon::planner::{Dies, Trial};
-use runloom_rig::day;
-use runloom_rig::world::{Outcomes, World};
+use runloom_testbed::day;
+use runloom_testbed::world::{Outcomes, World};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 #[derive(Parser)]
 #[command(
-    name = "runloom-rig",
+    name = "runloom-testbed",
     version,
     about = "Scripted days on loopback, and a checker of the five rules"
 )]
@@ -114,10 +114,10 @@
         }
         Command::Measure { name, keep, seed } => measured(&name, keep, seed),
         Command::Again { folder, back } => again(&folder, back),
-        Command::Writes { folder } => runloom_rig::measure::writes(&folder).map(|()| true),
+        Command::Writes { folder } => runloom_testbed::measure::writes(&folder).map(|()| true),
         Command::Planner { settings, seed, dies, spoil, unguarded } => {
             let dies = dies.as_deref().and_then(Dies::named);
-            let spoil = spoil.as_deref().and_then(runloom_rig::spoil::named);
+            let spoil = spoil.as_deref().and_then(runloom_testbed::spoil::named);
             let trial = Trial { dies, unguarded, spoil };
             runloom_daemon::run::planner(&settings, Some(seed), trial).map(|()| true)
         }
@@ -126,7 +126,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
-            eprintln!("runloom-rig: {why}");
+            eprintln!("runloom-testbed: {why}");
             ExitCode::FAILURE
         }
     }
@@ -147,7 +147,7 @@
 ) -> Result<bool, String> {
     let trial: Vec<&str> = trial.iter().map(String::as_str).collect();
     let kept = keep.is_some();
-    let own = std::env::temp_dir().join(format!("runloom-rig-{}", std::process::id()));
+    let own = std::env::temp_dir().join(format!("runloom-testbed-{}", std::process::id()));
     let folder = keep.unwrap_or(own);
     println!(
         "{name}, seed {seed}: {} planners, {} forwarders, {} servers, {} queries/s, {} s",
@@ -180,7 +180,7 @@
 }
 
 fn again(folder: &std::path::Path, back: usize) -> Result<bool, String> {
-    let entries = runloom_record::folder::day(folder, back).map_err(|e| e.to_string())?;
+    let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
     let same = runloom_replay::exact::replay(&entries, runloom_daemon::planner::BUILD);
     println!("{}", same.map_err(|e| e.to_string())?.digest);
     Ok(true)
@@ -191,8 +191,8 @@
     let passing = std::env::temp_dir().join(format!("runloom-measure-{}", std::process::id()));
     let place = keep.as_ref().unwrap_or(&passing);
     let outcome = match name {
-        "pairs" => runloom_rig::pairs::pairs(place, &own, seed),
-        _ => runloom_rig::measure::measure(name, place, &own),
+        "pairs" => runloom_testbed::pairs::pairs(place, &own, seed),
+        _ => runloom_testbed::measure::measure(name, place, &own),
     };
     let _ = std::fs::remove_dir_all(&passing);
     outcome.map(|()| true)
--- a/rig/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -11,14 +11,14 @@
 use runloom_daemon::desk::{schema, Desk};
 use runloom_daemon::forwarder::Forwarder;
 use runloom_daemon::papers::{Holder, PROXY};
+use runloom_event_loop::{Happened, Turn};
+use runloom_inventory::ledger::Ledger;
 use runloom_model::fleet::{Class, Repeats};
 use runloom_model::forwarder::Stand;
 use runloom_model::FLEET;
 use runloom_netconf::service::{Limits, Service};
 use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
 use runloom_netconf::tree::Element;
-use runloom_roster::ledger::Ledger;
-use runloom_turn::{Happened, Turn};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -311,7 +311,7 @@
 
 /// Cost of the guard: a batch that changes a line of each group's table, with a tenth of the servers cold.
 fn guard() -> Told {
-    use runloom::interface::{Mode, Order};
+    use runloom_controller::interface::{Mode, Order};
     use runloom_guard::{Guard, Terms};
     for (proxies, servers) in [(45usize, 32usize), (150, 107), (592, 544), (2368, 2176)] {
         let terms = Terms {
@@ -378,11 +378,11 @@
     };
     let mut parts = [Duration::ZERO; 3];
     for (place, recorded) in [(0, false), (1, true)] {
-        let mut driver = runloom_driver::Driver::new(fleet.clone(), 1, 1_000_000);
+        let mut driver = runloom_control_session::Driver::new(fleet.clone(), 1, 1_000_000);
         driver.witness = recorded.then(Vec::new);
         (0..proxies).for_each(|p| _ = driver.joined(&format!("f{p}"), "z", 4.0, true));
-        let terms = runloom_record::Terms::default();
-        let mut recorder = runloom_record::Recorder::open(folder, terms).map_err(|e| e.to_string())?;
+        let terms = runloom_event_log::Terms::default();
+        let mut recorder = runloom_event_log::Recorder::open(folder, terms).map_err(|e| e.to_string())?;
         for k in 0..seconds * 2 {
             let now = Duration::from_millis(500 * k);
             let reports: Vec<Report> = (0..proxies).map(|p| report(p, k)).collect();
@@ -466,7 +466,7 @@
 
 /// Writes a record until it is killed, or for a minute: entries count up from the start's own.
 pub fn writes(folder: &Path) -> Told {
-    use runloom_record::{Happened, Recorder, Terms};
+    use runloom_event_log::{Happened, Recorder, Terms};
     let terms = Terms { segment: 20_000, sync: Duration::from_millis(5), ..Terms::default() };
     let mut recorder = Recorder::open(folder, terms).map_err(|e| e.to_string())?;
     let (build, planner, fleet) = (String::new(), String::new(), String::new());
--- a/rig/src/pairs.rs
+++ b/crates/testbed/src/pairs.rs
@@ -2,7 +2,7 @@
 //! record of the first says of the second, against what the second came to, on the same span.
 
 use crate::day::SHIPPED;
-use runloom_record::{folder, Entry, Happened};
+use runloom_event_log::{folder, Entry, Happened};
 use runloom_replay::other::{compare, Setting};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
--- a/rig/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
 use runloom_daemon::http::{write_answer, Message, Reader};
-use runloom_turn::{Bounds, Conn, Security, Turn};
+use runloom_event_loop::{Bounds, Conn, Security, Turn};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::net::SocketAddr;
--- a/rig/src/spoil.rs
+++ b/crates/testbed/src/spoil.rs
@@ -1,8 +1,8 @@
 //! Ways to break the decisions on purpose, for trials of the guard: each changes orders on their way out, from
 //! some seconds after the start on, so that a day is under way.
 
-use runloom::interface::Order;
-use runloom_driver::Spoil;
+use runloom_control_session::Spoil;
+use runloom_controller::interface::Order;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -72,7 +72,7 @@
         "level-zero" => {
             let tables: BTreeSet<u16> = seen.iter().map(|(t, _)| *t).collect();
             for table in tables {
-                let tries = runloom::interface::FurtherTries::None;
+                let tries = runloom_controller::interface::FurtherTries::None;
                 let level = |class| Order::Level { table, class, level: Some(0.0), tries };
                 orders.extend((0..3).map(level));
             }
--- a/rig/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -5,8 +5,8 @@
 use runloom_daemon::client::Client;
 use runloom_daemon::papers::Terms;
 use runloom_model::fleet::Papers;
-use runloom_rig::issuer::Issuer;
-use runloom_rig::world::{free, tls_xml, Process};
+use runloom_testbed::issuer::Issuer;
+use runloom_testbed::world::{free, tls_xml, Process};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Child;
@@ -14,7 +14,7 @@
 
 /// The rig's own program, which runs the planners' processes.
 pub fn own() -> PathBuf {
-    PathBuf::from(env!("CARGO_BIN_EXE_runloom-rig"))
+    PathBuf::from(env!("CARGO_BIN_EXE_runloom-testbed"))
 }
 
 pub struct Folder(pub PathBuf);
--- a/tests/known_red.rs
+++ b/crates/testbed/tests/known_red.rs
@@ -15,7 +15,7 @@
     if let Some(list) = list {
         std::fs::write(&list_file, list).unwrap();
     }
-    let script = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
+    let script = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../.ci/known-red");
     let run = Command::new(script).arg(log_file).arg(code.to_string()).arg(list_file).output().unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(run.stderr.is_empty(), "{}", String::from_utf8_lossy(&run.stderr));
--- a/rig/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -6,15 +6,15 @@
 use help::Desk;
 use runloom_daemon::client::edit_config;
 use runloom_daemon::papers::{server_name, Terms, PLANNER, PROXY};
+use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
 use runloom_model::order::{Came, Met, Report};
 use runloom_model::{FLEET, STATE};
 use runloom_mqtt::client::{Client, Over, Told, Wish};
 use runloom_mqtt::report;
 use runloom_mqtt::session::Hello;
 use runloom_netconf::tree::Element;
-use runloom_publish::reader::{Reader, Taken};
-use runloom_publish::{Key, Kind, Part, Topic};
-use runloom_turn::{Bounds, Conn, Happened, Security, Turn, Why};
+use runloom_versioned_publisher::reader::{Reader, Taken};
+use runloom_versioned_publisher::{Key, Kind, Part, Topic};
 use std::time::{Duration, Instant};
 
 /// Far beyond what anything here takes.
--- a/rig/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -8,9 +8,9 @@
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
-use runloom_rig::day::{Day, Edit, Fronts, Trouble};
-use runloom_rig::issuer::Issuer;
-use runloom_rig::world::{Outcomes, World};
+use runloom_testbed::day::{Day, Edit, Fronts, Trouble};
+use runloom_testbed::issuer::Issuer;
+use runloom_testbed::world::{Outcomes, World};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -272,7 +272,7 @@
     let mut starts = 0;
     for planner in 0..2 {
         let record = folder.0.join(format!("record-{planner}"));
-        let days = runloom_record::folder::days(&record).unwrap();
+        let days = runloom_event_log::folder::days(&record).unwrap();
         for (k, entries) in days.iter().enumerate() {
             let same = runloom_replay::exact::replay(entries, runloom_daemon::planner::BUILD).unwrap();
             assert_eq!(same.first, None, "{planner} {k}");
@@ -290,7 +290,7 @@
         assert_eq!((told.servers, told.edits.len()), (8, 1), "{told:?}");
         // The rig takes it.
         std::fs::write(folder.0.join("day.xml"), told.xml()).unwrap();
-        let read = runloom_rig::day::read(&folder.0.join("day.xml").display().to_string()).unwrap();
+        let read = runloom_testbed::day::read(&folder.0.join("day.xml").display().to_string()).unwrap();
         assert_eq!((read.servers, read.troubles.len()), (8, told.troubles.len()));
     }
     assert_eq!(starts, 3);
@@ -323,7 +323,7 @@
             scope.spawn(move || {
                 let folder = Folder::new(&format!("{way}-{guarded}"));
                 let (broken, service) =
-                    runloom_rig::measure::spoilt_day(&folder.0, &own(), way, guarded).unwrap();
+                    runloom_testbed::measure::spoilt_day(&folder.0, &own(), way, guarded).unwrap();
                 assert_eq!(broken.is_empty(), guarded, "{way} {guarded} {service}: {broken:?}");
             });
         }
@@ -369,7 +369,7 @@
 fn a_record_whose_writer_is_killed_two_hundred_times_reads_back_whole() {
     let folder = Folder::new("kills");
     let record = folder.0.join("record");
-    let newest = || runloom_record::folder::segments(&record).ok()?.last().map(|s| s.number);
+    let newest = || runloom_event_log::folder::segments(&record).ok()?.last().map(|s| s.number);
     for k in 0..200u64 {
         let before = newest().unwrap_or(0);
         let mut child =
@@ -385,11 +385,11 @@
         child.wait().unwrap();
     }
     let (mut starts, mut next, mut all) = (0, 0, 0u64);
-    for segment in runloom_record::folder::segments(&record).unwrap() {
-        let (entries, _) = runloom_record::folder::read(&segment).unwrap();
+    for segment in runloom_event_log::folder::segments(&record).unwrap() {
+        let (entries, _) = runloom_event_log::folder::read(&segment).unwrap();
         for entry in entries {
             all += 1;
-            if matches!(entry.what, runloom_record::Happened::Start { .. }) {
+            if matches!(entry.what, runloom_event_log::Happened::Start { .. }) {
                 (starts, next) = (starts + 1, 1);
             } else {
                 assert_eq!(entry.at, next, "{segment:?}");
