--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,23 +1,25 @@
 //! Hosts many planners that share nothing and translates between the wire and their interface.
 
 use crate::wire::{Host as HostEntry, In, Out};
-use runloom_controller::ids::Ids;
-use runloom_controller::interface::{Entry, Event, Found, FurtherTries, Listing, Mode, Order};
-use runloom_controller::Planner;
-use runloom_deployment_config::Said;
+use runloom_controller::Controller;
+use runloom_controller::IdMap;
+use runloom_controller::{
+    Command, EndpointRecord, EndpointUpdate, Event, HealthCheckResult, ListedState, RetryPolicy,
+};
+use runloom_deployment_config::Settings;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
 struct Instance {
-    planner: Planner,
-    servers: Ids<u64>,
-    proxies: Ids<u32>,
-    zones: Ids<String>,
-    kinds: Ids<String>,
-    classes: Ids<String>,
-    open_level: f64,
+    controller: Controller,
+    servers: IdMap<u64>,
+    proxies: IdMap<u32>,
+    zones: IdMap<String>,
+    kinds: IdMap<String>,
+    classes: IdMap<String>,
+    unlimited_rate: f64,
     happened: Vec<Event>,
 }
 
@@ -42,29 +44,30 @@
 
 impl Instance {
     fn new(seed: u64, settings: &Value) -> Self {
-        let Said { facts, classes, zones, open_level, .. } = runloom_deployment_config::read(settings);
+        let Settings { config, classes, zones, unlimited_rate, .. } =
+            runloom_deployment_config::read(settings);
         Instance {
-            planner: Planner::default(),
-            servers: Ids::default(),
-            proxies: Ids::default(),
+            controller: Controller::default(),
+            servers: IdMap::default(),
+            proxies: IdMap::default(),
             zones,
-            kinds: Ids::default(),
+            kinds: IdMap::default(),
             classes,
-            open_level,
-            happened: vec![Event::Start { seed, facts }],
+            unlimited_rate,
+            happened: vec![Event::Start { seed, config: Box::new(config) }],
         }
     }
 
-    fn entry(&mut self, host: HostEntry) -> Entry {
-        Entry {
+    fn entry(&mut self, host: HostEntry) -> EndpointRecord {
+        EndpointRecord {
             server: self.servers.index(host.server),
             zone: self.zones.index(host.az.unwrap_or_default()),
             kind: self.kinds.index(host.sku.unwrap_or_default()),
             cell: host.group.unwrap_or(0),
-            mode: match host.mode.as_deref() {
-                Some("DRAINING") => Mode::Draining,
-                Some("DELETED") => Mode::Gone,
-                _ => Mode::Ready,
+            state: match host.mode.as_deref() {
+                Some("DRAINING") => ListedState::Draining,
+                Some("DELETED") => ListedState::Removed,
+                _ => ListedState::Ready,
             },
             weight: host.share.unwrap_or(1.0),
             started: host.last_start_s.filter(|s| *s > 0.0).map(|s| span(Some(s))),
@@ -76,67 +79,69 @@
         Some(match event {
             In::Discovery { how, hosts, .. } => {
                 let how = match how.as_str() {
-                    "Partial" => Listing::Changes,
-                    "Complete" => Listing::Whole,
-                    "Persisted" => Listing::Remembered,
-                    _ => Listing::Failed,
+                    "Partial" => EndpointUpdate::Delta,
+                    "Complete" => EndpointUpdate::Snapshot,
+                    "Persisted" => EndpointUpdate::Cached,
+                    _ => EndpointUpdate::WatchFailed,
                 };
                 let entries = hosts.unwrap_or_default().into_iter().map(|h| self.entry(h)).collect();
-                Event::Listed { how, entries }
+                Event::EndpointsListed { update: how, records: entries }
             }
-            In::Traffic { edge, n, covers_s, tier_class, errors, .. } => Event::Came {
+            In::Traffic { edge, n, covers_s, tier_class, errors, .. } => Event::ArrivalReport {
                 proxy: self.proxies.index(edge),
-                class: self.classes.known(&tier_class)?,
-                queries: n.unwrap_or(0),
+                class: self.classes.get(&tier_class)?,
+                requests: n.unwrap_or(0),
                 unanswered: errors.unwrap_or(0),
-                span: span(covers_s),
+                window: span(covers_s),
             },
-            In::SliceLoad { tier_class, table, n, covers_s, errors, .. } => Event::CameForSlice {
+            In::SliceLoad { tier_class, table, n, covers_s, errors, .. } => Event::SliceArrivalReport {
                 table,
-                class: self.classes.known(&tier_class)?,
-                queries: n.unwrap_or(0),
+                class: self.classes.get(&tier_class)?,
+                requests: n.unwrap_or(0),
                 unanswered: errors.unwrap_or(0),
-                span: span(covers_s),
+                window: span(covers_s),
             },
             In::Peer { sender, payload, .. } => {
-                Event::Told { peer: sender as usize, bytes: hex(&payload.unwrap_or_default()) }
-            }
-            In::Timer { token, .. } => Event::Woken { token },
-            In::TookEffect { edge, gen, elapsed_s, .. } => {
-                Event::Applied { proxy: self.proxies.index(edge), mark: gen, after: span(elapsed_s) }
+                Event::PeerMessage { peer: sender as usize, bytes: hex(&payload.unwrap_or_default()) }
             }
+            In::Timer { token, .. } => Event::TimerFired { token },
+            In::TookEffect { edge, gen, elapsed_s, .. } => Event::UpdateAcknowledged {
+                proxy: self.proxies.index(edge),
+                ack_token: gen,
+                elapsed: span(elapsed_s),
+            },
             In::StoredLine { table, server, share, .. } => {
-                Event::Stored { table, server: self.servers.index(server), weight: share.unwrap_or(1.0) }
+                Event::StoredEntry { table, server: self.servers.index(server), weight: share.unwrap_or(1.0) }
             }
-            In::Echo { ending, elapsed_s, server, metrics, .. } => Event::Probed {
+            In::Echo { ending, elapsed_s, server, metrics, .. } => Event::HealthChecked {
                 server: self.servers.index(server),
-                found: match ending.as_str() {
-                    "served" => Found::Handled,
-                    "server_error" => Found::Failed,
-                    "turned_away" => Found::TurnedAway,
-                    "no_answer" => Found::NoAnswer,
-                    "no_connection" | "connection_lost" => Found::NoConnection,
-                    _ => Found::Nothing,
+                result: match ending.as_str() {
+                    "served" => HealthCheckResult::Success,
+                    "server_error" => HealthCheckResult::ErrorResponse,
+                    "turned_away" => HealthCheckResult::Rejected,
+                    "no_answer" => HealthCheckResult::Timeout,
+                    "no_connection" | "connection_lost" => HealthCheckResult::ConnectionFailed,
+                    _ => HealthCheckResult::Inconclusive,
                 },
-                after: span(elapsed_s),
+                elapsed: span(elapsed_s),
                 load: load(metrics),
             },
-            In::Given { table, set, .. } => Event::Charge { table, held: set.unwrap_or(false) },
-            In::LostStream { edge, .. } => Event::Left { proxy: self.proxies.index(edge) },
-            In::Roundup { az, server, n, errors, elapsed_s, covers_s, metrics, .. } => Event::Met {
+            In::Given { table, set, .. } => Event::SliceOwnership { table, is_owned: set.unwrap_or(false) },
+            In::LostStream { edge, .. } => Event::ProxyDisconnected { proxy: self.proxies.index(edge) },
+            In::Roundup { az, server, n, errors, elapsed_s, covers_s, metrics, .. } => Event::OutcomeReport {
                 zone: self.zones.index(az),
                 server: self.servers.index(server),
-                tries: n.unwrap_or(0),
-                failed: errors.unwrap_or(0),
-                took: span(elapsed_s),
-                span: span(covers_s),
+                attempts: n.unwrap_or(0),
+                failures: errors.unwrap_or(0),
+                mean_latency: span(elapsed_s),
+                window: span(covers_s),
                 load: load(metrics),
             },
-            In::Joined { az, share, edge, set, .. } => Event::Joined {
+            In::Joined { az, share, edge, set, .. } => Event::ProxyConnected {
                 proxy: self.proxies.index(edge),
                 zone: self.zones.index(az),
-                rate: share.unwrap_or(0.0),
-                fresh: set.unwrap_or(false),
+                request_rate: share.unwrap_or(0.0),
+                has_no_table: set.unwrap_or(false),
             },
             In::Frame { .. } | In::Commit | In::Hello { .. } | In::Teardown { .. } | In::Unknown => {
                 return None
@@ -145,40 +150,49 @@
     }
 
     /// One order in the wire's words; `None` where it names what the wire has not named before.
-    fn put(&self, planner: u64, order: Order) -> Option<Out> {
-        let server = |index: usize| self.servers.outside(index).copied();
+    fn put(&self, planner: u64, order: Command) -> Option<Out> {
+        let server = |index: usize| self.servers.name(index).copied();
         Some(match order {
-            Order::Line { table, server: s, weight } => {
+            Command::SetEntry { table, server: s, weight } => {
                 Out::Endpoint { planner, table, server: server(s)?, share: weight }
             }
-            Order::Clear { table } => Out::Truncate { planner, table },
-            Order::Withdraw { server: s, out } => Out::Pull { planner, set: out, server: server(s)? },
-            Order::Bind { proxy, table, classes } => {
-                Out::AttachTable { planner, edge: *self.proxies.outside(proxy)?, table, class_bits: classes }
+            Command::ClearTable { table } => Out::Truncate { planner, table },
+            Command::EjectServer { server: s, ejected: out } => {
+                Out::Pull { planner, set: out, server: server(s)? }
             }
-            Order::Level { table, class, level, tries } => Out::Throttle {
-                planner,
-                table,
-                class_bits: 1 << class,
-                allowance: level.unwrap_or(self.open_level),
-                retry_mode: match tries {
-                    FurtherTries::None => 0,
-                    FurtherTries::Unrun => 1,
-                    FurtherTries::One => 2,
-                    FurtherTries::Two => 3,
-                },
-            },
-            Order::Mark { mark, everyone } => Out::FencePost { planner, gen: mark, set: everyone },
-            Order::Probe { server: s } => Out::HealthCheck { planner, server: server(s)? },
-            Order::Tell { peer, bytes } => Out::MemoTo {
+            Command::AssignTable { proxy, table, class_mask: classes } => {
+                Out::AttachTable { planner, edge: *self.proxies.name(proxy)?, table, class_bits: classes }
+            }
+            Command::SetAdmission { table, class, admission_rate: level, retry_policy: tries } => {
+                Out::Throttle {
+                    planner,
+                    table,
+                    class_bits: 1 << class,
+                    allowance: level.unwrap_or(self.unlimited_rate),
+                    retry_mode: match tries {
+                        RetryPolicy::Never => 0,
+                        RetryPolicy::IfNotExecuted => 1,
+                        RetryPolicy::Once => 2,
+                        RetryPolicy::Twice => 3,
+                    },
+                }
+            }
+            Command::RequestAck { ack_token: mark, all_proxies: everyone } => {
+                Out::FencePost { planner, gen: mark, set: everyone }
+            }
+            Command::CheckHealth { server: s } => Out::HealthCheck { planner, server: server(s)? },
+            Command::SendToPeer { peer, bytes } => Out::MemoTo {
                 planner,
                 recipient: peer.map_or(Value::from("*"), Value::from),
                 payload: bytes.iter().map(|b| format!("{b:02x}")).collect(),
             },
-            Order::Subscribe { on } => Out::Listen { planner, set: on },
-            Order::Fetch => Out::QueryAll { planner },
-            Order::Wake { after, token } => Out::WakeMe { planner, in_s: after.as_secs_f64(), token },
-            Order::Log { text } => Out::WriteLog { planner, reason_text: text },
+            Command::WatchEndpoints { enabled: on } => Out::Listen { planner, set: on },
+            Command::FetchEndpoints => Out::QueryAll { planner },
+            Command::SetTimer { after, token } => Out::WakeMe { planner, in_s: after.as_secs_f64(), token },
+            Command::LogEjection(report) => {
+                let reason_text = report.log_line(&report.server.to_string());
+                Out::WriteLog { planner, reason_text }
+            }
         })
     }
 }
@@ -227,7 +241,7 @@
         let mut reply = Vec::new();
         for (&planner, instance) in self.instances.iter_mut().filter(|(_, i)| !i.happened.is_empty()) {
             let happened = std::mem::take(&mut instance.happened);
-            let decided = catch_unwind(AssertUnwindSafe(|| instance.planner.decide(now, &happened)));
+            let decided = catch_unwind(AssertUnwindSafe(|| instance.controller.step(now, &happened)));
             match decided {
                 Ok(orders) => reply.extend(orders.into_iter().filter_map(|o| instance.put(planner, o))),
                 Err(cause) => {
--- a/crates/control-session/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -1,4 +1,4 @@
-//! The driver between the fronts and [`runloom_controller::Planner`], free of I/O: names in, messages out. It keeps the
+//! The driver between the fronts and [`runloom_controller::Controller`], free of I/O: names in, messages out. It keeps the
 //! tables as they were ordered, lays one message a proxy and reply, and counts what waits for confirmation.
 //! It decides nothing about servers; its own matters are what a message holds, and when a report is handed on.
 
@@ -6,11 +6,12 @@
 mod tables;
 pub mod witness;
 
-use runloom_controller::ids::{named, Ids};
-use runloom_controller::interface::{
-    Entry, Event, Found, Hint, Learned, Listing, Mode, Order, Proxy, Server, Table,
+use runloom_controller::Controller;
+use runloom_controller::IdMap;
+use runloom_controller::{
+    Command, EndpointRecord, EndpointUpdate, Event, HealthCheckResult, LearnedState, ListedState, ProxyId,
+    ServerId, TableId, WarmStartHint,
 };
-use runloom_controller::Planner;
 use runloom_event_log::Happened;
 use runloom_guard::{Guard, Terms};
 use runloom_inventory::Change;
@@ -28,14 +29,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Deed {
     /// A table changed, or is whole as it is given; ahead of the orders that it goes out with.
-    Table { table: Table, edit: TableEdit },
+    Table { table: TableId, edit: TableEdit },
     /// Servers that are out whatever tables say, or no longer.
     Withdrawn { servers: BTreeMap<String, bool> },
     /// One order to one proxy, numbered from 1 on at each proxy. Proxies on the same tables share the message, which
     /// is what the order says; what goes out by it is the front's matter.
-    Send { proxy: Proxy, number: u64, message: Rc<Message>, lines: usize },
+    Send { proxy: ProxyId, number: u64, message: Rc<Message>, lines: usize },
     /// Ask the server how it is; the answer goes to [`Driver::probed`].
-    Probe { server: Server, address: SocketAddr },
+    Probe { server: ServerId, address: SocketAddr },
     /// A line for the log.
     Log { text: String },
 }
@@ -44,7 +45,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Ordered {
     pub servers: BTreeSet<String>,
-    pub proxies: Vec<(Proxy, u64)>,
+    pub proxies: Vec<(ProxyId, u64)>,
 }
 
 /// A message on its way.
@@ -80,7 +81,7 @@
 }
 
 /// Changes orders before they are judged: for trials of the guard only.
-pub type Spoil = Box<dyn FnMut(Duration, &mut Vec<Order>)>;
+pub type Spoil = Box<dyn FnMut(Duration, &mut Vec<Command>)>;
 
 /// One planner and what it is joined to.
 pub struct Driver {
@@ -91,23 +92,23 @@
     /// All calls and what came of them, for a record; empty unless it is wanted.
     pub witness: Option<Vec<(Duration, Happened)>>,
     clock: Duration,
-    flows: BTreeMap<(Server, usize), f64>,
-    planner: Planner,
+    flows: BTreeMap<(ServerId, usize), f64>,
+    controller: Controller,
     fleet: Fleet,
-    servers: Ids<String>,
-    proxies: Ids<String>,
-    zones: Ids<String>,
-    kinds: Ids<String>,
-    addresses: BTreeMap<Server, SocketAddr>,
-    weights: BTreeMap<Server, f64>,
+    servers: IdMap<String>,
+    proxies: IdMap<String>,
+    zones: IdMap<String>,
+    kinds: IdMap<String>,
+    addresses: BTreeMap<ServerId, SocketAddr>,
+    weights: BTreeMap<ServerId, f64>,
     tables: Tables,
-    members: BTreeMap<Proxy, Member>,
+    members: BTreeMap<ProxyId, Member>,
     sums: Sums,
     happened: Vec<Event>,
     wakes: BinaryHeap<std::cmp::Reverse<(Duration, u64)>>,
     /// Milliseconds since 1970 at the clock's zero.
     epoch: u64,
-    standing: BTreeMap<Server, &'static str>,
+    standing: BTreeMap<ServerId, &'static str>,
     /// Lines and messages ordered since the start.
     pub lines_sent: u64,
     pub messages_sent: u64,
@@ -119,23 +120,23 @@
     ///
     /// `epoch` is the wall clock at `now` zero, milliseconds since 1970.
     pub fn new(fleet: Fleet, seed: u64, epoch: u64) -> Driver {
-        let mut zones = Ids::default();
+        let mut zones = IdMap::default();
         fleet.zones.iter().for_each(|(name, _)| _ = zones.index(name.clone()));
-        let happened = vec![Event::Start { seed, facts: fleet.facts() }];
+        let happened = vec![Event::Start { seed, config: Box::new(fleet.deployment_config()) }];
         Driver {
-            guard: Guard::new(Terms::of(&fleet.facts())),
+            guard: Guard::new(Terms::of(&fleet.deployment_config())),
             guarded: true,
             spoil: None,
             witness: None,
             clock: Duration::ZERO,
             flows: BTreeMap::new(),
-            planner: Planner::default(),
+            controller: Controller::default(),
             sums: Sums::new(fleet.report, fleet.report_lines),
             fleet,
-            servers: Ids::default(),
-            proxies: Ids::default(),
+            servers: IdMap::default(),
+            proxies: IdMap::default(),
             zones,
-            kinds: Ids::default(),
+            kinds: IdMap::default(),
             addresses: BTreeMap::new(),
             weights: BTreeMap::new(),
             tables: Tables::default(),
@@ -158,34 +159,34 @@
         &self.guard
     }
 
-    pub fn members(&self) -> &BTreeMap<Proxy, Member> {
+    pub fn members(&self) -> &BTreeMap<ProxyId, Member> {
         &self.members
     }
 
-    pub fn proxy_name(&self, proxy: Proxy) -> &str {
-        self.proxies.outside(proxy).map_or("?", String::as_str)
+    pub fn proxy_name(&self, proxy: ProxyId) -> &str {
+        self.proxies.name(proxy).map_or("?", String::as_str)
     }
 
     /// The number of a server that was listed, and of a proxy that joined, by their names.
-    pub fn server(&self, name: &str) -> Option<Server> {
-        self.servers.known(name)
+    pub fn server(&self, name: &str) -> Option<ServerId> {
+        self.servers.get(name)
     }
 
-    pub fn proxy(&self, name: &str) -> Option<Proxy> {
-        self.proxies.known(name)
+    pub fn proxy(&self, name: &str) -> Option<ProxyId> {
+        self.proxies.get(name)
     }
 
-    pub fn server_name(&self, server: Server) -> &str {
-        self.servers.outside(server).map_or("?", String::as_str)
+    pub fn server_name(&self, server: ServerId) -> &str {
+        self.servers.name(server).map_or("?", String::as_str)
     }
 
     /// The tables as ordered.
-    pub fn laid(&self) -> &BTreeMap<Table, Laid> {
+    pub fn laid(&self) -> &BTreeMap<TableId, Laid> {
         self.tables.laid()
     }
 
     /// What the list last said of each server: `ready`, `draining`, `gone`.
-    pub fn listed(&self) -> &BTreeMap<Server, &'static str> {
+    pub fn listed(&self) -> &BTreeMap<ServerId, &'static str> {
         &self.standing
     }
 
@@ -198,7 +199,8 @@
     /// The fleet as edited. New facts start the decisions over: proxies keep what they hold until they are
     /// bound again. Shares and words on servers are no facts, they come by the list.
     pub fn refit(&mut self, fleet: Fleet, seed: u64) -> bool {
-        let same = fleet.facts() == self.fleet.facts() && self.zones_of(&fleet) == self.zones_of(&self.fleet);
+        let same = fleet.deployment_config() == self.fleet.deployment_config()
+            && self.zones_of(&fleet) == self.zones_of(&self.fleet);
         self.fleet = fleet;
         if let Some((multiple, until)) = self.fleet.raised {
             self.guard.raise(multiple, self.since_start(until).unwrap_or_default());
@@ -206,14 +208,14 @@
         if same {
             return false;
         }
-        self.guard.restart(Terms::of(&self.fleet.facts()));
+        self.guard.restart(Terms::of(&self.fleet.deployment_config()));
         self.flows.clear();
-        self.zones = Ids::default();
+        self.zones = IdMap::default();
         self.fleet.zones.iter().for_each(|(name, _)| _ = self.zones.index(name.clone()));
         self.sums = Sums::new(self.fleet.report, self.fleet.report_lines);
         self.tables = Tables::default();
         self.wakes.clear();
-        self.happened = vec![Event::Start { seed, facts: self.fleet.facts() }];
+        self.happened = vec![Event::Start { seed, config: Box::new(self.fleet.deployment_config()) }];
         true
     }
 
@@ -222,7 +224,7 @@
     }
 
     /// Tells the decisions of servers: the whole list as held before this start, or changes.
-    pub fn list(&mut self, how: Listing, changes: Vec<(String, Change)>) {
+    pub fn list(&mut self, how: EndpointUpdate, changes: Vec<(String, Change)>) {
         self.note(|| witness::listed(how, &changes));
         let mut entries = Vec::new();
         for (name, change) in changes {
@@ -231,12 +233,12 @@
                 Change::Is(is) => {
                     self.addresses.insert(server, is.address);
                     self.standing.insert(server, if is.draining { "draining" } else { "ready" });
-                    Entry {
+                    EndpointRecord {
                         server,
                         zone: self.zones.index(is.zone),
                         kind: self.kinds.index(is.kind),
                         cell: is.cell,
-                        mode: if is.draining { Mode::Draining } else { Mode::Ready },
+                        state: if is.draining { ListedState::Draining } else { ListedState::Ready },
                         weight: is.weight,
                         // Started before this planner's clock began counts as long ago only once it is warm.
                         started: is.started.and_then(|at| self.since_start(at)),
@@ -244,21 +246,21 @@
                 }
                 Change::Gone => {
                     self.standing.insert(server, "gone");
-                    let (mode, weight) = (Mode::Gone, 1.0);
-                    Entry { server, zone: 0, kind: 0, cell: 0, mode, weight, started: None }
+                    let (mode, weight) = (ListedState::Removed, 1.0);
+                    EndpointRecord { server, zone: 0, kind: 0, cell: 0, state: mode, weight, started: None }
                 }
             });
         }
         for e in &entries {
-            let weight = if e.mode == Mode::Gone {
+            let weight = if e.state == ListedState::Removed {
                 self.weights.get(&e.server).copied().unwrap_or(1.0)
             } else {
                 e.weight
             };
             self.weights.insert(e.server, weight);
-            self.guard.listed(e.server, e.mode, weight, e.started);
+            self.guard.listed(e.server, e.state, weight, e.started);
         }
-        self.happened.push(Event::Listed { how, entries });
+        self.happened.push(Event::EndpointsListed { update: how, records: entries });
     }
 
     /// Tells the decisions what an earlier start learned: server, swiftness, doubt. After the list that names them.
@@ -267,10 +269,10 @@
             |(name, swift, doubt): &(String, f64, f64)| (name.clone(), swift.to_bits(), doubt.to_bits());
         self.note(|| Happened::Remembered { hints: hints.iter().map(bits).collect() });
         let known = |(name, swift, doubt): &(String, f64, f64)| {
-            Some(Hint { server: self.servers.known(name)?, swift: *swift, doubt: *doubt })
+            Some(WarmStartHint { server: self.servers.get(name)?, speed_factor: *swift, suspicion: *doubt })
         };
         let hints = hints.iter().filter_map(known).collect();
-        self.happened.push(Event::Remembered { hints });
+        self.happened.push(Event::WarmStart { hints });
     }
 
     /// What may outlast this planner: server, swiftness, when it was last out for failing, as a wall-clock time, and
@@ -278,9 +280,15 @@
     pub fn learned(&self) -> Vec<(String, f64, Option<u64>, bool)> {
         let wall =
             |at: Duration| (self.epoch + at.as_millis() as u64).saturating_sub(LEAD.as_millis() as u64);
-        let named =
-            |l: Learned| (self.server_name(l.server).to_string(), l.swift, l.failed.map(wall), l.held);
-        self.planner.learned().map(named).collect()
+        let named = |l: LearnedState| {
+            (
+                self.server_name(l.server).to_string(),
+                l.speed_factor,
+                l.last_ejected.map(wall),
+                l.is_long_ejected,
+            )
+        };
+        self.controller.learned().map(named).collect()
     }
 
     /// A wall-clock time on the decisions' clock, which starts an hour back so that times shortly before the
@@ -290,7 +298,7 @@
     }
 
     /// A proxy joined: what it says of itself, and whether it holds nothing but what it started with.
-    pub fn joined(&mut self, name: &str, zone: &str, rate: f64, fresh: bool) -> Proxy {
+    pub fn joined(&mut self, name: &str, zone: &str, rate: f64, fresh: bool) -> ProxyId {
         let (name_of, zone_of) = (name.to_string(), zone.to_string());
         self.note(|| Happened::Joined { proxy: name_of, zone: zone_of, rate, fresh });
         let proxy = self.proxies.index(name.to_string());
@@ -299,11 +307,16 @@
         self.tables.join(proxy);
         self.guard.joined(proxy, if rate.is_finite() { rate } else { 0.0 });
         let rate = if rate.is_finite() { rate.clamp(0.0, 1e6) } else { 0.0 };
-        self.happened.push(Event::Joined { proxy, zone: self.zones.index(zone.to_string()), rate, fresh });
+        self.happened.push(Event::ProxyConnected {
+            proxy,
+            zone: self.zones.index(zone.to_string()),
+            request_rate: rate,
+            has_no_table: fresh,
+        });
         proxy
     }
 
-    pub fn left(&mut self, proxy: Proxy) {
+    pub fn left(&mut self, proxy: ProxyId) {
         let name = self.proxy_name(proxy).to_string();
         self.note(|| Happened::Left { proxy: name });
         self.drop_member(proxy);
@@ -315,16 +328,16 @@
         }
     }
 
-    fn drop_member(&mut self, proxy: Proxy) {
+    fn drop_member(&mut self, proxy: ProxyId) {
         if self.members.remove(&proxy).is_some() {
             self.tables.left(proxy);
             self.guard.left(proxy);
-            self.happened.push(Event::Left { proxy });
+            self.happened.push(Event::ProxyDisconnected { proxy });
         }
     }
 
     /// The proxy confirmed the message of this number, and so all before it.
-    pub fn applied(&mut self, now: Duration, proxy: Proxy, number: u64) {
+    pub fn applied(&mut self, now: Duration, proxy: ProxyId, number: u64) {
         let now = whole(now);
         self.clock = now;
         if self.witness.is_some() {
@@ -338,13 +351,13 @@
             member.applied_at = Some(now);
             if let Some(mark) = flying.mark {
                 let after = now.saturating_sub(flying.sent);
-                self.happened.push(Event::Applied { proxy, mark, after });
+                self.happened.push(Event::UpdateAcknowledged { proxy, ack_token: mark, elapsed: after });
             }
         }
     }
 
     /// A report came. What names no known server or class is left out.
-    pub fn report(&mut self, now: Duration, proxy: Proxy, report: &Report) {
+    pub fn report(&mut self, now: Duration, proxy: ProxyId, report: &Report) {
         let now = whole(now);
         self.clock = now;
         if self.witness.is_some() {
@@ -358,7 +371,7 @@
         member.report_at = Some(now);
         let zone = self.zones.index(member.zone.clone());
         for met in &report.met {
-            if let Some(server) = self.servers.known(&met.server) {
+            if let Some(server) = self.servers.get(&met.server) {
                 self.sums.met(now, zone, server, met, report.span);
             }
         }
@@ -369,13 +382,13 @@
         }
     }
 
-    pub fn probed(&mut self, server: Server, found: Found, after: Duration, load: Vec<f64>) {
+    pub fn probed(&mut self, server: ServerId, found: HealthCheckResult, after: Duration, load: Vec<f64>) {
         let after = whole(after);
         if self.witness.is_some() {
             let name = self.server_name(server).to_string();
             self.note(|| witness::probed(name, found, after, &load));
         }
-        self.happened.push(Event::Probed { server, found, after, load });
+        self.happened.push(Event::HealthChecked { server, result: found, elapsed: after, load });
     }
 
     /// When [`Driver::turn`] wants to be called though nothing came.
@@ -393,7 +406,7 @@
                 break;
             }
             self.wakes.pop();
-            self.happened.push(Event::Woken { token });
+            self.happened.push(Event::TimerFired { token });
         }
         let known = self.happened.len();
         self.sums.hand_on(now, &mut self.happened);
@@ -402,7 +415,7 @@
             return (vec![], Ordered::default());
         }
         let happened = std::mem::take(&mut self.happened);
-        let mut orders = self.planner.decide(LEAD + now, &happened);
+        let mut orders = self.controller.step(LEAD + now, &happened);
         if let Some(spoil) = &mut self.spoil {
             spoil(now, &mut orders);
         }
@@ -420,14 +433,21 @@
     fn tell_guard(&mut self, now: Duration, from: usize) {
         for event in &self.happened[from..] {
             match event {
-                Event::Met { zone, server, tries, failed, span, .. } => {
+                Event::OutcomeReport {
+                    zone,
+                    server,
+                    attempts: tries,
+                    failures: failed,
+                    window: span,
+                    ..
+                } => {
                     let good = tries.saturating_sub(*failed) as f64 / span.as_secs_f64().max(0.1);
                     self.flows.insert((*server, *zone), good);
                     let all: f64 =
                         self.flows.range((*server, 0)..=(*server, usize::MAX)).map(|(_, f)| f).sum();
                     self.guard.met(LEAD + now, *server, all);
                 }
-                Event::Came { proxy, class, queries, span, .. } => {
+                Event::ArrivalReport { proxy, class, requests: queries, window: span, .. } => {
                     self.guard.came(*proxy, *class, *queries as f64 / span.as_secs_f64().max(0.1));
                 }
                 _ => {}
@@ -437,46 +457,56 @@
 
     /// Has a batch of orders judged: what passes, and whom the rest would have reached. The decisions hear of
     /// what does not pass with the next turn.
-    fn judged(&mut self, now: Duration, orders: Vec<Order>) -> (Vec<Order>, BTreeSet<Proxy>) {
-        let to_proxies =
-            |o: &Order| !matches!(o, Order::Probe { .. } | Order::Wake { .. } | Order::Log { .. });
+    fn judged(&mut self, now: Duration, orders: Vec<Command>) -> (Vec<Command>, BTreeSet<ProxyId>) {
+        let to_proxies = |o: &Command| {
+            !matches!(o, Command::CheckHealth { .. } | Command::SetTimer { .. } | Command::LogEjection(_))
+        };
         if !self.guarded || !orders.iter().any(to_proxies) {
             return (orders, BTreeSet::new());
         }
         let judged = self.guard.judge(LEAD + now, orders);
-        let refused = judged.held.into_iter().map(|h| Event::Refused { order: h.order, weight: h.weight });
+        let refused = judged
+            .held
+            .into_iter()
+            .map(|h| Event::CommandRejected { command: h.order, published_weight: h.weight });
         self.happened.extend(refused);
         (judged.passed, judged.concerned)
     }
 
-    fn carry(&mut self, now: Duration, orders: Vec<Order>) -> (Vec<Deed>, Ordered) {
+    fn carry(&mut self, now: Duration, orders: Vec<Command>) -> (Vec<Deed>, Ordered) {
         let (mut deeds, mut ordered, mut mark, mut all) = (vec![], Ordered::default(), None, false);
         let (orders, concerned) = self.judged(now, orders);
         for order in orders {
             match order {
-                Order::Line { table, server, weight } => {
+                Command::SetEntry { table, server, weight } => {
                     ordered.servers.insert(self.server_name(server).to_string());
                     self.tables.line(table, server, weight);
                 }
-                Order::Clear { table } => self.tables.clear(table),
-                Order::Withdraw { server, out } => self.tables.withdraw(server, out),
-                Order::Bind { proxy, table, classes } => {
+                Command::ClearTable { table } => self.tables.clear(table),
+                Command::EjectServer { server, ejected: out } => self.tables.withdraw(server, out),
+                Command::AssignTable { proxy, table, class_mask: classes } => {
                     let count = self.fleet.classes.len();
                     let bound = (0..count).filter(|c| classes == 0 || classes & (1 << c) != 0);
                     self.tables.bind(proxy, table, bound);
                 }
-                Order::Level { table, class, level, tries } => self.tables.level(table, class, level, tries),
-                Order::Mark { mark: number, everyone } => (mark, all) = (Some(number), everyone),
-                Order::Probe { server } => {
+                Command::SetAdmission { table, class, admission_rate: level, retry_policy: tries } => {
+                    self.tables.level(table, class, level, tries)
+                }
+                Command::RequestAck { ack_token: number, all_proxies: everyone } => {
+                    (mark, all) = (Some(number), everyone)
+                }
+                Command::CheckHealth { server } => {
                     let address = self.addresses.get(&server).copied();
                     deeds.extend(address.map(|address| Deed::Probe { server, address }));
                 }
-                Order::Wake { after, token } => self.wakes.push(std::cmp::Reverse((now + after, token))),
-                Order::Log { text } => {
-                    deeds.push(Deed::Log { text: named(&text, |s| Some(self.server_name(s).to_string())) })
+                Command::SetTimer { after, token } => {
+                    self.wakes.push(std::cmp::Reverse((now + after, token)))
+                }
+                Command::LogEjection(report) => {
+                    deeds.push(Deed::Log { text: report.log_line(self.server_name(report.server)) });
                 }
                 // The list comes unasked here, and planners have no peers.
-                Order::Subscribe { .. } | Order::Fetch | Order::Tell { .. } => {}
+                Command::WatchEndpoints { .. } | Command::FetchEndpoints | Command::SendToPeer { .. } => {}
             }
         }
         // The decisions wait for the mark of all whom they ordered, be it that nothing of it passed.
@@ -494,16 +524,16 @@
         &mut self,
         now: Duration,
         mark: Option<u16>,
-        also: &BTreeSet<Proxy>,
+        also: &BTreeSet<ProxyId>,
         deeds: &mut Vec<Deed>,
         ordered: &mut Ordered,
     ) {
         let names = tables::Names {
-            server: &|s| self.servers.outside(s).map_or("?", String::as_str),
+            server: &|s| self.servers.name(s).map_or("?", String::as_str),
             address: &|s| self.addresses.get(&s).map(SocketAddr::to_string).unwrap_or_default(),
             class: &|c| self.fleet.classes.get(c).map_or("?", |class| class.name.as_str()),
         };
-        let members: Vec<Proxy> = self.members.keys().copied().collect();
+        let members: Vec<ProxyId> = self.members.keys().copied().collect();
         let (changed, withdrawn) = self.tables.changed(&names);
         deeds.extend(changed.into_iter().map(|(table, edit)| Deed::Table { table, edit }));
         if !withdrawn.is_empty() {
--- a/crates/control-session/src/sums.rs
+++ b/crates/control-session/src/sums.rs
@@ -1,15 +1,15 @@
 //! Reports add up here by zone and server, and are handed on once a period, so many lines a second at most,
 //! the oldest first: the decisions take a report for the sum over the proxies of a zone.
 
-use runloom_controller::interface::{Class, Event, Proxy, Server, Zone};
+use runloom_controller::{ClassId, Event, ProxyId, ServerId, ZoneId};
 use runloom_model::order::{Came, Met};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
-    Met(Zone, Server),
-    Came(Proxy, Class),
+    Met(ZoneId, ServerId),
+    Came(ProxyId, ClassId),
 }
 
 #[derive(Debug, Default)]
@@ -52,7 +52,7 @@
         sum
     }
 
-    pub fn met(&mut self, now: Duration, zone: Zone, server: Server, met: &Met, span: Duration) {
+    pub fn met(&mut self, now: Duration, zone: ZoneId, server: ServerId, met: &Met, span: Duration) {
         let sum = self.at(Key::Met(zone, server), now, span);
         let failed = met.failed.min(met.tries);
         sum.tries += met.tries;
@@ -63,7 +63,7 @@
         }
     }
 
-    pub fn came(&mut self, now: Duration, proxy: Proxy, class: Class, came: &Came, span: Duration) {
+    pub fn came(&mut self, now: Duration, proxy: ProxyId, class: ClassId, came: &Came, span: Duration) {
         let sum = self.at(Key::Came(proxy, class), now, span);
         sum.tries += came.queries;
         sum.failed += came.unanswered;
@@ -85,19 +85,23 @@
                 Key::Met(zone, server) => {
                     let good = sum.tries - sum.failed;
                     let took = Duration::from_secs_f64(if good > 0 { sum.took / good as f64 } else { 0.0 });
-                    Event::Met {
+                    Event::OutcomeReport {
                         zone,
                         server,
-                        tries: sum.tries,
-                        failed: sum.failed,
-                        took,
-                        span,
+                        attempts: sum.tries,
+                        failures: sum.failed,
+                        mean_latency: took,
+                        window: span,
                         load: sum.load,
                     }
                 }
-                Key::Came(proxy, class) => {
-                    Event::Came { proxy, class, queries: sum.tries, unanswered: sum.failed, span }
-                }
+                Key::Came(proxy, class) => Event::ArrivalReport {
+                    proxy,
+                    class,
+                    requests: sum.tries,
+                    unanswered: sum.failed,
+                    window: span,
+                },
             });
         }
         self.next = (!self.order.is_empty()).then_some(now + self.period);
--- a/crates/control-session/src/tables.rs
+++ b/crates/control-session/src/tables.rs
@@ -1,72 +1,72 @@
 //! The tables as ordered, who is on them, and the messages that carry what changed.
 
-use runloom_controller::interface::{Class, FurtherTries, Proxy, Server, Table};
+use runloom_controller::{ClassId, ProxyId, RetryPolicy, ServerId, TableId};
 use runloom_model::order::{Message, TableEdit};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-type Level = (Option<f64>, FurtherTries);
+type Level = (Option<f64>, RetryPolicy);
 
 /// One table as ordered.
 #[derive(Debug, Clone, Default)]
 pub struct Laid {
-    pub lines: BTreeMap<Server, f64>,
-    pub levels: BTreeMap<Class, Level>,
+    pub lines: BTreeMap<ServerId, f64>,
+    pub levels: BTreeMap<ClassId, Level>,
 }
 
 /// What changed of a table since the last messages.
 #[derive(Debug, Default)]
 struct Delta {
     cleared: bool,
-    lines: BTreeMap<Server, f64>,
-    levels: BTreeMap<Class, Level>,
+    lines: BTreeMap<ServerId, f64>,
+    levels: BTreeMap<ClassId, Level>,
 }
 
 #[derive(Debug, Default)]
 struct Bound {
-    by_class: BTreeMap<Class, Table>,
+    by_class: BTreeMap<ClassId, TableId>,
     /// Bound since the last message: classes, and tables that go out whole.
-    fresh: BTreeSet<Class>,
-    laid: BTreeSet<Table>,
+    fresh: BTreeSet<ClassId>,
+    laid: BTreeSet<TableId>,
     /// Tables of this planner that the proxy holds.
-    held: BTreeSet<Table>,
+    held: BTreeSet<TableId>,
     /// No message since it joined: the first takes the place of all that it holds.
     first: bool,
 }
 
 /// How indices are called outside.
 pub struct Names<'a> {
-    pub server: &'a dyn Fn(Server) -> &'a str,
-    pub address: &'a dyn Fn(Server) -> String,
-    pub class: &'a dyn Fn(Class) -> &'a str,
+    pub server: &'a dyn Fn(ServerId) -> &'a str,
+    pub address: &'a dyn Fn(ServerId) -> String,
+    pub class: &'a dyn Fn(ClassId) -> &'a str,
 }
 
 #[derive(Debug, Default)]
 pub struct Tables {
-    laid: BTreeMap<Table, Laid>,
-    deltas: BTreeMap<Table, Delta>,
-    bound: BTreeMap<Proxy, Bound>,
-    withdrawn: BTreeSet<Server>,
-    newly: BTreeMap<Server, bool>,
+    laid: BTreeMap<TableId, Laid>,
+    deltas: BTreeMap<TableId, Delta>,
+    bound: BTreeMap<ProxyId, Bound>,
+    withdrawn: BTreeSet<ServerId>,
+    newly: BTreeMap<ServerId, bool>,
 }
 
 /// Stands for every table at once, as the orders have it.
-const EVERY: Table = Table::MAX;
+const EVERY: TableId = TableId::MAX;
 
 impl Tables {
-    pub fn laid(&self) -> &BTreeMap<Table, Laid> {
+    pub fn laid(&self) -> &BTreeMap<TableId, Laid> {
         &self.laid
     }
 
-    pub fn join(&mut self, proxy: Proxy) {
+    pub fn join(&mut self, proxy: ProxyId) {
         self.bound.insert(proxy, Bound { first: true, ..Bound::default() });
     }
 
-    pub fn left(&mut self, proxy: Proxy) {
+    pub fn left(&mut self, proxy: ProxyId) {
         self.bound.remove(&proxy);
     }
 
-    pub fn line(&mut self, table: Table, server: Server, weight: f64) {
+    pub fn line(&mut self, table: TableId, server: ServerId, weight: f64) {
         let laid = self.laid.entry(table).or_default();
         // What is ordered again as it stands costs nobody a line.
         if laid.lines.get(&server).copied().unwrap_or(0.0) == weight && !self.deltas.contains_key(&table) {
@@ -80,13 +80,13 @@
         self.deltas.entry(table).or_default().lines.insert(server, weight);
     }
 
-    pub fn clear(&mut self, table: Table) {
+    pub fn clear(&mut self, table: TableId) {
         self.laid.insert(table, Laid::default());
         self.deltas.insert(table, Delta { cleared: true, ..Delta::default() });
     }
 
-    pub fn level(&mut self, table: Table, class: Class, level: Option<f64>, tries: FurtherTries) {
-        let tables: Vec<Table> =
+    pub fn level(&mut self, table: TableId, class: ClassId, level: Option<f64>, tries: RetryPolicy) {
+        let tables: Vec<TableId> =
             if table == EVERY { self.laid.keys().copied().collect() } else { vec![table] };
         for table in tables {
             self.laid.entry(table).or_default().levels.insert(class, (level, tries));
@@ -94,7 +94,7 @@
         }
     }
 
-    pub fn withdraw(&mut self, server: Server, out: bool) {
+    pub fn withdraw(&mut self, server: ServerId, out: bool) {
         if out {
             self.withdrawn.insert(server);
         } else {
@@ -103,7 +103,7 @@
         self.newly.insert(server, out);
     }
 
-    pub fn bind(&mut self, proxy: Proxy, table: Table, classes: impl Iterator<Item = Class>) {
+    pub fn bind(&mut self, proxy: ProxyId, table: TableId, classes: impl Iterator<Item = ClassId>) {
         let Some(bound) = self.bound.get_mut(&proxy) else { return };
         for class in classes {
             bound.by_class.insert(class, table);
@@ -113,7 +113,7 @@
     }
 
     /// What changed since the last messages: tables, and servers withdrawn or let in again.
-    pub fn changed(&self, names: &Names) -> (Vec<(Table, TableEdit)>, BTreeMap<String, bool>) {
+    pub fn changed(&self, names: &Names) -> (Vec<(TableId, TableEdit)>, BTreeMap<String, bool>) {
         let changed = self.deltas.iter().map(|(table, delta)| (*table, self.delta(delta, names)));
         let named = self.newly.iter().map(|(s, out)| ((names.server)(*s).to_string(), *out));
         (changed.collect(), named.collect())
@@ -123,22 +123,22 @@
     /// nothing concerns.
     pub fn take_messages(
         &mut self,
-        members: &[Proxy],
-        also: &BTreeSet<Proxy>,
+        members: &[ProxyId],
+        also: &BTreeSet<ProxyId>,
         names: &Names,
-    ) -> Vec<(Proxy, Rc<Message>, usize)> {
-        let mut shared: BTreeMap<Vec<Table>, (Rc<Message>, usize)> = BTreeMap::new();
+    ) -> Vec<(ProxyId, Rc<Message>, usize)> {
+        let mut shared: BTreeMap<Vec<TableId>, (Rc<Message>, usize)> = BTreeMap::new();
         let mut messages = Vec::new();
         for proxy in members {
             let Some(bound) = self.bound.get(proxy) else { continue };
-            let on: BTreeSet<Table> = bound.by_class.values().copied().collect();
+            let on: BTreeSet<TableId> = bound.by_class.values().copied().collect();
             if !bound.fresh.is_empty() {
                 let message = self.bind_message(bound, &on, names);
                 let lines = message.lines();
                 messages.push((*proxy, Rc::new(message), lines));
                 continue;
             }
-            let changed: Vec<Table> = on.iter().copied().filter(|t| self.deltas.contains_key(t)).collect();
+            let changed: Vec<TableId> = on.iter().copied().filter(|t| self.deltas.contains_key(t)).collect();
             // Only those bound by this planner follow its withdrawals by message; others by their first.
             let withdrawals = !self.newly.is_empty() && !on.is_empty();
             let wanted = also.contains(proxy);
@@ -162,7 +162,7 @@
         messages
     }
 
-    fn delta_message(&self, changed: &[Table], withdrawals: bool, names: &Names) -> Message {
+    fn delta_message(&self, changed: &[TableId], withdrawals: bool, names: &Names) -> Message {
         let mut message = Message::default();
         for table in changed {
             message.tables.insert(*table, self.delta(&self.deltas[table], names));
@@ -178,7 +178,7 @@
         edit(delta.cleared, delta.lines.iter(), delta.levels.iter(), names)
     }
 
-    fn bind_message(&self, bound: &Bound, on: &BTreeSet<Table>, names: &Names) -> Message {
+    fn bind_message(&self, bound: &Bound, on: &BTreeSet<TableId>, names: &Names) -> Message {
         let mut message = Message { whole: bound.first, ..Message::default() };
         for (class, table) in &bound.by_class {
             if bound.first || bound.fresh.contains(class) {
@@ -197,7 +197,7 @@
         for table in bound.held.difference(on) {
             message.tables.insert(*table, TableEdit { gone: true, ..TableEdit::default() });
         }
-        let out: Vec<(Server, bool)> = if bound.first {
+        let out: Vec<(ServerId, bool)> = if bound.first {
             self.withdrawn.iter().map(|s| (*s, true)).collect()
         } else {
             self.newly.iter().map(|(s, out)| (*s, *out)).collect()
@@ -209,13 +209,13 @@
 
 fn edit<'a>(
     whole: bool,
-    lines: impl Iterator<Item = (&'a Server, &'a f64)>,
-    levels: impl Iterator<Item = (&'a Class, &'a Level)>,
+    lines: impl Iterator<Item = (&'a ServerId, &'a f64)>,
+    levels: impl Iterator<Item = (&'a ClassId, &'a Level)>,
     names: &Names,
 ) -> TableEdit {
     // In a table that goes out whole, a line of weight 0 is one that is not there.
     let kept = lines.filter(|(_, weight)| !whole || **weight > 0.0);
-    let line = |(s, w): (&Server, &f64)| ((names.server)(*s).to_string(), ((names.address)(*s), *w));
-    let level = |(c, l): (&Class, &Level)| ((names.class)(*c).to_string(), *l);
+    let line = |(s, w): (&ServerId, &f64)| ((names.server)(*s).to_string(), ((names.address)(*s), *w));
+    let level = |(c, l): (&ClassId, &Level)| ((names.class)(*c).to_string(), *l);
     TableEdit { whole, lines: kept.map(line).collect(), levels: levels.map(level).collect(), gone: false }
 }
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -28,7 +28,7 @@
     let fleet = Fleet::read(&Element::parse(FLEET).unwrap()).unwrap();
     let mut driver = Driver::new(fleet, 1, 0);
     let list = (1..4).map(|k| (format!("s{k}"), server(k, false))).collect();
-    driver.list(Listing::Remembered, list);
+    driver.list(EndpointUpdate::Cached, list);
     driver
 }
 
@@ -63,7 +63,7 @@
     driver.turn(ms(0));
     proxies.iter().for_each(|p| driver.applied(ms(5), *p, 1));
     driver.turn(ms(300));
-    driver.list(Listing::Changes, vec![("s2".into(), server(2, true))]);
+    driver.list(EndpointUpdate::Delta, vec![("s2".into(), server(2, true))]);
     let (deeds, ordered) = driver.turn(ms(400));
     let message = |d: &'_ Deed| if let Deed::Send { message, .. } = d { Some(message.clone()) } else { None };
     let shared: Vec<Rc<Message>> = deeds.iter().filter_map(message).collect();
@@ -111,7 +111,11 @@
     assert!(happened.is_empty());
     sums.hand_on(ms(2000), &mut happened);
     assert_eq!(happened.len(), 2);
-    let Event::Met { tries, failed, took, span, .. } = &happened[0] else { panic!("{happened:?}") };
+    let Event::OutcomeReport { attempts: tries, failures: failed, mean_latency: took, window: span, .. } =
+        &happened[0]
+    else {
+        panic!("{happened:?}")
+    };
     assert_eq!((*tries, *failed, took.as_millis(), *span), (20, 4, 100, ms(1500)));
     assert_eq!(sums.due(), Some(ms(3000)));
 }
--- a/crates/control-session/src/witness.rs
+++ b/crates/control-session/src/witness.rs
@@ -1,8 +1,9 @@
 //! The driver's calls in the record's words, and back.
 
 use crate::{Deed, Driver};
-use runloom_controller::interface::{Found, Listing};
+use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_event_log::entry::{self, Happened};
+use runloom_guard::command_text::command_text;
 use runloom_inventory::{Change, Server};
 use runloom_model::order::{ByClass, Came, Met, Report};
 use std::collections::BTreeMap;
@@ -10,8 +11,14 @@
 use std::time::Duration;
 
 /// How probes end, by their number in a record.
-const FOUND: [Found; 6] =
-    [Found::Handled, Found::Failed, Found::TurnedAway, Found::NoAnswer, Found::NoConnection, Found::Nothing];
+const FOUND: [HealthCheckResult; 6] = [
+    HealthCheckResult::Success,
+    HealthCheckResult::ErrorResponse,
+    HealthCheckResult::Rejected,
+    HealthCheckResult::Timeout,
+    HealthCheckResult::ConnectionFailed,
+    HealthCheckResult::Inconclusive,
+];
 
 fn bits(load: &[f64]) -> Vec<u64> {
     load.iter().map(|v| v.to_bits()).collect()
@@ -21,7 +28,7 @@
     load.iter().map(|b| f64::from_bits(*b)).collect()
 }
 
-pub(crate) fn listed(how: Listing, changes: &[(String, Change)]) -> Happened {
+pub(crate) fn listed(how: EndpointUpdate, changes: &[(String, Change)]) -> Happened {
     let (mut servers, mut gone) = (vec![], vec![]);
     for (name, change) in changes {
         match change {
@@ -38,7 +45,7 @@
             Change::Gone => gone.push(name.clone()),
         }
     }
-    Happened::Listed { whole: how != Listing::Changes, servers, gone }
+    Happened::Listed { whole: how != EndpointUpdate::Delta, servers, gone }
 }
 
 pub(crate) fn reported(proxy: String, report: &Report) -> Happened {
@@ -71,7 +78,7 @@
     (!met.is_empty()).then(|| Happened::Outcomes { proxy: proxy.to_string(), met })
 }
 
-pub(crate) fn probed(server: String, found: Found, after: Duration, load: &[f64]) -> Happened {
+pub(crate) fn probed(server: String, found: HealthCheckResult, after: Duration, load: &[f64]) -> Happened {
     let found = FOUND.iter().position(|f| *f == found).unwrap_or(5) as u8;
     Happened::Probed { server, found, after: after.as_micros() as u64, load: bits(load) }
 }
@@ -99,7 +106,8 @@
     // The newest refusals, as many as this turn had, each by its reason.
     let newest = driver.guard().refusals().collect::<Vec<_>>();
     let from = newest.len().saturating_sub(refused as usize);
-    let refused = newest[from..].iter().map(|r| format!("{} {:?}", r.reason.word(), r.order)).collect();
+    let refused =
+        newest[from..].iter().map(|r| format!("{} {}", r.reason.word(), command_text(&r.order))).collect();
     Happened::Turn { took: 0, texts, sent, probes, log, refused }
 }
 
@@ -122,7 +130,7 @@
                 changes.push((s.name.clone(), Change::Is(server)));
             }
             changes.extend(gone.iter().map(|name| (name.clone(), Change::Gone)));
-            driver.list(if *whole { Listing::Remembered } else { Listing::Changes }, changes);
+            driver.list(if *whole { EndpointUpdate::Cached } else { EndpointUpdate::Delta }, changes);
         }
         Happened::Joined { proxy, zone, rate, fresh } => _ = driver.joined(proxy, zone, *rate, *fresh),
         Happened::Left { proxy } => match driver.proxy(proxy) {
@@ -161,7 +169,7 @@
         }
         Happened::Probed { server, found, after, load } => {
             let Some(server) = driver.server(server) else { return false };
-            let found = FOUND.get(usize::from(*found)).copied().unwrap_or(Found::Nothing);
+            let found = FOUND.get(usize::from(*found)).copied().unwrap_or(HealthCheckResult::Inconclusive);
             driver.probed(server, found, Duration::from_micros(*after), values(load));
         }
         _ => {}
--- /dev/null
+++ b/crates/controller/src/endpoint.rs
@@ -0,0 +1,179 @@
+//! An endpoint: its health state and what was counted of it.
+
+use crate::event::{HealthCheckResult, KindId, TableId, ZoneId};
+use crate::statistics::LatencyHistogram;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// The slot `index` of a list that grows as indices come.
+pub(crate) fn slot<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
+    if list.len() <= index {
+        list.resize_with(index + 1, T::default);
+    }
+    &mut list[index]
+}
+
+/// Whether an endpoint may be in tables, and why not.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum HealthState {
+    /// It is not on the list, or no longer.
+    #[default]
+    Unknown,
+    /// In service with its full weight.
+    Healthy,
+    /// In service with a growing share of its weight.
+    SlowStart,
+    /// Out of service after failures.
+    Ejected,
+    /// Out of service, and nothing bad was seen since it entered this state.
+    Probation,
+    /// Out of service for long after repeated ejections.
+    LongEjected,
+    /// It takes no more requests.
+    Draining,
+}
+
+/// An entry of a table as it was published.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct TableEntry {
+    pub table: TableId,
+    pub weight: f64,
+}
+
+/// Service times in the histogram are halved once there are more than this.
+const MAX_SERVICE_TIME_SAMPLES: f32 = 20.0;
+
+/// One endpoint as this planner's proxies see it.
+#[derive(Debug, Default)]
+pub(crate) struct Endpoint {
+    pub zone: ZoneId,
+    pub kind: KindId,
+    /// Its weight according to the list.
+    pub configured_weight: f64,
+    /// It disappeared from the list and stays in service as before.
+    pub missing_from_list: bool,
+    /// It was listed as long started though it was not there before, and nothing has succeeded there yet.
+    pub unverified: bool,
+    pub health: HealthState,
+    /// When it entered its health state.
+    pub health_since: Duration,
+    /// When its process started; `None` for long ago.
+    pub started_at: Option<Duration>,
+    /// Attempts and failed attempts, halved together from time to time.
+    pub attempts: f32,
+    pub failures: f32,
+    /// Failures since the last success.
+    pub consecutive_failures: f32,
+    /// When the last success was reported, and the last outcome of any kind.
+    pub last_success: Duration,
+    pub last_report: Duration,
+    /// Successes a second, by zone of the proxies.
+    pub success_rates: Vec<f64>,
+    /// Latencies at the proxies, queueing included.
+    pub latencies: LatencyHistogram,
+    /// Service times that the endpoint reports.
+    pub service_times: LatencyHistogram,
+    /// Utilization that the endpoint reports, 0 to 1.
+    pub utilization: f64,
+    /// A health check found no connection.
+    pub connection_refused: bool,
+    /// Health checks in a row that got no answer.
+    pub unanswered_checks: u32,
+    pub last_health_check: Duration,
+    /// Its ejection had hard evidence: nothing succeeded there at all.
+    pub ejected_on_hard_evidence: bool,
+    /// It gets half of its weight, being overloaded rather than broken.
+    pub is_weight_halved: bool,
+    /// When it was ejected within the last minute.
+    pub ejections: VecDeque<Duration>,
+    /// Its speed relative to its configured weight; 1 where nothing is known.
+    pub speed_factor: f64,
+    /// It serves the isolated classes of its subset.
+    pub is_isolated: bool,
+    /// Its subset.
+    pub subset: Option<usize>,
+    /// The entry that proxies hold of it.
+    pub published: Option<TableEntry>,
+}
+
+impl Endpoint {
+    /// Whether it may be in tables.
+    pub fn is_in_service(&self) -> bool {
+        matches!(self.health, HealthState::Healthy | HealthState::SlowStart)
+    }
+
+    /// Whether the list has it as ready, in service or not.
+    pub fn is_listed(&self) -> bool {
+        !matches!(self.health, HealthState::Unknown | HealthState::Draining)
+    }
+
+    /// Whether failures keep it out of service.
+    pub fn is_ejected(&self) -> bool {
+        matches!(self.health, HealthState::Ejected | HealthState::Probation | HealthState::LongEjected)
+    }
+
+    /// Enters a health state. Slow start begins with a clean record.
+    pub fn enter(&mut self, health: HealthState, now: Duration) {
+        self.health = health;
+        self.health_since = now;
+        if health == HealthState::SlowStart {
+            self.attempts = 0.0;
+            self.failures = 0.0;
+            self.consecutive_failures = 0.0;
+            self.unanswered_checks = 0;
+            self.connection_refused = false;
+            self.ejected_on_hard_evidence = false;
+        }
+    }
+
+    /// Takes an endpoint off the list.
+    ///
+    /// Lists can be wrong: with `may_stay` an endpoint in service stays there while it answers.
+    pub fn remove_from_list(&mut self, may_stay: bool, now: Duration) {
+        self.missing_from_list = may_stay && self.is_in_service();
+        if !self.missing_from_list {
+            self.enter(HealthState::Unknown, now);
+        }
+    }
+
+    /// Records a health check, and moves an ejected endpoint into or out of probation.
+    pub fn record_health_check(&mut self, result: HealthCheckResult, now: Duration) {
+        match result {
+            HealthCheckResult::Success => {
+                self.unanswered_checks = 0;
+                self.connection_refused = false;
+            }
+            HealthCheckResult::ConnectionFailed => self.connection_refused = true,
+            HealthCheckResult::Timeout => self.unanswered_checks += 1,
+            HealthCheckResult::ErrorResponse => {
+                self.attempts += 1.0;
+                self.failures += 1.0;
+            }
+            HealthCheckResult::Rejected | HealthCheckResult::Inconclusive => return,
+        }
+        let succeeded = result == HealthCheckResult::Success;
+        match self.health {
+            HealthState::Ejected if succeeded => self.enter(HealthState::Probation, now),
+            HealthState::Probation if !succeeded => self.enter(HealthState::Ejected, now),
+            _ => {}
+        }
+    }
+
+    /// Halves what was counted, so that what is recent counts most.
+    pub fn decay_counters(&mut self) {
+        self.attempts *= 0.5;
+        self.failures *= 0.5;
+        self.latencies.halve();
+        self.service_times.halve_above(MAX_SERVICE_TIME_SAMPLES);
+    }
+
+    /// Seconds since the last success.
+    pub fn silence_seconds(&self, now: Duration) -> f32 {
+        now.saturating_sub(self.last_success).as_secs_f32()
+    }
+
+    /// The share of attempts that failed, 0 to 1.
+    pub fn failure_rate(&self) -> f32 {
+        self.failures / self.attempts
+    }
+}
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,19 +1,54 @@
-//! runloom: a control plane for a service's proxies.
+//! The decisions of a runloom planner, free of sockets, clocks and wire formats.
 //!
-//! The library holds the decisions and knows no wire. [`Planner::decide`] takes what happened and
-//! returns what is to be done; the words for both stand in [`interface`].
+//! [`Controller::step`] takes the [`Event`]s since the last step and returns the [`Command`]s to carry out. It is
+//! deterministic: the same configuration, seed and events give the same commands. Endpoints, proxies, zones,
+//! machine kinds and traffic classes are small indices, which [`IdMap`] assigns; times are durations since the
+//! start of the caller's clock.
+//!
+//! Each decision has a module: [`outlier_detection`] ejects endpoints, [`panic_threshold`] readmits them when too
+//! few are left, [`slow_start`] limits endpoints that warm up, [`speed_estimation`] corrects configured weights,
+//! [`admission_control`] and [`retry_policy`] shed load, [`subsetting`] assigns endpoints and proxies to tables, and
+//! [`publication`] sends what changed as far as [`flow_control`] has room.
 //!
 //! ```
-//! use runloom_controller::{interface::*, Planner};
-//! let start = Event::Start { seed: 1, facts: Facts::default() };
-//! let orders = Planner::default().decide(std::time::Duration::ZERO, &[start]);
-//! assert!(matches!(orders[..], [Order::Wake { .. }]));
+//! use runloom_controller::{Command, Controller, DeploymentConfig, Event};
+//! let start = Event::Start { seed: 1, config: Box::new(DeploymentConfig::default()) };
+//! let commands = Controller::default().step(std::time::Duration::ZERO, &[start]);
+//! assert!(matches!(commands[..], [Command::SetTimer { .. }]));
 //! ```
 
-pub mod ids;
-pub mod interface;
-pub mod logic;
-mod state;
-mod sums;
+pub mod admission_control;
+pub mod command;
+pub mod config;
+pub mod controller;
+pub mod ejection_report;
+pub mod endpoint;
+pub mod endpoint_list;
+pub mod event;
+pub mod flow_control;
+pub mod id_map;
+pub mod outlier_detection;
+pub mod panic_threshold;
+pub mod proxy;
+pub mod publication;
+pub mod retry_policy;
+pub mod slow_start;
+pub mod speed_estimation;
+mod statistics;
+pub mod subsetting;
+pub mod warm_start;
+
+pub use command::Command;
+pub use config::DeploymentConfig;
+pub use controller::Controller;
+pub use ejection_report::EjectionReport;
+pub use event::{
+    ClassId, EndpointRecord, EndpointUpdate, Event, HealthCheckResult, KindId, ListedState, ProxyId,
+    ServerId, TableId, ZoneId,
+};
+pub use id_map::IdMap;
+pub use retry_policy::RetryPolicy;
+pub use warm_start::{LearnedState, WarmStartHint};
 
-pub use logic::Planner;
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/publication.rs
@@ -0,0 +1,268 @@
+//! Publication: what goes out to proxies, in which order, as far as the channel has room.
+
+use crate::admission_control::ClassAdmission;
+use crate::command::Command;
+use crate::controller::Controller;
+use crate::endpoint::{slot, Endpoint, HealthState, TableEntry};
+use crate::event::{ProxyId, ServerId};
+use crate::statistics::is_within;
+use crate::subsetting::{subset_of, table_of, Subset};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Entries that may wait in the channel where the settings don't say.
+const DEFAULT_QUEUE_LIMIT: f64 = 500.0;
+/// The share of the queue that stays free: acknowledgements come late, and so does word of a slow channel.
+const RESERVED_QUEUE_SHARE: f64 = 0.5;
+/// The share of the queue that proxies without a table may use of that: the rules' graces run for them.
+const FIRST_TABLE_QUEUE_SHARE: f64 = 0.25;
+/// The window of the message limit where the settings don't say, and its margin.
+const DEFAULT_MESSAGE_WINDOW: Duration = Duration::from_secs(10);
+const MESSAGE_WINDOW_MARGIN: Duration = Duration::from_millis(100);
+/// Messages of the limit that stay unused.
+const SPARE_MESSAGES: f64 = 2.0;
+
+/// A weight change below this, as a logarithm, is less than reports tell.
+const MIN_WEIGHT_CHANGE: f64 = 0.12;
+/// Between regular updates only changes above this, a halving, go out.
+const MIN_URGENT_WEIGHT_CHANGE: f64 = 0.69;
+/// The urgency of an entry that is new or moves to another table.
+const NEW_ENTRY_URGENCY: f64 = 9.0;
+/// The urgency of a removal.
+const REMOVAL_URGENCY: f64 = f64::MAX;
+/// An admission limit that changes by less than this share stays as it is.
+const MIN_ADMISSION_CHANGE: f64 = 0.07;
+/// Ticks with reports that a proxy with an earlier table waits for.
+const TICKS_UNTIL_LIST_IS_CHECKED: u32 = 2;
+
+/// When updates go out, and how much.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct UpdateWindow {
+    /// All that is due goes out: once a tick or, where messages are limited, once in so often.
+    pub is_regular: bool,
+    /// A message may go out at all.
+    pub is_open: bool,
+    /// Entries that only a proxy's first table may use.
+    pub first_table_reserve: f64,
+    /// Entries that each message costs beyond its own.
+    pub message_cost: f64,
+}
+
+/// An endpoint whose entry is to change.
+#[derive(Debug)]
+struct EntryChange {
+    urgency: f64,
+    server: ServerId,
+    entry: Option<TableEntry>,
+}
+
+/// How urgent the change from one entry to another is; 0 for none.
+fn urgency(published: Option<TableEntry>, wanted: Option<TableEntry>) -> f64 {
+    match (published, wanted) {
+        (None, None) => 0.0,
+        (Some(_), None) => REMOVAL_URGENCY,
+        (Some(old), Some(new)) if old.table == new.table => (new.weight / old.weight).ln().abs(),
+        _ => NEW_ENTRY_URGENCY,
+    }
+}
+
+impl Endpoint {
+    /// The entry that the endpoint is to have at a weight.
+    fn entry(&self, weight: f64) -> Option<TableEntry> {
+        let subset = self.subset.filter(|_| weight > 0.0)?;
+        Some(TableEntry { table: table_of(subset, self.is_isolated), weight })
+    }
+}
+
+impl Controller {
+    /// Publishes what changed: removals first, then other entries, admission limits and table assignments.
+    pub(crate) fn publish(&mut self, is_tick: bool, commands: &mut Vec<Command>) {
+        let connected = self.proxies.iter().filter(|proxy| proxy.is_connected).count() as f64;
+        let queue_limit = self.config.channel.queue_limit.unwrap_or(DEFAULT_QUEUE_LIMIT);
+        let message_cost = self.config.channel.message_overhead + 1.0;
+        let available =
+            queue_limit * RESERVED_QUEUE_SHARE - self.channel.queued_entries() - message_cost * connected;
+        let first_table_reserve = queue_limit * FIRST_TABLE_QUEUE_SHARE;
+        if connected < 1.0 || available + first_table_reserve < 0.0 {
+            return;
+        }
+        let window = self.update_window(is_tick, first_table_reserve, message_cost);
+        if window.is_regular || self.admission.isolated_classes != 0 {
+            self.isolate_classes();
+        }
+        self.channel.available_entries = available;
+        self.channel.recipients.clear();
+        if window.is_open {
+            self.publish_entries(window.is_regular, commands);
+            if window.is_regular {
+                self.publish_admissions(2.0 * connected, commands);
+            }
+        }
+        let has_entries = !self.channel.recipients.is_empty();
+        let has_reassigned = self.assign_tables(&window, commands);
+        // Reassignments count like other messages, or tables that split and join would exceed the limit.
+        if has_entries || has_reassigned {
+            self.channel.last_update = self.now;
+        }
+        self.request_ack(available, &window, commands);
+    }
+
+    /// Where messages are limited, one with all that is due goes out at even intervals and some are left unused.
+    fn update_window(&self, is_tick: bool, first_table_reserve: f64, message_cost: f64) -> UpdateWindow {
+        let channel = &self.config.channel;
+        let window = channel.message_window.unwrap_or(DEFAULT_MESSAGE_WINDOW) + MESSAGE_WINDOW_MARGIN;
+        let interval = window.div_f64((channel.message_limit - SPARE_MESSAGES).max(1.0));
+        let is_open = !channel.limits_messages() || self.now >= self.channel.last_update + interval;
+        let is_regular = if channel.limits_messages() { is_open } else { is_tick };
+        UpdateWindow { is_regular, is_open, first_table_reserve, message_cost }
+    }
+
+    fn request_ack(&mut self, available: f64, window: &UpdateWindow, commands: &mut Vec<Command>) {
+        let recipients = std::mem::take(&mut self.channel.recipients);
+        if recipients.is_empty() {
+            return;
+        }
+        let used = available - self.channel.available_entries + window.message_cost * recipients.len() as f64;
+        let ack_token = self.channel.send(used, recipients);
+        commands.push(Command::RequestAck { ack_token, all_proxies: false });
+    }
+
+    /// Adds the proxies that hold tables of these subsets to the recipients of this update.
+    fn add_recipients(&mut self, subsets: &BTreeSet<usize>) {
+        for (id, proxy) in self.proxies.iter().enumerate() {
+            let is_concerned = proxy.subset.is_some_and(|subset| subsets.contains(&subset));
+            if proxy.is_connected && proxy.assigned.is_some() && is_concerned {
+                self.channel.recipients.insert(id);
+            }
+        }
+    }
+
+    /// Publishes entries that changed, the most urgent first, until the channel has no more room.
+    fn publish_entries(&mut self, is_regular: bool, commands: &mut Vec<Command>) {
+        let mut concerned = BTreeSet::new();
+        for change in self.entry_changes(is_regular) {
+            let published = self.endpoints[change.server].published;
+            let removed = published.filter(|old| change.entry.is_none_or(|new| new.table != old.table));
+            let removal = removed.map(|old| TableEntry { weight: 0.0, ..old });
+            let entries = removal.into_iter().chain(change.entry);
+            let subsets = entries.clone().map(|entry| subset_of(entry.table));
+            let cost: f64 = subsets.clone().map(|subset| self.subsets[subset].proxy_count).sum();
+            if cost > self.channel.available_entries {
+                break;
+            }
+            self.channel.available_entries -= cost;
+            self.endpoints[change.server].published = change.entry;
+            concerned.extend(subsets);
+            let server = change.server;
+            commands.extend(entries.map(|TableEntry { table, weight }| Command::SetEntry {
+                table,
+                server,
+                weight,
+            }));
+        }
+        self.add_recipients(&concerned);
+    }
+
+    /// The entries that differ enough from what is published, the most urgent first.
+    fn entry_changes(&self, is_regular: bool) -> Vec<EntryChange> {
+        let threshold = if is_regular { MIN_WEIGHT_CHANGE } else { MIN_URGENT_WEIGHT_CHANGE };
+        let mut changes = Vec::new();
+        for (server, endpoint) in self.endpoints.iter().enumerate() {
+            let entry = endpoint.entry(self.weight(server));
+            let urgency = urgency(endpoint.published, entry);
+            if urgency > threshold {
+                changes.push(EntryChange { urgency, server, entry });
+            }
+        }
+        changes.sort_by(|a, b| b.urgency.total_cmp(&a.urgency).then(a.server.cmp(&b.server)));
+        changes
+    }
+
+    /// Publishes admissions that changed in all tables, at `cost` entries a class.
+    fn publish_admissions(&mut self, cost: f64, commands: &mut Vec<Command>) {
+        for (class, admission) in self.class_admissions().into_iter().enumerate() {
+            let published = slot(&mut self.admission.published, class);
+            if published.is_some_and(|old| is_same_admission(old, admission))
+                || self.channel.available_entries < cost
+            {
+                continue;
+            }
+            *published = Some(admission);
+            let ClassAdmission { admission_rate, retry_policy } = admission;
+            let tables = (0..self.subsets.len()).flat_map(|s| [table_of(s, false), table_of(s, true)]);
+            commands.extend(tables.map(|table| Command::SetAdmission {
+                table,
+                class,
+                admission_rate,
+                retry_policy,
+            }));
+            self.channel.available_entries -= cost;
+            self.add_recipients(&(0..self.subsets.len()).collect());
+        }
+    }
+
+    /// Assigns tables to proxies that have none yet or, when their message is due, whose isolated classes changed.
+    /// Returns whether any proxy was reassigned.
+    pub(crate) fn assign_tables(&mut self, window: &UpdateWindow, commands: &mut Vec<Command>) -> bool {
+        let mut has_reassigned = false;
+        let list_is_doubtful = self.list_is_doubtful();
+        for id in 0..self.proxies.len() {
+            let proxy = &self.proxies[id];
+            let Some(subset) = proxy.subset.filter(|_| proxy.is_connected) else { continue };
+            let has_table = proxy.assigned.is_some();
+            let cost = self.assignment_cost(subset);
+            let reserve = if has_table { 0.0 } else { window.first_table_reserve };
+            let has_room = cost <= self.channel.available_entries + reserve;
+            let is_settled = proxy.assigned == Some(self.subsets[subset].isolated_classes);
+            let must_wait = has_table && !window.is_open;
+            let is_unserved = self.subsets[subset].weight <= 0.0;
+            let keeps_table = list_is_doubtful && self.keeps_previous_table(id);
+            if is_settled || must_wait || !has_room || is_unserved || keeps_table {
+                continue;
+            }
+            has_reassigned |= has_table;
+            self.assign_table(id, subset, commands);
+            self.channel.available_entries -= cost;
+        }
+        has_reassigned
+    }
+
+    /// The exact number of entries that an assignment takes: an estimate above it would make proxies that all
+    /// connect at once wait past the grace of drains.
+    fn assignment_cost(&self, subset: usize) -> f64 {
+        let Subset { endpoint_count, isolated_classes, .. } = &self.subsets[subset];
+        let tables = if *isolated_classes != 0 { 2.0 } else { 1.0 };
+        tables * (1 + endpoint_count + self.admission.published.len()) as f64
+    }
+
+    /// Where missing from the list does not bind and the list tells of no drain, it may miss endpoints that answer.
+    fn list_is_doubtful(&self) -> bool {
+        let tells_drain = self.endpoints.iter().any(|endpoint| endpoint.health == HealthState::Draining);
+        !tells_drain && self.config.endpoint_list.only_draining_binds
+    }
+
+    /// Under a doubtful list, a proxy keeps the table of an earlier planner while the list is stale, and until
+    /// reports can tell whether it is.
+    fn keeps_previous_table(&self, proxy: ProxyId) -> bool {
+        let proxy = &self.proxies[proxy];
+        let is_early =
+            proxy.has_previous_table && self.admission.ticks_with_reports < TICKS_UNTIL_LIST_IS_CHECKED;
+        proxy.assigned.is_none() && (is_early || self.admission.list_is_stale)
+    }
+
+    fn assign_table(&mut self, proxy: ProxyId, subset: usize, commands: &mut Vec<Command>) {
+        let isolated_classes = self.subsets[subset].isolated_classes;
+        commands.push(Command::AssignTable { proxy, table: table_of(subset, false), class_mask: 0 });
+        if isolated_classes != 0 {
+            let table = table_of(subset, true);
+            commands.push(Command::AssignTable { proxy, table, class_mask: isolated_classes });
+        }
+        self.proxies[proxy].assigned = Some(isolated_classes);
+        self.channel.recipients.insert(proxy);
+    }
+}
+
+fn is_same_admission(old: ClassAdmission, new: ClassAdmission) -> bool {
+    is_within(old.admission_rate, new.admission_rate, MIN_ADMISSION_CHANGE)
+        && old.retry_policy == new.retry_policy
+}
--- /dev/null
+++ b/crates/controller/src/speed_estimation.rs
@@ -0,0 +1,178 @@
+//! Speed estimation: how fast each endpoint is relative to its configured weight.
+
+use crate::controller::Controller;
+use crate::endpoint::{slot, Endpoint, HealthState};
+use crate::event::ServerId;
+use crate::warm_start::SPEED_FACTOR_LIMITS;
+use std::time::Duration;
+
+/// A utilization below this (0 to 1) tells nothing of the speed.
+const MIN_UTILIZATION: f64 = 0.05;
+/// Attempts from which an endpoint's utilization counts: with little to do it looks faster than it is.
+const MIN_UTILIZATION_ATTEMPTS: f32 = 8.0;
+/// Samples from which a mean service time, or a mean latency, counts.
+const MIN_SERVICE_TIME_SAMPLES: f32 = 4.0;
+const MIN_LATENCY_SAMPLES: f32 = 8.0;
+
+/// The share of the remaining difference that one update makes up for. What responds to the weight itself, seconds
+/// late, is followed slowly, or estimates would oscillate.
+const UPDATE_GAIN: f64 = 0.1;
+/// The same where this planner alone sets the weights, and its endpoints report their load.
+const UPDATE_GAIN_ALONE: f64 = 0.2;
+/// The same for an endpoint that has just started and is slower than its peers: its queue fills until that is
+/// known. One that seems faster may be so for its empty queue.
+const UPDATE_GAIN_SLOW_STARTER: f64 = 0.3;
+const STARTER_TIME: Duration = Duration::from_secs(10);
+/// The largest difference of logarithms that one update sees.
+const MAX_LOG_DIFFERENCE: f64 = 1.0;
+/// Latencies contain queueing, which grows with the weight: half of their difference counts.
+const LATENCY_DIFFERENCE_SHARE: f64 = 0.5;
+
+/// Samples from which an endpoint's latencies count for its kind of machine.
+const MIN_KIND_LATENCY_SAMPLES: f32 = 4.0;
+/// The share of the difference between kinds that counts, and its bound, in logarithms.
+const KIND_BIAS_SHARE: f64 = 0.5;
+const MAX_KIND_BIAS: f64 = 0.5;
+
+/// What tells of an endpoint's speed: the time or load that a unit of work costs there.
+#[derive(Debug, Clone, Copy)]
+struct CostSample {
+    server: ServerId,
+    cost: f64,
+    /// It comes from the endpoint's own load report, and contains no queueing.
+    is_load_report: bool,
+}
+
+/// Endpoints whose costs compare with each other.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum PeerGroup {
+    /// All endpoints that report their utilization.
+    Utilization,
+    /// Endpoints of one kind of machine.
+    Kind(usize),
+}
+
+impl PeerGroup {
+    fn index(self) -> usize {
+        match self {
+            PeerGroup::Utilization => 0,
+            PeerGroup::Kind(kind) => kind + 1,
+        }
+    }
+}
+
+impl Endpoint {
+    /// The best available evidence of the endpoint's speed, if there is any: its utilization per attempt (beside
+    /// other planners, per weight), else its service times, else its latencies.
+    ///
+    /// An endpoint in slow start has none: with little to do it looks faster than it is.
+    fn speed_evidence(&self, server: ServerId, is_only_planner: bool) -> Option<(PeerGroup, CostSample)> {
+        let reports_utilization = self.utilization > MIN_UTILIZATION;
+        if self.health == HealthState::SlowStart {
+            return None;
+        }
+        if reports_utilization {
+            if self.attempts < MIN_UTILIZATION_ATTEMPTS {
+                return None;
+            }
+            let work = if is_only_planner {
+                f64::from(self.attempts) / self.configured_weight
+            } else {
+                self.speed_factor
+            };
+            let sample = CostSample { server, cost: self.utilization / work, is_load_report: true };
+            return Some((PeerGroup::Utilization, sample));
+        }
+        if self.service_times.count() >= MIN_SERVICE_TIME_SAMPLES {
+            let cost = self.configured_weight * self.service_times.mean();
+            return Some((PeerGroup::Kind(self.kind), CostSample { server, cost, is_load_report: true }));
+        }
+        if self.latencies.count() >= MIN_LATENCY_SAMPLES {
+            let sample = CostSample { server, cost: self.latencies.mean(), is_load_report: false };
+            return Some((PeerGroup::Kind(self.kind), sample));
+        }
+        None
+    }
+
+    /// Moves the speed factor towards a goal, both as logarithms.
+    fn move_speed_factor(&mut self, goal: f64, is_load_report: bool, is_only_planner: bool, now: Duration) {
+        let current = self.speed_factor.ln();
+        let has_just_started = self.started_at.is_some() && now < self.health_since + STARTER_TIME;
+        let gain = match is_load_report {
+            true if has_just_started && goal < current => UPDATE_GAIN_SLOW_STARTER,
+            true if is_only_planner => UPDATE_GAIN_ALONE,
+            _ => UPDATE_GAIN,
+        };
+        let (min, max) = SPEED_FACTOR_LIMITS;
+        self.speed_factor = (self.speed_factor * ((goal - current) * gain).exp()).clamp(min, max);
+    }
+}
+
+/// The mean of the costs' logarithms; 0 of no costs.
+fn mean_log_cost(samples: &[CostSample]) -> f64 {
+    samples.iter().map(|sample| sample.cost.ln()).sum::<f64>() / samples.len().max(1) as f64
+}
+
+/// Sum and number of logarithms of latencies.
+#[derive(Debug, Clone, Copy, Default)]
+struct LogLatency {
+    sum: f64,
+    count: f64,
+}
+
+impl LogLatency {
+    fn mean(self) -> Option<f64> {
+        (self.count > 0.0).then(|| self.sum / self.count)
+    }
+}
+
+impl Controller {
+    /// Updates every speed factor once, by the difference to the endpoint's peers. To be called once a tick.
+    pub(crate) fn update_speed_estimates(&mut self) {
+        let is_only_planner = self.config.is_only_planner();
+        let mut groups: Vec<Vec<CostSample>> = Vec::new();
+        for (server, endpoint) in self.endpoints.iter().enumerate().filter(|(_, e)| e.is_in_service()) {
+            if let Some((group, sample)) = endpoint.speed_evidence(server, is_only_planner) {
+                slot(&mut groups, group.index()).push(sample);
+            }
+        }
+        let kind_bias = self.kind_bias();
+        for (group, samples) in groups.iter().enumerate() {
+            let mean = mean_log_cost(samples);
+            let bias = group.checked_sub(1).and_then(|kind| kind_bias.get(kind).copied()).unwrap_or(0.0);
+            for sample in samples {
+                let difference = (mean - sample.cost.ln()).clamp(-MAX_LOG_DIFFERENCE, MAX_LOG_DIFFERENCE);
+                let share = if sample.is_load_report { 1.0 } else { LATENCY_DIFFERENCE_SHARE };
+                let goal = bias + difference * share;
+                let endpoint = &mut self.endpoints[sample.server];
+                endpoint.move_speed_factor(goal, sample.is_load_report, is_only_planner, self.now);
+            }
+        }
+    }
+
+    /// How much faster each kind of machine is than its configured weights say, as a logarithm, by half of what its
+    /// latencies differ from those of all kinds.
+    ///
+    /// It corrects lists that count slow cores like fast ones, and errs where a kind is slow with nothing to do; by
+    /// half, that kind still gets most of its part.
+    fn kind_bias(&self) -> Vec<f64> {
+        let mut kinds: Vec<LogLatency> = Vec::new();
+        for endpoint in &self.endpoints {
+            if endpoint.health == HealthState::Healthy
+                && endpoint.latencies.count() >= MIN_KIND_LATENCY_SAMPLES
+            {
+                let kind = slot(&mut kinds, endpoint.kind);
+                kind.sum += endpoint.latencies.mean().ln();
+                kind.count += 1.0;
+            }
+        }
+        let mut all = LogLatency::default();
+        for kind in &kinds {
+            all.sum += kind.sum;
+            all.count += kind.count;
+        }
+        let mean = all.mean().unwrap_or_default();
+        let bias = |kind: &LogLatency| KIND_BIAS_SHARE * (mean - kind.mean().unwrap_or(mean));
+        kinds.iter().map(|kind| bias(kind).clamp(-MAX_KIND_BIAS, MAX_KIND_BIAS)).collect()
+    }
+}
--- /dev/null
+++ b/crates/controller/src/subsetting.rs
@@ -0,0 +1,298 @@
+//! Subsetting: which endpoints and proxies share a table.
+//!
+//! One table of all endpoints serves all proxies wherever the channel can publish that table at once. Else proxies
+//! and endpoints are divided into subsets, each with a table of its own and one for its isolated classes.
+
+use crate::controller::Controller;
+use crate::event::{ServerId, TableId, ZoneId};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// One table for all is small enough if the channel publishes it in this time.
+const MAX_PUBLISH_SECONDS: f64 = 0.15;
+/// Endpoints of a subset: few enough that connections stay open, and enough to lose some.
+const SUBSET_SIZE: f64 = 10.0;
+/// A subset counts as having at least this share of the mean load, which is worth three endpoints, so that it may
+/// lose one.
+const MIN_LOAD_SHARE: f64 = 0.3;
+/// A subset with less than this share of its part of the weight is rebalanced at once: cold endpoints in it would be
+/// overloaded before the next tick.
+const REBALANCE_NOW_SHARE: f64 = 0.5;
+/// Endpoints move only between subsets whose weights per load differ by this factor: less is within what a few
+/// seconds of reports tell, and a move costs connections.
+const REBALANCE_RATIO: f64 = 1.35;
+/// A subset with more than one endpoint has more than this many times the weight of any one.
+const LAST_ENDPOINT_RATIO: f64 = 1.01;
+/// A weight of this or less is none.
+const NO_WEIGHT: f64 = 1e-9;
+const MIN_LOAD: f64 = 1e-3;
+/// Time between two relocations of one proxy, unless messages are limited within a longer window.
+const RELOCATION_INTERVAL: Duration = Duration::from_secs(2);
+/// Subsets with fewer warm endpoints than this isolate no class.
+const MIN_ENDPOINTS_TO_ISOLATE: usize = 4;
+/// Loads are compared in thousandths of a request a second.
+const LOAD_RESOLUTION: f64 = 1e3;
+
+/// The table of a subset, or the one of its isolated classes.
+pub(crate) fn table_of(subset: usize, is_isolated: bool) -> TableId {
+    (2 * subset + 1 + usize::from(is_isolated)) as TableId
+}
+
+/// The subset whose table this is.
+pub(crate) fn subset_of(table: TableId) -> usize {
+    (usize::from(table) - 1) / 2
+}
+
+/// Endpoints and proxies that share a table.
+#[derive(Debug, Default)]
+pub(crate) struct Subset {
+    /// Whose proxies and, as far as they suffice, endpoints it has; `None` for any zone.
+    pub zone: Option<ZoneId>,
+    /// Requests a second that arrive at its proxies.
+    pub load: f64,
+    /// The sum of its endpoints' weights.
+    pub weight: f64,
+    pub endpoint_count: usize,
+    pub proxy_count: f64,
+    /// The classes isolated in it, one bit each.
+    pub isolated_classes: u64,
+}
+
+impl Subset {
+    fn is_of_other_zone(&self, zone: ZoneId) -> bool {
+        self.zone.is_some_and(|own| own != zone)
+    }
+
+    /// Weight for each request a second.
+    fn weight_per_load(&self) -> f64 {
+        self.weight / self.load
+    }
+
+    fn reset_sums(&mut self) {
+        *self = Subset { zone: self.zone, isolated_classes: self.isolated_classes, ..Subset::default() };
+    }
+
+    fn add_proxy(&mut self, arrival_rate: f64) {
+        self.load += arrival_rate;
+        self.proxy_count += 1.0;
+    }
+}
+
+impl Controller {
+    /// Assigns proxies and endpoints to subsets and evens out the subsets' loads: at each tick, and at once where a
+    /// subset lost most of its weight.
+    pub(crate) fn assign_subsets(&mut self, is_tick: bool) {
+        if self.subsets.is_empty() {
+            self.create_subsets();
+        }
+        self.subsets.iter_mut().for_each(Subset::reset_sums);
+        self.assign_proxies();
+        self.assign_endpoints();
+        let total_weight: f64 = self.subsets.iter().fold(0.0, |sum, subset| sum + subset.weight);
+        let total_load: f64 = self.subsets.iter().fold(0.0, |sum, subset| sum + subset.load);
+        let min_load = MIN_LOAD_SHARE * total_load / self.subsets.len() as f64;
+        for subset in self.subsets.iter_mut().filter(|subset| subset.proxy_count > 0.0) {
+            subset.load = subset.load.max(min_load);
+        }
+        let is_short =
+            |subset: &Subset| subset.weight * total_load < REBALANCE_NOW_SHARE * total_weight * subset.load;
+        if is_tick || self.subsets.iter().any(is_short) {
+            self.rebalance();
+        }
+        self.relocate_orphaned_proxies();
+    }
+
+    /// A proxy that connected joins the subset of its zone with the least load, and stays.
+    fn assign_proxies(&mut self) {
+        for proxy in self.proxies.iter_mut().filter(|proxy| proxy.is_connected) {
+            let subsets = &mut self.subsets;
+            let preference = |subset: &usize| {
+                let subset = &subsets[*subset];
+                (subset.is_of_other_zone(proxy.zone), (subset.load * LOAD_RESOLUTION) as u64)
+            };
+            proxy.subset = proxy.subset.or_else(|| (0..subsets.len()).min_by_key(preference));
+            if let Some(subset) = proxy.subset {
+                subsets[subset].add_proxy(proxy.total_arrival_rate());
+            }
+        }
+    }
+
+    /// A new endpoint joins the subset of its zone with the fewest endpoints.
+    fn assign_endpoints(&mut self) {
+        for server in 0..self.endpoints.len() {
+            let weight = self.weight(server);
+            let endpoint = &mut self.endpoints[server];
+            let subsets = &mut self.subsets;
+            let preference = |subset: &usize| {
+                let subset = &subsets[*subset];
+                (subset.is_of_other_zone(endpoint.zone), subset.endpoint_count)
+            };
+            endpoint.subset = endpoint.subset.or_else(|| (0..subsets.len()).min_by_key(preference));
+            if let Some(subset) = endpoint.subset.map(|subset| &mut subsets[subset]) {
+                subset.endpoint_count += usize::from(endpoint.is_listed());
+                subset.weight += weight;
+            }
+        }
+    }
+
+    /// Moves connected proxies whose subset has no endpoint, and is spared none, to the subset with the most weight
+    /// for its load.
+    ///
+    /// It answers a fleet that shrinks below its subsets. It could gather proxies at few endpoints, which admission
+    /// control then limits.
+    fn relocate_orphaned_proxies(&mut self) {
+        let interval = self.relocation_interval();
+        for proxy in self.proxies.iter_mut().filter(|proxy| proxy.is_connected) {
+            let is_orphaned = proxy.subset.is_some_and(|subset| self.subsets[subset].weight <= NO_WEIGHT);
+            let has_moved = proxy.relocated_at.is_some_and(|at| self.now < at + interval);
+            if !is_orphaned || has_moved {
+                continue;
+            }
+            let subsets = &mut self.subsets;
+            let with_weight = (0..subsets.len()).filter(|subset| subsets[*subset].weight > NO_WEIGHT);
+            let weight_per_load =
+                |subset: &usize| subsets[*subset].weight / subsets[*subset].load.max(MIN_LOAD);
+            let richest = with_weight.max_by(|a, b| weight_per_load(a).total_cmp(&weight_per_load(b)));
+            let Some(richest) = richest else { return };
+            subsets[richest].add_proxy(proxy.total_arrival_rate());
+            proxy.subset = Some(richest);
+            proxy.assigned = None;
+            proxy.relocated_at = Some(self.now);
+        }
+    }
+
+    /// Where messages are limited, a second assignment within the window would be one too many.
+    fn relocation_interval(&self) -> Duration {
+        let channel = &self.config.channel;
+        channel.message_window.filter(|_| channel.limits_messages()).unwrap_or(RELOCATION_INTERVAL)
+    }
+
+    /// Creates as many subsets as the channel needs, of one zone each where every zone's proxies come here.
+    pub(crate) fn create_subsets(&mut self) {
+        let zones = self.subset_zones();
+        let count = self.subset_count(zones);
+        let zone = |subset: usize| (zones > 1.0 && count > 1.0).then_some(subset % zones as usize);
+        let subset = |index| Subset { zone: zone(index), ..Subset::default() };
+        self.subsets = (0..count as usize).map(subset).collect();
+    }
+
+    /// The zones that subsets are divided by; 1 where they are not. A planner that may have the proxies of one zone
+    /// alone would have all endpoints in one table again.
+    fn subset_zones(&self) -> f64 {
+        let zones = self.config.zone_count.max(1.0);
+        let may_have_one_zone = zones < 2.0 * self.config.planner_count;
+        if self.config.proxies_prefer_local_planner && may_have_one_zone {
+            1.0
+        } else {
+            zones
+        }
+    }
+
+    /// Sliced traffic gets no tables yet.
+    fn subset_count(&self, zones: f64) -> f64 {
+        if self.config.slice_count > 0.0 {
+            return 0.0;
+        }
+        let listed = self.endpoints.iter().filter(|endpoint| endpoint.is_listed()).count() as f64;
+        let proxies = self.config.proxy_count.unwrap_or(0.0) / self.config.planner_count;
+        let entries_per_second = self.config.channel.entries_per_second.unwrap_or(f64::INFINITY);
+        let publish_seconds = listed * proxies / entries_per_second;
+        if publish_seconds < MAX_PUBLISH_SECONDS {
+            listed.min(1.0)
+        } else {
+            (listed / SUBSET_SIZE / zones).ceil() * zones
+        }
+    }
+
+    /// Moves endpoints, one by one, to where there is the most load for the weight. A subset without proxies gives
+    /// all of its endpoints.
+    fn rebalance(&mut self) {
+        let mut exhausted = BTreeSet::new();
+        for _ in 0..self.endpoints.len() + self.subsets.len() {
+            let Some((poorest, richest)) = self.poorest_and_richest(&exhausted) else { return };
+            match self.endpoint_to_move(poorest, richest) {
+                Some((server, weight)) => {
+                    self.endpoints[server].subset = Some(poorest);
+                    self.subsets[richest].weight -= weight;
+                    self.subsets[poorest].weight += weight;
+                }
+                None => _ = exhausted.insert(richest),
+            }
+        }
+    }
+
+    /// The subsets with the least and the most weight for their load, unless they are close enough.
+    fn poorest_and_richest(&self, exhausted: &BTreeSet<usize>) -> Option<(usize, usize)> {
+        let subsets = &self.subsets;
+        let by_weight_per_load =
+            |a: &usize, b: &usize| subsets[*a].weight_per_load().total_cmp(&subsets[*b].weight_per_load());
+        let with_proxies = (0..subsets.len()).filter(|subset| subsets[*subset].proxy_count > 0.0);
+        let may_give = |subset: &usize| subsets[*subset].weight > 0.0 && !exhausted.contains(subset);
+        let poorest = with_proxies.min_by(by_weight_per_load)?;
+        let richest = (0..subsets.len()).filter(may_give).max_by(by_weight_per_load)?;
+        let is_close =
+            subsets[richest].weight_per_load() < subsets[poorest].weight_per_load() * REBALANCE_RATIO;
+        (poorest != richest && !is_close).then_some((poorest, richest))
+    }
+
+    /// An endpoint that the richest subset can spare, with its weight: best one of the poorest subset's zone.
+    ///
+    /// Never the last one of a subset with proxies: two subsets would hand it to and fro.
+    fn endpoint_to_move(&self, poorest: usize, richest: usize) -> Option<(ServerId, f64)> {
+        let is_movable =
+            |server: &ServerId| self.endpoints[*server].subset == Some(richest) && self.weight(*server) > 0.0;
+        let preference = |server: &ServerId| {
+            let zone = Some(self.endpoints[*server].zone);
+            (zone != self.subsets[poorest].zone, zone == self.subsets[richest].zone)
+        };
+        let server = (0..self.endpoints.len()).filter(is_movable).min_by_key(preference)?;
+        let weight = self.weight(server);
+        let from = &self.subsets[richest];
+        let keeps_enough = from.weight > weight * LAST_ENDPOINT_RATIO
+            && (from.weight - weight) / from.load >= self.subsets[poorest].weight_per_load();
+        (from.proxy_count == 0.0 || keeps_enough).then_some((server, weight))
+    }
+
+    /// Isolates classes on a share of each subset's warm endpoints. Subsets that are too small isolate none.
+    pub(crate) fn isolate_classes(&mut self) {
+        for subset in 0..self.subsets.len() {
+            let in_service = |server: &ServerId| {
+                self.endpoints[*server].subset == Some(subset) && self.endpoints[*server].is_in_service()
+            };
+            let candidates = (0..self.endpoints.len()).filter(in_service);
+            let warm: Vec<(ServerId, f64)> = candidates
+                .filter(|server| self.warm_fraction(*server) >= 1.0)
+                .map(|server| (server, self.weight(server)))
+                .collect();
+            let is_large_enough = warm.len() >= MIN_ENDPOINTS_TO_ISOLATE;
+            let isolated_classes = if is_large_enough { self.admission.isolated_classes } else { 0 };
+            self.subsets[subset].isolated_classes = isolated_classes;
+            // The isolated table stays as it is until the last proxy has left it.
+            if isolated_classes == 0 && self.isolated_table_is_in_use(subset) {
+                continue;
+            }
+            self.select_isolated_endpoints(subset, &warm);
+        }
+    }
+
+    fn isolated_table_is_in_use(&self, subset: usize) -> bool {
+        self.proxies.iter().any(|proxy| {
+            let is_isolated = proxy.assigned.is_some_and(|classes| classes != 0);
+            proxy.is_connected && proxy.subset == Some(subset) && is_isolated
+        })
+    }
+
+    /// The first warm endpoints after one that stays shared, up to the isolated share of the weight.
+    fn select_isolated_endpoints(&mut self, subset: usize, warm: &[(ServerId, f64)]) {
+        let total_weight = warm.iter().map(|(_, weight)| weight).sum::<f64>();
+        let mut remaining = total_weight * self.admission.isolated_share;
+        let isolates = self.subsets[subset].isolated_classes != 0;
+        for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.subset == Some(subset)) {
+            endpoint.is_isolated = false;
+        }
+        for (server, weight) in warm.iter().skip(1) {
+            self.endpoints[*server].is_isolated = remaining > 0.0 && isolates;
+            remaining -= weight;
+        }
+    }
+}
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -577,7 +577,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use runloom_controller::interface::{Mode, Order};
+    use runloom_controller::{Command, ListedState};
     use runloom_guard::{Guard, Terms as GuardTerms};
 
     /// A refusal stands in a text log as it is, in a JSON log once more escaped; both are found and judged anew.
@@ -591,10 +591,13 @@
             multiple: 4.0,
             only_drains_bind: false,
         });
-        guard.listed(0, Mode::Ready, 1.0, None);
+        guard.listed(0, ListedState::Ready, 1.0, None);
         guard.joined(0, 5.0);
-        let line = |weight| Order::Line { table: 1, server: 0, weight };
-        guard.judge(Duration::ZERO, vec![line(1.0), Order::Bind { proxy: 0, table: 1, classes: 0 }]);
+        let line = |weight| Command::SetEntry { table: 1, server: 0, weight };
+        guard.judge(
+            Duration::ZERO,
+            vec![line(1.0), Command::AssignTable { proxy: 0, table: 1, class_mask: 0 }],
+        );
         guard.judge(Duration::ZERO, vec![line(0.0)]);
         let case = serde_json::to_string(guard.refusals().last().unwrap().case.as_ref().unwrap()).unwrap();
         let text =
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
 use runloom_control_session::{Deed, Driver, Spoil, LEAD};
-use runloom_controller::interface::{Found as Probed, Listing};
+use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_distribution::{Front, Way};
 use runloom_event_log::{Happened as Recorded, Recorder, Writer};
 use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
@@ -220,7 +220,7 @@
         let mut roster = Roster::default();
         let known = roster.update(desk.fleet(), desk.listed());
         let record = open_record(place, &mut driver, &desk, seed, epoch)?;
-        driver.list(Listing::Remembered, known);
+        driver.list(EndpointUpdate::Cached, known);
         let hints = hints(&found, &roster);
         if !hints.is_empty() {
             tracing::info!(servers = hints.len(), "what an earlier start learned is taken as hints");
@@ -472,8 +472,8 @@
             Some(Peer::Stream(stream)) => self.proxy_closed(conn, &stream.holder.name, stream.proxy, why),
             Some(Peer::Probe(probe)) => {
                 let found = match why {
-                    Why::Slow | Why::Idle => Probed::NoAnswer,
-                    _ => Probed::NoConnection,
+                    Why::Slow | Why::Idle => HealthCheckResult::Timeout,
+                    _ => HealthCheckResult::ConnectionFailed,
                 };
                 self.driver.probed(probe.server, found, turn.now().saturating_sub(probe.sent), vec![]);
             }
@@ -487,11 +487,11 @@
         let (found, load) = match probe.reader.next_message() {
             Ok(None) => return,
             Ok(Some(answer)) => match answer.code {
-                200..=299 => (Probed::Handled, answer.numbers("runloom-load")),
-                503 => (Probed::TurnedAway, vec![]),
-                _ => (Probed::Failed, vec![]),
+                200..=299 => (HealthCheckResult::Success, answer.numbers("runloom-load")),
+                503 => (HealthCheckResult::Rejected, vec![]),
+                _ => (HealthCheckResult::ErrorResponse, vec![]),
             },
-            Err(_) => (Probed::Failed, vec![]),
+            Err(_) => (HealthCheckResult::ErrorResponse, vec![]),
         };
         self.driver.probed(probe.server, found, turn.now().saturating_sub(probe.sent), load);
         self.peers.remove(&conn);
@@ -665,7 +665,7 @@
                 "new facts: the decisions start over, proxies keep their tables until bound again"
             );
             let all = self.roster.servers().iter().map(|(n, s)| (n.clone(), Change::Is(s.clone())));
-            self.driver.list(Listing::Remembered, all.collect());
+            self.driver.list(EndpointUpdate::Cached, all.collect());
             let fleet = self.desk.kept_fleet();
             self.front.restart(self.front.publisher().epoch() + 1, fleet.grace.drain, longest(fleet));
             if let Err(e) = keep_epoch(&self.shelf, self.front.publisher().epoch()) {
@@ -676,7 +676,7 @@
                 self.desk.ledger.left(*proxy);
             }
         } else if !changes.is_empty() {
-            self.driver.list(Listing::Changes, changes);
+            self.driver.list(EndpointUpdate::Delta, changes);
         }
         self.desk.ledger.decided(now, &names);
     }
@@ -738,7 +738,9 @@
                         let probe = Probe { server, sent, reader: Reader::answers() };
                         self.peers.insert(conn, Peer::Probe(probe));
                     }
-                    None => self.driver.probed(server, Probed::Nothing, Duration::ZERO, vec![]),
+                    None => {
+                        self.driver.probed(server, HealthCheckResult::Inconclusive, Duration::ZERO, vec![])
+                    }
                 }
             }
             Deed::Log { text } => tracing::info!("{text}"),
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -2,7 +2,7 @@
 //! one loop. Nothing here decides on servers.
 
 use crate::{earliest, wall_ms};
-use runloom_controller::interface::Found;
+use runloom_controller::HealthCheckResult;
 use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn};
 use runloom_platform_protocol::discovery;
 use runloom_platform_protocol::probe::{self, Ending, Probe};
@@ -228,7 +228,7 @@
                 self.probes.insert(conn, probe);
             }
             // No descriptor, or no way at all from here: that says nothing about the server.
-            Err(_) => self.ended(probe, Found::Nothing.into()),
+            Err(_) => self.ended(probe, HealthCheckResult::Inconclusive.into()),
         }
     }
 
@@ -249,7 +249,7 @@
 
     fn ended(&mut self, probe: Probe, ending: Ending) {
         let after = self.now().saturating_sub(probe.since);
-        if ending.found != Found::Handled {
+        if ending.found != HealthCheckResult::Success {
             tracing::info!(to = %probe.to, found = ?ending.found, ?after, "probed");
         }
         self.platform.probed(probe.ticket, ending, after);
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use proptest::prelude::*;
-use runloom_controller::interface::FurtherTries;
+use runloom_controller::RetryPolicy;
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, Operation};
@@ -460,7 +460,7 @@
 #[test]
 fn levels_and_withdrawals_come_through_both_fronts() {
     let mut front = front();
-    let levels = [("q", (Some(2.5), FurtherTries::None)), ("r", (None, FurtherTries::Two))];
+    let levels = [("q", (Some(2.5), RetryPolicy::Never)), ("r", (None, RetryPolicy::Twice))];
     let levels = levels.map(|(class, level)| (class.to_string(), level)).into();
     front.table(1, &TableEdit { whole: true, levels, ..lines(&[(0, 1.0), (1, 1.0)]) });
     front.withdrawn(&[("s1".to_string(), true)].into());
@@ -475,8 +475,8 @@
             }
         };
         level(&mut front, &mut peer);
-        assert_eq!(peer.held.level("q"), Some((Some(2.5), FurtherTries::None)));
-        assert_eq!(peer.held.level("r"), Some((None, FurtherTries::Two)));
+        assert_eq!(peer.held.level("q"), Some((Some(2.5), RetryPolicy::Never)));
+        assert_eq!(peer.held.level("r"), Some((None, RetryPolicy::Twice)));
         assert_eq!(peer.view("q"), [("s0".to_string(), 1)]);
     }
 }
--- a/crates/guard/src/case.rs
+++ b/crates/guard/src/case.rs
@@ -2,7 +2,7 @@
 
 use crate::refusal::{Reason, Refusal};
 use crate::{Guard, Terms};
-use runloom_controller::interface::{Mode, Order};
+use runloom_controller::{Command, ListedState};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
         let watched = guard.tables.get(&refusal.table);
         let mut lines = guard.lines(refusal.table);
         let line = match &refusal.order {
-            Order::Line { server, weight, .. } => Some((*server, *weight)),
+            Command::SetEntry { server, weight, .. } => Some((*server, *weight)),
             _ => None,
         };
         if let Some((server, _)) = line {
@@ -70,7 +70,7 @@
             multiple: guard.terms.multiple,
             only_drains_bind: guard.terms.only_drains_bind,
             line,
-            what: format!("{:?}", refusal.order),
+            what: crate::command_text::command_text(&refusal.order),
         }
     }
 
@@ -89,25 +89,25 @@
         let now = Duration::from_secs(10_000_000);
         let mut first = Vec::new();
         for line in &self.lines {
-            let mode = if line.open { Mode::Ready } else { Mode::Draining };
+            let mode = if line.open { ListedState::Ready } else { ListedState::Draining };
             let age = line.age.map(|a| now.saturating_sub(Duration::from_secs_f64(a.clamp(0.0, 1e6))));
             guard.listed(line.server, mode, line.listed, age);
             if line.weight > 0.0 {
-                first.push(Order::Line { table: self.table, server: line.server, weight: line.weight });
+                first.push(Command::SetEntry { table: self.table, server: line.server, weight: line.weight });
             }
         }
         guard.can = self.can;
         guard.joined(0, self.rate);
         // What stood is taken as it was, judged or not.
         let lines = first.into_iter().filter_map(|o| match o {
-            Order::Line { server, weight, .. } => Some((server, weight)),
+            Command::SetEntry { server, weight, .. } => Some((server, weight)),
             _ => None,
         });
         guard.tables.entry(self.table).or_default().version(lines.collect(), &Default::default());
         guard.bind(0, self.table, 0);
         let order = match (self.line, self.reason.as_str()) {
-            (Some((server, weight)), _) => Order::Line { table: self.table, server, weight },
-            _ => Order::Clear { table: self.table },
+            (Some((server, weight)), _) => Command::SetEntry { table: self.table, server, weight },
+            _ => Command::ClearTable { table: self.table },
         };
         guard.judge(now, vec![order]);
         guard.kept.pop_back()
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -4,13 +4,16 @@
 //! weight: what it refuses stays as it was. `docs/guard.md` says what is judged and what comes first.
 
 pub mod case;
+pub mod command_text;
 pub mod edit;
 pub mod refusal;
 pub mod watch;
 
 use case::Case;
 use refusal::{Reason, Refusal};
-use runloom_controller::interface::{Class, Fact, Facts, FurtherTries, Mode, Order, Proxy, Server, Table};
+use runloom_controller::{
+    ClassId, Command, DeploymentConfig, ListedState, ProxyId, RetryPolicy, ServerId, TableId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use watch::{Lines, Watched};
@@ -27,6 +30,11 @@
 /// same, which is the cautious side.
 const FLYING_MOST: usize = 1024;
 
+/// The warm-up time where the configuration has none that can be used.
+const DEFAULT_WARM_UP: Duration = Duration::from_secs(20);
+/// An endpoint that warms up is taken to fail at this many times its capacity where the configuration doesn't say.
+const DEFAULT_OVERLOAD_MULTIPLE: f64 = 4.0;
+
 /// What the guard goes by, from the same facts as the decisions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Terms {
@@ -41,17 +49,16 @@
 }
 
 impl Terms {
-    pub fn of(facts: &Facts) -> Terms {
-        let number = |name: &str, cautious: f64| facts.number(name).unwrap_or(cautious);
-        let warm_after = facts.span("cold.warm_after").unwrap_or(Duration::from_secs(20));
+    pub fn of(config: &DeploymentConfig) -> Terms {
+        let slow_start = &config.slow_start;
+        let warm_after = Duration::try_from_secs_f64(slow_start.warm_up_seconds);
         Terms {
-            classes: number("classes", 0.0) as usize,
-            planners: number("planners", 1.0).max(1.0),
-            cold_from: number("cold.from", 0.1).clamp(0.01, 1.0),
-            warm_after,
-            // The least that the brief's deployments state.
-            multiple: number("cold.multiple", 4.0).max(1.0),
-            only_drains_bind: matches!(facts.0.get("drain.marked_only"), Some(Fact::Flag(true))),
+            classes: config.classes.len(),
+            planners: config.planner_count.max(1.0),
+            cold_from: slow_start.initial_capacity.clamp(0.01, 1.0),
+            warm_after: warm_after.unwrap_or(DEFAULT_WARM_UP),
+            multiple: slow_start.overload_multiple.unwrap_or(DEFAULT_OVERLOAD_MULTIPLE).max(1.0),
+            only_drains_bind: config.endpoint_list.only_draining_binds,
         }
     }
 }
@@ -59,7 +66,7 @@
 /// A server as the list has it.
 #[derive(Debug, Clone, Default)]
 struct Known {
-    mode: Option<Mode>,
+    mode: Option<ListedState>,
     weight: f64,
     started: Option<Duration>,
     /// Good answers a second of late, over this planner's proxies.
@@ -69,36 +76,36 @@
 #[derive(Debug, Clone, Default)]
 struct Member {
     rates: Vec<f64>,
-    binds: BTreeMap<Class, Table>,
+    binds: BTreeMap<ClassId, TableId>,
     /// Messages on their way: their number and the versions that they bring.
-    flying: VecDeque<(u64, Vec<(Table, u64)>)>,
+    flying: VecDeque<(u64, Vec<(TableId, u64)>)>,
     /// Tables that it was bound off, and the message that does it once that is known.
-    lingers: Vec<(Table, Option<u64>)>,
+    lingers: Vec<(TableId, Option<u64>)>,
 }
 
 /// An order that was not let pass, and what stands in its place.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Held {
-    pub order: Order,
+    pub order: Command,
     /// For a line: the weight that the table has for that server.
     pub weight: Option<f64>,
 }
 
 #[derive(Debug, Default)]
 pub struct Judged {
-    pub passed: Vec<Order>,
+    pub passed: Vec<Command>,
     pub held: Vec<Held>,
     /// Proxies that orders held here would have reached: the decisions wait for their mark.
-    pub concerned: BTreeSet<Proxy>,
+    pub concerned: BTreeSet<ProxyId>,
 }
 
 #[derive(Debug)]
 pub struct Guard {
     terms: Terms,
     servers: Vec<Known>,
-    tables: BTreeMap<Table, Watched>,
-    members: BTreeMap<Proxy, Member>,
-    withdrawn: BTreeSet<Server>,
+    tables: BTreeMap<TableId, Watched>,
+    members: BTreeMap<ProxyId, Member>,
+    withdrawn: BTreeSet<ServerId>,
     /// Queries a second that a unit of listed weight is known to take: the best of late.
     can: f64,
     can_at: Duration,
@@ -112,10 +119,10 @@
 /// What a batch of orders would make of the tables.
 struct Staged {
     /// How many proxies more, or fewer, are on a table by the binds.
-    moved: BTreeMap<Table, i64>,
-    tables: BTreeMap<Table, Lines>,
-    binds: Vec<(Proxy, Table, u64)>,
-    withdrawn: BTreeSet<Server>,
+    moved: BTreeMap<TableId, i64>,
+    tables: BTreeMap<TableId, Lines>,
+    binds: Vec<(ProxyId, TableId, u64)>,
+    withdrawn: BTreeSet<ServerId>,
 }
 
 impl Guard {
@@ -151,12 +158,12 @@
 
     // What happened.
 
-    pub fn listed(&mut self, server: Server, mode: Mode, weight: f64, started: Option<Duration>) {
+    pub fn listed(&mut self, server: ServerId, mode: ListedState, weight: f64, started: Option<Duration>) {
         let known = self.known(server);
         (known.mode, known.weight, known.started) = (Some(mode), weight, started);
     }
 
-    fn known(&mut self, server: Server) -> &mut Known {
+    fn known(&mut self, server: ServerId) -> &mut Known {
         if self.servers.len() <= server {
             self.servers.resize_with(server + 1, Known::default);
         }
@@ -164,7 +171,7 @@
     }
 
     /// A server gave so many good answers a second, over all of this planner's proxies.
-    pub fn met(&mut self, now: Duration, server: Server, good: f64) {
+    pub fn met(&mut self, now: Duration, server: ServerId, good: f64) {
         let terms = self.terms.clone();
         let known = self.known(server);
         known.flow += (good - known.flow) * if known.flow > 0.0 { 0.3 } else { 1.0 };
@@ -177,17 +184,17 @@
         }
     }
 
-    pub fn joined(&mut self, proxy: Proxy, rate: f64) {
+    pub fn joined(&mut self, proxy: ProxyId, rate: f64) {
         self.left(proxy);
         let classes = self.terms.classes.max(1);
         let rates = vec![rate.max(0.0) / classes as f64; classes];
         self.members.insert(proxy, Member { rates, ..Member::default() });
     }
 
-    pub fn left(&mut self, proxy: Proxy) {
+    pub fn left(&mut self, proxy: ProxyId) {
         if let Some(member) = self.members.remove(&proxy) {
             let lingers = member.lingers.iter().map(|(t, _)| *t);
-            let tables: BTreeSet<Table> = member.binds.values().copied().chain(lingers).collect();
+            let tables: BTreeSet<TableId> = member.binds.values().copied().chain(lingers).collect();
             for table in tables {
                 if let Some(watched) = self.tables.get_mut(&table) {
                     watched.leave(proxy);
@@ -197,7 +204,7 @@
     }
 
     /// Queries of a class that come to a proxy, a second.
-    pub fn came(&mut self, proxy: Proxy, class: Class, rate: f64) {
+    pub fn came(&mut self, proxy: ProxyId, class: ClassId, rate: f64) {
         let Some(member) = self.members.get_mut(&proxy) else { return };
         let Some(old) = member.rates.get_mut(class) else { return };
         let more = (rate.max(0.0) - *old) * if *old > 0.0 { 0.5 } else { 1.0 };
@@ -208,10 +215,10 @@
     }
 
     /// A message went out to a proxy: it brings the newest version of all its tables.
-    pub fn sent(&mut self, proxy: Proxy, number: u64) {
+    pub fn sent(&mut self, proxy: ProxyId, number: u64) {
         let Some(member) = self.members.get_mut(&proxy) else { return };
-        let tables: BTreeSet<Table> = member.binds.values().copied().collect();
-        let newest = |t: &Table| self.tables.get(t).map(|w| (*t, w.newest()));
+        let tables: BTreeSet<TableId> = member.binds.values().copied().collect();
+        let newest = |t: &TableId| self.tables.get(t).map(|w| (*t, w.newest()));
         let brings = tables.iter().filter_map(newest).collect();
         if member.flying.len() >= FLYING_MOST {
             member.flying.pop_front();
@@ -221,7 +228,7 @@
     }
 
     /// A proxy confirmed a message, and so all before it.
-    pub fn confirmed(&mut self, proxy: Proxy, number: u64) {
+    pub fn confirmed(&mut self, proxy: ProxyId, number: u64) {
         let Some(member) = self.members.get_mut(&proxy) else { return };
         while let Some((_, brings)) = member.flying.front().filter(|(n, _)| *n <= number) {
             for (table, version) in brings {
@@ -251,15 +258,15 @@
     // What is judged.
 
     /// A server that a proxy may be sent to: listed ready, or only vanished where that does not bind.
-    pub fn open(&self, server: Server) -> bool {
+    pub fn open(&self, server: ServerId) -> bool {
         match self.servers.get(server).and_then(|s| s.mode) {
-            Some(Mode::Ready) => true,
-            Some(Mode::Gone) => self.terms.only_drains_bind,
-            Some(Mode::Draining) | None => false,
+            Some(ListedState::Ready) => true,
+            Some(ListedState::Removed) => self.terms.only_drains_bind,
+            Some(ListedState::Draining) | None => false,
         }
     }
 
-    fn part(&self, server: Server, now: Duration) -> f64 {
+    fn part(&self, server: ServerId, now: Duration) -> f64 {
         self.servers.get(server).map_or(1.0, |s| age_part(&self.terms, s.started, now))
     }
 
@@ -267,23 +274,23 @@
     fn pickable<'a>(
         &'a self,
         lines: &'a Lines,
-        withdrawn: &'a BTreeSet<Server>,
-    ) -> impl Iterator<Item = Server> + 'a {
+        withdrawn: &'a BTreeSet<ServerId>,
+    ) -> impl Iterator<Item = ServerId> + 'a {
         let most = lines.values().copied().fold(0.0, f64::max);
-        let fit = move |(s, w): &(&Server, &f64)| {
+        let fit = move |(s, w): &(&ServerId, &f64)| {
             **w >= most * LEAST_PART && self.open(**s) && !withdrawn.contains(s)
         };
         lines.iter().filter(fit).map(|(s, _)| *s)
     }
 
-    fn bare(&self, lines: &Lines, withdrawn: &BTreeSet<Server>) -> bool {
+    fn bare(&self, lines: &Lines, withdrawn: &BTreeSet<ServerId>) -> bool {
         self.pickable(lines, withdrawn).next().is_none()
     }
 
     /// What a cold server may be sent by this planner's proxies, queries a second; `None`: nothing is known.
     ///
     /// Other planners share nothing: each is taken to send as much as a warm server of that weight gets.
-    fn bound(&self, server: Server, now: Duration, can: f64) -> Option<f64> {
+    fn bound(&self, server: ServerId, now: Duration, can: f64) -> Option<f64> {
         let known = self.servers.get(server)?;
         let multiple = self.raised.filter(|(_, until)| now < *until).map_or(self.terms.multiple, |r| r.0);
         let all = multiple * age_part(&self.terms, known.started, now) * self.terms.planners;
@@ -292,7 +299,8 @@
 
     /// What a unit of weight takes of this planner's queries: the best seen, or an even share of what comes.
     fn reckoned_can(&self) -> Option<f64> {
-        let weight: f64 = self.servers.iter().filter(|s| s.mode == Some(Mode::Ready)).map(|s| s.weight).sum();
+        let weight: f64 =
+            self.servers.iter().filter(|s| s.mode == Some(ListedState::Ready)).map(|s| s.weight).sum();
         let rate: f64 = self.members.values().flat_map(|m| &m.rates).sum();
         let even = if weight > 0.0 { rate / weight } else { 0.0 };
         let can = self.can.max(even);
@@ -300,7 +308,7 @@
     }
 
     /// Judges a batch of orders that goes out as one message a proxy. What passes is taken for sent.
-    pub fn judge(&mut self, now: Duration, orders: Vec<Order>) -> Judged {
+    pub fn judge(&mut self, now: Duration, orders: Vec<Command>) -> Judged {
         self.judged += 1;
         let mut refused: BTreeMap<usize, Refusal> = BTreeMap::new();
         for (k, order) in orders.iter().enumerate() {
@@ -321,8 +329,8 @@
     }
 
     /// Rule 3: a line to a server that drains, is gone or was never listed may be lowered, and no more.
-    fn closed(&self, order: &Order) -> Option<Refusal> {
-        let Order::Line { table, server, weight } = order else { return None };
+    fn closed(&self, order: &Command) -> Option<Refusal> {
+        let Command::SetEntry { table, server, weight } = order else { return None };
         let has = self.tables.get(table).and_then(|w| w.lines().get(server)).copied().unwrap_or(0.0);
         if self.open(*server) || *weight <= has {
             return None;
@@ -331,7 +339,7 @@
         Some(Refusal::new(Reason::Drains, order, *table, &users, [*server].into_iter()))
     }
 
-    fn stage(&self, orders: &[Order], refused: &BTreeMap<usize, Refusal>) -> Staged {
+    fn stage(&self, orders: &[Command], refused: &BTreeMap<usize, Refusal>) -> Staged {
         let mut staged = Staged {
             tables: BTreeMap::new(),
             binds: vec![],
@@ -341,7 +349,7 @@
         let passing = orders.iter().enumerate().filter(|(k, _)| !refused.contains_key(k));
         for (_, order) in passing {
             match order {
-                Order::Line { table, server, weight } => {
+                Command::SetEntry { table, server, weight } => {
                     let lines = staged.tables.entry(*table).or_insert_with(|| self.lines(*table));
                     if *weight > 0.0 {
                         lines.insert(*server, *weight);
@@ -349,16 +357,18 @@
                         lines.remove(server);
                     }
                 }
-                Order::Clear { table } => _ = staged.tables.insert(*table, Lines::new()),
-                Order::Bind { proxy, table, classes } => staged.binds.push((*proxy, *table, *classes)),
-                Order::Withdraw { server, out: true } => _ = staged.withdrawn.insert(*server),
-                Order::Withdraw { server, out: false } => _ = staged.withdrawn.remove(server),
+                Command::ClearTable { table } => _ = staged.tables.insert(*table, Lines::new()),
+                Command::AssignTable { proxy, table, class_mask: classes } => {
+                    staged.binds.push((*proxy, *table, *classes))
+                }
+                Command::EjectServer { server, ejected: true } => _ = staged.withdrawn.insert(*server),
+                Command::EjectServer { server, ejected: false } => _ = staged.withdrawn.remove(server),
                 _ => {}
             }
         }
         if staged.withdrawn != self.withdrawn {
             // What a withdrawn server had goes to the others: its tables are other ones by that.
-            let changed: BTreeSet<Server> =
+            let changed: BTreeSet<ServerId> =
                 staged.withdrawn.symmetric_difference(&self.withdrawn).copied().collect();
             for (table, watched) in &self.tables {
                 if watched.lines().keys().any(|s| changed.contains(s)) {
@@ -370,18 +380,18 @@
         staged
     }
 
-    fn lines(&self, table: Table) -> Lines {
+    fn lines(&self, table: TableId) -> Lines {
         self.tables.get(&table).map(|w| w.lines().clone()).unwrap_or_default()
     }
 
     /// Classes of this mask, as the orders have it: 0 stands for all.
-    fn classes(&self, mask: u64) -> impl Iterator<Item = Class> {
+    fn classes(&self, mask: u64) -> impl Iterator<Item = ClassId> {
         (0..self.terms.classes.min(64)).filter(move |c| mask == 0 || mask & (1 << c) != 0)
     }
 
     /// How the binds of a batch change who is on which table.
-    fn moves(&self, binds: &[(Proxy, Table, u64)]) -> BTreeMap<Table, i64> {
-        let mut moved: BTreeMap<Proxy, BTreeMap<Class, Table>> = BTreeMap::new();
+    fn moves(&self, binds: &[(ProxyId, TableId, u64)]) -> BTreeMap<TableId, i64> {
+        let mut moved: BTreeMap<ProxyId, BTreeMap<ClassId, TableId>> = BTreeMap::new();
         for (proxy, to, mask) in binds {
             let Some(member) = self.members.get(proxy) else { continue };
             let binds = moved.entry(*proxy).or_insert_with(|| member.binds.clone());
@@ -389,8 +399,8 @@
         }
         let mut change = BTreeMap::new();
         for (proxy, binds) in &moved {
-            let was: BTreeSet<Table> = self.members[proxy].binds.values().copied().collect();
-            let is: BTreeSet<Table> = binds.values().copied().collect();
+            let was: BTreeSet<TableId> = self.members[proxy].binds.values().copied().collect();
+            let is: BTreeSet<TableId> = binds.values().copied().collect();
             is.difference(&was).for_each(|t| *change.entry(*t).or_insert(0) += 1);
             was.difference(&is).for_each(|t| *change.entry(*t).or_insert(0) -= 1);
         }
@@ -398,16 +408,16 @@
     }
 
     /// How many proxies are on a table for some class, once this batch has gone out.
-    fn users(&self, table: Table, staged: &Staged) -> i64 {
+    fn users(&self, table: TableId, staged: &Staged) -> i64 {
         let here = self.tables.get(&table).map_or(0, Watched::users) as i64;
         here + staged.moved.get(&table).copied().unwrap_or(0)
     }
 
     /// The tables that may send to each cold server, in some version: looked up once a batch, by lines and not
     /// by proxies.
-    fn cold_tables(&self, now: Duration) -> BTreeMap<Server, Vec<Table>> {
-        let cold = |s: &Server| self.part(*s, now) < 1.0;
-        let mut found: BTreeMap<Server, Vec<Table>> = BTreeMap::new();
+    fn cold_tables(&self, now: Duration) -> BTreeMap<ServerId, Vec<TableId>> {
+        let cold = |s: &ServerId| self.part(*s, now) < 1.0;
+        let mut found: BTreeMap<ServerId, Vec<TableId>> = BTreeMap::new();
         if (0..self.servers.len()).any(|s| cold(&s)) {
             for (table, watched) in &self.tables {
                 watched
@@ -423,13 +433,13 @@
     fn faults(
         &self,
         now: Duration,
-        orders: &[Order],
+        orders: &[Command],
         refused: &BTreeMap<usize, Refusal>,
         staged: &Staged,
     ) -> BTreeMap<usize, Refusal> {
         let live = || orders.iter().enumerate().filter(|(k, _)| !refused.contains_key(k));
         let mut faults = BTreeMap::new();
-        let mut touched: BTreeSet<Table> = staged.tables.keys().copied().collect();
+        let mut touched: BTreeSet<TableId> = staged.tables.keys().copied().collect();
         touched.extend(staged.binds.iter().map(|(_, t, _)| *t));
         let (cold, can) = (self.cold_tables(now), self.reckoned_can());
         for table in touched {
@@ -438,7 +448,7 @@
             if self.users(table, staged) > 0 && self.bare(new, &staged.withdrawn) {
                 self.emptied(table, &old, live(), &mut faults);
             }
-            let grown = |s: &&Server| self.part(**s, now) < 1.0 && self.open(**s);
+            let grown = |s: &&ServerId| self.part(**s, now) < 1.0 && self.open(**s);
             for server in new.keys().filter(grown) {
                 let tables = cold.get(server).map_or(&[][..], Vec::as_slice);
                 self.pushed((now, can), table, (*server, tables), staged, live(), &mut faults);
@@ -450,22 +460,22 @@
     /// Rule 1: the orders of this batch that take open servers out of the table, or put proxies on it.
     fn emptied<'a>(
         &self,
-        table: Table,
+        table: TableId,
         old: &Lines,
-        live: impl Iterator<Item = (usize, &'a Order)> + Clone,
+        live: impl Iterator<Item = (usize, &'a Command)> + Clone,
         faults: &mut BTreeMap<usize, Refusal>,
     ) {
-        let was: BTreeSet<Server> = self.pickable(old, &self.withdrawn).collect();
+        let was: BTreeSet<ServerId> = self.pickable(old, &self.withdrawn).collect();
         for (k, order) in live {
             let takes = match order {
                 // A line to a server that drains is none: taking it out is never refused.
-                Order::Line { table: t, server, weight } => {
+                Command::SetEntry { table: t, server, weight } => {
                     *t == table && was.contains(server) && *weight < old[server]
                 }
-                Order::Clear { table: t } => *t == table && !was.is_empty(),
-                Order::Withdraw { server, out } => *out && was.contains(server),
+                Command::ClearTable { table: t } => *t == table && !was.is_empty(),
+                Command::EjectServer { server, ejected: out } => *out && was.contains(server),
                 // Where no server is open anywhere, there is nothing better to be bound to.
-                Order::Bind { table: t, .. } => *t == table && self.any_open(),
+                Command::AssignTable { table: t, .. } => *t == table && self.any_open(),
                 _ => false,
             };
             if takes {
@@ -482,14 +492,14 @@
     /// Whether cold servers are judged against each other and not by what they can bear: no warm server is open
     /// anywhere, or proxies are bound for the first time to a table that has none. What they hold from before
     /// may name servers that drain, and rule 3 comes before rule 4.
-    fn evenly(&self, now: Duration, table: Table, staged: &Staged) -> bool {
+    fn evenly(&self, now: Duration, table: TableId, staged: &Staged) -> bool {
         // As it was before this batch: one that withdraws the last warm server is not excused by that.
-        let was = |s: Server| self.part(s, now) >= 1.0 && self.open(s) && !self.withdrawn.contains(&s);
+        let was = |s: ServerId| self.part(s, now) >= 1.0 && self.open(s) && !self.withdrawn.contains(&s);
         if !(0..self.servers.len()).any(was) {
             return true;
         }
-        let warm = |s: Server| self.part(s, now) >= 1.0 && self.open(s) && !staged.withdrawn.contains(&s);
-        let first = |(p, t, _): &(Proxy, Table, u64)| {
+        let warm = |s: ServerId| self.part(s, now) >= 1.0 && self.open(s) && !staged.withdrawn.contains(&s);
+        let first = |(p, t, _): &(ProxyId, TableId, u64)| {
             *t == table && self.members.get(p).is_some_and(|m| m.binds.is_empty())
         };
         let old = self.lines(table);
@@ -501,21 +511,21 @@
     fn pushed<'a>(
         &self,
         (now, can): (Duration, Option<f64>),
-        table: Table,
-        (server, tables): (Server, &[Table]),
+        table: TableId,
+        (server, tables): (ServerId, &[TableId]),
         staged: &Staged,
-        live: impl Iterator<Item = (usize, &'a Order)> + Clone,
+        live: impl Iterator<Item = (usize, &'a Command)> + Clone,
         faults: &mut BTreeMap<usize, Refusal>,
     ) {
         let old = self.lines(table);
         let (before, after, bound) = if self.evenly(now, table, staged) {
             // Somebody has to take the queries: none more than its part of it by weight and age, and a half.
             let new = staged.tables.get(&table).unwrap_or(&old);
-            let size = |s: &Server| self.servers.get(*s).map_or(0.0, |k| k.weight) * self.part(*s, now);
+            let size = |s: &ServerId| self.servers.get(*s).map_or(0.0, |k| k.weight) * self.part(*s, now);
             let all: f64 = self.pickable(new, &staged.withdrawn).map(|s| size(&s)).sum();
             let even = 1.5 * size(&server) / all.max(f64::MIN_POSITIVE);
             let part =
-                |lines: &Lines, out: &BTreeSet<Server>| watch::share(&watch::effective(lines, out), server);
+                |lines: &Lines, out: &BTreeSet<ServerId>| watch::share(&watch::effective(lines, out), server);
             (part(&old, &self.withdrawn), part(new, &staged.withdrawn), even)
         } else {
             let Some(bound) = can.and_then(|can| self.bound(server, now, can)) else { return };
@@ -527,7 +537,7 @@
         let mut found = false;
         for (k, order) in live.clone() {
             let raises = match order {
-                Order::Line { table: t, server: s, weight } => {
+                Command::SetEntry { table: t, server: s, weight } => {
                     *t == table && *s == server && *weight > old.get(s).copied().unwrap_or(0.0)
                 }
                 _ => false,
@@ -542,16 +552,18 @@
         // It is not raised itself: what others lose falls on it.
         for (k, order) in live.filter(|_| !found) {
             let shifts = match order {
-                Order::Line { table: t, server: s, weight } => {
+                Command::SetEntry { table: t, server: s, weight } => {
                     *t == table
                         && *s != server
                         && self.open(*s)
                         && *weight < old.get(s).copied().unwrap_or(0.0)
                 }
-                Order::Clear { table: t } => *t == table,
-                Order::Withdraw { server: s, out } => *out && self.open(*s) && old.contains_key(s),
+                Command::ClearTable { table: t } => *t == table,
+                Command::EjectServer { server: s, ejected: out } => {
+                    *out && self.open(*s) && old.contains_key(s)
+                }
                 // A first bind is let pass: what the proxy holds from before may name servers that drain.
-                Order::Bind { proxy, table: t, .. } => {
+                Command::AssignTable { proxy, table: t, .. } => {
                     *t == table && self.members.get(proxy).is_some_and(|m| !m.binds.is_empty())
                 }
                 _ => false,
@@ -565,14 +577,14 @@
     }
 
     /// The most that all proxies may send to a server, each on whichever version may be in force there.
-    fn load(&self, server: Server, tables: &[Table], staged: Option<&Staged>) -> f64 {
+    fn load(&self, server: ServerId, tables: &[TableId], staged: Option<&Staged>) -> f64 {
         let none = BTreeMap::new();
         let changed = staged.map_or(&none, |s| &s.tables);
         let newly =
             changed.iter().filter(|(t, l)| l.contains_key(&server) && !tables.contains(t)).map(|(t, _)| t);
         let watched = tables.iter().chain(newly).filter_map(|t| Some((t, self.tables.get(t)?)));
         let out = staged.map_or(&self.withdrawn, |s| &s.withdrawn);
-        let next = |t: &Table| changed.get(t).map(|lines| watch::effective(lines, out));
+        let next = |t: &TableId| changed.get(t).map(|lines| watch::effective(lines, out));
         let mut load: f64 = watched.map(|(t, w)| w.load(server, next(t).as_ref())).sum();
         let Some(staged) = staged else { return load };
         for (proxy, table, mask) in &staged.binds {
@@ -589,7 +601,12 @@
     }
 
     /// Takes what passes for sent, and tells what does not.
-    fn settle(&mut self, now: Duration, orders: Vec<Order>, mut refused: BTreeMap<usize, Refusal>) -> Judged {
+    fn settle(
+        &mut self,
+        now: Duration,
+        orders: Vec<Command>,
+        mut refused: BTreeMap<usize, Refusal>,
+    ) -> Judged {
         let staged = self.stage(&orders, &refused);
         let mut judged = Judged::default();
         for (k, order) in orders.into_iter().enumerate() {
@@ -598,12 +615,14 @@
                 continue;
             };
             let weight = match &order {
-                Order::Line { table, server, .. } => self.lines(*table).get(server).copied(),
+                Command::SetEntry { table, server, .. } => self.lines(*table).get(server).copied(),
                 _ => None,
             };
             match &order {
-                Order::Bind { proxy, .. } => _ = judged.concerned.insert(*proxy),
-                Order::Line { table, .. } | Order::Clear { table } | Order::Level { table, .. } => {
+                Command::AssignTable { proxy, .. } => _ = judged.concerned.insert(*proxy),
+                Command::SetEntry { table, .. }
+                | Command::ClearTable { table }
+                | Command::SetAdmission { table, .. } => {
                     judged.concerned.extend(self.tables.get(table).map(Watched::proxies).unwrap_or_default());
                 }
                 _ => {}
@@ -626,10 +645,10 @@
         judged
     }
 
-    fn bind(&mut self, proxy: Proxy, table: Table, mask: u64) {
-        let classes: Vec<Class> = self.classes(mask).collect();
+    fn bind(&mut self, proxy: ProxyId, table: TableId, mask: u64) {
+        let classes: Vec<ClassId> = self.classes(mask).collect();
         let Some(member) = self.members.get_mut(&proxy) else { return };
-        let before: BTreeSet<Table> = member.binds.values().copied().collect();
+        let before: BTreeSet<TableId> = member.binds.values().copied().collect();
         classes.into_iter().for_each(|c| _ = member.binds.insert(c, table));
         let loads = member.loads();
         for old in before.into_iter().filter(|t| !loads.contains_key(t)) {
@@ -647,7 +666,7 @@
 
 impl Member {
     /// What comes to it, by the table that it is on for it.
-    fn loads(&self) -> BTreeMap<Table, f64> {
+    fn loads(&self) -> BTreeMap<TableId, f64> {
         let mut loads = BTreeMap::new();
         for (class, table) in &self.binds {
             *loads.entry(*table).or_insert(0.0) += self.rates.get(*class).copied().unwrap_or(0.0);
@@ -664,20 +683,20 @@
 }
 
 /// What no table may hold.
-fn malformed(order: &Order) -> Option<Refusal> {
+fn malformed(order: &Command) -> Option<Refusal> {
     let bad = |table| Some(Refusal::new(Reason::Malformed, order, table, &[], std::iter::empty()));
     match order {
-        Order::Line { table, weight, .. }
+        Command::SetEntry { table, weight, .. }
             if !weight.is_finite() || *weight < 0.0 || *weight > MOST_WEIGHT =>
         {
             bad(*table)
         }
-        Order::Level { table, level: Some(pace), .. } if !pace.is_finite() => bad(*table),
-        Order::Level { table, level: Some(pace), .. } if *pace < LEAST_PACE => {
+        Command::SetAdmission { table, admission_rate: Some(pace), .. } if !pace.is_finite() => bad(*table),
+        Command::SetAdmission { table, admission_rate: Some(pace), .. } if *pace < LEAST_PACE => {
             Some(Refusal::new(Reason::Closes, order, *table, &[], std::iter::empty()))
         }
         // Nothing may be tried again but by proof, or as the class allows; the forwarder keeps that too.
-        Order::Level { tries: FurtherTries::None | FurtherTries::Unrun, .. } => None,
+        Command::SetAdmission { retry_policy: RetryPolicy::Never | RetryPolicy::IfNotExecuted, .. } => None,
         _ => None,
     }
 }
--- a/crates/guard/src/refusal.rs
+++ b/crates/guard/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Why an order was refused: for people in a sentence, and as data.
 
 use crate::case::Case;
-use runloom_controller::interface::{Order, Proxy, Server, Table};
+use runloom_controller::{Command, ProxyId, ServerId, TableId};
 use std::time::Duration;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,12 +50,12 @@
 pub struct Refusal {
     pub at: Duration,
     pub reason: Reason,
-    pub order: Order,
-    pub table: Table,
+    pub order: Command,
+    pub table: TableId,
     /// How many proxies it concerns, and the first few.
     pub proxies: usize,
-    pub first: Vec<Proxy>,
-    pub servers: Vec<Server>,
+    pub first: Vec<ProxyId>,
+    pub servers: Vec<ServerId>,
     /// Queries a second that a cold server would have been sent, and may be.
     pub load: Option<(f64, f64)>,
     /// What the verdict went by, to be judged again.
@@ -68,10 +68,10 @@
 impl Refusal {
     pub fn new(
         reason: Reason,
-        order: &Order,
-        table: Table,
-        proxies: &[Proxy],
-        servers: impl Iterator<Item = Server>,
+        order: &Command,
+        table: TableId,
+        proxies: &[ProxyId],
+        servers: impl Iterator<Item = ServerId>,
     ) -> Refusal {
         Refusal {
             at: Duration::ZERO,
@@ -92,7 +92,7 @@
     }
 
     /// One sentence; `server` and `proxy` give names.
-    pub fn sentence(&self, server: &dyn Fn(Server) -> String, proxy: &dyn Fn(Proxy) -> String) -> String {
+    pub fn sentence(&self, server: &dyn Fn(ServerId) -> String, proxy: &dyn Fn(ProxyId) -> String) -> String {
         let servers = self.servers.iter().map(|s| server(*s)).collect::<Vec<_>>().join(", ");
         let proxies = match self.first.first() {
             None => String::new(),
@@ -124,7 +124,7 @@
     }
 
     /// The change that would have been safe.
-    pub fn safe(&self, server: &dyn Fn(Server) -> String) -> String {
+    pub fn safe(&self, server: &dyn Fn(ServerId) -> String) -> String {
         let first = self.servers.first().map(|s| server(*s)).unwrap_or_default();
         match (self.reason, self.load) {
             (Reason::Empties, _) => {
--- a/crates/guard/src/watch.rs
+++ b/crates/guard/src/watch.rs
@@ -1,22 +1,22 @@
 //! One table as it may be in force: the versions since the oldest that some proxy may still be on.
 
-use runloom_controller::interface::{Proxy, Server};
+use runloom_controller::{ProxyId, ServerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub type Lines = BTreeMap<Server, f64>;
+pub type Lines = BTreeMap<ServerId, f64>;
 
 /// Versions kept apart; past it the two oldest become one that has the larger share of each line, which errs on
 /// the cautious side.
 const VERSIONS_MOST: usize = 64;
 
 /// The part of a table's queries that a server gets.
-pub fn share(lines: &Lines, server: Server) -> f64 {
+pub fn share(lines: &Lines, server: ServerId) -> f64 {
     let all: f64 = lines.values().sum();
     lines.get(&server).map_or(0.0, |w| w / all.max(f64::MIN_POSITIVE))
 }
 
 /// Lines without those to withdrawn servers.
-pub fn effective(lines: &Lines, withdrawn: &BTreeSet<Server>) -> Lines {
+pub fn effective(lines: &Lines, withdrawn: &BTreeSet<ServerId>) -> Lines {
     lines.iter().filter(|(s, _)| !withdrawn.contains(s)).map(|(s, w)| (*s, *w)).collect()
 }
 
@@ -37,9 +37,9 @@
     effective: Lines,
     newest: u64,
     /// Older versions that may be in force somewhere, oldest first: their number and each server's share.
-    older: VecDeque<(u64, BTreeMap<Server, f64>)>,
+    older: VecDeque<(u64, BTreeMap<ServerId, f64>)>,
     /// Who is on it.
-    proxies: BTreeMap<Proxy, On>,
+    proxies: BTreeMap<ProxyId, On>,
     /// The same by version: how many, and their queries a second.
     at: BTreeMap<u64, (usize, f64)>,
 }
@@ -54,7 +54,7 @@
     }
 
     /// Who is bound to it, by the newest orders.
-    pub fn proxies(&self) -> Vec<Proxy> {
+    pub fn proxies(&self) -> Vec<ProxyId> {
         self.proxies.iter().filter(|(_, on)| !on.lingers).map(|(p, _)| *p).collect()
     }
 
@@ -63,13 +63,13 @@
     }
 
     /// Those that some version that may be in force has a line to.
-    pub fn servers(&self) -> BTreeSet<Server> {
+    pub fn servers(&self) -> BTreeSet<ServerId> {
         let older = self.older.iter().flat_map(|(_, shares)| shares.keys());
         self.lines.keys().chain(older).copied().collect()
     }
 
     /// A new version goes out: lines, or withdrawals of servers in it, changed.
-    pub fn version(&mut self, lines: Lines, withdrawn: &BTreeSet<Server>) {
+    pub fn version(&mut self, lines: Lines, withdrawn: &BTreeSet<ServerId>) {
         if !self.proxies.is_empty() && self.newest > 0 {
             let all: f64 = self.effective.values().sum();
             let shares = self.effective.iter().map(|(s, w)| (*s, w / all.max(f64::MIN_POSITIVE))).collect();
@@ -81,7 +81,7 @@
     }
 
     /// A proxy is bound to it, or is so with another load.
-    pub fn join(&mut self, proxy: Proxy, rate: f64) {
+    pub fn join(&mut self, proxy: ProxyId, rate: f64) {
         // Bound with this version at the earliest: none before it can be in force there.
         let version = self.proxies.get(&proxy).map_or(self.newest, |on| on.version);
         self.leave(proxy);
@@ -91,20 +91,20 @@
     }
 
     /// It is bound elsewhere, by a message on its way.
-    pub fn linger(&mut self, proxy: Proxy) {
+    pub fn linger(&mut self, proxy: ProxyId) {
         if let Some(on) = self.proxies.get_mut(&proxy) {
             on.lingers = true;
         }
     }
 
     /// What it lingered on is in force there no more.
-    pub fn let_go(&mut self, proxy: Proxy) {
+    pub fn let_go(&mut self, proxy: ProxyId) {
         if self.proxies.get(&proxy).is_some_and(|on| on.lingers) {
             self.leave(proxy);
         }
     }
 
-    pub fn leave(&mut self, proxy: Proxy) {
+    pub fn leave(&mut self, proxy: ProxyId) {
         if let Some(on) = self.proxies.remove(&proxy) {
             self.less(on.version, on.rate);
             self.prune();
@@ -120,7 +120,7 @@
         }
     }
 
-    pub fn add_rate(&mut self, proxy: Proxy, more: f64) {
+    pub fn add_rate(&mut self, proxy: ProxyId, more: f64) {
         if let Some(on) = self.proxies.get_mut(&proxy) {
             on.rate += more;
             if let Some(here) = self.at.get_mut(&on.version) {
@@ -129,7 +129,7 @@
         }
     }
 
-    pub fn confirm(&mut self, proxy: Proxy, version: u64) {
+    pub fn confirm(&mut self, proxy: ProxyId, version: u64) {
         let Some(on) = self.proxies.get_mut(&proxy).filter(|on| on.version < version) else { return };
         let (old, rate) = (std::mem::replace(&mut on.version, version), on.rate);
         self.less(old, rate);
@@ -156,7 +156,7 @@
 
     /// The most that the proxies on it may send to a server, each on any version from the one it confirmed on;
     /// with a version that is to come, also on that one.
-    pub fn load(&self, server: Server, next: Option<&Lines>) -> f64 {
+    pub fn load(&self, server: ServerId, next: Option<&Lines>) -> f64 {
         let mut most = share(&self.effective, server).max(next.map_or(0.0, |n| share(n, server)));
         let mut load = 0.0;
         let mut older = self.older.iter().rev().peekable();
--- a/crates/guard/tests/naive.rs
+++ b/crates/guard/tests/naive.rs
@@ -2,7 +2,7 @@
 //! random sequences on larger ones; and the reasons one by one.
 
 use proptest::prelude::*;
-use runloom_controller::interface::{FurtherTries, Mode, Order, Proxy, Server, Table};
+use runloom_controller::{Command, ListedState, ProxyId, RetryPolicy, ServerId, TableId};
 use runloom_guard::refusal::Reason;
 use runloom_guard::{edit, Guard, Terms};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,20 +23,20 @@
     }
 }
 
-fn line(table: Table, server: Server, weight: f64) -> Order {
-    Order::Line { table, server, weight }
+fn line(table: TableId, server: ServerId, weight: f64) -> Command {
+    Command::SetEntry { table, server, weight }
 }
 
-fn bind(proxy: Proxy, table: Table, classes: u64) -> Order {
-    Order::Bind { proxy, table, classes }
+fn bind(proxy: ProxyId, table: TableId, classes: u64) -> Command {
+    Command::AssignTable { proxy, table, class_mask: classes }
 }
 
 /// Two servers that are ready and warm, one cold from just now on, one proxy with 30 queries a second on table 1.
 fn small() -> Guard {
     let mut guard = Guard::new(terms());
-    guard.listed(0, Mode::Ready, 1.0, None);
-    guard.listed(1, Mode::Ready, 1.0, None);
-    guard.listed(2, Mode::Ready, 1.0, Some(NOW));
+    guard.listed(0, ListedState::Ready, 1.0, None);
+    guard.listed(1, ListedState::Ready, 1.0, None);
+    guard.listed(2, ListedState::Ready, 1.0, Some(NOW));
     guard.joined(0, 30.0);
     let first = vec![line(1, 0, 1.0), line(1, 1, 1.0), bind(0, 1, 0)];
     assert_eq!(guard.judge(NOW, first).held, vec![]);
@@ -58,26 +58,26 @@
     assert_eq!(judged.concerned, [0].into());
     let mut guard = small();
     assert_eq!(guard.judge(NOW, vec![line(1, 0, 0.0), line(1, 1, 0.0)]).passed.len(), 0);
-    assert_eq!(guard.judge(NOW, vec![Order::Clear { table: 1 }]).passed.len(), 0);
+    assert_eq!(guard.judge(NOW, vec![Command::ClearTable { table: 1 }]).passed.len(), 0);
     // Cleared and filled in one message is one table for another.
-    assert_eq!(guard.judge(NOW, vec![Order::Clear { table: 1 }, line(1, 1, 2.0)]).held.len(), 0);
-    assert_eq!(guard.judge(NOW, vec![Order::Withdraw { server: 1, out: true }]).passed.len(), 0);
+    assert_eq!(guard.judge(NOW, vec![Command::ClearTable { table: 1 }, line(1, 1, 2.0)]).held.len(), 0);
+    assert_eq!(guard.judge(NOW, vec![Command::EjectServer { server: 1, ejected: true }]).passed.len(), 0);
 }
 
 #[test]
 fn a_table_that_is_safe_by_itself_is_not_after_a_drain_and_a_drain_is_never_held_up() {
     let mut guard = small();
-    guard.listed(0, Mode::Draining, 1.0, None);
+    guard.listed(0, ListedState::Draining, 1.0, None);
     assert_eq!(guard.judge(NOW, vec![line(1, 1, 0.0)]).passed.len(), 0);
     // Rule 3 before rule 1: the line of what drains goes, be it the last one.
-    guard.listed(1, Mode::Draining, 1.0, None);
+    guard.listed(1, ListedState::Draining, 1.0, None);
     assert_eq!(guard.judge(NOW, vec![line(1, 0, 0.0), line(1, 1, 0.0)]).held.len(), 0);
 }
 
 #[test]
 fn a_line_to_a_server_that_drains_or_was_never_listed_is_refused() {
     let mut guard = small();
-    guard.listed(0, Mode::Draining, 1.0, None);
+    guard.listed(0, ListedState::Draining, 1.0, None);
     assert_eq!(guard.judge(NOW, vec![line(1, 0, 2.0), line(2, 0, 1.0), line(1, 77, 1.0)]).passed.len(), 0);
     assert_eq!(guard.judge(NOW, vec![line(1, 0, 0.5)]).held.len(), 0);
 }
@@ -85,7 +85,7 @@
 #[test]
 fn a_weight_and_a_drain_in_one_message_are_judged_together() {
     let mut guard = small();
-    guard.listed(0, Mode::Draining, 1.0, None);
+    guard.listed(0, ListedState::Draining, 1.0, None);
     let judged = guard.judge(NOW, vec![line(1, 0, 0.0), line(1, 1, 0.0), line(1, 0, 2.0)]);
     assert_eq!((judged.held.len(), reasons(&guard)), (2, vec!["empties-table", "sends-to-draining"]));
 }
@@ -95,13 +95,18 @@
     let mut guard = small();
     assert_eq!(guard.judge(NOW, vec![line(1, 0, 1e-9), line(1, 1, 0.0)]).held.len(), 0);
     let mut guard = small();
-    guard.listed(1, Mode::Draining, 1.0, None);
+    guard.listed(1, ListedState::Draining, 1.0, None);
     assert_eq!(guard.judge(NOW, vec![line(1, 0, 1e-3), line(1, 1, 1e6)]).passed.len(), 1);
     for weight in [f64::NAN, f64::INFINITY, -1.0, 1e12] {
         assert_eq!(guard.judge(NOW, vec![line(1, 0, weight)]).passed.len(), 0, "{weight}");
     }
     for pace in [0.0, 1e-9, f64::NAN, -3.0] {
-        let level = Order::Level { table: 1, class: 0, level: Some(pace), tries: FurtherTries::None };
+        let level = Command::SetAdmission {
+            table: 1,
+            class: 0,
+            admission_rate: Some(pace),
+            retry_policy: RetryPolicy::Never,
+        };
         assert_eq!(guard.judge(NOW, vec![level]).passed.len(), 0, "{pace}");
     }
 }
@@ -135,7 +140,7 @@
 fn a_batch_that_withdraws_the_last_warm_servers_is_refused() {
     let mut guard = small();
     guard.judge(NOW, vec![line(1, 2, 0.5)]);
-    let out = |server| Order::Withdraw { server, out: true };
+    let out = |server| Command::EjectServer { server, ejected: true };
     assert_eq!(guard.judge(NOW, vec![out(0), out(1)]).passed, vec![]);
     assert_eq!(reasons(&guard), ["shifts-to-cold", "shifts-to-cold"]);
 }
@@ -145,18 +150,18 @@
 fn a_withdrawal_that_heaps_queries_on_a_cold_server_is_refused() {
     let mut guard = small();
     assert_eq!(guard.judge(NOW, vec![line(1, 2, 0.5)]).held.len(), 0);
-    assert_eq!(guard.judge(NOW, vec![Order::Withdraw { server: 0, out: true }]).passed.len(), 0);
+    assert_eq!(guard.judge(NOW, vec![Command::EjectServer { server: 0, ejected: true }]).passed.len(), 0);
     let warm = NOW + Duration::from_secs(10);
-    assert_eq!(guard.judge(warm, vec![Order::Withdraw { server: 0, out: true }]).held.len(), 0);
-    assert_eq!(guard.judge(warm, vec![Order::Withdraw { server: 1, out: true }]).held.len(), 0);
-    assert_eq!(guard.judge(warm, vec![Order::Withdraw { server: 2, out: true }]).passed.len(), 0);
+    assert_eq!(guard.judge(warm, vec![Command::EjectServer { server: 0, ejected: true }]).held.len(), 0);
+    assert_eq!(guard.judge(warm, vec![Command::EjectServer { server: 1, ejected: true }]).held.len(), 0);
+    assert_eq!(guard.judge(warm, vec![Command::EjectServer { server: 2, ejected: true }]).passed.len(), 0);
 }
 
 #[test]
 fn planners_that_share_nothing_reckon_with_what_the_others_send() {
     let mut guard = Guard::new(Terms { planners: 2.0, ..terms() });
-    (0..2).for_each(|s| guard.listed(s, Mode::Ready, 1.0, None));
-    guard.listed(2, Mode::Ready, 1.0, Some(NOW));
+    (0..2).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, None));
+    guard.listed(2, ListedState::Ready, 1.0, Some(NOW));
     guard.joined(0, 30.0);
     guard.judge(NOW, vec![line(1, 0, 1.0), line(1, 1, 1.0), bind(0, 1, 0)]);
     // 4 x 0.2 x 2 - 1 = 0.6 of what a warm one gets.
@@ -167,9 +172,11 @@
 #[test]
 fn first_binds_pass_after_a_restart_but_not_to_a_table_without_a_server() {
     let mut guard = Guard::new(terms());
-    (0..100).for_each(|s| guard.listed(s, if s < 12 { Mode::Ready } else { Mode::Gone }, 1.0, None));
+    (0..100).for_each(|s| {
+        guard.listed(s, if s < 12 { ListedState::Ready } else { ListedState::Removed }, 1.0, None)
+    });
     (0..150).for_each(|p| guard.joined(p, 5.0));
-    let mut orders: Vec<Order> = (0..12).map(|s| line(1, s, 1.0)).collect();
+    let mut orders: Vec<Command> = (0..12).map(|s| line(1, s, 1.0)).collect();
     orders.extend((0..150).map(|p| bind(p, if p < 149 { 1 } else { 9 }, 0)));
     let judged = guard.judge(NOW, orders);
     assert_eq!((judged.passed.len(), judged.held.len()), (12 + 149, 1));
@@ -182,13 +189,13 @@
 #[test]
 fn after_a_mass_restart_with_only_cold_ones_left_they_ramp_together() {
     let mut guard = Guard::new(terms());
-    (0..10).for_each(|s| guard.listed(s, Mode::Ready, 1.0, Some(NOW)));
+    (0..10).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, Some(NOW)));
     guard.joined(0, 100.0);
     // An even share of all is ten each; a fresh one may be sent eight.
-    let all: Vec<Order> = (0..10).map(|s| line(1, s, 0.3)).chain([bind(0, 1, 0)]).collect();
+    let all: Vec<Command> = (0..10).map(|s| line(1, s, 0.3)).chain([bind(0, 1, 0)]).collect();
     assert_eq!(guard.judge(NOW, all.clone()).held.len(), 0, "a first bind passes: rule 3 for what it holds");
     let mut guard = Guard::new(terms());
-    (0..10).for_each(|s| guard.listed(s, Mode::Ready, 1.0, Some(NOW)));
+    (0..10).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, Some(NOW)));
     guard.joined(0, 100.0);
     guard.judge(NOW, all);
     assert_eq!(guard.judge(NOW, vec![line(1, 0, 9.0)]).passed.len(), 0);
@@ -200,7 +207,7 @@
     let mut guard = small();
     guard.raise(40.0, NOW + Duration::from_secs(5));
     assert_eq!(guard.judge(NOW, vec![line(1, 2, 1.0)]).held.len(), 0);
-    assert_eq!(guard.judge(NOW, vec![Order::Clear { table: 1 }]).passed.len(), 0);
+    assert_eq!(guard.judge(NOW, vec![Command::ClearTable { table: 1 }]).passed.len(), 0);
     assert_eq!(guard.judge(NOW + Duration::from_secs(5), vec![line(1, 2, 50.0)]).passed.len(), 0);
 }
 
@@ -208,10 +215,10 @@
 fn what_only_vanished_stays_open_where_only_drains_bind() {
     for (only_drains_bind, held) in [(true, 1), (false, 0)] {
         let mut guard = Guard::new(Terms { only_drains_bind, ..terms() });
-        guard.listed(0, Mode::Ready, 1.0, None);
+        guard.listed(0, ListedState::Ready, 1.0, None);
         guard.joined(0, 3.0);
         guard.judge(NOW, vec![line(1, 0, 1.0), bind(0, 1, 0)]);
-        guard.listed(0, Mode::Gone, 1.0, None);
+        guard.listed(0, ListedState::Removed, 1.0, None);
         assert_eq!(guard.judge(NOW, vec![line(1, 0, 0.0)]).held.len(), held);
     }
 }
@@ -270,7 +277,7 @@
 
 // The naive checker.
 
-type Lines = BTreeMap<Server, f64>;
+type Lines = BTreeMap<ServerId, f64>;
 
 /// All that a proxy may hold: the states it passes through, from the one it confirmed on, in the order in which
 /// messages reach it.
@@ -283,7 +290,7 @@
 /// Every way in which the proxies can be on their ways at once; the most that a server is sent in any of them.
 /// With `apart`, the tables of a proxy's classes count as if they came by messages of their own, which is how the
 /// guard reckons: it errs on the cautious side there.
-fn most(naive: &Naive, server: Server, rate: f64, apart: bool) -> f64 {
+fn most(naive: &Naive, server: ServerId, rate: f64, apart: bool) -> f64 {
     let share = |lines: &Lines| {
         let all: f64 = lines.values().sum();
         lines.get(&server).map_or(0.0, |w| w / all)
@@ -322,21 +329,21 @@
 fn set_out(fleet: &Fleet, first: &[Lines; CLASSES]) -> Option<(Guard, Naive)> {
     let mut guard = Guard::new(terms());
     for (s, mode) in fleet.modes.iter().enumerate() {
-        guard.listed(s, Mode::Ready, 1.0, (*mode == 2).then_some(NOW));
+        guard.listed(s, ListedState::Ready, 1.0, (*mode == 2).then_some(NOW));
     }
     (0..fleet.proxies).for_each(|p| guard.joined(p, RATE));
     let mut orders = Vec::new();
     for (class, lines) in first.iter().enumerate() {
         // No line to a draining server is laid anew: those lines are from before it drained.
-        orders.extend(lines.iter().map(|(s, w)| line(class as Table + 1, *s, *w)));
-        orders.extend((0..fleet.proxies).map(|p| bind(p, class as Table + 1, 1 << class)));
+        orders.extend(lines.iter().map(|(s, w)| line(class as TableId + 1, *s, *w)));
+        orders.extend((0..fleet.proxies).map(|p| bind(p, class as TableId + 1, 1 << class)));
     }
     if !guard.judge(NOW, orders).held.is_empty() {
         return None;
     }
     (0..fleet.proxies).for_each(|p| guard.sent(p, 1));
     let drains = (0..fleet.modes.len()).filter(|s| !open(fleet.modes[*s]));
-    drains.for_each(|s| guard.listed(s, Mode::Draining, 1.0, None));
+    drains.for_each(|s| guard.listed(s, ListedState::Draining, 1.0, None));
     Some((guard, Naive { ways: vec![vec![first.clone()]; fleet.proxies] }))
 }
 
@@ -345,7 +352,7 @@
 fn naive_lets(
     fleet: &Fleet,
     naive: &Naive,
-    (table, server, weight): (usize, Server, f64),
+    (table, server, weight): (usize, ServerId, f64),
     apart: bool,
 ) -> bool {
     let now = &naive.ways[0].last().unwrap()[table];
@@ -371,7 +378,7 @@
     let can = RATE * fleet.proxies as f64 / ready.max(1.0);
     let bound = 4.0 * 0.2 * can;
     let cold = (0..fleet.modes.len()).filter(|s| fleet.modes[*s] == 2 && next.contains_key(s));
-    let share = |l: &Lines, s: Server| l.get(&s).map_or(0.0, |w| w / l.values().sum::<f64>());
+    let share = |l: &Lines, s: ServerId| l.get(&s).map_or(0.0, |w| w / l.values().sum::<f64>());
     for s in cold {
         // With no warm one anywhere they are judged against each other.
         let (before, after, bound) = if fleet.modes.contains(&0) {
@@ -395,7 +402,7 @@
 /// compared, and in how many the guard is stricter than it would have to be.
 fn walk(
     fleet: &Fleet,
-    script: &mut Vec<(usize, Server, f64, usize)>,
+    script: &mut Vec<(usize, ServerId, f64, usize)>,
     first: &[Lines; CLASSES],
     depth: usize,
 ) -> (u64, u64) {
@@ -421,7 +428,7 @@
 }
 
 /// Plays a script on guard and naive checker, and compares the verdicts on its last order.
-fn replay(fleet: &Fleet, script: &[(usize, Server, f64, usize)], first: &[Lines; CLASSES]) -> (u64, u64) {
+fn replay(fleet: &Fleet, script: &[(usize, ServerId, f64, usize)], first: &[Lines; CLASSES]) -> (u64, u64) {
     let Some((mut guard, mut naive)) = set_out(fleet, first) else { return (0, 0) };
     let (mut number, mut stricter) = (1, 0);
     for (k, (table, server, weight, confirms)) in script.iter().enumerate() {
@@ -431,7 +438,7 @@
             }
             false => (true, true),
         };
-        let judged = guard.judge(NOW, vec![line(*table as Table + 1, *server, *weight)]);
+        let judged = guard.judge(NOW, vec![line(*table as TableId + 1, *server, *weight)]);
         if k + 1 == script.len() {
             assert_eq!(judged.held.is_empty(), apart, "{:?} {first:?} {script:?}", fleet.modes);
             assert!(
@@ -502,27 +509,27 @@
     ) {
         let mut guard = Guard::new(terms());
         for (s, mode) in modes.iter().enumerate() {
-            guard.listed(s, if open(*mode) { Mode::Ready } else { Mode::Draining }, 1.0, (*mode == 2).then_some(NOW));
+            guard.listed(s, if open(*mode) { ListedState::Ready } else { ListedState::Draining }, 1.0, (*mode == 2).then_some(NOW));
         }
         (0..8).for_each(|p| guard.joined(p, RATE));
-        let (mut tables, mut binds) = (BTreeMap::<Table, Lines>::new(), BTreeMap::<Proxy, Table>::new());
+        let (mut tables, mut binds) = (BTreeMap::<TableId, Lines>::new(), BTreeMap::<ProxyId, TableId>::new());
         for batch in batches {
-            let orders: Vec<Order> = batch.iter().map(|(kind, table, server, proxy, size)| match kind {
+            let orders: Vec<Command> = batch.iter().map(|(kind, table, server, proxy, size)| match kind {
                 0..=3 => line(*table, *server, [0.0, 0.1, 1.0, 30.0, f64::NAN][*size as usize]),
                 4 => bind(*proxy, *table, 0),
-                5 => Order::Clear { table: *table },
+                5 => Command::ClearTable { table: *table },
                 _ => line(*table, *server, 0.0),
             }).collect();
             let before = tables.clone();
             let bound_before = binds.clone();
             for order in guard.judge(NOW, orders).passed {
                 match order {
-                    Order::Line { table, server, weight } if weight > 0.0 => {
+                    Command::SetEntry { table, server, weight } if weight > 0.0 => {
                         tables.entry(table).or_default().insert(server, weight);
                     }
-                    Order::Line { table, server, .. } => _ = tables.entry(table).or_default().remove(&server),
-                    Order::Clear { table } => _ = tables.insert(table, Lines::new()),
-                    Order::Bind { proxy, table, .. } => _ = binds.insert(proxy, table),
+                    Command::SetEntry { table, server, .. } => _ = tables.entry(table).or_default().remove(&server),
+                    Command::ClearTable { table } => _ = tables.insert(table, Lines::new()),
+                    Command::AssignTable { proxy, table, .. } => _ = binds.insert(proxy, table),
                     _ => {}
                 }
             }
@@ -531,7 +538,7 @@
                 l.iter().any(|(s, w)| open(modes[*s]) && *w >= most * 1e-6)
             };
             let any = (0..12).any(|s| open(modes[s]));
-            let used: BTreeSet<Table> = binds.values().copied().collect();
+            let used: BTreeSet<TableId> = binds.values().copied().collect();
             for table in used {
                 let here = tables.get(&table).is_some_and(fit);
                 let was = before.get(&table).is_some_and(fit);
@@ -547,25 +554,30 @@
 #[test]
 fn a_million_unsafe_orders_are_all_refused() {
     let mut guard = Guard::new(terms());
-    (0..30).for_each(|s| guard.listed(s, Mode::Ready, 1.0, (s >= 24).then_some(NOW)));
+    (0..30).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, (s >= 24).then_some(NOW)));
     (0..24).for_each(|p| guard.joined(p, 10.0));
-    let mut first: Vec<Order> = (0..24).map(|s| line(1 + s as Table % 3, s, 1.0)).collect();
-    first.extend((0..24).map(|p| bind(p, 1 + p as Table % 3, 0)));
+    let mut first: Vec<Command> = (0..24).map(|s| line(1 + s as TableId % 3, s, 1.0)).collect();
+    first.extend((0..24).map(|p| bind(p, 1 + p as TableId % 3, 0)));
     assert_eq!(guard.judge(NOW, first).held, vec![]);
     let mut refused = 0u32;
     for k in 0..1_000_000u32 {
-        let table = 1 + (k % 3) as Table;
-        let (server, part) = ((k % 24) as Server, f64::from(k % 97) / 97.0);
-        let all = || (0..24).filter(|s| 1 + (*s as Table) % 3 == table);
-        let batch: Vec<Order> = match k % 8 {
+        let table = 1 + (k % 3) as TableId;
+        let (server, part) = ((k % 24) as ServerId, f64::from(k % 97) / 97.0);
+        let all = || (0..24).filter(|s| 1 + (*s as TableId) % 3 == table);
+        let batch: Vec<Command> = match k % 8 {
             0 => vec![line(table, server, f64::NAN)],
             1 => vec![line(table, server, -part - 1e-9)],
             2 => all().map(|s| line(table, s, 0.0)).collect(),
-            3 => vec![Order::Clear { table }],
+            3 => vec![Command::ClearTable { table }],
             4 => vec![line(table, 24 + server % 6, 10.0 + part)],
-            5 => vec![Order::Level { table, class: 0, level: Some(part * 1e-3), tries: FurtherTries::None }],
-            6 => vec![bind((k % 24) as Proxy, 60_000, 0)],
-            _ => all().map(|s| Order::Withdraw { server: s, out: true }).collect(),
+            5 => vec![Command::SetAdmission {
+                table,
+                class: 0,
+                admission_rate: Some(part * 1e-3),
+                retry_policy: RetryPolicy::Never,
+            }],
+            6 => vec![bind((k % 24) as ProxyId, 60_000, 0)],
+            _ => all().map(|s| Command::EjectServer { server: s, ejected: true }).collect(),
         };
         let count = batch.len();
         let judged = guard.judge(NOW, batch);
@@ -576,6 +588,6 @@
     assert_eq!(refused, 1_000_000);
 }
 
-fn prop_assert_held(count: usize, passed: &[Order]) {
+fn prop_assert_held(count: usize, passed: &[Command]) {
     assert!(count > 0 && passed.is_empty(), "{passed:?}");
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,7 +1,11 @@
 //! A planner's settings, typed: the fleet that operators edit and the roster that the feed edits.
 
 use crate::FLEET;
-use runloom_controller::interface::{Fact, Facts};
+use runloom_controller::config::{
+    AdmissionKind, ChannelConfig, EndpointListConfig, LoadMetric, LoadReportConfig, SelectionMethod,
+    ServiceLimits, SlowStartConfig, TrafficClass,
+};
+use runloom_controller::DeploymentConfig;
 use runloom_identity::access::{May, Rule, Whom};
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
@@ -167,6 +171,22 @@
     parent.named("class").map(class).collect()
 }
 
+fn traffic_class(class: &Class) -> TrafficClass {
+    TrafficClass {
+        latency_objective_seconds: class.soft_limit.as_secs_f64(),
+        deadline_seconds: Some(class.outer_limit.as_secs_f64()),
+        priority_weight: class.payoff,
+    }
+}
+
+fn load_metric(name: &str) -> LoadMetric {
+    match name {
+        "busy" => LoadMetric::Utilization,
+        "work_time" => LoadMetric::ServiceTime,
+        other => LoadMetric::Other(other.to_string()),
+    }
+}
+
 impl Fleet {
     /// Reads `<fleet>`, which the schema has found valid.
     pub fn read(fleet: &Element) -> Result<Fleet, Misfit> {
@@ -223,41 +243,53 @@
         })
     }
 
-    /// The facts that the decisions read at start (`docs/design.md`).
-    pub fn facts(&self) -> Facts {
-        let mut map = BTreeMap::new();
-        let mut number = |name: &str, value: f64| _ = map.insert(name.to_string(), Fact::Number(value));
-        number("planners", self.planners);
-        number("proxies", self.proxies);
-        number("zones", self.zones.len() as f64);
-        number("classes", self.classes.len() as f64);
-        for (k, class) in self.classes.iter().enumerate() {
-            number(&format!("class.{k}.soft_limit"), class.soft_limit.as_secs_f64());
-            number(&format!("class.{k}.outer_limit"), class.outer_limit.as_secs_f64());
-            number(&format!("class.{k}.payoff"), class.payoff);
-        }
-        number("cold.from", self.cold_from);
-        number("cold.warm_after", self.warm_after.as_secs_f64());
-        number("cold.multiple", self.cold_multiple);
-        number("channel.pace", self.channel.pace);
-        number("channel.backlog", self.channel.backlog);
-        number("channel.overhead", self.channel.overhead);
-        number("channel.messages", self.channel.messages);
-        number("channel.messages_over", self.channel.messages_over.as_secs_f64());
-        number("drain.grace", self.grace.drain.as_secs_f64());
-        number("bare_most", self.grace.bare.as_secs_f64());
-        number("reports.period", self.report.as_secs_f64());
-        number("reports.pace", self.report_lines);
-        let mut put = |name: &str, fact: Fact| _ = map.insert(name.to_string(), fact);
-        put("levels.kind", Fact::Text(self.levels.clone()));
-        put("pick", Fact::Text(self.pick.clone()));
-        put("probes.allowed", Fact::Flag(self.probes));
-        put("home_first", Fact::Flag(self.home_first));
-        put("drain.marked_only", Fact::Flag(self.only_drains_bind));
-        for (k, name) in self.load.iter().enumerate() {
-            put(&format!("load.{k}"), Fact::Text(name.clone()));
+    /// The configuration that the decisions read at start.
+    pub fn deployment_config(&self) -> DeploymentConfig {
+        DeploymentConfig {
+            planner_count: self.planners,
+            proxy_count: Some(self.proxies),
+            zone_count: self.zones.len() as f64,
+            slice_count: 0.0,
+            classes: self.classes.iter().map(traffic_class).collect(),
+            channel: ChannelConfig {
+                entries_per_second: Some(self.channel.pace),
+                queue_limit: Some(self.channel.backlog),
+                message_overhead: self.channel.overhead,
+                message_limit: self.channel.messages,
+                message_window: Some(self.channel.messages_over),
+                max_transit_seconds: None,
+            },
+            slow_start: SlowStartConfig {
+                initial_capacity: self.cold_from,
+                warm_up_seconds: self.warm_after.as_secs_f64(),
+                overload_multiple: Some(self.cold_multiple),
+            },
+            endpoint_list: EndpointListConfig {
+                needs_watch: false,
+                only_draining_binds: self.only_drains_bind,
+            },
+            health_checks_allowed: self.probes,
+            load_report: LoadReportConfig {
+                is_available: false,
+                metrics: self.load.iter().map(|name| load_metric(name)).collect(),
+            },
+            admission: match self.levels.as_str() {
+                "pace" => AdmissionKind::RequestRate,
+                _ => AdmissionKind::Unlimited,
+            },
+            selection: match self.pick.as_str() {
+                "chance" => SelectionMethod::Random,
+                "turns" => SelectionMethod::RoundRobin,
+                _ => SelectionMethod::LeastRequestOfTwo,
+            },
+            proxies_prefer_local_planner: self.home_first,
+            service_limits: ServiceLimits {
+                drain_grace_seconds: Some(self.grace.drain.as_secs_f64()),
+                max_unserved_seconds: Some(self.grace.bare.as_secs_f64()),
+                report_period_seconds: Some(self.report.as_secs_f64()),
+                reports_per_second: Some(self.report_lines),
+            },
         }
-        Facts(map)
     }
 
     pub fn share_of(&self, zone: &str) -> f64 {
--- a/crates/model/src/order.rs
+++ b/crates/model/src/order.rs
@@ -1,7 +1,7 @@
 //! What passes between a planner and a proxy: orders as one `<edit-config>`, reports as notifications.
 
 use crate::PROXY;
-use runloom_controller::interface::FurtherTries;
+use runloom_controller::RetryPolicy;
 use runloom_netconf::tree::{escape, Element};
 use runloom_netconf::BASE;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A level as it is ordered: queries a second (`None`: all), and further tries.
-pub type Level = (Option<f64>, FurtherTries);
+pub type Level = (Option<f64>, RetryPolicy);
 
 /// Changes of one table at one proxy.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -35,22 +35,22 @@
     pub withdrawn: BTreeMap<String, bool>,
 }
 
-fn word(tries: FurtherTries) -> &'static str {
+fn word(tries: RetryPolicy) -> &'static str {
     match tries {
-        FurtherTries::None => "none",
-        FurtherTries::Unrun => "unrun",
-        FurtherTries::One => "one",
-        FurtherTries::Two => "two",
+        RetryPolicy::Never => "none",
+        RetryPolicy::IfNotExecuted => "unrun",
+        RetryPolicy::Once => "one",
+        RetryPolicy::Twice => "two",
     }
 }
 
 /// The way of trying again that a word stands for.
-pub fn tries(word: &str) -> FurtherTries {
+pub fn tries(word: &str) -> RetryPolicy {
     match word {
-        "unrun" => FurtherTries::Unrun,
-        "one" => FurtherTries::One,
-        "two" => FurtherTries::Two,
-        _ => FurtherTries::None,
+        "unrun" => RetryPolicy::IfNotExecuted,
+        "one" => RetryPolicy::Once,
+        "two" => RetryPolicy::Twice,
+        _ => RetryPolicy::Never,
     }
 }
 
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -52,7 +52,7 @@
 fn what_is_written_as_a_message_is_valid_by_the_schema() {
     let table = TableEdit {
         lines: [("s1".to_string(), ("127.0.0.1:1".to_string(), 0.25))].into(),
-        levels: [("q".to_string(), (Some(3.5), runloom_controller::interface::FurtherTries::Unrun))].into(),
+        levels: [("q".to_string(), (Some(3.5), runloom_controller::RetryPolicy::IfNotExecuted))].into(),
         ..TableEdit::default()
     };
     let binds = [("q".to_string(), 1)].into();
--- a/crates/model/tests/wire_snapshot.rs
+++ b/crates/model/tests/wire_snapshot.rs
@@ -2,7 +2,7 @@
 //!
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
-use runloom_controller::interface::FurtherTries;
+use runloom_controller::RetryPolicy;
 use runloom_model::order::{level_text, line_text, ByClass, Came, Message, Met, Report, TableEdit};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 fn table() -> TableEdit {
     let lines = [("s<1>", "127.0.0.1:81", 0.75), ("s2", "127.0.0.1:82", 0.0), ("s3", "127.0.0.1:83", 2.0)];
     let levels = [
-        ("lookup", (Some(12.5), FurtherTries::None)),
-        ("order", (None, FurtherTries::Unrun)),
-        ("report", (Some(0.0), FurtherTries::One)),
-        ("safe", (None, FurtherTries::Two)),
+        ("lookup", (Some(12.5), RetryPolicy::Never)),
+        ("order", (None, RetryPolicy::IfNotExecuted)),
+        ("report", (Some(0.0), RetryPolicy::Once)),
+        ("safe", (None, RetryPolicy::Twice)),
     ];
     TableEdit {
         whole: false,
--- a/crates/platform-protocol/src/clients.rs
+++ b/crates/platform-protocol/src/clients.rs
@@ -1,7 +1,7 @@
 //! Who is connected: newcomers, collectors and streams; who may stay, for how long, and how many.
 
 use crate::frame::{Reader, FIRST_MOST, MESSAGE_MOST};
-use runloom_controller::interface::{Proxy, Zone};
+use runloom_controller::{ProxyId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
 pub enum Who {
     /// Has not joined.
     Newcomer,
-    Collector(Zone),
-    Stream(Proxy),
+    Collector(ZoneId),
+    Stream(ProxyId),
 }
 
 #[derive(Debug)]
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct Clients {
     clients: BTreeMap<Conn, Client>,
-    streams: BTreeMap<Proxy, Conn>,
+    streams: BTreeMap<ProxyId, Conn>,
     newcomers: usize,
     /// Newcomers, and those of whom half of a message is here: whose time may be over some day.
     timed: BTreeSet<Conn>,
@@ -77,7 +77,7 @@
         self.clients.get_mut(&conn)
     }
 
-    pub fn stream(&self, proxy: Proxy) -> Option<Conn> {
+    pub fn stream(&self, proxy: ProxyId) -> Option<Conn> {
         self.streams.get(&proxy).copied()
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// A proxy's stream. Gives the stream that it takes over from.
-    pub fn join(&mut self, conn: Conn, proxy: Proxy) -> Option<Conn> {
+    pub fn join(&mut self, conn: Conn, proxy: ProxyId) -> Option<Conn> {
         self.settle(conn, Who::Stream(proxy));
         let old = self.streams.insert(proxy, conn);
         old.inspect(|old| self.drop_quietly(*old))
@@ -111,7 +111,7 @@
     }
 
     /// A zone's collector. Gives the one that is one too many: the oldest of its zone.
-    pub fn collect(&mut self, conn: Conn, zone: Zone) -> Option<Conn> {
+    pub fn collect(&mut self, conn: Conn, zone: ZoneId) -> Option<Conn> {
         self.settle(conn, Who::Collector(zone));
         let same = self.clients.iter().filter(|(_, c)| c.who == Who::Collector(zone));
         let same: Vec<Conn> = same.map(|(conn, _)| *conn).collect();
--- a/crates/platform-protocol/src/discovery.rs
+++ b/crates/platform-protocol/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: one list and watch over HTTP/1.1 as lists of changes, each judged entry by entry.
 
 use crate::message::Names;
-use runloom_controller::interface::{Entry, Listing, Mode, Server};
+use runloom_controller::{EndpointRecord, EndpointUpdate, ListedState, ServerId};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -143,9 +143,9 @@
 #[derive(Debug, Default)]
 pub struct List {
     pub revision: u64,
-    pub addresses: BTreeMap<Server, SocketAddr>,
+    pub addresses: BTreeMap<ServerId, SocketAddr>,
     /// What was last told of each server that is there.
-    last: BTreeMap<Server, Entry>,
+    last: BTreeMap<ServerId, EndpointRecord>,
     /// Lines and entries that could not be used.
     pub spoilt: u64,
     /// Since when nothing but older versions was told.
@@ -164,7 +164,7 @@
         names: &mut Names,
         epoch: u64,
         now: Duration,
-    ) -> Result<Option<(Listing, Vec<Entry>)>, Unreadable> {
+    ) -> Result<Option<(EndpointUpdate, Vec<EndpointRecord>)>, Unreadable> {
         let (Some(revision), Some(whole), Some(members)) =
             (list["revision"].as_u64(), list["complete"].as_bool(), list["members"].as_array())
         else {
@@ -181,7 +181,7 @@
         }
         self.revision = revision;
         // Of doubled entries the last holds.
-        let mut entries: BTreeMap<Server, Entry> = BTreeMap::new();
+        let mut entries: BTreeMap<ServerId, EndpointRecord> = BTreeMap::new();
         for member in members {
             match self.entry(member, names, epoch) {
                 Ok(Some(entry)) => _ = entries.insert(entry.server, entry),
@@ -189,7 +189,7 @@
                 Err(Unreadable) => {
                     self.spoilt += 1;
                     // Of whom a whole list speaks, it does not say that he is gone.
-                    let known = member["id"].as_str().and_then(|id| names.servers.known(id));
+                    let known = member["id"].as_str().and_then(|id| names.servers.get(id));
                     if let Some(entry) = known.and_then(|s| self.last.get(&s)).filter(|_| whole) {
                         entries.entry(entry.server).or_insert_with(|| entry.clone());
                     }
@@ -200,11 +200,11 @@
             self.last.clear();
         }
         self.last.extend(entries.iter().map(|(server, entry)| (*server, entry.clone())));
-        self.last.retain(|_, entry| entry.mode != Mode::Gone);
+        self.last.retain(|_, entry| entry.state != ListedState::Removed);
         let how = match (remembered, whole) {
-            (true, _) => Listing::Remembered,
-            (_, true) => Listing::Whole,
-            (_, false) => Listing::Changes,
+            (true, _) => EndpointUpdate::Cached,
+            (_, true) => EndpointUpdate::Snapshot,
+            (_, false) => EndpointUpdate::Delta,
         };
         Ok(Some((how, entries.into_values().collect())))
     }
@@ -221,7 +221,7 @@
     }
 
     /// Its index may be another's from now on.
-    pub fn release(&mut self, server: Server) {
+    pub fn release(&mut self, server: ServerId) {
         self.addresses.remove(&server);
         self.last.remove(&server);
     }
@@ -240,32 +240,37 @@
     }
 
     /// One entry; `None`: the end of a server that is not known here.
-    fn entry(&mut self, member: &Value, names: &mut Names, epoch: u64) -> Result<Option<Entry>, Unreadable> {
+    fn entry(
+        &mut self,
+        member: &Value,
+        names: &mut Names,
+        epoch: u64,
+    ) -> Result<Option<EndpointRecord>, Unreadable> {
         let text = |key: &str| member[key].as_str().filter(|t| !t.is_empty() && t.len() <= NAME_MOST);
         let id = text("id").ok_or(Unreadable)?;
         let mode = match member["phase"].as_str() {
-            Some("SERVING") => Mode::Ready,
-            Some("DRAINING") => Mode::Draining,
-            Some("DELETED") => Mode::Gone,
+            Some("SERVING") => ListedState::Ready,
+            Some("DRAINING") => ListedState::Draining,
+            Some("DELETED") => ListedState::Removed,
             _ => return Err(Unreadable),
         };
-        if mode == Mode::Gone && names.servers.known(id).is_none() {
+        if mode == ListedState::Removed && names.servers.get(id).is_none() {
             return Ok(None);
         }
         let server = names.servers.index(id.to_string());
         // An address may change from one list to the next; without one, the server can't be probed.
         match text("host_port").and_then(|a| a.parse().ok()) {
             Some(address) => _ = self.addresses.insert(server, address),
-            None if mode == Mode::Gone => {}
+            None if mode == ListedState::Removed => {}
             None => _ = self.addresses.remove(&server),
         }
         let up_since = member["up_since_ms"].as_f64().filter(|ms| *ms > 0.0);
-        Ok(Some(Entry {
+        Ok(Some(EndpointRecord {
             server,
             zone: index(&mut names.zones, text("locality")),
             kind: index(&mut names.kinds, text("flavor")),
             cell: member["cell"].as_u64().unwrap_or(0),
-            mode,
+            state: mode,
             weight: member["size"].as_f64().filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0),
             // Before the decisions' zero is long ago.
             started: up_since
@@ -276,8 +281,7 @@
     }
 }
 
-fn index(ids: &mut runloom_controller::ids::Ids<String>, name: Option<&str>) -> usize {
+fn index(ids: &mut runloom_controller::IdMap<String>, name: Option<&str>) -> usize {
     let name = name.unwrap_or_default();
-    ids.known(name)
-        .unwrap_or_else(|| if ids.iter().count() < NAMES_MOST { ids.index(name.into()) } else { 0 })
+    ids.get(name).unwrap_or_else(|| if ids.iter().count() < NAMES_MOST { ids.index(name.into()) } else { 0 })
 }
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol, free of sockets and clocks: bytes, connections' ends, probes' endings and a time
 //! go in; bytes, closes, probes and a time to wake come out. All decisions on servers come from
-//! [`runloom_controller::Planner`]; what is settled here is the protocol's own: framing, who may stay, when the other
+//! [`runloom_controller::Controller`]; what is settled here is the protocol's own: framing, who may stay, when the other
 //! side is taken for dead.
 
 pub mod clients;
@@ -16,9 +16,8 @@
 use discovery::{List, Unreadable};
 use message::{Message, Names, Spoilt};
 use probe::Ending;
-use runloom_controller::ids::named;
-use runloom_controller::interface::{Event, Listing, Order, Proxy, Server};
-use runloom_controller::Planner;
+use runloom_controller::Controller;
+use runloom_controller::{Command, EndpointUpdate, Event, ProxyId, ServerId};
 use station::Station;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -39,6 +38,11 @@
 /// Where the settings don't say how many proxies there are: as many as the simulator's wire can number.
 const PROXIES_MOST: f64 = 65536.0;
 
+/// The channel where the settings don't describe it: entries, entries a second, seconds.
+const DEFAULT_QUEUE_LIMIT: f64 = 4000.0;
+const DEFAULT_ENTRIES_PER_SECOND: f64 = 1000.0;
+const DEFAULT_MAX_TRANSIT_SECONDS: f64 = 2.0;
+
 /// What a shell has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Deed {
@@ -81,7 +85,7 @@
 
 /// One planner on the platform.
 pub struct Platform {
-    planner: Planner,
+    controller: Controller,
     names: Names,
     clients: Clients,
     streams: Streams,
@@ -94,13 +98,13 @@
     deeds: Vec<Deed>,
     wakes: BinaryHeap<Reverse<(Duration, u64)>>,
     /// Probes asked for that have not ended, by ticket; and the servers that they ask.
-    probing: BTreeMap<u64, Server>,
-    asked: BTreeSet<Server>,
+    probing: BTreeMap<u64, ServerId>,
+    asked: BTreeSet<ServerId>,
     ticket: u64,
     with_load: bool,
     /// How long a stream may owe an answer and bring nothing else.
     patience: Duration,
-    spent: BTreeMap<Server, Duration>,
+    spent: BTreeMap<ServerId, Duration>,
     tidied: Duration,
     pub counts: Counts,
 }
@@ -110,33 +114,36 @@
     /// milliseconds, and lies before this start, as those of servers do. `room` is for how many connections
     /// there are descriptors.
     pub fn new(station: &Station, epoch: u64, room: usize) -> Platform {
-        let said = runloom_deployment_config::read(&station.settings);
-        let most = said.facts.number("proxies").unwrap_or(PROXIES_MOST);
+        let settings = runloom_deployment_config::read(&station.settings);
+        let config = settings.config;
+        let most = config.proxy_count.unwrap_or(PROXIES_MOST);
         let mut names = Names {
-            zones: said.zones,
-            classes: said.classes,
-            fields: said.fields,
+            zones: settings.zones,
+            classes: settings.classes,
+            fields: settings.load_fields,
             proxies: most.clamp(0.0, PROXIES_MOST) as usize,
             ..Names::default()
         };
-        let classes = said.facts.number("classes").unwrap_or(0.0) as usize;
-        let with_load = !matches!(said.facts.text("reports.load"), "" | "none");
-        let fact = |name: &str, cautious: f64| said.facts.number(name).unwrap_or(cautious);
-        let backlog = fact("channel.backlog", 4000.0) / fact("channel.pace", 1000.0).max(1.0);
-        let way = Duration::try_from_secs_f64(backlog + fact("channel.transit_most", 2.0));
+        let classes = config.classes.len();
+        let with_load = config.load_report.is_available;
+        let channel = &config.channel;
+        let backlog = channel.queue_limit.unwrap_or(DEFAULT_QUEUE_LIMIT)
+            / channel.entries_per_second.unwrap_or(DEFAULT_ENTRIES_PER_SECOND).max(1.0);
+        let transit = channel.max_transit_seconds.unwrap_or(DEFAULT_MAX_TRANSIT_SECONDS);
+        let way = Duration::try_from_secs_f64(backlog + transit);
         let patience = way.unwrap_or(STANDS_STILL).min(Duration::from_secs(60)) * OWES_MOST + STANDS_STILL;
         let mut list = List::default();
-        let start = Event::Start { seed: station.seed, facts: said.facts };
+        let start = Event::Start { seed: station.seed, config: Box::new(config) };
         let known = list.take(&station.known, true, &mut names, epoch, Duration::ZERO);
-        let (how, entries) = known.unwrap_or_default().unwrap_or((Listing::Remembered, vec![]));
+        let (how, entries) = known.unwrap_or_default().unwrap_or((EndpointUpdate::Cached, vec![]));
         Platform {
-            planner: Planner::default(),
+            controller: Controller::default(),
             names,
             clients: Clients::new(room),
-            streams: Streams::new(classes, said.open_level),
+            streams: Streams::new(classes, settings.unlimited_rate),
             list,
             epoch,
-            listed: vec![start, Event::Listed { how, entries }],
+            listed: vec![start, Event::EndpointsListed { update: how, records: entries }],
             happened: Vec::new(),
             deeds: Vec::new(),
             wakes: BinaryHeap::new(),
@@ -191,10 +198,10 @@
         }
     }
 
-    fn left(&mut self, proxy: Proxy) {
+    fn left(&mut self, proxy: ProxyId) {
         self.counts.left += 1;
         self.streams.leave(proxy);
-        self.happened.push(Event::Left { proxy });
+        self.happened.push(Event::ProxyDisconnected { proxy });
     }
 
     /// Takes what a connection brought.
@@ -244,7 +251,7 @@
                     self.deeds.push(Deed::Close { conn: old });
                 }
             }
-            (Who::Newcomer, Ok(Message::Told(joined @ Event::Joined { proxy, .. }))) => {
+            (Who::Newcomer, Ok(Message::Told(joined @ Event::ProxyConnected { proxy, .. }))) => {
                 // A new stream takes over from one that is not yet seen closed; nothing that the old one may
                 // still bring has a meaning any more.
                 if let Some(old) = self.clients.join(conn, proxy) {
@@ -259,16 +266,19 @@
             // Reports that no joining came before, orders, joinings of what does not exist: no client of
             // ours.
             (Who::Newcomer, _) => self.refuse(conn),
-            (Who::Collector(_), Ok(Message::Told(met @ Event::Met { .. }))) => self.happened.push(met),
-            (_, Ok(Message::Told(came @ Event::Came { proxy, .. })))
+            (Who::Collector(_), Ok(Message::Told(met @ Event::OutcomeReport { .. }))) => {
+                self.happened.push(met)
+            }
+            (_, Ok(Message::Told(came @ Event::ArrivalReport { proxy, .. })))
                 if self.clients.stream(proxy).is_some()
                     && (who == Who::Stream(proxy) || matches!(who, Who::Collector(_))) =>
             {
                 self.happened.push(came);
             }
-            (Who::Stream(own), Ok(Message::Told(applied @ Event::Applied { proxy, mark, .. })))
-                if own == proxy =>
-            {
+            (
+                Who::Stream(own),
+                Ok(Message::Told(applied @ Event::UpdateAcknowledged { proxy, ack_token: mark, .. })),
+            ) if own == proxy => {
                 if self.streams.answered(proxy, mark) {
                     let waited = self.streams.waited(proxy, now).unwrap_or_default();
                     self.counts.longest_wait = self.counts.longest_wait.max(waited);
@@ -293,7 +303,7 @@
             Ok(None) => {}
             Ok(Some((how, entries))) => {
                 self.counts.lists += 1;
-                self.listed.push(Event::Listed { how, entries });
+                self.listed.push(Event::EndpointsListed { update: how, records: entries });
             }
             Err(Unreadable) => return self.list.miss(),
         }
@@ -310,7 +320,12 @@
     pub fn probed(&mut self, ticket: u64, ending: Ending, after: Duration) {
         if let Some(server) = self.probing.remove(&ticket) {
             self.asked.remove(&server);
-            self.happened.push(Event::Probed { server, found: ending.found, after, load: ending.load });
+            self.happened.push(Event::HealthChecked {
+                server,
+                result: ending.found,
+                elapsed: after,
+                load: ending.load,
+            });
         }
     }
 
@@ -323,7 +338,7 @@
         while let Some(Reverse((at, token))) = self.wakes.peek().copied().filter(|w| w.0 .0 <= now) {
             self.wakes.pop();
             debug_assert!(at <= now);
-            self.happened.push(Event::Woken { token });
+            self.happened.push(Event::TimerFired { token });
         }
         if now >= self.tidied + TIDY_EVERY {
             self.tidied = now;
@@ -333,13 +348,13 @@
         let mut happened = std::mem::take(&mut self.listed);
         happened.append(&mut self.happened);
         if !happened.is_empty() {
-            let orders = self.planner.decide(now, &happened);
+            let orders = self.controller.step(now, &happened);
             self.carry_out(orders, now);
         }
         std::mem::take(&mut self.deeds)
     }
 
-    fn carry_out(&mut self, orders: Vec<Order>, now: Duration) {
+    fn carry_out(&mut self, orders: Vec<Command>, now: Duration) {
         let messages = self.streams.lay(&orders, now);
         for (proxy, parts) in messages {
             if let Some(conn) = self.clients.stream(proxy) {
@@ -350,12 +365,13 @@
         }
         for order in orders {
             match order {
-                Order::Wake { after, token } => self.wakes.push(Reverse((now + after, token))),
-                Order::Log { text } => {
-                    let text = named(&text, |server| self.names.servers.outside(server).cloned());
-                    self.deeds.push(Deed::Log { text });
+                Command::SetTimer { after, token } => self.wakes.push(Reverse((now + after, token))),
+                Command::LogEjection(report) => {
+                    let server = self.names.servers.name(report.server).cloned();
+                    let name = server.unwrap_or_else(|| report.server.to_string());
+                    self.deeds.push(Deed::Log { text: report.log_line(&name) });
                 }
-                Order::Probe { server } => {
+                Command::CheckHealth { server } => {
                     // One at a time: where many are silent, probes wait for room, and more of them would wait
                     // ever longer.
                     let to = self.list.addresses.get(&server);
@@ -386,9 +402,10 @@
     /// Gives back the indices of servers of which nothing is left anywhere, so that a day on which all of
     /// them are replaced again and again takes no more than one on which none is.
     fn tidy(&mut self, now: Duration) {
-        let left =
-            |s: &Server| self.planner.is_spent(*s) && self.streams.is_clear_of(*s) && !self.asked.contains(s);
-        let spent: Vec<Server> = self.names.servers.iter().map(|(_, s)| s).filter(left).collect();
+        let left = |s: &ServerId| {
+            self.controller.is_released(*s) && self.streams.is_clear_of(*s) && !self.asked.contains(s)
+        };
+        let spent: Vec<ServerId> = self.names.servers.iter().map(|(_, s)| s).filter(left).collect();
         self.spent.retain(|s, _| spent.contains(s));
         for server in spent {
             if now < *self.spent.entry(server).or_insert(now) + SPENT_FOR {
@@ -398,7 +415,7 @@
             self.names.servers.release(server);
             self.list.release(server);
             self.streams.release(server);
-            self.happened.push(Event::Forgotten { server });
+            self.happened.push(Event::ServerReleased { server });
         }
     }
 
