--- a/crates/platform-protocol/src/message.rs
+++ b/crates/platform-protocol/src/message.rs
@@ -1,8 +1,8 @@
 //! What the platform says on a connection, typed. Every field is judged here: a message of which one is
 //! missing, mistyped or out of range, or names what does not exist, never reaches the decisions.
 
-use runloom_controller::ids::Ids;
-use runloom_controller::interface::{Event, Proxy, Zone};
+use runloom_controller::IdMap;
+use runloom_controller::{Event, ProxyId, ZoneId};
 use serde_json::{Map, Value};
 use std::time::Duration;
 
@@ -18,10 +18,10 @@
 /// The names behind the indices.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
-    pub zones: Ids<String>,
-    pub kinds: Ids<String>,
-    pub classes: Ids<String>,
-    pub servers: Ids<String>,
+    pub zones: IdMap<String>,
+    pub kinds: IdMap<String>,
+    pub classes: IdMap<String>,
+    pub servers: IdMap<String>,
     /// The values of a load report, in the order in which they are handed on.
     pub fields: Vec<String>,
     /// Proxies are numbered from 0 to one less than this.
@@ -33,7 +33,7 @@
     /// Asks for a sign of life.
     Ping,
     /// A zone's reports come here.
-    Collector { zone: Zone },
+    Collector { zone: ZoneId },
     /// A joining, a report or the answer to a mark, as the decisions are told of it.
     Told(Event),
 }
@@ -91,8 +91,8 @@
         self.span("over").and_then(|s| if s.is_zero() { Err(Spoilt::Field("over")) } else { Ok(s) })
     }
 
-    fn named(&self, name: &'static str, ids: &Ids<String>) -> Result<usize, Spoilt> {
-        self.0[name].as_str().and_then(|id| ids.known(id)).ok_or(Spoilt::Field(name))
+    fn named(&self, name: &'static str, ids: &IdMap<String>) -> Result<usize, Spoilt> {
+        self.0[name].as_str().and_then(|id| ids.get(id)).ok_or(Spoilt::Field(name))
     }
 
     fn load(&self, fields: &[String]) -> Result<Vec<f64>, Spoilt> {
@@ -107,7 +107,7 @@
 /// Judges a message, field by field.
 pub fn read(message: &Value, names: &Names) -> Result<Message, Spoilt> {
     let fields = Fields(message);
-    let proxy = || fields.whole("id", names.proxies as u64).map(|id| id as Proxy);
+    let proxy = || fields.whole("id", names.proxies as u64).map(|id| id as ProxyId);
     let zone = || fields.named("site", &names.zones);
     match message["t"].as_str() {
         Some("PING") => Ok(Message::Ping),
@@ -115,7 +115,12 @@
         Some("SUBSCRIBE") => {
             let fresh = message["new"].as_bool().ok_or(Spoilt::Field("new"))?;
             let rate = fields.number("rps", VALUE_MOST)?;
-            Ok(Message::Told(Event::Joined { proxy: proxy()?, zone: zone()?, rate, fresh }))
+            Ok(Message::Told(Event::ProxyConnected {
+                proxy: proxy()?,
+                zone: zone()?,
+                request_rate: rate,
+                has_no_table: fresh,
+            }))
         }
         Some("LOAD") => {
             let tries = fields.whole("count", COUNT_MOST)?;
@@ -123,23 +128,31 @@
             let failed = fields.whole("fail", tries + 1)?;
             let (took, span, load) = (fields.span("mean")?, fields.over()?, fields.load(&names.fields)?);
             let server = fields.named("target", &names.servers)?;
-            Ok(Message::Told(Event::Met { zone: zone()?, server, tries, failed, took, span, load }))
+            Ok(Message::Told(Event::OutcomeReport {
+                zone: zone()?,
+                server,
+                attempts: tries,
+                failures: failed,
+                mean_latency: took,
+                window: span,
+                load,
+            }))
         }
         Some("RATE") => {
             let class = fields.named("lane", &names.classes)?;
             let (queries, unanswered) =
                 (fields.whole("count", COUNT_MOST)?, fields.whole("fail", COUNT_MOST)?);
-            Ok(Message::Told(Event::Came {
+            Ok(Message::Told(Event::ArrivalReport {
                 proxy: proxy()?,
                 class,
-                queries,
+                requests: queries,
                 unanswered,
-                span: fields.over()?,
+                window: fields.over()?,
             }))
         }
         Some("ACK") => {
             let (mark, after) = (fields.whole("seq", MARKS)? as u16, fields.span("ms")?);
-            Ok(Message::Told(Event::Applied { proxy: proxy()?, mark, after }))
+            Ok(Message::Told(Event::UpdateAcknowledged { proxy: proxy()?, ack_token: mark, elapsed: after }))
         }
         _ => Err(Spoilt::Kind),
     }
--- a/crates/platform-protocol/src/probe.rs
+++ b/crates/platform-protocol/src/probe.rs
@@ -1,7 +1,7 @@
 //! One probe of a server: what is asked, and what its answer says.
 
 use crate::message::load;
-use runloom_controller::interface::Found;
+use runloom_controller::HealthCheckResult;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,12 +27,12 @@
 /// What a probe came to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ending {
-    pub found: Found,
+    pub found: HealthCheckResult,
     pub load: Vec<f64>,
 }
 
-impl From<Found> for Ending {
-    fn from(found: Found) -> Ending {
+impl From<HealthCheckResult> for Ending {
+    fn from(found: HealthCheckResult) -> Ending {
         Ending { found, load: vec![] }
     }
 }
@@ -53,24 +53,26 @@
             Ok(httparse::Status::Complete(from)) => from,
             Ok(httparse::Status::Partial) if self.input.len() <= ANSWER_MOST => return None,
             // Something answers there, but not as a server does.
-            _ => return Some(Found::Failed.into()),
+            _ => return Some(HealthCheckResult::ErrorResponse.into()),
         };
         match answer.code {
             Some(200) => {}
             // It turns work away: it drains, or is asked too much at once.
-            Some(503) => return Some(Found::TurnedAway.into()),
-            _ => return Some(Found::Failed.into()),
+            Some(503) => return Some(HealthCheckResult::Rejected.into()),
+            _ => return Some(HealthCheckResult::ErrorResponse.into()),
         }
         let length = answer.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
         let length = length.and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse().ok());
-        let Some(length) = length.filter(|l: &usize| *l > 0) else { return Some(Found::Handled.into()) };
+        let Some(length) = length.filter(|l: &usize| *l > 0) else {
+            return Some(HealthCheckResult::Success.into());
+        };
         if length > ANSWER_MOST {
-            return Some(Found::Failed.into());
+            return Some(HealthCheckResult::ErrorResponse.into());
         }
         let body = self.input.get(from..from + length)?;
         let report = serde_json::from_slice::<Value>(body).ok();
         let load = report.as_ref().and_then(Value::as_object).and_then(|report| load(report, fields));
-        Some(Ending { found: Found::Handled, load: load.unwrap_or_default() })
+        Some(Ending { found: HealthCheckResult::Success, load: load.unwrap_or_default() })
     }
 }
 
@@ -104,11 +106,11 @@
             (self.tries, self.open, self.answer) = (self.tries + 1, false, Answer::default());
             return None;
         }
-        Some(Found::NoConnection.into())
+        Some(HealthCheckResult::ConnectionFailed.into())
     }
 
     /// Its patience is over: silence, or no connection at all.
     pub fn late(&self) -> Ending {
-        if self.open { Found::NoAnswer } else { Found::NoConnection }.into()
+        if self.open { HealthCheckResult::Timeout } else { HealthCheckResult::ConnectionFailed }.into()
     }
 }
--- a/crates/platform-protocol/src/stream.rs
+++ b/crates/platform-protocol/src/stream.rs
@@ -3,7 +3,7 @@
 
 use crate::frame;
 use crate::message::Names;
-use runloom_controller::interface::{Class, FurtherTries, Order, Proxy, Server, Table};
+use runloom_controller::{ClassId, Command, ProxyId, RetryPolicy, ServerId, TableId};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -19,13 +19,13 @@
 /// Classes are a bit each.
 const CLASSES_MOST: usize = 64;
 
-type Level = (Option<f64>, FurtherTries);
+type Level = (Option<f64>, RetryPolicy);
 
 /// A table as it was ordered.
 #[derive(Debug, Clone, Default)]
 struct Laid {
-    lines: BTreeMap<Server, f64>,
-    levels: BTreeMap<Class, Level>,
+    lines: BTreeMap<ServerId, f64>,
+    levels: BTreeMap<ClassId, Level>,
 }
 
 /// One part of a message: classes by bits, and what it changes for them.
@@ -33,10 +33,10 @@
 pub struct Part {
     pub classes: u64,
     pub replace: bool,
-    pub rows: Vec<(Server, f64)>,
+    pub rows: Vec<(ServerId, f64)>,
     pub level: Option<Level>,
-    pub drop: Vec<Server>,
-    pub undrop: Vec<Server>,
+    pub drop: Vec<ServerId>,
+    pub undrop: Vec<ServerId>,
     pub mark: Option<u16>,
 }
 
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 struct Stream {
     /// The table of each class, once it is bound.
-    on: Vec<Option<Table>>,
+    on: Vec<Option<TableId>>,
     /// Marks that it owes an answer to, the oldest first, and when each went out.
     marks: VecDeque<(u16, Duration)>,
     /// When anything last came from it.
@@ -79,10 +79,10 @@
 /// The tables, the streams, and what servers are shut out.
 #[derive(Debug, Default)]
 pub struct Streams {
-    tables: BTreeMap<Table, Laid>,
+    tables: BTreeMap<TableId, Laid>,
     /// Servers shut out, and those let in again since the start.
-    out: BTreeMap<Server, bool>,
-    streams: BTreeMap<Proxy, Stream>,
+    out: BTreeMap<ServerId, bool>,
+    streams: BTreeMap<ProxyId, Stream>,
     classes: usize,
     /// How "all" is written as a level.
     open_level: f64,
@@ -102,19 +102,19 @@
     }
 
     /// A proxy joined: it is on none of these tables yet.
-    pub fn join(&mut self, proxy: Proxy, now: Duration) {
+    pub fn join(&mut self, proxy: ProxyId, now: Duration) {
         let on = vec![None; self.classes];
         self.streams.insert(proxy, Stream { on, marks: VecDeque::new(), heard: now, waits: Some(now) });
     }
 
     /// How long a proxy waited for its table, once: from its joining to its first answer, which is now.
-    pub fn waited(&mut self, proxy: Proxy, now: Duration) -> Option<Duration> {
+    pub fn waited(&mut self, proxy: ProxyId, now: Duration) -> Option<Duration> {
         let since = self.streams.get_mut(&proxy)?.waits.take()?;
         Some(now.saturating_sub(since))
     }
 
     /// Something came from a proxy.
-    pub fn heard(&mut self, proxy: Proxy, now: Duration) {
+    pub fn heard(&mut self, proxy: ProxyId, now: Duration) {
         if let Some(stream) = self.streams.get_mut(&proxy) {
             stream.heard = now;
         }
@@ -122,20 +122,20 @@
 
     /// The streams that have owed an answer for so long, and brought nothing else since it was due. Quiet
     /// alone is no sign: a proxy without queries has nothing to say.
-    pub fn mute(&self, now: Duration, patience: Duration) -> Vec<Proxy> {
+    pub fn mute(&self, now: Duration, patience: Duration) -> Vec<ProxyId> {
         let mute = |s: &Stream| {
             s.marks.front().is_some_and(|(_, at)| now >= *at + patience) && now >= s.heard + patience
         };
         self.streams.iter().filter(|(_, s)| mute(s)).map(|(proxy, _)| *proxy).collect()
     }
 
-    pub fn leave(&mut self, proxy: Proxy) {
+    pub fn leave(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
     }
 
     /// Whether this mark is one that the stream owes an answer to. What was sent before it counts as
     /// answered.
-    pub fn answered(&mut self, proxy: Proxy, mark: u16) -> bool {
+    pub fn answered(&mut self, proxy: ProxyId, mark: u16) -> bool {
         let Some(stream) = self.streams.get_mut(&proxy) else { return false };
         let Some(place) = stream.marks.iter().position(|(m, _)| *m == mark) else { return false };
         stream.marks.drain(..=place);
@@ -143,34 +143,38 @@
     }
 
     /// Whether no table has a line of this server.
-    pub fn is_clear_of(&self, server: Server) -> bool {
+    pub fn is_clear_of(&self, server: ServerId) -> bool {
         self.tables.values().all(|t| !t.lines.contains_key(&server))
     }
 
     /// Its index may be another's from now on.
-    pub fn release(&mut self, server: Server) {
+    pub fn release(&mut self, server: ServerId) {
         self.out.remove(&server);
         self.tables.values_mut().for_each(|t| _ = t.lines.remove(&server));
     }
 
     /// The orders of one turn as one message for each proxy concerned, its parts in the orders' sequence.
-    pub fn lay(&mut self, orders: &[Order], now: Duration) -> BTreeMap<Proxy, Vec<Part>> {
+    pub fn lay(&mut self, orders: &[Command], now: Duration) -> BTreeMap<ProxyId, Vec<Part>> {
         let mut messages = BTreeMap::new();
         let mut mark = None;
         for order in orders {
             match order {
-                Order::Line { table, server, weight } if weight.is_finite() && *weight >= 0.0 => {
+                Command::SetEntry { table, server, weight } if weight.is_finite() && *weight >= 0.0 => {
                     self.line(&mut messages, *table, *server, *weight)
                 }
-                Order::Clear { table } => self.clear(&mut messages, *table),
-                Order::Withdraw { server, out } => self.shut(&mut messages, *server, *out),
-                Order::Bind { proxy, table, classes } => self.bind(&mut messages, *proxy, *table, *classes),
-                Order::Level { table, class, level, tries }
+                Command::ClearTable { table } => self.clear(&mut messages, *table),
+                Command::EjectServer { server, ejected: out } => self.shut(&mut messages, *server, *out),
+                Command::AssignTable { proxy, table, class_mask: classes } => {
+                    self.bind(&mut messages, *proxy, *table, *classes)
+                }
+                Command::SetAdmission { table, class, admission_rate: level, retry_policy: tries }
                     if level.is_none_or(|l| l.is_finite() && l >= 0.0) =>
                 {
                     self.level(&mut messages, *table, *class, (*level, *tries))
                 }
-                Order::Mark { mark: number, everyone } => mark = Some((*number, *everyone)),
+                Command::RequestAck { ack_token: number, all_proxies: everyone } => {
+                    mark = Some((*number, *everyone))
+                }
                 _ => {}
             }
         }
@@ -181,8 +185,8 @@
     }
 
     /// The proxies on a table, with the classes that they are on it for.
-    fn on(&self, table: Table) -> Vec<(Proxy, u64)> {
-        let bits = |on: &[Option<Table>]| {
+    fn on(&self, table: TableId) -> Vec<(ProxyId, u64)> {
+        let bits = |on: &[Option<TableId>]| {
             let here = on.iter().enumerate().filter(|(_, t)| **t == Some(table));
             here.fold(0, |bits, (class, _)| bits | 1 << class)
         };
@@ -190,7 +194,13 @@
         streams.filter(|(_, classes)| *classes != 0).collect()
     }
 
-    fn line(&mut self, messages: &mut BTreeMap<Proxy, Vec<Part>>, table: Table, server: Server, weight: f64) {
+    fn line(
+        &mut self,
+        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        table: TableId,
+        server: ServerId,
+        weight: f64,
+    ) {
         let lines = &mut self.tables.entry(table).or_default().lines;
         if weight > 0.0 {
             lines.insert(server, weight);
@@ -207,14 +217,14 @@
         }
     }
 
-    fn clear(&mut self, messages: &mut BTreeMap<Proxy, Vec<Part>>, table: Table) {
+    fn clear(&mut self, messages: &mut BTreeMap<ProxyId, Vec<Part>>, table: TableId) {
         self.tables.remove(&table);
         for (proxy, classes) in self.on(table) {
             messages.entry(proxy).or_default().push(Part { classes, replace: true, ..Part::default() });
         }
     }
 
-    fn shut(&mut self, messages: &mut BTreeMap<Proxy, Vec<Part>>, server: Server, out: bool) {
+    fn shut(&mut self, messages: &mut BTreeMap<ProxyId, Vec<Part>>, server: ServerId, out: bool) {
         self.out.insert(server, out);
         let (drop, undrop) = if out { (vec![server], vec![]) } else { (vec![], vec![server]) };
         for proxy in self.streams.keys() {
@@ -223,13 +233,19 @@
         }
     }
 
-    fn bind(&mut self, messages: &mut BTreeMap<Proxy, Vec<Part>>, proxy: Proxy, table: Table, classes: u64) {
+    fn bind(
+        &mut self,
+        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        proxy: ProxyId,
+        table: TableId,
+        classes: u64,
+    ) {
         let classes = if classes == 0 { self.all() } else { classes & self.all() };
         let Some(stream) = self.streams.get_mut(&proxy).filter(|_| classes != 0) else { return };
         let bound = (0..self.classes).filter(|class| classes >> class & 1 == 1);
         bound.for_each(|class| stream.on[class] = Some(table));
         let laid = self.tables.entry(table).or_default();
-        let rows: Vec<(Server, f64)> = laid.lines.iter().map(|(s, w)| (*s, *w)).collect();
+        let rows: Vec<(ServerId, f64)> = laid.lines.iter().map(|(s, w)| (*s, *w)).collect();
         // A proxy brings what an earlier stream shut out: what is owed to it is what this planner last said
         // of each.
         let (out, back): (Vec<_>, Vec<_>) = self.out.iter().partition(|(_, out)| **out);
@@ -242,7 +258,13 @@
         levels.for_each(|(class, level)| add_level(parts, 1 << class, *level));
     }
 
-    fn level(&mut self, messages: &mut BTreeMap<Proxy, Vec<Part>>, table: Table, class: Class, level: Level) {
+    fn level(
+        &mut self,
+        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        table: TableId,
+        class: ClassId,
+        level: Level,
+    ) {
         if class >= self.classes {
             return;
         }
@@ -254,7 +276,13 @@
         }
     }
 
-    fn mark(&mut self, messages: &mut BTreeMap<Proxy, Vec<Part>>, mark: u16, everyone: bool, now: Duration) {
+    fn mark(
+        &mut self,
+        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        mark: u16,
+        everyone: bool,
+        now: Duration,
+    ) {
         if everyone {
             self.streams.keys().for_each(|proxy| _ = messages.entry(*proxy).or_default());
         }
@@ -287,13 +315,13 @@
 
     fn written<'a>(&self, piece: &Piece, more: bool, names: &'a Names) -> Written<'a> {
         let Piece { part, rows, first, last } = *piece;
-        let server = |s: &Server| names.servers.outside(*s).map(String::as_str);
+        let server = |s: &ServerId| names.servers.name(*s).map(String::as_str);
         let level = part.level.filter(|_| last);
         let whole = part.classes == 0 || part.classes == self.all();
         let classes = (0..self.classes).filter(|class| part.classes >> class & 1 == 1);
-        let classes = classes.filter_map(|class| names.classes.outside(class).map(String::as_str));
+        let classes = classes.filter_map(|class| names.classes.name(class).map(String::as_str));
         let named = rows.iter().filter_map(|(s, w)| Some((server(s)?, *w)));
-        let on_last = |servers: &[Server]| servers.iter().filter(|_| last).filter_map(server).collect();
+        let on_last = |servers: &[ServerId]| servers.iter().filter(|_| last).filter_map(server).collect();
         Written {
             t: "CONFIG",
             classes: (!whole).then(|| classes.collect()),
@@ -313,7 +341,7 @@
 /// the first, all else with the last.
 struct Piece<'a> {
     part: &'a Part,
-    rows: &'a [(Server, f64)],
+    rows: &'a [(ServerId, f64)],
     first: bool,
     last: bool,
 }
--- a/crates/platform-protocol/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -10,7 +10,8 @@
 use crate::station::Told;
 use crate::stream::Part;
 use proptest::prelude::*;
-use runloom_controller::interface::{Found, FurtherTries, Mode};
+use runloom_controller::endpoint::HealthState;
+use runloom_controller::{EjectionReport, HealthCheckResult, ListedState, RetryPolicy};
 use serde_json::{json, Value};
 
 const fn ms(n: u64) -> Duration {
@@ -168,7 +169,7 @@
             fields.insert("t".into(), kind.into());
         }
         let names = names();
-        if let Ok(Message::Told(Event::Joined { proxy, zone, rate, .. })) = read(&message, &names) {
+        if let Ok(Message::Told(Event::ProxyConnected { proxy, zone, request_rate: rate, .. })) = read(&message, &names) {
             prop_assert!(proxy < names.proxies && zone < 2 && rate >= 0.0);
         }
     }
@@ -247,22 +248,38 @@
     let read: Vec<Message> = good().iter().map(|m| read(m, &names).unwrap()).collect();
     let span = ms(1000);
     let took = Duration::from_secs_f64(0.0415);
-    let met = Message::Told(Event::Met {
+    let met = Message::Told(Event::OutcomeReport {
         zone: 0,
         server: 0,
-        tries: 12,
-        failed: 3,
-        took,
-        span,
+        attempts: 12,
+        failures: 3,
+        mean_latency: took,
+        window: span,
         load: vec![7.0, 61.0],
     });
     assert_eq!(read[0], met);
-    assert_eq!(read[1], Message::Told(Event::Came { proxy: 17, class: 0, queries: 19, unanswered: 0, span }));
+    assert_eq!(
+        read[1],
+        Message::Told(Event::ArrivalReport {
+            proxy: 17,
+            class: 0,
+            requests: 19,
+            unanswered: 0,
+            window: span
+        })
+    );
     assert_eq!(
         read[2],
-        Message::Told(Event::Applied { proxy: 17, mark: 905, after: Duration::from_secs_f64(0.3104) })
+        Message::Told(Event::UpdateAcknowledged {
+            proxy: 17,
+            ack_token: 905,
+            elapsed: Duration::from_secs_f64(0.3104)
+        })
+    );
+    assert_eq!(
+        read[3],
+        Message::Told(Event::ProxyConnected { proxy: 17, zone: 0, request_rate: 2.0, has_no_table: true })
     );
-    assert_eq!(read[3], Message::Told(Event::Joined { proxy: 17, zone: 0, rate: 2.0, fresh: true }));
     assert_eq!(read[4], Message::Collector { zone: 1 });
 }
 
@@ -301,7 +318,7 @@
         read(&message, &names)
     };
     let load = |m: Result<Message, Spoilt>| {
-        if let Ok(Message::Told(Event::Met { load, .. })) = m {
+        if let Ok(Message::Told(Event::OutcomeReport { load, .. })) = m {
             load
         } else {
             panic!("{m:?}")
@@ -334,20 +351,27 @@
     streams
 }
 
-fn line(table: u16, server: Server, weight: f64) -> Order {
-    Order::Line { table, server, weight }
+fn line(table: u16, server: ServerId, weight: f64) -> Command {
+    Command::SetEntry { table, server, weight }
 }
 
-fn bind(proxy: Proxy, table: u16, classes: u64) -> Order {
-    Order::Bind { proxy, table, classes }
+fn bind(proxy: ProxyId, table: u16, classes: u64) -> Command {
+    Command::AssignTable { proxy, table, class_mask: classes }
 }
 
 #[test]
 fn a_bound_proxy_gets_the_whole_table_with_its_levels_in_one_message() {
     let mut streams = streams();
-    let level = Order::Level { table: 1, class: 1, level: None, tries: FurtherTries::Unrun };
-    let messages = streams
-        .lay(&[line(1, 0, 1.5), level, bind(1, 1, 0), Order::Mark { mark: 9, everyone: false }], START);
+    let level = Command::SetAdmission {
+        table: 1,
+        class: 1,
+        admission_rate: None,
+        retry_policy: RetryPolicy::IfNotExecuted,
+    };
+    let messages = streams.lay(
+        &[line(1, 0, 1.5), level, bind(1, 1, 0), Command::RequestAck { ack_token: 9, all_proxies: false }],
+        START,
+    );
     assert_eq!(messages.keys().collect::<Vec<_>>(), [&1]);
     let out = unframed(&streams.write(&messages[&1], &names()));
     let whole = json!({"t": "CONFIG", "replace": true, "rows": [["s-1", 1.5]], "part": true});
@@ -369,7 +393,12 @@
 fn the_same_level_of_several_classes_is_one_part() {
     let mut streams = streams();
     streams.lay(&[bind(1, 1, 0)], START);
-    let level = |class| Order::Level { table: 1, class, level: Some(0.5), tries: FurtherTries::None };
+    let level = |class| Command::SetAdmission {
+        table: 1,
+        class,
+        admission_rate: Some(0.5),
+        retry_policy: RetryPolicy::Never,
+    };
     let messages = streams.lay(&[level(0), level(1)], START);
     let out = unframed(&streams.write(&messages[&1], &names()));
     assert_eq!(out, [json!({"t": "CONFIG", "gate": 0.5, "again": 0})]);
@@ -378,7 +407,12 @@
 #[test]
 fn what_a_proxy_could_not_use_is_never_written() {
     let mut streams = streams();
-    let level = Order::Level { table: 1, class: 7, level: Some(0.5), tries: FurtherTries::None };
+    let level = Command::SetAdmission {
+        table: 1,
+        class: 7,
+        admission_rate: Some(0.5),
+        retry_policy: RetryPolicy::Never,
+    };
     let bad = [line(1, 0, -1.0), line(1, 0, f64::NAN), level, bind(9, 1, 0)];
     streams.lay(&[bind(1, 1, 0)], START);
     assert!(streams.lay(&bad, START).is_empty());
@@ -390,7 +424,7 @@
 #[test]
 fn what_is_shut_out_is_owed_to_whoever_joins_and_what_is_let_in_again_too() {
     let mut streams = streams();
-    let shut = |server, out| Order::Withdraw { server, out };
+    let shut = |server, out| Command::EjectServer { server, ejected: out };
     streams.lay(&[line(1, 0, 1.0), line(1, 1, 1.0), shut(0, true), shut(1, true), shut(1, false)], START);
     streams.join(5, START);
     let messages = streams.lay(&[bind(5, 1, 0)], START);
@@ -401,12 +435,12 @@
 #[test]
 fn marks_are_matched_to_what_is_owed_on_that_stream() {
     let mut streams = streams();
-    streams.lay(&[bind(1, 1, 0), Order::Mark { mark: 4, everyone: false }], START);
-    streams.lay(&[line(1, 0, 1.0), Order::Mark { mark: 5, everyone: false }], START);
+    streams.lay(&[bind(1, 1, 0), Command::RequestAck { ack_token: 4, all_proxies: false }], START);
+    streams.lay(&[line(1, 0, 1.0), Command::RequestAck { ack_token: 5, all_proxies: false }], START);
     assert!(!streams.answered(2, 4) && !streams.answered(1, 6));
     // All before it is applied with it.
     assert!(streams.answered(1, 5) && !streams.answered(1, 4) && !streams.answered(1, 5));
-    streams.lay(&[line(1, 0, 2.0), Order::Mark { mark: 6, everyone: false }], START);
+    streams.lay(&[line(1, 0, 2.0), Command::RequestAck { ack_token: 6, all_proxies: false }], START);
     streams.join(1, START);
     assert!(!streams.answered(1, 6));
 }
@@ -421,8 +455,8 @@
 #[test]
 fn a_table_too_large_for_one_part_is_one_message_of_several() {
     let mut names = names();
-    let servers: Vec<Server> = (0..9000).map(|k| names.servers.index(format!("{k:0>128}"))).collect();
-    let rows: Vec<(Server, f64)> = servers.iter().map(|s| (*s, 1.0 / 3.0)).collect();
+    let servers: Vec<ServerId> = (0..9000).map(|k| names.servers.index(format!("{k:0>128}"))).collect();
+    let rows: Vec<(ServerId, f64)> = servers.iter().map(|s| (*s, 1.0 / 3.0)).collect();
     let part =
         Part { classes: 3, replace: true, rows, drop: vec![servers[0]], mark: Some(9), ..Part::default() };
     // A part past 1 MiB could not be read here either.
@@ -456,8 +490,10 @@
     platform
         .line(&listed(41, false, &[member("s-1", "SERVING"), spoilt, member("s-1", "DRAINING")]), START)
         .unwrap();
-    let Event::Listed { how, entries } = &platform.listed[0] else { panic!("{:?}", platform.listed) };
-    assert_eq!((*how, entries.len(), entries[0].mode), (Listing::Changes, 1, Mode::Draining));
+    let Event::EndpointsListed { update: how, records: entries } = &platform.listed[0] else {
+        panic!("{:?}", platform.listed)
+    };
+    assert_eq!((*how, entries.len(), entries[0].state), (EndpointUpdate::Delta, 1, ListedState::Draining));
 }
 
 #[test]
@@ -506,30 +542,33 @@
     let found = |text: &str| ending(text).map(|e| e.found);
     let body = r#"{"queue":2,"latency_ms":61}"#;
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    assert_eq!(ending(&whole), Some(Ending { found: Found::Handled, load: vec![2.0, 61.0] }));
+    assert_eq!(ending(&whole), Some(Ending { found: HealthCheckResult::Success, load: vec![2.0, 61.0] }));
     assert_eq!(ending(&whole[..whole.len() - 1]), None);
-    assert_eq!(found("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), Some(Found::Handled));
-    assert_eq!(found("HTTP/1.1 503 No\r\n\r\n"), Some(Found::TurnedAway));
-    assert_eq!(found("HTTP/1.1 500 No\r\n\r\n"), Some(Found::Failed));
-    assert_eq!(found("220 mail ready\r\n"), Some(Found::Failed));
-    assert_eq!(found(&format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(9000))), Some(Found::Failed));
+    assert_eq!(found("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), Some(HealthCheckResult::Success));
+    assert_eq!(found("HTTP/1.1 503 No\r\n\r\n"), Some(HealthCheckResult::Rejected));
+    assert_eq!(found("HTTP/1.1 500 No\r\n\r\n"), Some(HealthCheckResult::ErrorResponse));
+    assert_eq!(found("220 mail ready\r\n"), Some(HealthCheckResult::ErrorResponse));
+    assert_eq!(
+        found(&format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(9000))),
+        Some(HealthCheckResult::ErrorResponse)
+    );
 }
 
 #[test]
 fn one_connection_that_is_reset_tells_nothing_of_a_server_and_two_do() {
     let fields = ["q".to_string()];
     let mut probe = Probe::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
-    assert_eq!(probe.late().found, Found::NoConnection);
+    assert_eq!(probe.late().found, HealthCheckResult::ConnectionFailed);
     probe.open = true;
-    assert_eq!(probe.late().found, Found::NoAnswer);
+    assert_eq!(probe.late().found, HealthCheckResult::Timeout);
     assert_eq!((probe.cut(), probe.open), (None, false));
-    assert_eq!(probe.cut().map(|e| e.found), Some(Found::NoConnection));
+    assert_eq!(probe.cut().map(|e| e.found), Some(HealthCheckResult::ConnectionFailed));
     // Ways that are well lose answers too, and what came of the first is no part of the second.
     let mut begun = Probe::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
     assert_eq!(begun.push(b"HTTP/1.1 2", &fields), None);
     assert_eq!((begun.cut(), begun.open), (None, false));
     assert_eq!(begun.push(b"HTTP/1.1 200 OK\r\nContent-Le", &fields), None);
-    assert_eq!(begun.cut().map(|e| e.found), Some(Found::NoConnection));
+    assert_eq!(begun.cut().map(|e| e.found), Some(HealthCheckResult::ConnectionFailed));
 }
 
 // Clients.
@@ -622,7 +661,7 @@
     let mark = orders.last().unwrap()["stamp"].as_u64().unwrap();
     let answer = json!({"t": "ACK", "id": 7, "seq": mark, "ms": 12.0});
     platform.bytes(1, &framed(std::slice::from_ref(&answer)), START + ms(20));
-    assert!(matches!(platform.happened[..], [Event::Applied { proxy: 7, .. }]));
+    assert!(matches!(platform.happened[..], [Event::UpdateAcknowledged { proxy: 7, .. }]));
     assert_eq!(platform.counts.longest_wait, ms(20));
     platform.bytes(1, &framed(&[answer]), START + ms(30));
     assert_eq!((platform.happened.len(), platform.counts.stray_marks), (1, 1));
@@ -663,7 +702,7 @@
     platform.line(&listed(41, false, &[member("s-1", "DELETED")]), START).unwrap();
     (0..14).for_each(|k| _ = platform.turn_at(START + ms(1000 * k)));
     platform.line(&listed(42, false, &[member("s-9", "SERVING")]), START).unwrap();
-    assert_eq!((platform.names.servers.known("s-1"), platform.names.servers.known("s-9")), (None, Some(0)));
+    assert_eq!((platform.names.servers.get("s-1"), platform.names.servers.get("s-9")), (None, Some(0)));
     platform.turn_at(START + ms(14_000));
     platform.bytes(1, &framed(&[good().remove(0)]), START + ms(14_000));
     assert_eq!((platform.happened.len(), platform.counts.spoilt), (0, 1));
@@ -676,7 +715,10 @@
     platform.opened(2, START);
     platform.bytes(2, &framed(&[joining(7)]), START);
     let proxy = 7;
-    assert!(matches!(&platform.happened[..], [Event::Left { proxy: 7 }, Event::Joined { proxy: 7, .. }]));
+    assert!(matches!(
+        &platform.happened[..],
+        [Event::ProxyDisconnected { proxy: 7 }, Event::ProxyConnected { proxy: 7, .. }]
+    ));
     let deeds = platform.turn_at(START);
     assert!(is_closed(&deeds, 1) && !written(&deeds, 2).is_empty());
     platform.bytes(
@@ -687,7 +729,7 @@
     platform.closed(1);
     assert!(platform.happened.is_empty());
     platform.closed(2);
-    assert_eq!(platform.happened, [Event::Left { proxy }]);
+    assert_eq!(platform.happened, [Event::ProxyDisconnected { proxy }]);
 }
 
 #[test]
@@ -722,8 +764,19 @@
 #[test]
 fn the_log_names_servers_as_people_know_them() {
     let mut platform = platform();
-    platform.carry_out(vec![Order::Log { text: "server 1 Withdrawn: all".into() }], START);
-    assert_eq!(platform.deeds, [Deed::Log { text: "server s-2 Withdrawn: all".into() }]);
+    let report = EjectionReport {
+        server: 1,
+        health: HealthState::Ejected,
+        failures: 5.0,
+        attempts: 20.0,
+        consecutive_failures: 3.0,
+        connection_refused: true,
+        unanswered_checks: 2,
+    };
+    platform.carry_out(vec![Command::LogEjection(report)], START);
+    let text =
+        "server s-2 Withdrawn: 5 of 20 failed, 3 in a row; probes: refused true, unanswered 2".to_string();
+    assert_eq!(platform.deeds, [Deed::Log { text }]);
 }
 
 #[test]
@@ -745,7 +798,7 @@
     let mut platform = platform();
     join(&mut platform, 1, 7, START);
     platform.bytes(1, b"\xff\xff\xff\xffwhatever", START);
-    assert_eq!(platform.happened, [Event::Left { proxy: 7 }]);
+    assert_eq!(platform.happened, [Event::ProxyDisconnected { proxy: 7 }]);
     assert!(is_closed(&platform.turn_at(START), 1));
 }
 
@@ -758,7 +811,7 @@
     let mut bytes = framed(&[json!({"t": "SOURCE", "site": "a"}), met]);
     bytes.extend(b"\x05\0\0\0{:}}}");
     platform.bytes(1, &bytes, START);
-    assert!(matches!(platform.happened[..], [Event::Met { server: 0, tries: 2, .. }]));
+    assert!(matches!(platform.happened[..], [Event::OutcomeReport { server: 0, attempts: 2, .. }]));
     assert!(is_closed(&platform.turn_at(START), 1));
     assert_eq!((platform.connected(), platform.counts.left), ((0, 0), 0));
 }
@@ -802,7 +855,7 @@
     let rate = |id: u64| json!({"t": "RATE", "id": id, "lane": "lookup", "count": 1, "fail": 0, "over": 9.0});
     platform.bytes(2, &framed(&[json!({"t": "SOURCE", "site": "b"}), rate(7), rate(8)]), START);
     platform.bytes(1, &framed(&[rate(8)]), START);
-    assert!(matches!(platform.happened[..], [Event::Came { proxy: 7, .. }]));
+    assert!(matches!(platform.happened[..], [Event::ArrivalReport { proxy: 7, .. }]));
     assert_eq!(platform.counts.spoilt, 2);
 }
 
@@ -825,7 +878,7 @@
         let probes = platform.turn_at(now + ms(250));
         for deed in [deeds, probes].concat() {
             if let Deed::Probe { ticket, .. } = deed {
-                platform.probed(ticket, Found::Handled.into(), ms(2));
+                platform.probed(ticket, HealthCheckResult::Success.into(), ms(2));
             }
         }
         // What is gone is named in no order any more, whoever has its index.
--- a/crates/platform-protocol/src/tests/doors.rs
+++ b/crates/platform-protocol/src/tests/doors.rs
@@ -80,7 +80,11 @@
         for deed in platform.turn_at(now) {
             match deed {
                 Deed::Probe { ticket, .. } => {
-                    let found = [Found::Handled, Found::NoAnswer, Found::NoConnection][ticket as usize % 3];
+                    let found = [
+                        HealthCheckResult::Success,
+                        HealthCheckResult::Timeout,
+                        HealthCheckResult::ConnectionFailed,
+                    ][ticket as usize % 3];
                     platform.probed(ticket, found.into(), ms(3));
                 }
                 Deed::Write { conn, bytes } => {
@@ -132,7 +136,7 @@
         json!({"t": "RATE", "id": 7, "lane": "lookup", "count": 1, "fail": 0, "over": 9.0}),
     ]));
     platform.bytes(1, &bytes, START);
-    assert!(matches!(platform.happened[..], [Event::Came { proxy: 7, queries: 1, .. }]));
+    assert!(matches!(platform.happened[..], [Event::ArrivalReport { proxy: 7, requests: 1, .. }]));
     assert_eq!((platform.counts.spoilt, platform.counts.refused), (1, 0));
     // What is no JSON at all still ends it, with such a figure inside or not.
     for body in [&b"{\"t\":1e999,}"[..], b"{\"t\":\"\xff\"}", b"[1e999]"] {
@@ -166,14 +170,21 @@
     platform.line(&listed(41, false, &[member("s-3", "DRAINING")]), START).unwrap();
     let whole = [member("s-1", "SERVING"), spoilt, json!({"id": "s-3"}), stranger];
     platform.line(&listed(42, true, &whole), START).unwrap();
-    let Some(Event::Listed { how, entries }) = platform.listed.last() else { panic!("no list") };
-    let modes: Vec<Mode> = entries.iter().map(|e| e.mode).collect();
+    let Some(Event::EndpointsListed { update: how, records: entries }) = platform.listed.last() else {
+        panic!("no list")
+    };
+    let modes: Vec<ListedState> = entries.iter().map(|e| e.state).collect();
     // Guards against servers that are well drained everywhere at once, for one field of a list.
-    assert_eq!((*how, modes), (Listing::Whole, vec![Mode::Ready, Mode::Ready, Mode::Draining]));
+    assert_eq!(
+        (*how, modes),
+        (EndpointUpdate::Snapshot, vec![ListedState::Ready, ListedState::Ready, ListedState::Draining])
+    );
     assert_eq!(platform.list.spoilt, 3);
     // Who is not spoken of has gone, and is no more what a spoilt entry may mean.
     platform.line(&listed(43, true, &[member("s-1", "SERVING")]), START).unwrap();
     platform.line(&listed(44, true, &whole), START).unwrap();
-    let Some(Event::Listed { entries, .. }) = platform.listed.last() else { panic!("no list") };
+    let Some(Event::EndpointsListed { records: entries, .. }) = platform.listed.last() else {
+        panic!("no list")
+    };
     assert_eq!(entries.len(), 1);
 }
--- a/crates/platform-protocol/src/tests/endings.rs
+++ b/crates/platform-protocol/src/tests/endings.rs
@@ -203,7 +203,10 @@
     let last = json!({"t": "RATE", "id": 7, "lane": "lookup", "count": 9, "fail": 0, "over": 9.0});
     platform.bytes(1, &framed(&[last]), START);
     platform.closed(1);
-    assert!(matches!(platform.happened[..], [Event::Came { queries: 9, .. }, Event::Left { proxy: 7 }]));
+    assert!(matches!(
+        platform.happened[..],
+        [Event::ArrivalReport { requests: 9, .. }, Event::ProxyDisconnected { proxy: 7 }]
+    ));
 }
 
 #[test]
@@ -247,7 +250,7 @@
     }
     assert_eq!(asked.len(), 3, "twenty seconds, and no probe has ended");
     for ticket in asked {
-        platform.probed(ticket, Found::Handled.into(), ms(3));
+        platform.probed(ticket, HealthCheckResult::Success.into(), ms(3));
     }
     let again: usize = (40..52u64)
         .map(|k| platform.turn_at(START + ms(k * 500)))
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -3,7 +3,7 @@
 //!
 //! `UPDATE_SNAPSHOTS=1` writes the snapshot anew.
 
-use runloom_controller::interface::Found;
+use runloom_controller::HealthCheckResult;
 use runloom_platform_protocol::probe::Ending;
 use runloom_platform_protocol::station::{Station, Told};
 use runloom_platform_protocol::{Deed, Platform};
@@ -131,8 +131,13 @@
     for deed in deeds {
         match deed {
             Deed::Probe { ticket, .. } => {
-                let endings =
-                    [Found::Handled, Found::Handled, Found::NoAnswer, Found::NoConnection, Found::Failed];
+                let endings = [
+                    HealthCheckResult::Success,
+                    HealthCheckResult::Success,
+                    HealthCheckResult::Timeout,
+                    HealthCheckResult::ConnectionFailed,
+                    HealthCheckResult::ErrorResponse,
+                ];
                 let found = endings[*ticket as usize % endings.len()];
                 platform.probed(*ticket, Ending { found, load: vec![0.3, 40.0] }, Duration::from_millis(3));
             }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -8,7 +8,7 @@
 
 use nanorand::{Rng, WyRand};
 use query::{Ended, Query, Refusal, Step};
-use runloom_controller::interface::FurtherTries;
+use runloom_controller::RetryPolicy;
 use runloom_model::fleet::{Class, Repeats};
 use runloom_model::order::{halved, ByClass, Came, Halved, Met, Report};
 use std::collections::BTreeMap;
@@ -146,7 +146,7 @@
         };
         self.bare_since[class] = None;
         // The way of trying again is fixed now: a table that changes meanwhile changes no proof.
-        let tries = self.held.level(&self.classes[class].name).map_or(FurtherTries::Unrun, |l| l.1);
+        let tries = self.held.level(&self.classes[class].name).map_or(RetryPolicy::IfNotExecuted, |l| l.1);
         let until = now + self.classes[class].outer_limit;
         self.queries.insert(id, Query::new(class, now, until, server.clone(), tries));
         self.sent(&server);
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -1,6 +1,6 @@
 //! One query on its way: its tries, their proofs, and what follows an ending.
 
-use runloom_controller::interface::FurtherTries;
+use runloom_controller::RetryPolicy;
 use runloom_model::fleet::Repeats;
 use std::time::Duration;
 
@@ -102,12 +102,12 @@
 }
 
 impl Query {
-    pub fn new(class: usize, now: Duration, until: Duration, server: String, tries: FurtherTries) -> Query {
+    pub fn new(class: usize, now: Duration, until: Duration, server: String, tries: RetryPolicy) -> Query {
         let (left, needs_proof) = match tries {
-            FurtherTries::None => (0, true),
-            FurtherTries::Unrun => (1, true),
-            FurtherTries::One => (1, false),
-            FurtherTries::Two => (2, false),
+            RetryPolicy::Never => (0, true),
+            RetryPolicy::IfNotExecuted => (1, true),
+            RetryPolicy::Once => (1, false),
+            RetryPolicy::Twice => (2, false),
         };
         Query { class, until, server, tried_at: now, came_at: now, left, needs_proof, may_have_run: false }
     }
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -2,7 +2,7 @@
 use crate::exact::replay;
 use crate::other::{compare, Setting};
 use runloom_control_session::{Deed, Driver};
-use runloom_controller::interface::Listing;
+use runloom_controller::EndpointUpdate;
 use runloom_event_log::{Entry, Happened};
 use runloom_inventory::{Change, Server};
 use runloom_model::order::{Came, Met, Report};
@@ -44,7 +44,7 @@
         fleet: FLEET.into(),
     };
     driver.witness = Some(vec![(Duration::ZERO, start)]);
-    driver.list(Listing::Remembered, (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect());
+    driver.list(EndpointUpdate::Cached, (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect());
     let proxies: Vec<usize> = (0..4)
         .map(|p| driver.joined(&format!("f{p}"), if p % 2 == 0 { "a" } else { "b" }, 10.0, true))
         .collect();
@@ -52,7 +52,7 @@
     for step in 0..600u64 {
         let now = Duration::from_millis(100 * step);
         if step == 300 {
-            driver.list(Listing::Changes, vec![("s5".into(), server(5, true))]);
+            driver.list(EndpointUpdate::Delta, vec![("s5".into(), server(5, true))]);
         }
         if step % 10 == 5 {
             for p in &proxies {
@@ -322,7 +322,7 @@
     let (build, planner) = ("test".to_string(), "p".to_string());
     let start = Happened::Start { build, planner, seed: 7, epoch: 1_000_000, fleet: FLEET.into() };
     driver.witness = Some(vec![(Duration::ZERO, start)]);
-    driver.list(Listing::Remembered, (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect());
+    driver.list(EndpointUpdate::Cached, (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect());
     driver.joined("f0", "a", 10.0, true);
     let mut day = Vec::new();
     for k in 0..10_000u64 {
@@ -330,7 +330,7 @@
         let Change::Is(is) = server(k as usize % 5, false) else { unreachable!() };
         let weight = 1.0 + (k % 4) as f64;
         let change = Change::Is(Server { weight, ..is });
-        driver.list(Listing::Changes, vec![(format!("s{}", k % 5), change)]);
+        driver.list(EndpointUpdate::Delta, vec![(format!("s{}", k % 5), change)]);
         for deed in driver.turn(now).0 {
             if let Deed::Send { proxy, number, .. } = deed {
                 driver.applied(now + Duration::from_millis(5), proxy, number);
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -311,7 +311,7 @@
 
 /// Cost of the guard: a batch that changes a line of each group's table, with a tenth of the servers cold.
 fn guard() -> Told {
-    use runloom_controller::interface::{Mode, Order};
+    use runloom_controller::{Command, ListedState};
     use runloom_guard::{Guard, Terms};
     for (proxies, servers) in [(45usize, 32usize), (150, 107), (592, 544), (2368, 2176)] {
         let terms = Terms {
@@ -326,13 +326,17 @@
         let now = Duration::from_secs(100);
         let mut guard = Guard::new(terms);
         for s in 0..servers {
-            guard.listed(s, Mode::Ready, 1.0, (s % 10 == 9).then_some(now));
+            guard.listed(s, ListedState::Ready, 1.0, (s % 10 == 9).then_some(now));
         }
-        let line = |s: usize, w: f64| Order::Line { table: (s % groups) as u16, server: s, weight: w };
+        let line = |s: usize, w: f64| Command::SetEntry { table: (s % groups) as u16, server: s, weight: w };
         (0..proxies).for_each(|p| guard.joined(p, 4.0));
-        let mut first: Vec<Order> =
+        let mut first: Vec<Command> =
             (0..servers).map(|s| line(s, if s % 10 == 9 { 0.1 } else { 1.0 })).collect();
-        first.extend((0..proxies).map(|p| Order::Bind { proxy: p, table: (p % groups) as u16, classes: 0 }));
+        first.extend((0..proxies).map(|p| Command::AssignTable {
+            proxy: p,
+            table: (p % groups) as u16,
+            class_mask: 0,
+        }));
         let passed = guard.judge(now, first).passed.len();
         if passed != servers + proxies {
             return Err(format!("{passed} of {} first orders passed", servers + proxies));
--- a/crates/testbed/src/spoil.rs
+++ b/crates/testbed/src/spoil.rs
@@ -2,7 +2,7 @@
 //! some seconds after the start on, so that a day is under way.
 
 use runloom_control_session::Spoil;
-use runloom_controller::interface::Order;
+use runloom_controller::Command;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -32,12 +32,12 @@
     let (mut seen, mut turn) = (BTreeSet::new(), 0usize);
     Some(Box::new(move |now, orders| {
         for order in orders.iter() {
-            if let Order::Line { table, server, .. } = order {
+            if let Command::SetEntry { table, server, .. } = order {
                 seen.insert((*table, *server));
             }
         }
         // Only batches that go to proxies anyway: the others carry no mark.
-        if now < FROM || !orders.iter().any(|o| matches!(o, Order::Wake { .. })) {
+        if now < FROM || !orders.iter().any(|o| matches!(o, Command::SetTimer { .. })) {
             return;
         }
         turn += 1;
@@ -45,10 +45,10 @@
     }))
 }
 
-fn spoil(name: &str, seen: &BTreeSet<(u16, usize)>, turn: usize, orders: &mut Vec<Order>) {
-    let out = |table: u16, server: usize| Order::Line { table, server, weight: 0.0 };
-    let weights = |orders: &mut Vec<Order>, to: &dyn Fn(f64) -> f64| {
-        orders.extend(seen.iter().map(|(table, server)| Order::Line {
+fn spoil(name: &str, seen: &BTreeSet<(u16, usize)>, turn: usize, orders: &mut Vec<Command>) {
+    let out = |table: u16, server: usize| Command::SetEntry { table, server, weight: 0.0 };
+    let weights = |orders: &mut Vec<Command>, to: &dyn Fn(f64) -> f64| {
+        orders.extend(seen.iter().map(|(table, server)| Command::SetEntry {
             table: *table,
             server: *server,
             weight: to(1.0),
@@ -65,15 +65,20 @@
             weights(orders, &|_| 1e-9);
             for table in first {
                 if let Some((_, s)) = seen.iter().rfind(|(t, _)| *t == table) {
-                    orders.push(Order::Line { table, server: *s, weight: 1e9 });
+                    orders.push(Command::SetEntry { table, server: *s, weight: 1e9 });
                 }
             }
         }
         "level-zero" => {
             let tables: BTreeSet<u16> = seen.iter().map(|(t, _)| *t).collect();
             for table in tables {
-                let tries = runloom_controller::interface::FurtherTries::None;
-                let level = |class| Order::Level { table, class, level: Some(0.0), tries };
+                let tries = runloom_controller::RetryPolicy::Never;
+                let level = |class| Command::SetAdmission {
+                    table,
+                    class,
+                    admission_rate: Some(0.0),
+                    retry_policy: tries,
+                };
                 orders.extend((0..3).map(level));
             }
         }
@@ -81,19 +86,19 @@
         "at-once" => {
             if let Some(newest) = seen.iter().map(|(_, s)| *s).max() {
                 let of = seen.iter().filter(|(_, s)| *s == newest);
-                orders.extend(of.map(|(t, s)| Order::Line { table: *t, server: *s, weight: 1000.0 }));
+                orders.extend(of.map(|(t, s)| Command::SetEntry { table: *t, server: *s, weight: 1000.0 }));
             }
         }
         "clear" => {
             let tables: BTreeSet<u16> = seen.iter().map(|(t, _)| *t).collect();
-            orders.extend(tables.into_iter().map(|table| Order::Clear { table }));
+            orders.extend(tables.into_iter().map(|table| Command::ClearTable { table }));
         }
         "withdraw-all" => {
             let servers: BTreeSet<usize> = seen.iter().map(|(_, s)| *s).collect();
-            orders.extend(servers.into_iter().map(|server| Order::Withdraw { server, out: true }));
+            orders.extend(servers.into_iter().map(|server| Command::EjectServer { server, ejected: true }));
         }
         "bind-nowhere" => {
-            orders.extend((0..64).map(|proxy| Order::Bind { proxy, table: 60_000, classes: 0 }))
+            orders.extend((0..64).map(|proxy| Command::AssignTable { proxy, table: 60_000, class_mask: 0 }))
         }
         // Hundreds of all kinds at once.
         "flood" => {
@@ -116,7 +121,7 @@
                 servers
                     .collect::<BTreeSet<_>>()
                     .into_iter()
-                    .map(|server| Order::Withdraw { server, out: true }),
+                    .map(|server| Command::EjectServer { server, ejected: true }),
             );
         }
         // Every server that ever was, those that drain and are gone too.
