--- a/crates/control-session/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -2,9 +2,9 @@
 //! tables as they were ordered, lays one message a proxy and reply, and counts what waits for confirmation.
 //! It decides nothing about servers; its own matters are what a message holds, and when a report is handed on.
 
-mod sums;
-mod tables;
-pub mod witness;
+mod report_aggregator;
+mod published_tables;
+pub mod recording;
 
 use runloom_controller::Controller;
 use runloom_controller::IdMap;
@@ -21,9 +21,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use sums::Sums;
-pub use tables::Laid;
-use tables::Tables;
+use report_aggregator::Sums;
+pub use published_tables::Laid;
+use published_tables::Tables;
 
 /// What a shell has to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -225,7 +225,7 @@
 
     /// Tells the decisions of servers: the whole list as held before this start, or changes.
     pub fn list(&mut self, how: EndpointUpdate, changes: Vec<(String, Change)>) {
-        self.note(|| witness::listed(how, &changes));
+        self.note(|| recording::listed(how, &changes));
         let mut entries = Vec::new();
         for (name, change) in changes {
             let server = self.servers.index(name);
@@ -362,10 +362,10 @@
         self.clock = now;
         if self.witness.is_some() {
             let name = self.proxy_name(proxy).to_string();
-            if let Some(outcomes) = witness::outcomes(&name, report) {
+            if let Some(outcomes) = recording::outcomes(&name, report) {
                 self.note(|| outcomes);
             }
-            self.note(|| witness::reported(name, report));
+            self.note(|| recording::reported(name, report));
         }
         let Some(member) = self.members.get_mut(&proxy) else { return };
         member.report_at = Some(now);
@@ -386,7 +386,7 @@
         let after = whole(after);
         if self.witness.is_some() {
             let name = self.server_name(server).to_string();
-            self.note(|| witness::probed(name, found, after, &load));
+            self.note(|| recording::probed(name, found, after, &load));
         }
         self.happened.push(Event::HealthChecked { server, result: found, elapsed: after, load });
     }
@@ -423,7 +423,7 @@
         let carried = self.carry(now, orders);
         if self.witness.is_some() {
             let refused = self.guard.counts().values().sum::<u64>() - refused;
-            let turn = witness::turned(self, &carried.0, refused);
+            let turn = recording::turned(self, &carried.0, refused);
             self.note(|| turn);
         }
         carried
@@ -528,7 +528,7 @@
         deeds: &mut Vec<Deed>,
         ordered: &mut Ordered,
     ) {
-        let names = tables::Names {
+        let names = published_tables::Names {
             server: &|s| self.servers.name(s).map_or("?", String::as_str),
             address: &|s| self.addresses.get(&s).map(SocketAddr::to_string).unwrap_or_default(),
             class: &|c| self.fleet.classes.get(c).map_or("?", |class| class.name.as_str()),
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,6 +1,6 @@
 //! An operator's NETCONF client: one session, operations one after the other, answers waited for.
 
-use crate::papers::{server_name, Terms, PLANNER};
+use crate::tls_credentials::{server_name, Terms, PLANNER};
 use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn};
 use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
 use runloom_netconf::tree::Element;
--- a/crates/daemon/src/desk.rs
+++ b/crates/daemon/src/config_service.rs
@@ -1,11 +1,11 @@
 //! The planner's datastore behind NETCONF: what is accepted, by whom, under which id. Free of I/O: the shell
 //! writes what [`Desk::unsaved`] gives to disk before any reply leaves, and takes it back where it can't.
 
-use crate::papers::Holder;
+use crate::tls_credentials::Holder;
 use runloom_guard::edit as guard;
 use runloom_identity::access::{decide, Action, Audit, Entry, Rule};
 use runloom_identity::id::Id;
-use runloom_inventory::ledger::{self, Ledger};
+use runloom_inventory::edit_history::{self, Ledger};
 use runloom_inventory::merged;
 use runloom_model::fleet::{misfit, Fleet, Listed, Misfit};
 use runloom_model::schema::{derive, Judge};
@@ -70,7 +70,7 @@
     top(data, "fleet").map(|f| f.children.as_slice()).unwrap_or_default()
 }
 
-fn noted(e: &ledger::Edit) -> Noted {
+fn noted(e: &edit_history::Edit) -> Noted {
     Noted { id: e.id.clone(), who: e.who.clone(), digest: e.digest.clone(), accepted: e.accepted }
 }
 
@@ -447,9 +447,9 @@
     fn known(&self, edit_id: &str, content: &str) -> Known {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
         match self.ledger.known(edit_id, &digest) {
-            ledger::Known::New => Known::New,
-            ledger::Known::Same => Known::Same,
-            ledger::Known::Other => Known::Other,
+            edit_history::Known::New => Known::New,
+            edit_history::Known::Same => Known::Same,
+            edit_history::Known::Other => Known::Other,
         }
     }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,17 +1,17 @@
 //! The program's shells: sockets, files and clocks round the cores. Nothing here decides on servers.
 
 pub mod client;
-pub mod desk;
-pub mod forwarder;
+pub mod config_service;
+pub mod proxy_runtime;
 pub mod http;
-pub mod keeper;
-pub mod papers;
-pub mod planner;
-pub mod platform;
-mod proxies;
+pub mod persistence;
+pub mod tls_credentials;
+pub mod planner_runtime;
+pub mod platform_runtime;
+mod proxy_sessions;
 pub mod run;
 pub mod settings;
-pub mod shelf;
+pub mod state_file;
 pub mod state;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -2,8 +2,8 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::papers::Terms;
-use runloom_daemon::planner::{Trial, BUILD};
+use runloom_daemon::tls_credentials::Terms;
+use runloom_daemon::planner_runtime::{Trial, BUILD};
 use runloom_daemon::settings::read;
 use runloom_daemon::state;
 use runloom_daemon::{run, wall_ms};
@@ -226,7 +226,7 @@
     }
     let outcome = match line.command {
         Command::Planner { settings, seed } => run::planner(&settings, seed, Trial::default()),
-        Command::Platform => runloom_daemon::platform::run(),
+        Command::Platform => runloom_daemon::platform_runtime::run(),
         Command::Forwarder { settings, seed } => run::forwarder(&settings, seed),
         Command::Check { files } => return check(&files),
         Command::Edit { to, id, file, drain, undrain, share, wait } => {
--- a/crates/daemon/src/keeper.rs
+++ b/crates/daemon/src/persistence.rs
@@ -1,7 +1,7 @@
 //! What outlasts the planner, written by a thread of its own: a disk that is slow holds up no turn. One batch of edits is
 //! on its way at a time; the next one gathers meanwhile, so that many edits share one sync.
 
-use crate::planner::Failed;
+use crate::planner_runtime::Failed;
 use runloom_event_loop::Waker;
 use runloom_store::accepted::{Accepted, Patch};
 use runloom_store::disk::{Folder, Lock};
--- a/crates/daemon/src/planner.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -1,11 +1,11 @@
 //! The planner's shell: staff's sessions, proxies that called home, probes; one driver, one desk, one loop.
 
-use crate::desk::{schema, Desk};
+use crate::config_service::{schema, Desk};
 use crate::http::{write_answer, Reader};
-use crate::keeper::{Done, Found, Keeper};
-use crate::papers::{server_name, Holder, Terms, PROXY};
-use crate::proxies::{Bodies, Home, Joined, Stream};
-use crate::shelf::Shelf;
+use crate::persistence::{Done, Found, Keeper};
+use crate::tls_credentials::{server_name, Holder, Terms, PROXY};
+use crate::proxy_sessions::{Bodies, Home, Joined, Stream};
+use crate::state_file::Shelf;
 use crate::{earliest, wall_ms, wall_text};
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
@@ -16,7 +16,7 @@
 use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
 use runloom_guard::refusal::Refusal;
 use runloom_identity::access::Action;
-use runloom_inventory::ledger::Ledger;
+use runloom_inventory::edit_history::Ledger;
 use runloom_inventory::{Change, Roster};
 use runloom_model::fleet::{Fleet, Place};
 use runloom_model::{FLEET, STATE, YANG};
@@ -52,7 +52,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Papers(#[from] crate::papers::Unusable),
+    Papers(#[from] crate::tls_credentials::Unusable),
     #[error("{0}")]
     Data(String),
 }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -4,10 +4,10 @@
 use crate::{earliest, wall_ms};
 use runloom_controller::HealthCheckResult;
 use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn};
-use runloom_platform_protocol::discovery;
-use runloom_platform_protocol::probe::{self, Ending, Probe};
-use runloom_platform_protocol::station::{Station, Told};
-use runloom_platform_protocol::watching::Watching;
+use runloom_platform_protocol::endpoint_list;
+use runloom_platform_protocol::health_check::{self, Ending, Probe};
+use runloom_platform_protocol::bootstrap::{Station, Told};
+use runloom_platform_protocol::endpoint_watch::Watching;
 use runloom_platform_protocol::{Deed, Platform};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::{BTreeMap, VecDeque};
@@ -88,7 +88,7 @@
 impl Shell {
     /// `None`: a signal ended it before there was an address to listen on.
     fn start(mut turn: Turn, file: PathBuf, station: &Station) -> Result<Option<Shell>, String> {
-        let room = station.bounds.sockets.saturating_sub(OWN + probe::AT_ONCE + ACCEPTS);
+        let room = station.bounds.sockets.saturating_sub(OWN + health_check::AT_ONCE + ACCEPTS);
         turn.accepts = ACCEPTS;
         let bounds = Bounds { unread: UNREAD_MOST, connections: usize::MAX, ..Bounds::default() };
         let mut told = Duration::ZERO;
@@ -155,7 +155,7 @@
         deeds.into_iter().for_each(|deed| self.carry_out(deed));
         self.ask();
         self.turn.hold_listener(self.listener, self.platform.is_full());
-        let probes = self.probes.values().map(|p| p.since + probe::PATIENCE).min();
+        let probes = self.probes.values().map(|p| p.since + health_check::PATIENCE).min();
         let unread = self.unread.as_ref().map(|unread| unread.next);
         let until = earliest([self.platform.wake(), Some(self.watching.wake()), probes, unread]);
         let happened = self.turn.wait(until.map(|at| at.saturating_sub(BEFORE)))?;
@@ -213,18 +213,18 @@
 
     /// Sends the probes that there is room for.
     fn ask(&mut self) {
-        while self.probes.len() < probe::AT_ONCE {
+        while self.probes.len() < health_check::AT_ONCE {
             let Some((ticket, to)) = self.asked.pop_front() else { return };
             self.dial(Probe::new(ticket, to, self.now()));
         }
     }
 
     fn dial(&mut self, probe: Probe) {
-        let bounds = Bounds { handshake: probe::PATIENCE * 2, ..Bounds::default() };
+        let bounds = Bounds { handshake: health_check::PATIENCE * 2, ..Bounds::default() };
         match self.turn.dial(probe.to, &Security::Plain, bounds) {
             Ok(conn) => {
                 // What is written before the connection stands goes out with it.
-                self.turn.write(conn, &probe::query(probe.to, self.platform.with_load()));
+                self.turn.write(conn, &health_check::query(probe.to, self.platform.with_load()));
                 self.probes.insert(conn, probe);
             }
             // No descriptor, or no way at all from here: that says nothing about the server.
@@ -234,7 +234,7 @@
 
     fn look_at_probes(&mut self) {
         let looked = self.looked();
-        let late = |p: &Probe| looked >= p.since + probe::PATIENCE;
+        let late = |p: &Probe| looked >= p.since + health_check::PATIENCE;
         let late: Vec<(Conn, Ending)> =
             self.probes.iter().filter(|(_, p)| late(p)).map(|(conn, p)| (*conn, p.late())).collect();
         late.into_iter().for_each(|(conn, ending)| self.probed(conn, ending));
@@ -271,7 +271,7 @@
             let at = self.watching.at;
             let conn = self.turn.dial(at, &Security::Plain, Bounds::default()).ok();
             if let Some(conn) = conn {
-                self.turn.write(conn, &discovery::watch(&at.to_string(), self.platform.revision()));
+                self.turn.write(conn, &endpoint_list::watch(&at.to_string(), self.platform.revision()));
             }
             self.watching.dialled(conn, now);
         }
--- a/crates/daemon/src/forwarder.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -1,7 +1,7 @@
 //! The forwarder's shell: queries in and out by HTTP/1.1, tables by NETCONF from a planner that it dials.
 
 use crate::http::{write_answer, write_query, Bad, Message, Reader};
-use crate::papers::{server_name, Holder, Terms, Unusable, PLANNER};
+use crate::tls_credentials::{server_name, Holder, Terms, Unusable, PLANNER};
 use crate::{earliest, wall_ms, wall_text};
 use nanorand::{Rng, WyRand};
 use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
--- a/crates/daemon/src/proxies.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -1,8 +1,8 @@
 //! Proxies at a planner, on either front: those that called home and are edited, and those that subscribe. What they
 //! are told and what is in force at them is the front's core matter; here are their connections.
 
-use crate::papers::Holder;
-use crate::planner::{Peer, Planner};
+use crate::tls_credentials::Holder;
+use crate::planner_runtime::{Peer, Planner};
 use crate::wall_ms;
 use runloom_distribution::doubt::Verdict;
 use runloom_distribution::{Newcomer, Out, Way};
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,7 +1,7 @@
 //! Starting a planner or a forwarder from its settings file, until a signal ends it.
 
-use crate::forwarder::Forwarder;
-use crate::planner::{Planner, Trial};
+use crate::proxy_runtime::Forwarder;
+use crate::planner_runtime::{Planner, Trial};
 use crate::settings::{read, Settings};
 use crate::wall_ms;
 use runloom_event_loop::Turn;
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -1,6 +1,6 @@
 //! `runloom state`: the folder of a planner, for operators. Only `prune` writes, and only where no planner runs.
 
-use crate::keeper::{accepted, EDITS, LEARNED, ROSTER};
+use crate::persistence::{accepted, EDITS, LEARNED, ROSTER};
 use crate::wall_ms;
 use runloom_store::disk::{Folder, Lock};
 use runloom_store::learned::Book;
--- a/crates/daemon/tests/endings.rs
+++ b/crates/daemon/tests/endings.rs
@@ -4,7 +4,7 @@
 mod help;
 
 use help::*;
-use runloom_platform_protocol::frame::write;
+use runloom_platform_protocol::framing::write;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/daemon/tests/help/mod.rs
+++ b/crates/daemon/tests/help/mod.rs
@@ -3,7 +3,7 @@
 // Each file of tests uses its part.
 #![allow(dead_code)]
 
-use runloom_platform_protocol::frame::{write, Reader, MESSAGE_MOST};
+use runloom_platform_protocol::framing::{write, Reader, MESSAGE_MOST};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -3,7 +3,7 @@
 mod help;
 
 use help::*;
-use runloom_platform_protocol::frame::write;
+use runloom_platform_protocol::framing::write;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/event-log/src/folder.rs
+++ b/crates/event-log/src/folder.rs
@@ -1,7 +1,7 @@
 //! The folder of a record: one open journal, closed segments, and how many of them are kept.
 
 use crate::entry::{Entry, Happened};
-use crate::{columns, frames};
+use crate::{columns, framing};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -52,7 +52,7 @@
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
     #[error("{0}: {1}")]
-    Journal(PathBuf, frames::Unreadable),
+    Journal(PathBuf, framing::Unreadable),
     #[error("{0}: {1}")]
     Columns(PathBuf, columns::Unusable),
 }
@@ -87,7 +87,7 @@
     }
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes).map_err(io)?;
-    let read = frames::read(&bytes).map_err(|e| Unreadable::Journal(segment.path.clone(), e))?;
+    let read = framing::read(&bytes).map_err(|e| Unreadable::Journal(segment.path.clone(), e))?;
     Ok((read.entries, read.torn))
 }
 
@@ -165,9 +165,9 @@
         }
         if self.untold > 0 {
             let lost = Entry { at, what: Happened::Lost { entries: std::mem::take(&mut self.untold) } };
-            let _ = frames::push(&lost, &mut self.waiting);
+            let _ = framing::push(&lost, &mut self.waiting);
         }
-        if frames::push(&Entry { at, what }, &mut self.waiting).is_err() {
+        if framing::push(&Entry { at, what }, &mut self.waiting).is_err() {
             (self.untold, self.lost) = (self.untold + 1, self.lost + 1);
         }
     }
@@ -194,8 +194,8 @@
         if self.file.is_none() {
             let path = self.folder.join(format!("{:08}.journal", self.number));
             let mut file = OpenOptions::new().create_new(true).append(true).open(path)?;
-            file.write_all(&frames::head())?;
-            self.written = frames::head().len() as u64;
+            file.write_all(&framing::head())?;
+            self.written = framing::head().len() as u64;
             self.file = Some(file);
         }
         let Some(file) = &mut self.file else { return Ok(()) };
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod columns;
 pub mod entry;
 pub mod folder;
-pub mod frames;
+pub mod framing;
 pub mod writer;
 
 pub use entry::{Entry, Happened};
--- a/crates/event-log/src/tests.rs
+++ b/crates/event-log/src/tests.rs
@@ -1,6 +1,6 @@
 use crate::entry::*;
 use crate::folder::{close, day, each, read, segments, Recorder, Segment, Terms};
-use crate::{columns, frames};
+use crate::{columns, framing};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
 }
 
 fn journal(entries: &[Entry]) -> Vec<u8> {
-    let mut bytes = frames::head();
-    entries.iter().for_each(|e| frames::push(e, &mut bytes).unwrap());
+    let mut bytes = framing::head();
+    entries.iter().for_each(|e| framing::push(e, &mut bytes).unwrap());
     bytes
 }
 
@@ -46,9 +46,9 @@
     #[test]
     fn any_bytes_are_read_without_a_panic(mut bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..600), head: bool) {
         if head {
-            bytes.splice(0..0, frames::head());
+            bytes.splice(0..0, framing::head());
         }
-        if let Ok(read) = frames::read(&bytes) {
+        if let Ok(read) = framing::read(&bytes) {
             proptest::prop_assert_eq!(read.whole + read.torn, bytes.len());
         }
         let mut file = Vec::new();
@@ -101,7 +101,7 @@
     let bytes = journal(&all);
     let ends: Vec<usize> = (0..=9).map(|k| journal(&all[..k]).len()).collect();
     for cut in 0..=bytes.len() {
-        let read = frames::read(&bytes[..cut]).unwrap();
+        let read = framing::read(&bytes[..cut]).unwrap();
         let whole = ends.iter().filter(|e| **e <= cut).count().saturating_sub(1);
         assert_eq!(read.entries, all[..whole], "cut at {cut}");
         assert_eq!(read.torn, cut - if cut >= ends[0] { ends[whole] } else { 0 });
@@ -113,10 +113,10 @@
 fn a_flipped_byte_is_found_out_and_nothing_before_it_is_lost() {
     let all = entries(6);
     let bytes = journal(&all);
-    for place in frames::head().len()..bytes.len() {
+    for place in framing::head().len()..bytes.len() {
         let mut bad = bytes.clone();
         bad[place] ^= 0x40;
-        let read = frames::read(&bad).unwrap();
+        let read = framing::read(&bad).unwrap();
         let before = (0..=6).rev().find(|k| journal(&all[..*k]).len() <= place).unwrap();
         assert_eq!(read.entries, all[..before], "flipped at {place}");
     }
@@ -126,8 +126,8 @@
 fn another_version_and_what_is_no_journal_are_refused_and_named() {
     let mut bytes = journal(&entries(1));
     bytes[8] = 9;
-    assert_eq!(frames::read(&bytes), Err(frames::Unreadable::Version(9)));
-    assert_eq!(frames::read(b"something else altogether"), Err(frames::Unreadable::NoJournal));
+    assert_eq!(framing::read(&bytes), Err(framing::Unreadable::Version(9)));
+    assert_eq!(framing::read(b"something else altogether"), Err(framing::Unreadable::NoJournal));
 }
 
 #[test]
@@ -234,9 +234,9 @@
 fn an_older_version_is_read_and_an_unknown_one_named() {
     let mut bytes = journal(&entries(30));
     bytes[8..12].copy_from_slice(&OLDEST.to_le_bytes());
-    assert_eq!(frames::read(&bytes).unwrap().entries, entries(30));
+    assert_eq!(framing::read(&bytes).unwrap().entries, entries(30));
     for version in [0, VERSION + 1] {
         bytes[8..12].copy_from_slice(&version.to_le_bytes());
-        assert_eq!(frames::read(&bytes).unwrap_err(), frames::Unreadable::Version(version));
+        assert_eq!(framing::read(&bytes).unwrap_err(), framing::Unreadable::Version(version));
     }
 }
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -2,13 +2,13 @@
 //! feeds its cores and writes what they order. Plain and TLS connections look the same. A peer that does not
 //! read fills its own bounded buffer and then loses its connection, never the loop's time.
 
-mod line;
+mod connection;
 #[cfg(test)]
 mod tests;
 
 use hdrhistogram::Histogram;
-pub use line::Security;
-use line::{Line, Outcome};
+pub use connection::Security;
+use connection::{Line, Outcome};
 use polling::{Event, Events, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::BTreeMap;
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,7 +1,7 @@
 //! What servers there are: the feed's word and the operators' merged, and what changed. And the ledger of
 //! edits: what was asked, accepted, decided, and where it is in force.
 
-pub mod ledger;
+pub mod edit_history;
 
 use runloom_model::fleet::{Fleet, Listed};
 use std::collections::BTreeMap;
--- a/crates/inventory/src/tests.rs
+++ b/crates/inventory/src/tests.rs
@@ -1,4 +1,4 @@
-use super::ledger::{Known, Ledger, BEAT};
+use super::edit_history::{Known, Ledger, BEAT};
 use super::*;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeSet;
@@ -58,7 +58,7 @@
     let mut ledger = Ledger::default();
     ledger.accept(Some("a"), "staff", "d1", 5);
     assert_eq!(["d1", "d2", ""].map(|d| ledger.known("a", d)), [Known::Same, Known::Other, Known::Same]);
-    let noted = |e: &ledger::Edit| (e.id.clone(), e.who.clone(), e.digest.clone(), e.accepted);
+    let noted = |e: &edit_history::Edit| (e.id.clone(), e.who.clone(), e.digest.clone(), e.accepted);
     let kept = Ledger::of(ledger.edits().map(noted));
     assert_eq!((kept.known("a", "d1"), kept.known("b", "d1")), (Known::Same, Known::New));
 }
@@ -95,6 +95,6 @@
 #[test]
 fn a_full_ledger_forgets_the_oldest() {
     let mut ledger = Ledger::default();
-    (0..=ledger::KEPT_MOST).for_each(|k| _ = ledger.accept(Some(&k.to_string()), "staff", "d", 5));
+    (0..=edit_history::KEPT_MOST).for_each(|k| _ = ledger.accept(Some(&k.to_string()), "staff", "d", 5));
     assert_eq!((ledger.known("0", "d"), ledger.known("1", "d")), (Known::New, Known::Same));
 }
--- a/crates/netconf/src/lib.rs
+++ b/crates/netconf/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod edit;
 pub mod error;
 pub mod filter;
-pub mod frame;
+pub mod framing;
 pub mod service;
 pub mod session;
 pub mod tree;
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -1,7 +1,7 @@
 //! One side of one session, free of I/O: bytes in, what was heard out; messages in, bytes out.
 
 use crate::error::{Layer, RpcError, Tag};
-use crate::frame::{frame, Deframer};
+use crate::framing::{frame, Deframer};
 use crate::tree::Element;
 use crate::{BASE, BASE_1_0, BASE_1_1, NOTIFY};
 
@@ -122,7 +122,7 @@
                 Ok(Some(message)) => message,
                 Err(torn) => {
                     let tag =
-                        if torn == crate::frame::Torn::TooBig { Tag::TooBig } else { Tag::MalformedMessage };
+                        if torn == crate::framing::Torn::TooBig { Tag::TooBig } else { Tag::MalformedMessage };
                     self.refuse(tag, &torn.to_string());
                     return Err(Broken(torn.to_string()));
                 }
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use runloom_netconf::edit::{apply, Kind, Operation, Schema};
 use runloom_netconf::error::RpcError;
-use runloom_netconf::frame::{frame, Deframer, Torn};
+use runloom_netconf::framing::{frame, Deframer, Torn};
 use runloom_netconf::service::{Access, Answer, Change, Host, Known, Limits, Service};
 use runloom_netconf::session::{Bounds, Heard, Role, Rpc, Session};
 use runloom_netconf::tree::Element;
--- a/crates/platform-protocol/src/watching.rs
+++ b/crates/platform-protocol/src/endpoint_watch.rs
@@ -1,8 +1,8 @@
 //! The watch of discovery over its connections: which one is read, when it is given up, and when the next is
 //! dialled. What an earlier one wrote counts as told as well, so it is read to its end.
 
-use crate::clients::Conn;
-use crate::discovery::{Unreadable, Watch, FIRST_WAIT, REDIAL, SILENCE_MOST};
+use crate::session::Conn;
+use crate::endpoint_list::{Unreadable, Watch, FIRST_WAIT, REDIAL, SILENCE_MOST};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -3,27 +3,27 @@
 //! [`runloom_controller::Controller`]; what is settled here is the protocol's own: framing, who may stay, when the other
 //! side is taken for dead.
 
-pub mod clients;
-pub mod discovery;
-pub mod frame;
+pub mod session;
+pub mod endpoint_list;
+pub mod framing;
 pub mod message;
-pub mod probe;
-pub mod station;
-pub mod stream;
-pub mod watching;
+pub mod health_check;
+pub mod bootstrap;
+pub mod table_sync;
+pub mod endpoint_watch;
 
-use clients::{Clients, Conn, Who};
-use discovery::{List, Unreadable};
+use session::{Clients, Conn, Who};
+use endpoint_list::{List, Unreadable};
 use message::{Message, Names, Spoilt};
-use probe::Ending;
+use health_check::Ending;
 use runloom_controller::Controller;
 use runloom_controller::{Command, EndpointUpdate, Event, ProxyId, ServerId};
-use station::Station;
+use bootstrap::Station;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::time::Duration;
-use stream::Streams;
+use table_sync::Streams;
 
 /// Reports of a server come some seconds late; after these its index may be another's.
 const SPENT_FOR: Duration = Duration::from_secs(10);
@@ -239,7 +239,7 @@
 
     fn say(&mut self, conn: Conn, body: &[u8]) {
         let mut bytes = Vec::new();
-        frame::write(&mut bytes, body);
+        framing::write(&mut bytes, body);
         self.deeds.push(Deed::Write { conn, bytes });
     }
 
--- a/crates/platform-protocol/src/clients.rs
+++ b/crates/platform-protocol/src/session.rs
@@ -1,6 +1,6 @@
 //! Who is connected: newcomers, collectors and streams; who may stay, for how long, and how many.
 
-use crate::frame::{Reader, FIRST_MOST, MESSAGE_MOST};
+use crate::framing::{Reader, FIRST_MOST, MESSAGE_MOST};
 use runloom_controller::{ProxyId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/platform-protocol/src/stream.rs
+++ b/crates/platform-protocol/src/table_sync.rs
@@ -1,7 +1,7 @@
 //! What each proxy was told: the tables as they were ordered, which of them each proxy is on, and one message
 //! a proxy and turn, in parts. Nothing is decided here, and nothing merged or held back.
 
-use crate::frame;
+use crate::framing;
 use crate::message::Names;
 use runloom_controller::{ClassId, Command, ProxyId, RetryPolicy, ServerId, TableId};
 use serde::Serialize;
@@ -308,7 +308,7 @@
         for (k, piece) in pieces.iter().enumerate() {
             let written = self.written(piece, k + 1 < pieces.len(), names);
             // Strings and finite numbers always have a form.
-            frame::write(&mut out, &serde_json::to_vec(&written).unwrap_or_default());
+            framing::write(&mut out, &serde_json::to_vec(&written).unwrap_or_default());
         }
         out
     }
--- a/crates/platform-protocol/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -2,13 +2,13 @@
 mod endings;
 
 use super::*;
-use crate::clients::{Clients, JOIN_WITHIN};
-use crate::discovery::Watch;
-use crate::frame::{Reader, Unreadable, FIRST_MOST, MESSAGE_MOST};
+use crate::session::{Clients, JOIN_WITHIN};
+use crate::endpoint_list::Watch;
+use crate::framing::{Reader, Unreadable, FIRST_MOST, MESSAGE_MOST};
 use crate::message::read;
-use crate::probe::{Answer, Probe};
-use crate::station::Told;
-use crate::stream::Part;
+use crate::health_check::{Answer, Probe};
+use crate::bootstrap::Told;
+use crate::table_sync::Part;
 use proptest::prelude::*;
 use runloom_controller::endpoint::HealthState;
 use runloom_controller::{EjectionReport, HealthCheckResult, ListedState, RetryPolicy};
@@ -30,7 +30,7 @@
 
 fn framed(messages: &[Value]) -> Vec<u8> {
     let mut out = Vec::new();
-    messages.iter().for_each(|m| frame::write(&mut out, m.to_string().as_bytes()));
+    messages.iter().for_each(|m| framing::write(&mut out, m.to_string().as_bytes()));
     out
 }
 
--- a/crates/platform-protocol/src/tests/doors.rs
+++ b/crates/platform-protocol/src/tests/doors.rs
@@ -131,7 +131,7 @@
     join(&mut platform, 1, 7, START);
     let mut bytes = Vec::new();
     // Guards against a stream ended by the planner, which does not count as left, for one field.
-    frame::write(&mut bytes, br#"{"t":"RATE","id":7,"lane":"lookup","count":1e999,"fail":0,"over":9.0}"#);
+    framing::write(&mut bytes, br#"{"t":"RATE","id":7,"lane":"lookup","count":1e999,"fail":0,"over":9.0}"#);
     bytes.extend(framed(&[
         json!({"t": "RATE", "id": 7, "lane": "lookup", "count": 1, "fail": 0, "over": 9.0}),
     ]));
@@ -142,7 +142,7 @@
     for body in [&b"{\"t\":1e999,}"[..], b"{\"t\":\"\xff\"}", b"[1e999]"] {
         let mut reader = Reader::new(MESSAGE_MOST);
         let mut bytes = Vec::new();
-        frame::write(&mut bytes, body);
+        framing::write(&mut bytes, body);
         reader.push(&bytes);
         assert_eq!(reader.next_message(), Err(Unreadable::Body));
     }
--- a/crates/platform-protocol/src/tests/endings.rs
+++ b/crates/platform-protocol/src/tests/endings.rs
@@ -1,8 +1,8 @@
 //! Endings: of connections, watches, probes and times. Each test forces one bad order.
 
 use super::*;
-use crate::discovery::{FIRST_WAIT, REDIAL, SILENCE_MOST};
-use crate::watching::Watching;
+use crate::endpoint_list::{FIRST_WAIT, REDIAL, SILENCE_MOST};
+use crate::endpoint_watch::Watching;
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -4,8 +4,8 @@
 //! `UPDATE_SNAPSHOTS=1` writes the snapshot anew.
 
 use runloom_controller::HealthCheckResult;
-use runloom_platform_protocol::probe::Ending;
-use runloom_platform_protocol::station::{Station, Told};
+use runloom_platform_protocol::health_check::Ending;
+use runloom_platform_protocol::bootstrap::{Station, Told};
 use runloom_platform_protocol::{Deed, Platform};
 use serde_json::{json, Value};
 use std::fmt::Write;
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -1,7 +1,7 @@
 //! The same again: every turn's orders against those recorded.
 
 use crate::{at, fleet, set_out, turned, Unusable};
-use runloom_control_session::witness::call;
+use runloom_control_session::recording::call;
 use runloom_control_session::Driver;
 use runloom_event_log::entry::Sent;
 use runloom_event_log::{Entry, Happened};
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -3,7 +3,7 @@
 use crate::estimate::{Estimate, Flow, Service, Shares};
 use crate::force::Force;
 use crate::{at, fleet, set_out, turned, Unusable};
-use runloom_control_session::witness::call;
+use runloom_control_session::recording::call;
 use runloom_control_session::Driver;
 use runloom_event_log::entry::{Outcome, Sent};
 use runloom_event_log::{Entry, Happened};
--- a/crates/testbed/src/fronts.rs
+++ b/crates/testbed/src/fronts.rs
@@ -1,7 +1,7 @@
 //! Measurements of the two fronts: what telling costs, what slow subscribers do to others, and how long it takes until
 //! all are told again after a planner's restart.
 
-use crate::day::{Day, Fronts, Trouble};
+use crate::scenario::{Day, Fronts, Trouble};
 use crate::measure::{figure, sized, told_path, Told};
 use crate::world::World;
 use runloom_distribution::{Front, Newcomer, Out, Way};
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,8 +1,8 @@
 //! The rig's command line.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use runloom_daemon::planner::{Dies, Trial};
-use runloom_testbed::day;
+use runloom_daemon::planner_runtime::{Dies, Trial};
+use runloom_testbed::scenario;
 use runloom_testbed::world::{Outcomes, World};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -53,7 +53,7 @@
         fleet: Option<PathBuf>,
         /// How forwarders are told their tables.
         #[arg(long, value_enum, default_value_t)]
-        front: day::Fronts,
+        front: scenario::Fronts,
         /// Planners and forwarders have SPIFFE identities that live so many seconds, and get new ones at half of it.
         #[arg(long)]
         lives: Option<u64>,
@@ -105,7 +105,7 @@
         Command::Day { file, seed, report, keep, spoil, unguarded, fleet, front, lives } => {
             let mut trial: Vec<String> = spoil.map(|way| format!("--spoil={way}")).into_iter().collect();
             trial.extend(unguarded.then(|| "--unguarded".to_string()));
-            let day = read(&file, fleet).map(|day| day::Day {
+            let day = read(&file, fleet).map(|day| scenario::Day {
                 fronts: front,
                 lives: lives.map(Duration::from_secs),
                 ..day
@@ -117,7 +117,7 @@
         Command::Writes { folder } => runloom_testbed::measure::writes(&folder).map(|()| true),
         Command::Planner { settings, seed, dies, spoil, unguarded } => {
             let dies = dies.as_deref().and_then(Dies::named);
-            let spoil = spoil.as_deref().and_then(runloom_testbed::spoil::named);
+            let spoil = spoil.as_deref().and_then(runloom_testbed::command_corruption::named);
             let trial = Trial { dies, unguarded, spoil };
             runloom_daemon::run::planner(&settings, Some(seed), trial).map(|()| true)
         }
@@ -132,14 +132,14 @@
     }
 }
 
-fn read(name: &str, fleet: Option<PathBuf>) -> Result<day::Day, String> {
+fn read(name: &str, fleet: Option<PathBuf>) -> Result<scenario::Day, String> {
     let text = fleet.map(|f| std::fs::read_to_string(&f).map_err(|e| format!("{}: {e}", f.display())));
-    Ok(day::Day { fleet: text.transpose()?, ..day::read(name)? })
+    Ok(scenario::Day { fleet: text.transpose()?, ..scenario::read(name)? })
 }
 
 fn play(
     name: &str,
-    day: day::Day,
+    day: scenario::Day,
     seed: u64,
     report: Report,
     keep: Option<PathBuf>,
@@ -181,7 +181,7 @@
 
 fn again(folder: &std::path::Path, back: usize) -> Result<bool, String> {
     let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
-    let same = runloom_replay::exact::replay(&entries, runloom_daemon::planner::BUILD);
+    let same = runloom_replay::exact::replay(&entries, runloom_daemon::planner_runtime::BUILD);
     println!("{}", same.map_err(|e| e.to_string())?.digest);
     Ok(true)
 }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,18 +1,18 @@
 //! Measurements: one figure a line, `name value unit`. Sizes are told with the names.
 
-use crate::clients::Clients;
-use crate::day::{Day, Edit, Fronts};
+use crate::load_generator::Clients;
+use crate::scenario::{Day, Edit, Fronts};
 use crate::issuer::Issuer;
-use crate::servers::Servers;
+use crate::fake_servers::Servers;
 use crate::world::{Outcomes, World};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use runloom_daemon::desk::{schema, Desk};
-use runloom_daemon::forwarder::Forwarder;
-use runloom_daemon::papers::{Holder, PROXY};
+use runloom_daemon::config_service::{schema, Desk};
+use runloom_daemon::proxy_runtime::Forwarder;
+use runloom_daemon::tls_credentials::{Holder, PROXY};
 use runloom_event_loop::{Happened, Turn};
-use runloom_inventory::ledger::Ledger;
+use runloom_inventory::edit_history::Ledger;
 use runloom_model::fleet::{Class, Repeats};
 use runloom_model::forwarder::Stand;
 use runloom_model::FLEET;
@@ -418,7 +418,7 @@
     };
     let mut worst = Vec::new();
     // Four days at a time: each takes a small part of a core.
-    for ways in crate::spoil::NAMES.chunks(4) {
+    for ways in crate::command_corruption::NAMES.chunks(4) {
         let rows: Vec<Row> = std::thread::scope(|scope| {
             let days: Vec<_> = ways.iter().map(|way| scope.spawn(|| row(way))).collect();
             days.into_iter().map(|d| d.join().unwrap_or_else(|_| Err("a day panicked".into()))).collect()
@@ -445,7 +445,7 @@
     day.work = Duration::from_millis(40);
     // Cold for all of the day but the beginning, so that what pushes cold servers over can.
     day.warm = Duration::from_secs(10);
-    let trouble = |at: u64, kind: &str, count: usize, lasts: u64| crate::day::Trouble {
+    let trouble = |at: u64, kind: &str, count: usize, lasts: u64| crate::scenario::Trouble {
         at: Duration::from_secs(at),
         kind: kind.into(),
         count,
--- a/crates/testbed/src/pairs.rs
+++ b/crates/testbed/src/pairs.rs
@@ -1,7 +1,7 @@
 //! The check on the estimate: days played against stand-ins under their own setting and under others. What the
 //! record of the first says of the second, against what the second came to, on the same span.
 
-use crate::day::SHIPPED;
+use crate::scenario::SHIPPED;
 use runloom_event_log::{folder, Entry, Happened};
 use runloom_replay::other::{compare, Setting};
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -1,12 +1,12 @@
 //! Measurements of what outlasts a restart: what hints are worth when a planner starts again amid servers that fail,
 //! and what keeping edits costs.
 
-use crate::day::{Day, Fronts, Trouble};
+use crate::scenario::{Day, Fronts, Trouble};
 use crate::measure::{figure, sized, Told};
 use crate::world::{Outcomes, World};
 use runloom_daemon::client::Client;
-use runloom_daemon::keeper::{EDITS, LEARNED};
-use runloom_daemon::papers::Terms;
+use runloom_daemon::persistence::{EDITS, LEARNED};
+use runloom_daemon::tls_credentials::Terms;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
 use runloom_store::accepted::{pieces, Accepted, Noted, Patch};
@@ -185,7 +185,7 @@
     }
     let start = Instant::now();
     let (_, opened) = Store::open(Folder::open(&folder.join("keeping")).map_err(io)?, EDITS).map_err(told)?;
-    let accepted = runloom_daemon::keeper::accepted(&opened)?.ok_or("nothing was read back")?;
+    let accepted = runloom_daemon::persistence::accepted(&opened)?.ok_or("nothing was read back")?;
     figure("read_back_entries", opened.entries.len() as f64, "edits");
     figure("read_back", start.elapsed().as_secs_f64() * 1e3, "ms");
     if accepted.entries.len() != 544 {
--- a/crates/testbed/src/staff.rs
+++ b/crates/testbed/src/staff.rs
@@ -1,8 +1,8 @@
 //! The feed and the staff: NETCONF clients on threads of their own, one session after the other.
 
-use crate::day::Edit;
+use crate::scenario::Edit;
 use runloom_daemon::client::{edit_config, Client, Failed};
-use runloom_daemon::papers::Terms;
+use runloom_daemon::tls_credentials::Terms;
 use runloom_model::fleet::{Listed, Papers};
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -1,18 +1,18 @@
 //! One day on loopback: planners as processes of their own, forwarders, servers and clients on one loop,
 //! feed and staff on threads.
 
-use crate::check::{broken, Arrival, Evidence, Limits, Look};
-use crate::clients::{Clients, CLASSES};
-use crate::day::{Day, Fronts, Trouble};
+use crate::rule_checker::{broken, Arrival, Evidence, Limits, Look};
+use crate::load_generator::{Clients, CLASSES};
+use crate::scenario::{Day, Fronts, Trouble};
 use crate::issuer::Issuer;
-use crate::servers::{Health, Servers, COLD_FROM};
+use crate::fake_servers::{Health, Servers, COLD_FROM};
 use crate::staff::{self, List, Outcome, Shared};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use runloom_daemon::forwarder::Forwarder;
-use runloom_daemon::papers::{PLANNER, PROXY};
-use runloom_daemon::planner::Reachable;
+use runloom_daemon::proxy_runtime::Forwarder;
+use runloom_daemon::tls_credentials::{PLANNER, PROXY};
+use runloom_daemon::planner_runtime::Reachable;
 use runloom_daemon::wall_ms;
 use runloom_event_loop::{Conn, Happened, Turn, Why};
 use runloom_identity::access::{May, Rule, Whom};
@@ -219,7 +219,7 @@
 
 enum What {
     Trouble(Trouble),
-    Edit(crate::day::Edit),
+    Edit(crate::scenario::Edit),
     Start(Vec<usize>),
     Heal(Vec<usize>),
     Remove(Vec<usize>),
@@ -692,7 +692,7 @@
                 if let Some(between) = self.between {
                     between(&self.folder.join(format!("state-{planner}")));
                 }
-                let named = |of: &dyn Fn(&crate::servers::Server) -> bool| {
+                let named = |of: &dyn Fn(&crate::fake_servers::Server) -> bool| {
                     self.servers.all.iter().filter(|s| of(s)).map(|s| s.name.clone()).collect()
                 };
                 self.bad = [named(&|s| s.health != Health::Well), named(&|s| s.slow > 1.0)];
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use runloom_daemon::client::Client;
-use runloom_daemon::papers::Terms;
+use runloom_daemon::tls_credentials::Terms;
 use runloom_model::fleet::Papers;
 use runloom_testbed::issuer::Issuer;
 use runloom_testbed::world::{free, tls_xml, Process};
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -4,8 +4,8 @@
 
 use help::Desk;
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::forwarder::Forwarder;
-use runloom_daemon::papers::{server_name, Terms, PLANNER, PROXY};
+use runloom_daemon::proxy_runtime::Forwarder;
+use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
 use runloom_event_loop::{Bounds, Happened, Security, Turn};
 use runloom_identity::access::{May, Rule, Whom};
 use runloom_model::fleet::{Class, Papers, Repeats};
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -5,7 +5,7 @@
 
 use help::Desk;
 use runloom_daemon::client::edit_config;
-use runloom_daemon::papers::{server_name, Terms, PLANNER, PROXY};
+use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
 use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
 use runloom_model::order::{Came, Met, Report};
 use runloom_model::{FLEET, STATE};
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -4,11 +4,11 @@
 
 use help::{own, Desk, Folder};
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::papers::Terms;
+use runloom_daemon::tls_credentials::Terms;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
-use runloom_testbed::day::{Day, Edit, Fronts, Trouble};
+use runloom_testbed::scenario::{Day, Edit, Fronts, Trouble};
 use runloom_testbed::issuer::Issuer;
 use runloom_testbed::world::{Outcomes, World};
 use std::io::Write;
@@ -274,7 +274,7 @@
         let record = folder.0.join(format!("record-{planner}"));
         let days = runloom_event_log::folder::days(&record).unwrap();
         for (k, entries) in days.iter().enumerate() {
-            let same = runloom_replay::exact::replay(entries, runloom_daemon::planner::BUILD).unwrap();
+            let same = runloom_replay::exact::replay(entries, runloom_daemon::planner_runtime::BUILD).unwrap();
             assert_eq!(same.first, None, "{planner} {k}");
             assert!(same.turns > 10 && same.messages >= 3, "{same:?}");
             let back = (days.len() - 1 - k).to_string();
@@ -290,7 +290,7 @@
         assert_eq!((told.servers, told.edits.len()), (8, 1), "{told:?}");
         // The rig takes it.
         std::fs::write(folder.0.join("day.xml"), told.xml()).unwrap();
-        let read = runloom_testbed::day::read(&folder.0.join("day.xml").display().to_string()).unwrap();
+        let read = runloom_testbed::scenario::read(&folder.0.join("day.xml").display().to_string()).unwrap();
         assert_eq!((read.servers, read.troubles.len()), (8, told.troubles.len()));
     }
     assert_eq!(starts, 3);
