--- a/crates/control-session/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -21,13 +21,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use report_aggregator::Sums;
-pub use published_tables::Laid;
-use published_tables::Tables;
+use report_aggregator::ReportAggregator;
+pub use published_tables::PublishedTable;
+use published_tables::PublishedTables;
 
 /// What a shell has to do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Deed {
+pub enum Action {
     /// A table changed, or is whole as it is given; ahead of the orders that it goes out with.
     Table { table: TableId, edit: TableEdit },
     /// Servers that are out whatever tables say, or no longer.
@@ -35,7 +35,7 @@
     /// One order to one proxy, numbered from 1 on at each proxy. Proxies on the same tables share the message, which
     /// is what the order says; what goes out by it is the front's matter.
     Send { proxy: ProxyId, number: u64, message: Rc<Message>, lines: usize },
-    /// Ask the server how it is; the answer goes to [`Driver::probed`].
+    /// Ask the server how it is; the answer goes to [`ControlSession::probed`].
     Probe { server: ServerId, address: SocketAddr },
     /// A line for the log.
     Log { text: String },
@@ -43,14 +43,14 @@
 
 /// What one turn ordered, for the ledger.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ordered {
+pub struct IssuedUpdate {
     pub servers: BTreeSet<String>,
     pub proxies: Vec<(ProxyId, u64)>,
 }
 
 /// A message on its way.
 #[derive(Debug, Clone, Copy)]
-struct Flying {
+struct InFlightUpdate {
     number: u64,
     mark: Option<u16>,
     lines: usize,
@@ -62,7 +62,7 @@
 pub struct Member {
     pub zone: String,
     number: u64,
-    flying: VecDeque<Flying>,
+    flying: VecDeque<InFlightUpdate>,
     pub ordered_at: Option<Duration>,
     pub applied_at: Option<Duration>,
     pub report_at: Option<Duration>,
@@ -81,14 +81,14 @@
 }
 
 /// Changes orders before they are judged: for trials of the guard only.
-pub type Spoil = Box<dyn FnMut(Duration, &mut Vec<Command>)>;
+pub type CommandTamper = Box<dyn FnMut(Duration, &mut Vec<Command>)>;
 
 /// One planner and what it is joined to.
-pub struct Driver {
+pub struct ControlSession {
     guard: Guard,
     /// Without it orders go out unjudged: for trials only.
     pub guarded: bool,
-    pub spoil: Option<Spoil>,
+    pub spoil: Option<CommandTamper>,
     /// All calls and what came of them, for a record; empty unless it is wanted.
     pub witness: Option<Vec<(Duration, Happened)>>,
     clock: Duration,
@@ -101,9 +101,9 @@
     kinds: IdMap<String>,
     addresses: BTreeMap<ServerId, SocketAddr>,
     weights: BTreeMap<ServerId, f64>,
-    tables: Tables,
+    tables: PublishedTables,
     members: BTreeMap<ProxyId, Member>,
-    sums: Sums,
+    sums: ReportAggregator,
     happened: Vec<Event>,
     wakes: BinaryHeap<std::cmp::Reverse<(Duration, u64)>>,
     /// Milliseconds since 1970 at the clock's zero.
@@ -115,15 +115,15 @@
     pub most_waiting: usize,
 }
 
-impl Driver {
+impl ControlSession {
     /// Starts the decisions with the fleet's facts and the list as last held.
     ///
     /// `epoch` is the wall clock at `now` zero, milliseconds since 1970.
-    pub fn new(fleet: Fleet, seed: u64, epoch: u64) -> Driver {
+    pub fn new(fleet: Fleet, seed: u64, epoch: u64) -> ControlSession {
         let mut zones = IdMap::default();
         fleet.zones.iter().for_each(|(name, _)| _ = zones.index(name.clone()));
         let happened = vec![Event::Start { seed, config: Box::new(fleet.deployment_config()) }];
-        Driver {
+        ControlSession {
             guard: Guard::new(Terms::of(&fleet.deployment_config())),
             guarded: true,
             spoil: None,
@@ -131,7 +131,7 @@
             clock: Duration::ZERO,
             flows: BTreeMap::new(),
             controller: Controller::default(),
-            sums: Sums::new(fleet.report, fleet.report_lines),
+            sums: ReportAggregator::new(fleet.report, fleet.report_lines),
             fleet,
             servers: IdMap::default(),
             proxies: IdMap::default(),
@@ -139,7 +139,7 @@
             kinds: IdMap::default(),
             addresses: BTreeMap::new(),
             weights: BTreeMap::new(),
-            tables: Tables::default(),
+            tables: PublishedTables::default(),
             members: BTreeMap::new(),
             happened,
             wakes: BinaryHeap::new(),
@@ -181,7 +181,7 @@
     }
 
     /// The tables as ordered.
-    pub fn laid(&self) -> &BTreeMap<TableId, Laid> {
+    pub fn laid(&self) -> &BTreeMap<TableId, PublishedTable> {
         self.tables.laid()
     }
 
@@ -212,8 +212,8 @@
         self.flows.clear();
         self.zones = IdMap::default();
         self.fleet.zones.iter().for_each(|(name, _)| _ = self.zones.index(name.clone()));
-        self.sums = Sums::new(self.fleet.report, self.fleet.report_lines);
-        self.tables = Tables::default();
+        self.sums = ReportAggregator::new(self.fleet.report, self.fleet.report_lines);
+        self.tables = PublishedTables::default();
         self.wakes.clear();
         self.happened = vec![Event::Start { seed, config: Box::new(self.fleet.deployment_config()) }];
         true
@@ -391,14 +391,14 @@
         self.happened.push(Event::HealthChecked { server, result: found, elapsed: after, load });
     }
 
-    /// When [`Driver::turn`] wants to be called though nothing came.
+    /// When [`ControlSession::turn`] wants to be called though nothing came.
     pub fn wakes_at(&self) -> Option<Duration> {
         let wake = self.wakes.peek().map(|w| w.0 .0);
         [wake, self.sums.due()].into_iter().flatten().min()
     }
 
     /// Hands on all that happened, once, and gives what is to be done.
-    pub fn turn(&mut self, now: Duration) -> (Vec<Deed>, Ordered) {
+    pub fn turn(&mut self, now: Duration) -> (Vec<Action>, IssuedUpdate) {
         let now = whole(now);
         self.clock = now;
         while let Some(std::cmp::Reverse((at, token))) = self.wakes.peek().copied() {
@@ -412,7 +412,7 @@
         self.sums.hand_on(now, &mut self.happened);
         self.tell_guard(now, known);
         if self.happened.is_empty() {
-            return (vec![], Ordered::default());
+            return (vec![], IssuedUpdate::default());
         }
         let happened = std::mem::take(&mut self.happened);
         let mut orders = self.controller.step(LEAD + now, &happened);
@@ -473,8 +473,8 @@
         (judged.passed, judged.concerned)
     }
 
-    fn carry(&mut self, now: Duration, orders: Vec<Command>) -> (Vec<Deed>, Ordered) {
-        let (mut deeds, mut ordered, mut mark, mut all) = (vec![], Ordered::default(), None, false);
+    fn carry(&mut self, now: Duration, orders: Vec<Command>) -> (Vec<Action>, IssuedUpdate) {
+        let (mut deeds, mut ordered, mut mark, mut all) = (vec![], IssuedUpdate::default(), None, false);
         let (orders, concerned) = self.judged(now, orders);
         for order in orders {
             match order {
@@ -497,13 +497,13 @@
                 }
                 Command::CheckHealth { server } => {
                     let address = self.addresses.get(&server).copied();
-                    deeds.extend(address.map(|address| Deed::Probe { server, address }));
+                    deeds.extend(address.map(|address| Action::Probe { server, address }));
                 }
                 Command::SetTimer { after, token } => {
                     self.wakes.push(std::cmp::Reverse((now + after, token)))
                 }
                 Command::LogEjection(report) => {
-                    deeds.push(Deed::Log { text: report.log_line(self.server_name(report.server)) });
+                    deeds.push(Action::Log { text: report.log_line(self.server_name(report.server)) });
                 }
                 // The list comes unasked here, and planners have no peers.
                 Command::WatchEndpoints { .. } | Command::FetchEndpoints | Command::SendToPeer { .. } => {}
@@ -525,8 +525,8 @@
         now: Duration,
         mark: Option<u16>,
         also: &BTreeSet<ProxyId>,
-        deeds: &mut Vec<Deed>,
-        ordered: &mut Ordered,
+        deeds: &mut Vec<Action>,
+        ordered: &mut IssuedUpdate,
     ) {
         let names = published_tables::Names {
             server: &|s| self.servers.name(s).map_or("?", String::as_str),
@@ -535,20 +535,20 @@
         };
         let members: Vec<ProxyId> = self.members.keys().copied().collect();
         let (changed, withdrawn) = self.tables.changed(&names);
-        deeds.extend(changed.into_iter().map(|(table, edit)| Deed::Table { table, edit }));
+        deeds.extend(changed.into_iter().map(|(table, edit)| Action::Table { table, edit }));
         if !withdrawn.is_empty() {
-            deeds.push(Deed::Withdrawn { servers: withdrawn });
+            deeds.push(Action::Withdrawn { servers: withdrawn });
         }
         for (proxy, message, lines) in self.tables.take_messages(&members, also, &names) {
             let Some(member) = self.members.get_mut(&proxy) else { continue };
             member.number += 1;
             member.ordered_at = Some(now);
-            member.flying.push_back(Flying { number: member.number, mark, lines, sent: now });
+            member.flying.push_back(InFlightUpdate { number: member.number, mark, lines, sent: now });
             self.guard.sent(proxy, member.number);
             self.lines_sent += lines as u64;
             self.messages_sent += 1;
             ordered.proxies.push((proxy, member.number));
-            deeds.push(Deed::Send { proxy, number: member.number, message, lines });
+            deeds.push(Action::Send { proxy, number: member.number, message, lines });
         }
         self.most_waiting = self.most_waiting.max(self.lines_waiting());
     }
--- a/crates/control-session/src/published_tables.rs
+++ b/crates/control-session/src/published_tables.rs
@@ -9,7 +9,7 @@
 
 /// One table as ordered.
 #[derive(Debug, Clone, Default)]
-pub struct Laid {
+pub struct PublishedTable {
     pub lines: BTreeMap<ServerId, f64>,
     pub levels: BTreeMap<ClassId, Level>,
 }
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Bound {
+struct AssignedTables {
     by_class: BTreeMap<ClassId, TableId>,
     /// Bound since the last message: classes, and tables that go out whole.
     fresh: BTreeSet<ClassId>,
@@ -42,10 +42,10 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Tables {
-    laid: BTreeMap<TableId, Laid>,
+pub struct PublishedTables {
+    laid: BTreeMap<TableId, PublishedTable>,
     deltas: BTreeMap<TableId, Delta>,
-    bound: BTreeMap<ProxyId, Bound>,
+    bound: BTreeMap<ProxyId, AssignedTables>,
     withdrawn: BTreeSet<ServerId>,
     newly: BTreeMap<ServerId, bool>,
 }
@@ -53,13 +53,13 @@
 /// Stands for every table at once, as the orders have it.
 const EVERY: TableId = TableId::MAX;
 
-impl Tables {
-    pub fn laid(&self) -> &BTreeMap<TableId, Laid> {
+impl PublishedTables {
+    pub fn laid(&self) -> &BTreeMap<TableId, PublishedTable> {
         &self.laid
     }
 
     pub fn join(&mut self, proxy: ProxyId) {
-        self.bound.insert(proxy, Bound { first: true, ..Bound::default() });
+        self.bound.insert(proxy, AssignedTables { first: true, ..AssignedTables::default() });
     }
 
     pub fn left(&mut self, proxy: ProxyId) {
@@ -81,7 +81,7 @@
     }
 
     pub fn clear(&mut self, table: TableId) {
-        self.laid.insert(table, Laid::default());
+        self.laid.insert(table, PublishedTable::default());
         self.deltas.insert(table, Delta { cleared: true, ..Delta::default() });
     }
 
@@ -178,14 +178,14 @@
         edit(delta.cleared, delta.lines.iter(), delta.levels.iter(), names)
     }
 
-    fn bind_message(&self, bound: &Bound, on: &BTreeSet<TableId>, names: &Names) -> Message {
+    fn bind_message(&self, bound: &AssignedTables, on: &BTreeSet<TableId>, names: &Names) -> Message {
         let mut message = Message { whole: bound.first, ..Message::default() };
         for (class, table) in &bound.by_class {
             if bound.first || bound.fresh.contains(class) {
                 message.binds.insert((names.class)(*class).to_string(), *table);
             }
         }
-        let empty = Laid::default();
+        let empty = PublishedTable::default();
         for table in on {
             if bound.first || bound.laid.contains(table) {
                 let laid = self.laid.get(table).unwrap_or(&empty);
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -1,6 +1,6 @@
 //! The driver's calls in the record's words, and back.
 
-use crate::{Deed, Driver};
+use crate::{Action, ControlSession};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_event_log::entry::{self, Happened};
 use runloom_guard::command_text::command_text;
@@ -84,12 +84,12 @@
 }
 
 /// What a turn came to. Texts that many proxies share are told once.
-pub(crate) fn turned(driver: &Driver, deeds: &[Deed], refused: u64) -> Happened {
+pub(crate) fn turned(driver: &ControlSession, deeds: &[Action], refused: u64) -> Happened {
     let (mut texts, mut places, mut sent, mut probes, mut log) =
         (vec![], BTreeMap::new(), vec![], vec![], vec![]);
     for deed in deeds {
         match deed {
-            Deed::Send { proxy, number, message, lines } => {
+            Action::Send { proxy, number, message, lines } => {
                 let text = *places.entry(Rc::as_ptr(message) as usize).or_insert_with(|| {
                     texts.push(message.to_text());
                     texts.len() as u32 - 1
@@ -97,10 +97,10 @@
                 let proxy = driver.proxy_name(*proxy).to_string();
                 sent.push(entry::Sent { proxy, number: *number, text, lines: *lines as u32 });
             }
-            Deed::Probe { server, .. } => probes.push(driver.server_name(*server).to_string()),
+            Action::Probe { server, .. } => probes.push(driver.server_name(*server).to_string()),
             // Told by the orders that they come with.
-            Deed::Table { .. } | Deed::Withdrawn { .. } => {}
-            Deed::Log { text } => log.push(text.clone()),
+            Action::Table { .. } | Action::Withdrawn { .. } => {}
+            Action::Log { text } => log.push(text.clone()),
         }
     }
     // The newest refusals, as many as this turn had, each by its reason.
@@ -112,7 +112,7 @@
 }
 
 /// Makes the call that an entry tells of. A turn is not made here; false: the entry names what is not there.
-pub fn call(driver: &mut Driver, at: Duration, what: &Happened) -> bool {
+pub fn call(driver: &mut ControlSession, at: Duration, what: &Happened) -> bool {
     match what {
         Happened::Listed { whole, servers, gone } => {
             let mut changes: Vec<(String, Change)> = Vec::new();
--- a/crates/control-session/src/report_aggregator.rs
+++ b/crates/control-session/src/report_aggregator.rs
@@ -13,7 +13,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Sum {
+struct Aggregate {
     from: Duration,
     to: Duration,
     tries: u64,
@@ -24,28 +24,28 @@
 }
 
 #[derive(Debug)]
-pub struct Sums {
+pub struct ReportAggregator {
     period: Duration,
     /// Lines handed on at once, at the most.
     most: usize,
     next: Option<Duration>,
     /// One sum for each key that reports named: servers times zones, and proxies times classes, no more.
-    sums: BTreeMap<Key, Sum>,
+    sums: BTreeMap<Key, Aggregate>,
     order: VecDeque<Key>,
 }
 
-impl Sums {
-    pub fn new(period: Duration, lines_per_second: f64) -> Sums {
+impl ReportAggregator {
+    pub fn new(period: Duration, lines_per_second: f64) -> ReportAggregator {
         let period = period.max(Duration::from_millis(50));
         let most = (lines_per_second * period.as_secs_f64()).max(1.0) as usize;
-        Sums { period, most, next: None, sums: BTreeMap::new(), order: VecDeque::new() }
+        ReportAggregator { period, most, next: None, sums: BTreeMap::new(), order: VecDeque::new() }
     }
 
-    fn at(&mut self, key: Key, now: Duration, span: Duration) -> &mut Sum {
+    fn at(&mut self, key: Key, now: Duration, span: Duration) -> &mut Aggregate {
         self.next.get_or_insert(now + self.period);
         let sum = self.sums.entry(key).or_insert_with(|| {
             self.order.push_back(key);
-            Sum { from: now.saturating_sub(span), ..Sum::default() }
+            Aggregate { from: now.saturating_sub(span), ..Aggregate::default() }
         });
         sum.from = sum.from.min(now.saturating_sub(span));
         sum.to = now;
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -24,16 +24,16 @@
     })
 }
 
-fn driver() -> Driver {
+fn driver() -> ControlSession {
     let fleet = Fleet::read(&Element::parse(FLEET).unwrap()).unwrap();
-    let mut driver = Driver::new(fleet, 1, 0);
+    let mut driver = ControlSession::new(fleet, 1, 0);
     let list = (1..4).map(|k| (format!("s{k}"), server(k, false))).collect();
     driver.list(EndpointUpdate::Cached, list);
     driver
 }
 
-fn bodies(deeds: &[Deed]) -> Vec<String> {
-    let text = |d: &Deed| if let Deed::Send { message, .. } = d { Some(message.to_text()) } else { None };
+fn bodies(deeds: &[Action]) -> Vec<String> {
+    let text = |d: &Action| if let Action::Send { message, .. } = d { Some(message.to_text()) } else { None };
     deeds.iter().filter_map(text).collect()
 }
 
@@ -65,11 +65,11 @@
     driver.turn(ms(300));
     driver.list(EndpointUpdate::Delta, vec![("s2".into(), server(2, true))]);
     let (deeds, ordered) = driver.turn(ms(400));
-    let message = |d: &'_ Deed| if let Deed::Send { message, .. } = d { Some(message.clone()) } else { None };
+    let message = |d: &'_ Action| if let Action::Send { message, .. } = d { Some(message.clone()) } else { None };
     let shared: Vec<Rc<Message>> = deeds.iter().filter_map(message).collect();
     assert!(Rc::ptr_eq(&shared[0], &shared[1]));
-    let tables: Vec<&Deed> = deeds.iter().filter(|d| matches!(d, Deed::Table { .. })).collect();
-    assert!(matches!(tables[..], [Deed::Table { edit, .. }] if edit.lines["s2"].1 == 0.0), "{tables:?}");
+    let tables: Vec<&Action> = deeds.iter().filter(|d| matches!(d, Action::Table { .. })).collect();
+    assert!(matches!(tables[..], [Action::Table { edit, .. }] if edit.lines["s2"].1 == 0.0), "{tables:?}");
     let sent = bodies(&deeds);
     assert!(sent[0].contains("<line nc:operation=\"remove\"><server>s2</server></line>"), "{}", sent[0]);
     assert!(ordered.servers.contains("s2") && ordered.proxies.len() == 2);
@@ -100,7 +100,7 @@
 
 #[test]
 fn reports_of_a_zone_add_up_and_are_handed_on_by_period_the_oldest_first() {
-    let mut sums = Sums::new(ms(1000), 2.0);
+    let mut sums = ReportAggregator::new(ms(1000), 2.0);
     let met = Met { tries: 10, failed: 2, took: ms(100), ..Met::default() };
     sums.met(ms(1000), 0, 7, &met, ms(1000));
     sums.met(ms(1500), 0, 7, &met, ms(1000));
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,7 +1,7 @@
 //! An operator's NETCONF client: one session, operations one after the other, answers waited for.
 
 use crate::tls_credentials::{server_name, Terms, PLANNER};
-use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn};
+use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop};
 use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
@@ -24,8 +24,8 @@
 }
 
 pub struct Client {
-    turn: Turn,
-    conn: Conn,
+    turn: EventLoop,
+    conn: ConnectionId,
     session: Session,
     patience: Duration,
     notices: VecDeque<Element>,
@@ -35,9 +35,9 @@
 impl Client {
     /// Dials a planner, and waits until the session stands.
     pub fn open(to: SocketAddr, terms: &Terms, patience: Duration) -> Result<Client, Failed> {
-        let mut turn = Turn::new()?;
+        let mut turn = EventLoop::new()?;
         let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
-        let conn = turn.dial(to, &security, Bounds::default())?;
+        let conn = turn.dial(to, &security, BufferLimits::default())?;
         let session = Session::new(Role::Client, &[], SessionBounds::default());
         let (notices, terms) = (VecDeque::new(), terms.clone());
         let mut client = Client { turn, conn, session, patience, notices, terms };
@@ -60,7 +60,7 @@
             }
             for h in self.turn.wait(Some(end))? {
                 match h {
-                    Happened::Open { certificate, .. } => {
+                    IoEvent::Open { certificate, .. } => {
                         // Edits go to a planner and to nobody else, whoever has a certificate of the same authority.
                         let who = self.terms.holder(&certificate.unwrap_or_default());
                         if !who.is_ok_and(|who| who.planner) {
@@ -68,7 +68,7 @@
                             return Err(Failed::Ended("who answered is not that planner".into()));
                         }
                     }
-                    Happened::Bytes { bytes, .. } => {
+                    IoEvent::Bytes { bytes, .. } => {
                         for heard in self.session.take(&bytes).map_err(|b| Failed::Ended(b.to_string()))? {
                             if let Heard::Notified(event) = &heard {
                                 self.notices.push_back(event.clone());
@@ -76,7 +76,7 @@
                             found = found.or_else(|| wanted(&heard));
                         }
                     }
-                    Happened::Closed { why, .. } if found.is_none() => {
+                    IoEvent::Closed { why, .. } if found.is_none() => {
                         return Err(Failed::Ended(format!("{why:?}")))
                     }
                     _ => {}
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -5,7 +5,7 @@
 use runloom_guard::edit as guard;
 use runloom_identity::access::{decide, Action, Audit, Entry, Rule};
 use runloom_identity::id::Id;
-use runloom_inventory::edit_history::{self, Ledger};
+use runloom_inventory::edit_history::{self, EditHistory};
 use runloom_inventory::merged;
 use runloom_model::fleet::{misfit, Fleet, Listed, Misfit};
 use runloom_model::schema::{derive, Judge};
@@ -13,7 +13,7 @@
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, Host, Known};
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, Accepted, Noted, Patch};
+use runloom_store::accepted::{pieces, AcceptedState, AcceptedEdit, StatePatch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     /// The roster's entries, and the elements they were read from: unchanged ones are not read again.
     listed: BTreeMap<String, Listed>,
     read: BTreeMap<String, Arc<Element>>,
-    pub ledger: Ledger,
+    pub ledger: EditHistory,
     /// What a confirmed commit goes back to.
     before: Option<Arc<Element>>,
     /// As it is on disk.
@@ -70,8 +70,8 @@
     top(data, "fleet").map(|f| f.children.as_slice()).unwrap_or_default()
 }
 
-fn noted(e: &edit_history::Edit) -> Noted {
-    Noted { id: e.id.clone(), who: e.who.clone(), digest: e.digest.clone(), accepted: e.accepted }
+fn noted(e: &edit_history::Edit) -> AcceptedEdit {
+    AcceptedEdit { id: e.id.clone(), who: e.who.clone(), digest: e.digest.clone(), accepted: e.accepted }
 }
 
 fn same(a: &Element, b: &Element, name: &str) -> bool {
@@ -90,7 +90,7 @@
 
 impl Desk {
     /// Starts from a datastore that is valid; the error says why it is not.
-    pub fn new(data: Arc<Element>, ledger: Ledger) -> Result<Desk, String> {
+    pub fn new(data: Arc<Element>, ledger: EditHistory) -> Result<Desk, String> {
         let judge = Judge::new(FLEET_XSD)?;
         let fleet = top(&data, "fleet").ok_or("there is no <fleet>")?;
         if let Some(fault) = judge.faults(&fleet.to_text()).first() {
@@ -193,14 +193,14 @@
     }
 
     /// All that is to be kept, as it stands.
-    pub fn accepted(&self) -> Accepted {
+    pub fn accepted(&self) -> AcceptedState {
         let entries = fleet_of(&self.data).iter().map(|e| e.to_text()).collect();
         let before = self.before.as_ref().map(|b| fleet_of(b).iter().map(|e| e.to_text()).collect());
-        Accepted { entries, before, noted: self.ledger.edits().map(noted).collect() }
+        AcceptedState { entries, before, noted: self.ledger.edits().map(noted).collect() }
     }
 
     /// What must be on disk before anybody is told that it was accepted: one batch at a time.
-    pub fn unsaved(&mut self) -> Option<Patch> {
+    pub fn unsaved(&mut self) -> Option<StatePatch> {
         if !self.dirty || self.sent.is_some() {
             return None;
         }
@@ -214,7 +214,7 @@
             b.as_ref().map(|b| fleet_of(b).iter().map(|e| e.to_text()).collect::<Vec<_>>())
         };
         let ids = std::mem::take(&mut self.fresh_ids);
-        let patch = Patch {
+        let patch = StatePatch {
             pieces: (!same).then(|| pieces(new.iter().map(place))),
             noted: self.ledger.edits().filter(|e| ids.contains(&e.id)).map(noted).collect(),
             before: (before(&self.before) != before(&self.saved.2)).then(|| before(&self.before)),
@@ -447,9 +447,9 @@
     fn known(&self, edit_id: &str, content: &str) -> Known {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
         match self.ledger.known(edit_id, &digest) {
-            edit_history::Known::New => Known::New,
-            edit_history::Known::Same => Known::Same,
-            edit_history::Known::Other => Known::Other,
+            edit_history::EditLookup::New => Known::New,
+            edit_history::EditLookup::Same => Known::Same,
+            edit_history::EditLookup::Other => Known::Other,
         }
     }
 
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -3,9 +3,9 @@
 
 use crate::planner_runtime::Failed;
 use runloom_event_loop::Waker;
-use runloom_store::accepted::{Accepted, Patch};
+use runloom_store::accepted::{AcceptedState, StatePatch};
 use runloom_store::disk::{Folder, Lock};
-use runloom_store::learned::Book;
+use runloom_store::learned::LearnedServers;
 use runloom_store::{Layout, Store};
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender, TryRecvError};
@@ -21,9 +21,9 @@
 const WAITING_MOST: usize = 4;
 
 enum Task {
-    Edits(Box<Patch>),
+    Edits(Box<StatePatch>),
     Roster(String),
-    Learned(Book),
+    Learned(LearnedServers),
     /// Whether edits can be kept again.
     Try,
 }
@@ -47,30 +47,30 @@
 /// What was kept by an earlier start.
 #[derive(Debug, Default)]
 pub struct Found {
-    pub accepted: Option<Accepted>,
+    pub accepted: Option<AcceptedState>,
     pub roster: Option<String>,
-    pub learned: Option<Book>,
+    pub learned: Option<LearnedServers>,
 }
 
 struct Shelves {
     edits: Store<Folder>,
-    accepted: Accepted,
+    accepted: AcceptedState,
     roster: Store<Folder>,
     learned: Store<Folder>,
 }
 
-fn opened(folder: &Path, layout: Layout) -> Result<(Store<Folder>, runloom_store::Opened), Failed> {
-    let data = |e: runloom_store::Failed| Failed::Data(format!("{}: {e}", folder.display()));
+fn opened(folder: &Path, layout: Layout) -> Result<(Store<Folder>, runloom_store::OpenedState), Failed> {
+    let data = |e: runloom_store::StoreError| Failed::Data(format!("{}: {e}", folder.display()));
     let (store, opened) = Store::open(Folder::open(folder)?, layout).map_err(data)?;
     opened.notes.iter().for_each(|note| tracing::warn!(folder = %folder.display(), note, "read back"));
     Ok((store, opened))
 }
 
 /// All that edits came to, out of a snapshot and what came since.
-pub fn accepted(opened: &runloom_store::Opened) -> Result<Option<Accepted>, String> {
-    let mut accepted = opened.state.as_deref().map(Accepted::read).transpose()?;
+pub fn accepted(opened: &runloom_store::OpenedState) -> Result<Option<AcceptedState>, String> {
+    let mut accepted = opened.state.as_deref().map(AcceptedState::read).transpose()?;
     for entry in &opened.entries {
-        accepted.get_or_insert_default().take(Patch::read(entry)?)?;
+        accepted.get_or_insert_default().take(StatePatch::read(entry)?)?;
     }
     Ok(accepted)
 }
@@ -81,7 +81,7 @@
     pub fn open(
         folder: &Path,
         waker: Waker,
-        first: impl FnOnce(&mut Found) -> Result<Accepted, Failed>,
+        first: impl FnOnce(&mut Found) -> Result<AcceptedState, Failed>,
     ) -> Result<(Keeper, Found), Failed> {
         let lock = Lock::take(folder)?;
         let (edits, was) = opened(folder, EDITS)?;
@@ -90,7 +90,7 @@
         let mut found = Found { accepted: accepted(&was).map_err(Failed::Data)?, ..Found::default() };
         found.roster = list.state.and_then(|text| String::from_utf8(text).ok());
         // What was learned is a hint: one that cannot be read is none.
-        found.learned = book.state.and_then(|bytes| Book::read(&bytes).ok());
+        found.learned = book.state.and_then(|bytes| LearnedServers::read(&bytes).ok());
         let accepted = first(&mut found)?;
         let mut shelves = Shelves { edits, accepted, roster, learned };
         shelves.edits.snapshot(&shelves.accepted.write()).map_err(|e| Failed::Data(e.to_string()))?;
@@ -114,7 +114,7 @@
     }
 
     /// Keeps what a batch of edits changed; its end comes by [`Keeper::done`]. False: there is no room now.
-    pub fn edits(&self, patch: Patch) -> bool {
+    pub fn edits(&self, patch: StatePatch) -> bool {
         self.send(Task::Edits(Box::new(patch)))
     }
 
@@ -122,7 +122,7 @@
         self.send(Task::Roster(text))
     }
 
-    pub fn learned(&self, book: Book) -> bool {
+    pub fn learned(&self, book: LearnedServers) -> bool {
         self.send(Task::Learned(book))
     }
 
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    fn edit(&mut self, patch: Patch) -> Result<(), String> {
+    fn edit(&mut self, patch: StatePatch) -> Result<(), String> {
         self.sound()?;
         self.edits.append(&[patch.write()]).map_err(|e| e.to_string())?;
         // A patch is made of the list that was kept last: it fits.
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -9,21 +9,21 @@
 use crate::{earliest, wall_ms, wall_text};
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
-use runloom_control_session::{Deed, Driver, Spoil, LEAD};
+use runloom_control_session::{Action, ControlSession, CommandTamper, LEAD};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_distribution::{Front, Way};
 use runloom_event_log::{Happened as Recorded, Recorder, Writer};
-use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
+use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
 use runloom_guard::refusal::Refusal;
-use runloom_identity::access::Action;
-use runloom_inventory::edit_history::Ledger;
-use runloom_inventory::{Change, Roster};
+use runloom_identity::access::Action as RequestedAccess;
+use runloom_inventory::edit_history::EditHistory;
+use runloom_inventory::{Change, Inventory};
 use runloom_model::fleet::{Fleet, Place};
 use runloom_model::{FLEET, STATE, YANG};
 use runloom_netconf::service::{Limits, Service, CAPABILITIES};
 use runloom_netconf::session::{Bounds as SessionBounds, Broken, Heard, Role, Session};
 use runloom_netconf::tree::Element;
-use runloom_store::learned::{Book, Learned};
+use runloom_store::learned::{LearnedServers, LearnedServer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -83,10 +83,10 @@
 
 pub struct Planner {
     pub(crate) name: String,
-    pub(crate) driver: Driver,
+    pub(crate) driver: ControlSession,
     pub(crate) front: Front,
     pub(crate) desk: Desk,
-    roster: Roster,
+    roster: Inventory,
     service: Service,
     shelf: Shelf,
     keeper: Keeper,
@@ -95,10 +95,10 @@
     durable: u64,
     /// When what was learned is written down next, and what was last.
     learn_at: Duration,
-    book: Book,
+    book: LearnedServers,
     /// Microseconds that keeping a batch took.
     keeping: Histogram<u64>,
-    pub(crate) peers: BTreeMap<Conn, Peer>,
+    pub(crate) peers: BTreeMap<ConnectionId, Peer>,
     pub(crate) joined: BTreeMap<usize, Joined>,
     /// Published parts as text, as long as several proxies may get them.
     pub(crate) bodies: Bodies,
@@ -109,7 +109,7 @@
     listeners: Listeners,
     terms: Terms,
     /// Streams by identities: when each ends, and the certificate.
-    pub(crate) ends: BTreeMap<Conn, (Holder, Vec<u8>)>,
+    pub(crate) ends: BTreeMap<ConnectionId, (Holder, Vec<u8>)>,
     /// When one's own identity's end was last told of.
     warned: Option<Duration>,
     security: Security,
@@ -148,7 +148,7 @@
     pub dies: Option<Dies>,
     /// Orders go out unjudged.
     pub unguarded: bool,
-    pub spoil: Option<Spoil>,
+    pub spoil: Option<CommandTamper>,
 }
 
 impl Dies {
@@ -164,10 +164,10 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Listeners {
-    edits: Conn,
-    home: Conn,
-    pubsub: Option<Conn>,
-    metrics: Option<Conn>,
+    edits: ConnectionId,
+    home: ConnectionId,
+    pubsub: Option<ConnectionId>,
+    metrics: Option<ConnectionId>,
 }
 
 /// Where a planner can be reached; ports that were asked as 0 are told here.
@@ -181,7 +181,7 @@
 
 impl Planner {
     /// Starts on a loop: what was accepted before is taken from the folder, else the fleet of the settings.
-    pub fn start(turn: &mut Turn, place: &Place, seed: u64) -> Result<(Planner, Reachable), Failed> {
+    pub fn start(turn: &mut EventLoop, place: &Place, seed: u64) -> Result<(Planner, Reachable), Failed> {
         let shelf = Shelf::open(&place.folder)?;
         let terms = Terms::load(&place.papers)?;
         let mut desk = None;
@@ -195,29 +195,29 @@
         desk.rules.clone_from(&place.papers.rules);
         shelf.set_aside("accepted.xml")?;
         shelf.set_aside("roster.xml")?;
-        let staff = Bounds { idle: Some(STAFF_IDLE), connections: 64, ..Bounds::default() };
+        let staff = BufferLimits { idle: Some(STAFF_IDLE), connections: 64, ..BufferLimits::default() };
         let (edits, edits_at) = turn.listen(place.edits, Security::Answers(terms.answers.clone()), staff)?;
         // A proxy reports every period; one that is silent for several is gone without a word.
         let silence = (desk.fleet().report * 4).max(Duration::from_secs(3));
         // RFC 8071: who called home is the server; this side starts TLS.
         let security = Security::Starts(terms.starts.clone(), server_name(PROXY));
-        let proxies = Bounds { idle: Some(silence), ..Bounds::default() };
+        let proxies = BufferLimits { idle: Some(silence), ..BufferLimits::default() };
         let (home, home_at) = turn.listen(place.home, security.clone(), proxies)?;
         let pubsub = place.pubsub.map(|at| {
             // Its own silence is reckoned by the protocol; what waits to be read is a window of parts.
-            let bounds = Bounds { unread: 4 << 20, ..Bounds::default() };
+            let bounds = BufferLimits { unread: 4 << 20, ..BufferLimits::default() };
             turn.listen(at, Security::Answers(terms.answers.clone()), bounds)
         });
         let pubsub = pubsub.transpose()?;
         let metrics = place.metrics.map(|at| {
-            let bounds = Bounds { idle: Some(Duration::from_secs(10)), connections: 16, ..Bounds::default() };
+            let bounds = BufferLimits { idle: Some(Duration::from_secs(10)), connections: 16, ..BufferLimits::default() };
             turn.listen(at, Security::Plain, bounds)
         });
         let metrics = metrics.transpose()?;
         let epoch = wall_ms().saturating_sub(turn.now().as_millis() as u64);
         let front = Front::new(next_epoch(&shelf)?, desk.fleet().grace.drain, longest(desk.fleet()));
-        let mut driver = Driver::new(desk.fleet().clone(), seed, epoch);
-        let mut roster = Roster::default();
+        let mut driver = ControlSession::new(desk.fleet().clone(), seed, epoch);
+        let mut roster = Inventory::default();
         let known = roster.update(desk.fleet(), desk.listed());
         let record = open_record(place, &mut driver, &desk, seed, epoch)?;
         driver.list(EndpointUpdate::Cached, known);
@@ -274,7 +274,7 @@
     }
 
     /// Runs until it is told to stop.
-    pub fn run(&mut self, turn: &mut Turn) -> io::Result<()> {
+    pub fn run(&mut self, turn: &mut EventLoop) -> io::Result<()> {
         let mut end: Option<Duration> = None;
         loop {
             let happened = turn.wait(earliest([self.wakes_at(), end]))?;
@@ -285,7 +285,7 @@
             if self.stopping && end.is_none() {
                 tracing::info!("stopping: proxies keep their tables");
                 turn.close_listeners();
-                let conns: Vec<Conn> = self.peers.keys().copied().collect();
+                let conns: Vec<ConnectionId> = self.peers.keys().copied().collect();
                 conns.into_iter().for_each(|c| turn.finish(c));
                 end = Some(turn.now() + Duration::from_secs(2));
             }
@@ -311,21 +311,21 @@
         self.driver.spoil = trial.spoil;
     }
 
-    pub fn driver(&self) -> &Driver {
+    pub fn driver(&self) -> &ControlSession {
         &self.driver
     }
 
     /// Takes in one thing that happened.
-    pub fn happened(&mut self, turn: &mut Turn, happened: Happened) {
+    pub fn happened(&mut self, turn: &mut EventLoop, happened: IoEvent) {
         match happened {
-            Happened::Signal(_) => self.stopping = true,
-            Happened::Open { conn, listener, certificate } => self.opened(turn, conn, listener, certificate),
-            Happened::Bytes { conn, bytes } => self.bytes(turn, conn, &bytes),
-            Happened::Closed { conn, why } => self.closed(turn, conn, why),
+            IoEvent::Signal(_) => self.stopping = true,
+            IoEvent::Open { conn, listener, certificate } => self.opened(turn, conn, listener, certificate),
+            IoEvent::Bytes { conn, bytes } => self.bytes(turn, conn, &bytes),
+            IoEvent::Closed { conn, why } => self.closed(turn, conn, why),
         }
     }
 
-    fn opened(&mut self, turn: &mut Turn, conn: Conn, listener: Option<Conn>, certificate: Option<Vec<u8>>) {
+    fn opened(&mut self, turn: &mut EventLoop, conn: ConnectionId, listener: Option<ConnectionId>, certificate: Option<Vec<u8>>) {
         let who = certificate.as_deref().map(|c| self.terms.holder(c));
         let who = match who {
             Some(Err(why)) => {
@@ -357,7 +357,7 @@
             }
             (_, who) => {
                 if let Some((id, _)) = who.as_ref().and_then(|w| w.id.as_ref()) {
-                    self.desk.refused(id, Action::Join { name: id.name().unwrap_or_default() });
+                    self.desk.refused(id, RequestedAccess::Join { name: id.name().unwrap_or_default() });
                 }
                 tracing::warn!(?who, "turned away: the certificate names nobody who has business here");
                 self.ends.remove(&conn);
@@ -366,7 +366,7 @@
         }
     }
 
-    fn staff(&mut self, turn: &mut Turn, conn: Conn, who: &Holder) {
+    fn staff(&mut self, turn: &mut EventLoop, conn: ConnectionId, who: &Holder) {
         let Some(id) = self.service.open(&who.name, turn.now()) else {
             tracing::warn!(who = %who.name, "turned away: too many sessions");
             turn.cut(conn);
@@ -384,7 +384,7 @@
         self.write_out(turn, conn);
     }
 
-    fn bytes(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let heard = match self.peers.get_mut(&conn) {
             Some(Peer::Staff(staff)) => staff.session.take(bytes),
             Some(Peer::Home(home)) => home.session.take(bytes),
@@ -396,14 +396,14 @@
         self.heard(turn, conn, heard);
     }
 
-    fn heard(&mut self, turn: &mut Turn, conn: Conn, heard: Result<Vec<Heard>, Broken>) {
+    fn heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: Result<Vec<Heard>, Broken>) {
         let heard = match heard {
             Ok(heard) => heard,
             Err(broken) => {
                 tracing::warn!(reason = %broken, "session ends");
                 self.write_out(turn, conn);
                 turn.finish(conn);
-                return self.closed(turn, conn, Why::Broken);
+                return self.closed(turn, conn, CloseReason::Broken);
             }
         };
         let mut count = heard.len();
@@ -429,7 +429,7 @@
         }
     }
 
-    fn staff_heard(&mut self, turn: &mut Turn, conn: Conn, heard: Heard) {
+    fn staff_heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: Heard) {
         let Heard::Rpc(rpc) = heard else { return };
         let now = turn.now();
         (self.desk.now, self.desk.wall) = (now, wall_ms());
@@ -452,15 +452,15 @@
         };
         staff.closing |= answer.close;
         for killed in answer.kill {
-            let of = |(c, p): (&Conn, &Peer)| matches!(p, Peer::Staff(s) if s.id == killed).then_some(*c);
+            let of = |(c, p): (&ConnectionId, &Peer)| matches!(p, Peer::Staff(s) if s.id == killed).then_some(*c);
             if let Some(other) = self.peers.iter().find_map(of) {
                 turn.cut(other);
-                self.closed(turn, other, Why::Finished);
+                self.closed(turn, other, CloseReason::Finished);
             }
         }
     }
 
-    pub(crate) fn closed(&mut self, turn: &mut Turn, conn: Conn, why: Why) {
+    pub(crate) fn closed(&mut self, turn: &mut EventLoop, conn: ConnectionId, why: CloseReason) {
         self.ends.remove(&conn);
         match self.peers.remove(&conn) {
             Some(Peer::Staff(staff)) => {
@@ -472,7 +472,7 @@
             Some(Peer::Stream(stream)) => self.proxy_closed(conn, &stream.holder.name, stream.proxy, why),
             Some(Peer::Probe(probe)) => {
                 let found = match why {
-                    Why::Slow | Why::Idle => HealthCheckResult::Timeout,
+                    CloseReason::Slow | CloseReason::Idle => HealthCheckResult::Timeout,
                     _ => HealthCheckResult::ConnectionFailed,
                 };
                 self.driver.probed(probe.server, found, turn.now().saturating_sub(probe.sent), vec![]);
@@ -481,7 +481,7 @@
         }
     }
 
-    fn probe_answered(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8]) {
+    fn probe_answered(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let Some(Peer::Probe(probe)) = self.peers.get_mut(&conn) else { return };
         probe.reader.push(bytes);
         let (found, load) = match probe.reader.next_message() {
@@ -499,7 +499,7 @@
     }
 
     /// After all that happened in a turn: accepts, decides, orders, writes.
-    pub fn turned(&mut self, turn: &mut Turn) {
+    pub fn turned(&mut self, turn: &mut EventLoop) {
         let now = turn.now();
         (self.desk.now, self.desk.wall) = (now, wall_ms());
         self.service.due(now, &mut self.desk);
@@ -509,7 +509,7 @@
         self.admit(turn, now);
         let (deeds, ordered) = self.driver.turn(now);
         self.desk.ledger.ordered(&ordered.servers, &ordered.proxies);
-        let sends = deeds.iter().filter(|d| matches!(d, Deed::Send { .. })).count();
+        let sends = deeds.iter().filter(|d| matches!(d, Action::Send { .. })).count();
         deeds.into_iter().for_each(|deed| self.carry(turn, deed));
         self.tell(turn);
         if sends > 0 {
@@ -526,7 +526,7 @@
     }
 
     /// Certificates that changed are read again; streams whose identity has ended, or whose authority was struck, end.
-    pub(crate) fn identities(&mut self, turn: &mut Turn, now: Duration) {
+    pub(crate) fn identities(&mut self, turn: &mut EventLoop, now: Duration) {
         let renewed = match self.terms.renew() {
             Ok(renewed) => renewed,
             Err(why) => {
@@ -546,11 +546,11 @@
                 tracing::warn!(identity = %own.id, seconds = own.until - wall, "this planner's identity ends soon");
             }
         }
-        let over = |(conn, (holder, der)): (&Conn, &(Holder, Vec<u8>))| {
+        let over = |(conn, (holder, der)): (&ConnectionId, &(Holder, Vec<u8>))| {
             let over = holder.has_ended(wall) || (renewed && !self.terms.vouches(der));
             over.then(|| (*conn, holder.name.clone()))
         };
-        let over: Vec<(Conn, String)> = self.ends.iter().filter_map(over).collect();
+        let over: Vec<(ConnectionId, String)> = self.ends.iter().filter_map(over).collect();
         for (conn, who) in over {
             tracing::warn!(who, "its identity has ended, or its authority was struck: the stream ends");
             self.cut_off(turn, conn);
@@ -558,9 +558,9 @@
     }
 
     /// Ends a stream at once: nothing that is on its way counts.
-    pub(crate) fn cut_off(&mut self, turn: &mut Turn, conn: Conn) {
+    pub(crate) fn cut_off(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         turn.cut(conn);
-        self.closed(turn, conn, Why::Untrusted);
+        self.closed(turn, conn, CloseReason::Untrusted);
     }
 
     /// Writes down what the driver was told and ordered in this turn.
@@ -584,7 +584,7 @@
     }
 
     /// What was accepted is on disk before any reply leaves; all edits that come while a batch is written share the next.
-    fn keep(&mut self, turn: &mut Turn, now: Duration) {
+    fn keep(&mut self, turn: &mut EventLoop, now: Duration) {
         while let Some(done) = self.keeper.done() {
             match done {
                 Done::Edits(Ok(took)) => {
@@ -620,17 +620,17 @@
     }
 
     /// Nobody was told that these were accepted; their sessions end, and a client asks again.
-    fn not_kept(&mut self, turn: &mut Turn, why: String) {
+    fn not_kept(&mut self, turn: &mut EventLoop, why: String) {
         tracing::error!(why, "edits cannot be kept: none is accepted until they can");
         self.desk.take_back(why);
-        let unsure = |(c, p): (&Conn, &Peer)| {
+        let unsure = |(c, p): (&ConnectionId, &Peer)| {
             matches!(p, Peer::Staff(s) if s.session.waiting() > 0 && s.needs > self.durable).then_some(*c)
         };
-        let unsure: Vec<Conn> = self.peers.iter().filter_map(unsure).collect();
+        let unsure: Vec<ConnectionId> = self.peers.iter().filter_map(unsure).collect();
         self.durable = self.given;
         for conn in unsure {
             turn.cut(conn);
-            self.closed(turn, conn, Why::Broken);
+            self.closed(turn, conn, CloseReason::Broken);
         }
     }
 
@@ -640,9 +640,9 @@
         let learned = self.driver.learned().into_iter().filter_map(|(name, swift, failed, held)| {
             let server = servers.get(&name)?;
             let (address, started) = (server.address.to_string(), server.started);
-            Some(Learned { name, address, started, swift, failed, held })
+            Some(LearnedServer { name, address, started, swift, failed, held })
         });
-        let book = Book { written: self.desk.wall, servers: learned.collect() };
+        let book = LearnedServers { written: self.desk.wall, servers: learned.collect() };
         self.book = book.renewed(&self.book);
         if !self.keeper.learned(self.book.clone()) {
             tracing::warn!("what was learned could not be written: the disk is behind");
@@ -691,7 +691,7 @@
     }
 
     /// A proxy that does not confirm in time holds up what others need: it is let go, and may join again.
-    fn patience(&mut self, turn: &mut Turn, now: Duration) {
+    fn patience(&mut self, turn: &mut EventLoop, now: Duration) {
         let patience = self.desk.fleet().grace.reply;
         let members = self.driver.members().iter();
         let late: Vec<usize> = members
@@ -702,34 +702,34 @@
             tracing::warn!(proxy = self.driver.proxy_name(proxy), "let go: it does not confirm its orders");
             if let Some(conn) = self.joined.get(&proxy).map(|j| j.conn) {
                 turn.cut(conn);
-                self.closed(turn, conn, Why::Unread);
+                self.closed(turn, conn, CloseReason::Unread);
             }
         }
         self.sweep(turn, now);
-        let overdue = |(c, p): (&Conn, &Peer)| match p {
+        let overdue = |(c, p): (&ConnectionId, &Peer)| match p {
             Peer::Probe(probe) if now >= probe.sent + PROBE_PATIENCE => Some(*c),
             _ => None,
         };
-        let overdue: Vec<Conn> = self.peers.iter().filter_map(overdue).collect();
+        let overdue: Vec<ConnectionId> = self.peers.iter().filter_map(overdue).collect();
         for conn in overdue {
             turn.cut(conn);
-            self.closed(turn, conn, Why::Slow);
+            self.closed(turn, conn, CloseReason::Slow);
         }
     }
 
-    fn carry(&mut self, turn: &mut Turn, deed: Deed) {
+    fn carry(&mut self, turn: &mut EventLoop, deed: Action) {
         match deed {
-            Deed::Table { table, edit } => self.front.table(table, &edit),
-            Deed::Withdrawn { servers } => self.front.withdrawn(&servers),
-            Deed::Send { proxy, number, message, lines } => {
+            Action::Table { table, edit } => self.front.table(table, &edit),
+            Action::Withdrawn { servers } => self.front.withdrawn(&servers),
+            Action::Send { proxy, number, message, lines } => {
                 tracing::debug!(proxy, number, lines, "ordered");
                 self.front.ordered(proxy, number, &message);
             }
-            Deed::Probe { server, address } => {
+            Action::Probe { server, address } => {
                 let out = self.peers.values().filter(|p| matches!(p, Peer::Probe(_))).count();
                 let sent = turn.now();
                 let conn = if out < PROBES_MOST {
-                    turn.dial(address, &Security::Plain, Bounds::default()).ok()
+                    turn.dial(address, &Security::Plain, BufferLimits::default()).ok()
                 } else {
                     None
                 };
@@ -743,7 +743,7 @@
                     }
                 }
             }
-            Deed::Log { text } => tracing::info!("{text}"),
+            Action::Log { text } => tracing::info!("{text}"),
         }
     }
 
@@ -820,14 +820,14 @@
     }
 
     /// Replies to staff leave only now: what they tell of is on disk.
-    fn reply(&mut self, turn: &mut Turn) {
-        let staff = |(c, p): (&Conn, &Peer)| match p {
+    fn reply(&mut self, turn: &mut EventLoop) {
+        let staff = |(c, p): (&ConnectionId, &Peer)| match p {
             Peer::Staff(s) if (s.session.waiting() > 0 || s.closing) && s.needs <= self.durable => {
                 Some((*c, s.closing))
             }
             _ => None,
         };
-        let staff: Vec<(Conn, bool)> = self.peers.iter().filter_map(staff).collect();
+        let staff: Vec<(ConnectionId, bool)> = self.peers.iter().filter_map(staff).collect();
         for (conn, closing) in staff {
             self.write_out(turn, conn);
             if closing {
@@ -845,7 +845,7 @@
         }
     }
 
-    pub(crate) fn write_out(&mut self, turn: &mut Turn, conn: Conn) {
+    pub(crate) fn write_out(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         let session = match self.peers.get_mut(&conn) {
             Some(Peer::Staff(staff)) => &mut staff.session,
             Some(Peer::Home(home)) => &mut home.session,
@@ -920,7 +920,7 @@
         state.with(self.guard_state(now))
     }
 
-    fn read_metrics(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8]) {
+    fn read_metrics(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let Some(Peer::Reader(reader)) = self.peers.get_mut(&conn) else { return };
         reader.push(bytes);
         match reader.next_message() {
@@ -936,7 +936,7 @@
         turn.finish(conn);
     }
 
-    fn metrics(&self, turn: &Turn) -> String {
+    fn metrics(&self, turn: &EventLoop) -> String {
         metrics::with_local_recorder(&self.recorder.0, || {
             let gauge = |name: &'static str, value: f64| metrics::gauge!(name).set(value);
             gauge("runloom_proxies_joined", self.joined.len() as f64);
@@ -1008,7 +1008,7 @@
 /// Opens the record, if the settings name a folder for it, and begins with the start itself.
 fn open_record(
     place: &Place,
-    driver: &mut Driver,
+    driver: &mut ControlSession,
     desk: &Desk,
     seed: u64,
     epoch: u64,
@@ -1029,7 +1029,7 @@
 /// What was accepted before, if anything was; else what the settings say. Folders of before this form are taken over.
 fn open_desk(shelf: &Shelf, place: &Place, found: &mut Found) -> Result<Desk, Failed> {
     let mut data = (*place.data).clone();
-    let mut ledger = Ledger::default();
+    let mut ledger = EditHistory::default();
     let mut put = |name: &str, element: Element| {
         data.children.retain(|c| c.name != name);
         data.children.push(Arc::new(element));
@@ -1045,7 +1045,7 @@
             "fleet",
             Element::parse(&text).map_err(|e| Failed::Data(format!("the fleet as kept: {}", e.reason)))?,
         );
-        ledger = Ledger::of(accepted.noted.into_iter().map(|n| (n.id, n.who, n.digest, n.accepted)));
+        ledger = EditHistory::of(accepted.noted.into_iter().map(|n| (n.id, n.who, n.digest, n.accepted)));
     } else if let Some(accepted) = shelf.read("accepted.xml")? {
         if let Some(fleet) = accepted.child("before").unwrap_or(&accepted).child("fleet") {
             put("fleet", fleet.clone());
@@ -1056,7 +1056,7 @@
             (text(e, "id"), text(e, "who"), text(e, "digest"), at)
         };
         let edits = accepted.child("ledger").map(|l| l.named("edit").map(edit).collect::<Vec<_>>());
-        ledger = Ledger::of(edits.unwrap_or_default().into_iter());
+        ledger = EditHistory::of(edits.unwrap_or_default().into_iter());
     }
     let roster = match &found.roster {
         Some(text) => Element::parse(text).ok(),
@@ -1069,7 +1069,7 @@
 }
 
 /// What an earlier start learned of servers that are listed as they were, as far as it still counts.
-fn hints(found: &Found, roster: &Roster) -> Vec<(String, f64, f64)> {
+fn hints(found: &Found, roster: &Inventory) -> Vec<(String, f64, f64)> {
     let Some(book) = &found.learned else { return vec![] };
     let hint = |(name, server): (&String, &runloom_inventory::Server)| {
         let hint = book.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -3,7 +3,7 @@
 
 use crate::{earliest, wall_ms};
 use runloom_controller::HealthCheckResult;
-use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn};
+use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop};
 use runloom_platform_protocol::endpoint_list;
 use runloom_platform_protocol::health_check::{self, Ending, Probe};
 use runloom_platform_protocol::bootstrap::{Station, Told};
@@ -45,13 +45,13 @@
 }
 
 struct Shell {
-    turn: Turn,
-    listener: Conn,
+    turn: EventLoop,
+    listener: ConnectionId,
     file: PathBuf,
     platform: Platform,
     watching: Watching,
     unread: Option<Unread>,
-    probes: BTreeMap<Conn, Probe>,
+    probes: BTreeMap<ConnectionId, Probe>,
     /// Probes that wait for room.
     asked: VecDeque<(u64, SocketAddr)>,
     told: Duration,
@@ -70,7 +70,7 @@
 
 /// Runs until a signal ends it.
 pub fn run() -> Result<(), String> {
-    let mut turn = Turn::new().map_err(|e| e.to_string())?;
+    let mut turn = EventLoop::new().map_err(|e| e.to_string())?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
         turn.signal(signal).map_err(|e| e.to_string())?;
     }
@@ -87,10 +87,10 @@
 
 impl Shell {
     /// `None`: a signal ended it before there was an address to listen on.
-    fn start(mut turn: Turn, file: PathBuf, station: &Station) -> Result<Option<Shell>, String> {
+    fn start(mut turn: EventLoop, file: PathBuf, station: &Station) -> Result<Option<Shell>, String> {
         let room = station.bounds.sockets.saturating_sub(OWN + health_check::AT_ONCE + ACCEPTS);
         turn.accepts = ACCEPTS;
-        let bounds = Bounds { unread: UNREAD_MOST, connections: usize::MAX, ..Bounds::default() };
+        let bounds = BufferLimits { unread: UNREAD_MOST, connections: usize::MAX, ..BufferLimits::default() };
         let mut told = Duration::ZERO;
         let (listener, at) = loop {
             match turn.listen(station.listen, Security::Plain, bounds) {
@@ -102,7 +102,7 @@
                     }
                     let until = turn.now() + REBIND;
                     let happened = turn.wait(Some(until)).map_err(|e| e.to_string())?;
-                    if happened.iter().any(|h| matches!(h, Happened::Signal(SIGTERM | SIGINT))) {
+                    if happened.iter().any(|h| matches!(h, IoEvent::Signal(SIGTERM | SIGINT))) {
                         return Ok(None);
                     }
                 }
@@ -160,11 +160,11 @@
         let until = earliest([self.platform.wake(), Some(self.watching.wake()), probes, unread]);
         let happened = self.turn.wait(until.map(|at| at.saturating_sub(BEFORE)))?;
         // A change of the list counts as told once it is written: it is taken ahead of all else.
-        let of_discovery = |h: &Happened| match h {
-            Happened::Open { conn, .. } | Happened::Bytes { conn, .. } | Happened::Closed { conn, .. } => {
+        let of_discovery = |h: &IoEvent| match h {
+            IoEvent::Open { conn, .. } | IoEvent::Bytes { conn, .. } | IoEvent::Closed { conn, .. } => {
                 self.watching.has(*conn)
             }
-            Happened::Signal(_) => false,
+            IoEvent::Signal(_) => false,
         };
         let (first, rest): (Vec<_>, Vec<_>) = happened.into_iter().partition(of_discovery);
         first.into_iter().for_each(|h| self.discovery(h));
@@ -172,18 +172,18 @@
     }
 
     /// True: a signal that ends the planner.
-    fn rest(&mut self, happened: Happened) -> bool {
+    fn rest(&mut self, happened: IoEvent) -> bool {
         let now = self.now();
         match happened {
-            Happened::Signal(SIGHUP) => self.read_again(),
-            Happened::Signal(_) => return true,
-            Happened::Open { conn, listener: Some(_), .. } => self.platform.opened(conn, now),
-            Happened::Open { conn, .. } => {
+            IoEvent::Signal(SIGHUP) => self.read_again(),
+            IoEvent::Signal(_) => return true,
+            IoEvent::Open { conn, listener: Some(_), .. } => self.platform.opened(conn, now),
+            IoEvent::Open { conn, .. } => {
                 if let Some(probe) = self.probes.get_mut(&conn) {
                     probe.open = true;
                 }
             }
-            Happened::Bytes { conn, bytes } => match self.probes.get_mut(&conn) {
+            IoEvent::Bytes { conn, bytes } => match self.probes.get_mut(&conn) {
                 Some(probe) => {
                     if let Some(ending) = probe.push(&bytes, self.platform.fields()) {
                         self.probed(conn, ending);
@@ -191,7 +191,7 @@
                 }
                 None => self.platform.bytes(conn, &bytes, now),
             },
-            Happened::Closed { conn, .. } => match self.probes.remove(&conn) {
+            IoEvent::Closed { conn, .. } => match self.probes.remove(&conn) {
                 Some(mut probe) => match probe.cut() {
                     Some(ending) => self.ended(probe, ending),
                     None => self.dial(probe),
@@ -220,7 +220,7 @@
     }
 
     fn dial(&mut self, probe: Probe) {
-        let bounds = Bounds { handshake: health_check::PATIENCE * 2, ..Bounds::default() };
+        let bounds = BufferLimits { handshake: health_check::PATIENCE * 2, ..BufferLimits::default() };
         match self.turn.dial(probe.to, &Security::Plain, bounds) {
             Ok(conn) => {
                 // What is written before the connection stands goes out with it.
@@ -235,12 +235,12 @@
     fn look_at_probes(&mut self) {
         let looked = self.looked();
         let late = |p: &Probe| looked >= p.since + health_check::PATIENCE;
-        let late: Vec<(Conn, Ending)> =
+        let late: Vec<(ConnectionId, Ending)> =
             self.probes.iter().filter(|(_, p)| late(p)).map(|(conn, p)| (*conn, p.late())).collect();
         late.into_iter().for_each(|(conn, ending)| self.probed(conn, ending));
     }
 
-    fn probed(&mut self, conn: Conn, ending: Ending) {
+    fn probed(&mut self, conn: ConnectionId, ending: Ending) {
         if let Some(probe) = self.probes.remove(&conn) {
             self.turn.cut(conn);
             self.ended(probe, ending);
@@ -269,7 +269,7 @@
         let now = self.now();
         if self.watching.is_to_dial(now) {
             let at = self.watching.at;
-            let conn = self.turn.dial(at, &Security::Plain, Bounds::default()).ok();
+            let conn = self.turn.dial(at, &Security::Plain, BufferLimits::default()).ok();
             if let Some(conn) = conn {
                 self.turn.write(conn, &endpoint_list::watch(&at.to_string(), self.platform.revision()));
             }
@@ -283,10 +283,10 @@
         }
     }
 
-    fn discovery(&mut self, happened: Happened) {
+    fn discovery(&mut self, happened: IoEvent) {
         let (now, at) = (self.now(), self.watching.at);
         match happened {
-            Happened::Bytes { conn, bytes } => {
+            IoEvent::Bytes { conn, bytes } => {
                 let brought = self.watching.bytes(conn, &bytes, now);
                 let read = brought.lines.iter().try_for_each(|line| self.platform.line(line, now));
                 if brought.first {
@@ -302,11 +302,11 @@
                     self.ask_again();
                 }
             }
-            Happened::Closed { conn, why } => {
+            IoEvent::Closed { conn, why } => {
                 tracing::info!(%at, ?why, "the watch has ended");
                 self.watching.closed(conn, now);
             }
-            Happened::Open { .. } | Happened::Signal(_) => {}
+            IoEvent::Open { .. } | IoEvent::Signal(_) => {}
         }
     }
 
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -4,7 +4,7 @@
 use crate::tls_credentials::{server_name, Holder, Terms, Unusable, PLANNER};
 use crate::{earliest, wall_ms, wall_text};
 use nanorand::{Rng, WyRand};
-use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
+use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
 use runloom_model::forwarder::{Stand, Told};
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY, PROXY_XSD, YANG};
@@ -119,7 +119,7 @@
 }
 
 struct Stream {
-    conn: Conn,
+    conn: ConnectionId,
     planner: SocketAddr,
     way: Way,
     /// Who the planner is, and its certificate.
@@ -139,9 +139,9 @@
 }
 
 struct Out {
-    caller: Conn,
+    caller: ConnectionId,
     text: Vec<u8>,
-    upstream: Conn,
+    upstream: ConnectionId,
     until: Duration,
 }
 
@@ -157,22 +157,22 @@
     stream: Option<Stream>,
     /// What was published to it, and by which planner.
     published: (Published, String),
-    dialling: Option<Conn>,
+    dialling: Option<ConnectionId>,
     dial_at: Duration,
     next_planner: usize,
-    callers: BTreeMap<Conn, Caller>,
-    upstreams: BTreeMap<Conn, Upstream>,
-    pool: BTreeMap<SocketAddr, Vec<Conn>>,
+    callers: BTreeMap<ConnectionId, Caller>,
+    upstreams: BTreeMap<ConnectionId, Upstream>,
+    pool: BTreeMap<SocketAddr, Vec<ConnectionId>>,
     out: BTreeMap<QueryId, Out>,
     limits: BTreeSet<(Duration, QueryId)>,
     next_query: QueryId,
     report_at: Duration,
     reported: Duration,
-    listener: Conn,
+    listener: ConnectionId,
     /// Queries a second, over some ten seconds.
     rate: f64,
     /// Connections made since a host asked, who has several forwarders on one loop.
-    pub made: Vec<Conn>,
+    pub made: Vec<ConnectionId>,
     /// Edits and parts taken since a host asked: lines, and which version of a table a part made whole.
     pub taken: Vec<(usize, Option<(Topic, Version)>)>,
     /// Streams that stood since the start.
@@ -184,9 +184,9 @@
 }
 
 impl Forwarder {
-    pub fn start(turn: &mut Turn, stand: Stand, seed: u64) -> Result<(Forwarder, SocketAddr), Failed> {
+    pub fn start(turn: &mut EventLoop, stand: Stand, seed: u64) -> Result<(Forwarder, SocketAddr), Failed> {
         let terms = Terms::load(&stand.papers)?;
-        let bounds = Bounds { idle: Some(Duration::from_secs(60)), unread: 4 << 20, ..Bounds::default() };
+        let bounds = BufferLimits { idle: Some(Duration::from_secs(60)), unread: 4 << 20, ..BufferLimits::default() };
         let (listener, at) = turn.listen(stand.listen, Security::Plain, bounds)?;
         let schema = Schema::root(derive(PROXY_XSD, &["tables"]).map_err(Failed::Schema)?);
         let manner =
@@ -234,7 +234,7 @@
         Ok((forwarder, at))
     }
 
-    pub fn run(&mut self, turn: &mut Turn) -> io::Result<()> {
+    pub fn run(&mut self, turn: &mut EventLoop) -> io::Result<()> {
         let mut end: Option<Duration> = None;
         loop {
             for h in turn.wait(earliest([self.wakes_at(), end]))? {
@@ -279,7 +279,7 @@
     }
 
     /// Reads nothing of its stream, or reads again.
-    pub fn set_deaf(&mut self, turn: &mut Turn, deaf: bool) {
+    pub fn set_deaf(&mut self, turn: &mut EventLoop, deaf: bool) {
         self.deaf = deaf;
         if let Some(conn) = self.stream.as_ref().filter(|_| !deaf).map(|s| s.conn) {
             turn.hold(conn, false);
@@ -289,7 +289,7 @@
     }
 
     /// Breaks its stream, for days on which that happens.
-    pub fn break_stream(&mut self, turn: &mut Turn) {
+    pub fn break_stream(&mut self, turn: &mut EventLoop) {
         if let Some(stream) = self.stream.take() {
             turn.cut(stream.conn);
             self.lost(turn.now(), stream);
@@ -308,16 +308,16 @@
         earliest([dial, limit, connecting, stream, Some(self.report_at), Some(self.looked + LOOK_EVERY)])
     }
 
-    pub fn happened(&mut self, turn: &mut Turn, happened: Happened) {
+    pub fn happened(&mut self, turn: &mut EventLoop, happened: IoEvent) {
         match happened {
-            Happened::Signal(_) => self.stopping = true,
-            Happened::Open { conn, listener, certificate } => self.opened(turn, conn, listener, certificate),
-            Happened::Bytes { conn, bytes } => self.bytes(turn, conn, &bytes),
-            Happened::Closed { conn, why } => self.closed(turn, conn, why),
+            IoEvent::Signal(_) => self.stopping = true,
+            IoEvent::Open { conn, listener, certificate } => self.opened(turn, conn, listener, certificate),
+            IoEvent::Bytes { conn, bytes } => self.bytes(turn, conn, &bytes),
+            IoEvent::Closed { conn, why } => self.closed(turn, conn, why),
         }
     }
 
-    fn opened(&mut self, turn: &mut Turn, conn: Conn, listener: Option<Conn>, certificate: Option<Vec<u8>>) {
+    fn opened(&mut self, turn: &mut EventLoop, conn: ConnectionId, listener: Option<ConnectionId>, certificate: Option<Vec<u8>>) {
         if listener == Some(self.listener) {
             self.callers.insert(conn, Caller { reader: Reader::queries(), query: None, close: false });
             self.made.push(conn);
@@ -393,14 +393,14 @@
     }
 
     /// Writes the query that a connection to a server is for.
-    fn send(&mut self, turn: &mut Turn, conn: Conn) {
+    fn send(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         let query = self.upstreams.get(&conn).and_then(|u| u.query);
         if let Some(out) = query.and_then(|q| self.out.get(&q)) {
             turn.write(conn, &out.text);
         }
     }
 
-    fn bytes(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.reader.push(bytes);
             self.read_caller(turn, conn);
@@ -417,7 +417,7 @@
         }
     }
 
-    fn read_caller(&mut self, turn: &mut Turn, conn: Conn) {
+    fn read_caller(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         let Some(caller) = self.callers.get_mut(&conn) else { return };
         if caller.query.is_some() {
             // One query at a time; what comes early waits, within a bound.
@@ -439,7 +439,7 @@
     }
 
     /// A query: its class is the first part of its path.
-    fn came(&mut self, turn: &mut Turn, conn: Conn, mut query: Message) {
+    fn came(&mut self, turn: &mut EventLoop, conn: ConnectionId, mut query: Message) {
         let now = turn.now();
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.close = query.close;
@@ -467,13 +467,13 @@
     }
 
     /// Sends a query to a server, on a connection that is open already if there is one.
-    fn try_at(&mut self, turn: &mut Turn, id: QueryId, address: SocketAddr) {
+    fn try_at(&mut self, turn: &mut EventLoop, id: QueryId, address: SocketAddr) {
         let pooled = self.pool.get_mut(&address).and_then(Vec::pop);
         let conn = match pooled {
             Some(conn) => conn,
             None => {
                 let bounds =
-                    Bounds { idle: Some(Duration::from_secs(15)), handshake: CONNECT, ..Bounds::default() };
+                    BufferLimits { idle: Some(Duration::from_secs(15)), handshake: CONNECT, ..BufferLimits::default() };
                 match turn.dial(address, &Security::Plain, bounds) {
                     Ok(conn) => {
                         let reader = Reader::answers();
@@ -498,7 +498,7 @@
         }
     }
 
-    fn read_upstream(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8]) {
+    fn read_upstream(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let Some(upstream) = self.upstreams.get_mut(&conn) else { return };
         upstream.reader.push(bytes);
         let answer = upstream.reader.next_message();
@@ -537,7 +537,7 @@
         }
     }
 
-    fn drop_upstream(&mut self, conn: Conn) {
+    fn drop_upstream(&mut self, conn: ConnectionId) {
         if let Some(upstream) = self.upstreams.remove(&conn) {
             if let Some(pool) = self.pool.get_mut(&upstream.address) {
                 pool.retain(|c| *c != conn);
@@ -545,11 +545,11 @@
         }
     }
 
-    fn ended(&mut self, turn: &mut Turn, id: QueryId, how: Ended) {
+    fn ended(&mut self, turn: &mut EventLoop, id: QueryId, how: Ended) {
         self.ended_with(turn, id, how, None);
     }
 
-    fn ended_with(&mut self, turn: &mut Turn, id: QueryId, how: Ended, text: Option<Vec<u8>>) {
+    fn ended_with(&mut self, turn: &mut EventLoop, id: QueryId, how: Ended, text: Option<Vec<u8>>) {
         let Some(step) = self.proxy.ended(turn.now(), id, how) else { return };
         match step {
             Step::Send { address, .. } => self.try_at(turn, id, address),
@@ -570,13 +570,13 @@
     }
 
     /// The query is over: who asked.
-    fn over(&mut self, id: QueryId) -> Option<Conn> {
+    fn over(&mut self, id: QueryId) -> Option<ConnectionId> {
         let out = self.out.remove(&id)?;
         self.limits.remove(&(out.until, id));
         Some(out.caller)
     }
 
-    fn refuse(&mut self, turn: &mut Turn, caller: Conn, why: Refusal, after: Option<Duration>) {
+    fn refuse(&mut self, turn: &mut EventLoop, caller: ConnectionId, why: Refusal, after: Option<Duration>) {
         let mut headers = vec![("runloom-refused".to_string(), why.word().to_string())];
         if let Some(after) = after {
             headers.push(("retry-after".into(), format!("{}", after.as_secs_f64().ceil() as u64)));
@@ -586,7 +586,7 @@
         self.answer(turn, caller, &write_answer(code, &headers, b""));
     }
 
-    fn answer(&mut self, turn: &mut Turn, conn: Conn, text: &[u8]) {
+    fn answer(&mut self, turn: &mut EventLoop, conn: ConnectionId, text: &[u8]) {
         let Some(caller) = self.callers.get_mut(&conn) else { return };
         turn.write(conn, text);
         caller.query = None;
@@ -599,7 +599,7 @@
         self.read_caller(turn, conn);
     }
 
-    fn closed(&mut self, turn: &mut Turn, conn: Conn, why: Why) {
+    fn closed(&mut self, turn: &mut EventLoop, conn: ConnectionId, why: CloseReason) {
         if let Some(caller) = self.callers.remove(&conn) {
             if let Some(id) = caller.query {
                 self.give_up(turn, id);
@@ -637,7 +637,7 @@
     }
 
     /// Given up on: by the client, or since the outer limit passed.
-    fn give_up(&mut self, turn: &mut Turn, id: QueryId) {
+    fn give_up(&mut self, turn: &mut EventLoop, id: QueryId) {
         let upstream = self.out.get(&id).map(|o| o.upstream);
         self.over(id);
         self.proxy.given_up(turn.now(), id);
@@ -650,7 +650,7 @@
 
     /// Ends a stream whose planner's identity has ended, or is vouched for no more: nothing of it is taken from then on,
     /// and tables stay in force.
-    fn ended_identity(&mut self, turn: &mut Turn, renewed: bool) -> bool {
+    fn ended_identity(&mut self, turn: &mut EventLoop, renewed: bool) -> bool {
         let now = (wall_ms() / 1000) as i64;
         let Some(stream) = &self.stream else { return false };
         let over = stream.holder.has_ended(now) || (renewed && !self.terms.vouches(&stream.certificate));
@@ -662,7 +662,7 @@
     }
 
     /// Certificates that changed are read again.
-    fn identities(&mut self, turn: &mut Turn) {
+    fn identities(&mut self, turn: &mut EventLoop) {
         let renewed = match self.terms.renew() {
             Ok(renewed) => renewed,
             Err(why) => {
@@ -673,7 +673,7 @@
         self.ended_identity(turn, renewed);
     }
 
-    fn read_stream(&mut self, turn: &mut Turn, bytes: &[u8]) {
+    fn read_stream(&mut self, turn: &mut EventLoop, bytes: &[u8]) {
         if self.ended_identity(turn, false) {
             return;
         }
@@ -703,7 +703,7 @@
         self.write_stream(turn);
     }
 
-    fn stream_heard(&mut self, turn: &mut Turn, heard: Heard) {
+    fn stream_heard(&mut self, turn: &mut EventLoop, heard: Heard) {
         let Heard::Rpc(rpc) = heard else { return };
         if rpc.operation().name == "get" {
             self.store.about = Element::new(PROXY, "proxy")
@@ -723,7 +723,7 @@
         }
     }
 
-    fn write_stream(&mut self, turn: &mut Turn) {
+    fn write_stream(&mut self, turn: &mut EventLoop) {
         let Some(stream) = self.stream.as_mut() else { return };
         let bytes = match &mut stream.way {
             Way::Edits { session, .. } => session.output(usize::MAX),
@@ -732,7 +732,7 @@
         turn.write(stream.conn, &bytes);
     }
 
-    fn read_published(&mut self, turn: &mut Turn, bytes: &[u8]) {
+    fn read_published(&mut self, turn: &mut EventLoop, bytes: &[u8]) {
         let now = turn.now();
         let Some(Way::Publishes(client)) = self.stream.as_mut().map(|s| &mut s.way) else { return };
         for told in client.take(now, bytes) {
@@ -769,7 +769,7 @@
     }
 
     /// Writes what the subscription has to say, and ends the stream with it.
-    fn end_published(&mut self, turn: &mut Turn) {
+    fn end_published(&mut self, turn: &mut EventLoop) {
         self.write_stream(turn);
         let Some(Way::Publishes(client)) = self.stream.as_ref().map(|s| &s.way) else { return };
         if let Some(over) = client.over() {
@@ -779,7 +779,7 @@
     }
 
     /// After all that happened in a turn: limits, reports, dials.
-    pub fn turned(&mut self, turn: &mut Turn) {
+    pub fn turned(&mut self, turn: &mut EventLoop) {
         let now = turn.now();
         while let Some((at, id)) = self.limits.first().copied().filter(|(at, _)| *at <= now) {
             self.limits.remove(&(at, id));
@@ -789,11 +789,11 @@
                 self.refuse(turn, caller, Refusal::Late, None);
             }
         }
-        let stalled = |(c, u): (&Conn, &Upstream)| (!u.open && now >= u.dialled + CONNECT).then_some(*c);
-        let stalled: Vec<Conn> = self.upstreams.iter().filter_map(stalled).collect();
+        let stalled = |(c, u): (&ConnectionId, &Upstream)| (!u.open && now >= u.dialled + CONNECT).then_some(*c);
+        let stalled: Vec<ConnectionId> = self.upstreams.iter().filter_map(stalled).collect();
         for conn in stalled {
             turn.cut(conn);
-            self.closed(turn, conn, Why::Slow);
+            self.closed(turn, conn, CloseReason::Slow);
         }
         if now >= self.looked + LOOK_EVERY {
             self.looked = now;
@@ -813,7 +813,7 @@
         let idle = (self.stream.is_none() || anew) && self.dialling.is_none() && !self.stopping;
         if idle && now >= self.dial_at && !self.stand.planners.is_empty() {
             let to = self.stand.planners[self.next_planner % self.stand.planners.len()];
-            let bounds = Bounds::default();
+            let bounds = BufferLimits::default();
             match turn.dial(to, &self.security, bounds) {
                 Ok(conn) => {
                     self.made.push(conn);
@@ -826,7 +826,7 @@
         }
     }
 
-    fn report(&mut self, turn: &mut Turn, now: Duration) {
+    fn report(&mut self, turn: &mut EventLoop, now: Duration) {
         self.report_at = now + self.stand.report;
         if let Some(Way::Publishes(client)) = self.stream.as_ref().map(|s| &s.way) {
             if client.is_joined() && !client.can_report() {
--- a/crates/daemon/src/proxy_sessions.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -6,7 +6,7 @@
 use crate::wall_ms;
 use runloom_distribution::doubt::Verdict;
 use runloom_distribution::{Newcomer, Out, Way};
-use runloom_event_loop::{Conn, Turn, Why};
+use runloom_event_loop::{ConnectionId, EventLoop, CloseReason};
 use runloom_model::order::Report;
 use runloom_model::PROXY as PROXY_NS;
 use runloom_mqtt::session::{Heard as Said, Hello, Over, Session as Subscription};
@@ -29,7 +29,7 @@
 
 /// A joined proxy.
 pub(crate) struct Joined {
-    pub conn: Conn,
+    pub conn: ConnectionId,
     pub name: String,
     pub zone: String,
     pub rate: f64,
@@ -80,7 +80,7 @@
 }
 
 impl Planner {
-    pub(crate) fn home_heard(&mut self, turn: &mut Turn, conn: Conn, heard: Heard) {
+    pub(crate) fn home_heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: Heard) {
         let now = turn.now();
         let Some(Peer::Home(home)) = self.peers.get_mut(&conn) else { return };
         match heard {
@@ -102,7 +102,7 @@
                     let why = error.text_of("error-message").unwrap_or_default();
                     tracing::error!(proxy = %home.holder.name, why, "a proxy refused an order");
                     turn.cut(conn);
-                    return self.closed(turn, conn, Why::Broken);
+                    return self.closed(turn, conn, CloseReason::Broken);
                 }
                 self.confirmed.saturating_record(now.saturating_sub(sent).as_micros() as u64);
                 let order = self.front.confirmed(now, proxy, number);
@@ -118,7 +118,7 @@
     }
 
     /// A proxy that called home said what it is.
-    fn home_came(&mut self, turn: &mut Turn, conn: Conn, reply: &Element) {
+    fn home_came(&mut self, turn: &mut EventLoop, conn: ConnectionId, reply: &Element) {
         let Some(Peer::Home(home)) = self.peers.get(&conn) else { return };
         let empty = Element::default();
         let told = reply.child("data").and_then(|d| d.child("proxy")).unwrap_or(&empty);
@@ -127,7 +127,7 @@
             // An instance may report only about itself.
             tracing::warn!(holder = %home.holder.name, name, "a proxy goes by another's name");
             turn.cut(conn);
-            return self.closed(turn, conn, Why::Untrusted);
+            return self.closed(turn, conn, CloseReason::Untrusted);
         }
         let newcomer = Newcomer {
             conn,
@@ -142,7 +142,7 @@
         self.came(turn, newcomer);
     }
 
-    fn came(&mut self, turn: &mut Turn, newcomer: Newcomer) {
+    fn came(&mut self, turn: &mut EventLoop, newcomer: Newcomer) {
         let conn = newcomer.conn;
         if let Some(other) = self.front.waits(&newcomer.name).filter(|other| *other != conn) {
             self.taken_over(turn, other);
@@ -150,12 +150,12 @@
         if !self.front.came(turn.now(), newcomer) {
             tracing::warn!("turned away: too many proxies wait to be let in");
             turn.cut(conn);
-            self.closed(turn, conn, Why::Refused);
+            self.closed(turn, conn, CloseReason::Refused);
         }
     }
 
     /// Lets in those whose turn it is.
-    pub(crate) fn admit(&mut self, turn: &mut Turn, now: Duration) {
+    pub(crate) fn admit(&mut self, turn: &mut EventLoop, now: Duration) {
         while let Some(newcomer) = self.front.admit(now) {
             let Newcomer { conn, way, fresh, rate, .. } = newcomer;
             let (name, zone) = (newcomer.name.clone(), newcomer.zone.clone());
@@ -178,7 +178,7 @@
     }
 
     /// Another connection of the same name stands in a connection's place.
-    fn taken_over(&mut self, turn: &mut Turn, conn: Conn) {
+    fn taken_over(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         if let Some(Peer::Stream(mut stream)) = self.peers.remove(&conn) {
             tracing::warn!(proxy = %stream.holder.name, "another connection of this name took over");
             stream.session.taken_over(turn.now());
@@ -190,7 +190,7 @@
     }
 
     /// A proxy's connection ended.
-    pub(crate) fn proxy_closed(&mut self, conn: Conn, name: &str, proxy: Option<usize>, why: Why) {
+    pub(crate) fn proxy_closed(&mut self, conn: ConnectionId, name: &str, proxy: Option<usize>, why: CloseReason) {
         self.front.gone(name, conn);
         if let Some(proxy) = proxy.filter(|p| self.joined.get(p).is_some_and(|j| j.conn == conn)) {
             tracing::info!(proxy = %name, ?why, "left");
@@ -209,7 +209,7 @@
         }
     }
 
-    fn reported(&mut self, turn: &mut Turn, conn: Conn, proxy: usize, report: &Report) {
+    fn reported(&mut self, turn: &mut EventLoop, conn: ConnectionId, proxy: usize, report: &Report) {
         let now = turn.now();
         self.driver.report(now, proxy, report);
         let tried = report.met.iter().filter(|m| m.tries > 0).map(|m| m.server.as_str());
@@ -223,14 +223,14 @@
                 let name = self.driver.proxy_name(proxy);
                 tracing::error!(proxy = name, "let go: it does not do what it confirms");
                 turn.cut(conn);
-                self.closed(turn, conn, Why::Refused);
+                self.closed(turn, conn, CloseReason::Refused);
             }
         }
     }
 
     // Those that subscribe.
 
-    pub(crate) fn stream_bytes(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8]) {
+    pub(crate) fn stream_bytes(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let now = turn.now();
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         for said in stream.session.take(now, bytes) {
@@ -239,7 +239,7 @@
         self.stream_out(turn, conn);
     }
 
-    fn said(&mut self, turn: &mut Turn, conn: Conn, said: Said) {
+    fn said(&mut self, turn: &mut EventLoop, conn: ConnectionId, said: Said) {
         let now = turn.now();
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         match said {
@@ -255,7 +255,7 @@
                 // Without its tables it cannot be ordered, and would be taken for one that is.
                 tracing::warn!(proxy = %stream.holder.name, "let go: it wants its tables no more");
                 turn.finish(conn);
-                self.closed(turn, conn, Why::Ended);
+                self.closed(turn, conn, CloseReason::Ended);
             }
             Said::Report(bytes) => {
                 let (proxy, read) = (stream.proxy, report::read(&bytes));
@@ -285,13 +285,13 @@
                 if verdict == Verdict::LetGo {
                     tracing::error!(proxy = self.driver.proxy_name(proxy), "let go: it can use no message");
                     turn.finish(conn);
-                    self.closed(turn, conn, Why::Refused);
+                    self.closed(turn, conn, CloseReason::Refused);
                 }
             }
         }
     }
 
-    fn stream_came(&mut self, turn: &mut Turn, conn: Conn, holds: Vec<(Topic, u64, u64)>) {
+    fn stream_came(&mut self, turn: &mut EventLoop, conn: ConnectionId, holds: Vec<(Topic, u64, u64)>) {
         let Some(Peer::Stream(stream)) = self.peers.get(&conn) else { return };
         let newcomer = Newcomer {
             conn,
@@ -309,16 +309,16 @@
     }
 
     /// Writes what a subscription has to say, and closes one that is over.
-    fn stream_out(&mut self, turn: &mut Turn, conn: Conn) {
+    fn stream_out(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         turn.write(conn, &stream.session.output());
         let why = match stream.session.over() {
             None => return,
-            Some(Over::Left) => Why::Ended,
-            Some(Over::Silent) => Why::Idle,
+            Some(Over::Left) => CloseReason::Ended,
+            Some(Over::Silent) => CloseReason::Idle,
             Some(Over::Refused(reason)) => {
                 tracing::warn!(proxy = %stream.holder.name, reason, "stream ends");
-                Why::Broken
+                CloseReason::Broken
             }
         };
         turn.finish(conn);
@@ -326,18 +326,18 @@
     }
 
     /// Streams that are silent, and proxies that leave a message without a word.
-    pub(crate) fn sweep(&mut self, turn: &mut Turn, now: Duration) {
+    pub(crate) fn sweep(&mut self, turn: &mut EventLoop, now: Duration) {
         if now < self.swept + SWEEP {
             return;
         }
         self.swept = now;
         self.identities(turn, now);
-        let silent = |(conn, peer): (&Conn, &mut Peer)| {
+        let silent = |(conn, peer): (&ConnectionId, &mut Peer)| {
             let Peer::Stream(stream) = peer else { return None };
             stream.session.wake(now);
             stream.session.over().map(|_| *conn)
         };
-        let silent: Vec<Conn> = self.peers.iter_mut().filter_map(silent).collect();
+        let silent: Vec<ConnectionId> = self.peers.iter_mut().filter_map(silent).collect();
         silent.into_iter().for_each(|conn| self.stream_out(turn, conn));
         let patience = self.desk.fleet().grace.reply;
         for (name, _) in self.front.publisher().overdue(now, patience) {
@@ -345,13 +345,13 @@
             if let Some(conn) = conn {
                 tracing::warn!(proxy = %name, "let go: it does not confirm what it is told");
                 turn.cut(conn);
-                self.closed(turn, conn, Why::Unread);
+                self.closed(turn, conn, CloseReason::Unread);
             }
         }
     }
 
     /// Tells proxies what they lack.
-    pub(crate) fn tell(&mut self, turn: &mut Turn) {
+    pub(crate) fn tell(&mut self, turn: &mut EventLoop) {
         let now = turn.now();
         for (proxy, order) in self.front.take_settled() {
             self.in_force(now, proxy, Some(order));
@@ -382,7 +382,7 @@
     }
 
     /// A front that has no room is told more with its next confirmation.
-    fn has_room(&self, conn: Conn) -> bool {
+    fn has_room(&self, conn: ConnectionId) -> bool {
         match self.peers.get(&conn) {
             Some(Peer::Stream(stream)) => stream.session.room() > 0,
             Some(Peer::Home(_)) => true,
@@ -390,13 +390,13 @@
         }
     }
 
-    fn tell_home(&mut self, now: Duration, conn: Conn, number: u64, text: &str) {
+    fn tell_home(&mut self, now: Duration, conn: ConnectionId, number: u64, text: &str) {
         let Some(Peer::Home(home)) = self.peers.get_mut(&conn) else { return };
         let message_id = home.session.ask_text(text);
         home.orders.insert(message_id, (number, now));
     }
 
-    fn tell_stream(&mut self, now: Duration, conn: Conn, number: u64, part: &Part) {
+    fn tell_stream(&mut self, now: Duration, conn: ConnectionId, number: u64, part: &Part) {
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         let key = (part.epoch, part.topic, part.from, part.to, part.part);
         let text = self.bodies.entry(key).or_insert_with(|| body::write(part).into());
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -4,11 +4,11 @@
 use crate::planner_runtime::{Planner, Trial};
 use crate::settings::{read, Settings};
 use crate::wall_ms;
-use runloom_event_loop::Turn;
+use runloom_event_loop::EventLoop;
 use std::path::Path;
 
-fn looped() -> Result<Turn, String> {
-    let mut turn = Turn::new().map_err(|e| e.to_string())?;
+fn looped() -> Result<EventLoop, String> {
+    let mut turn = EventLoop::new().map_err(|e| e.to_string())?;
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         turn.signal(signal).map_err(|e| e.to_string())?;
     }
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -3,7 +3,7 @@
 use crate::persistence::{accepted, EDITS, LEARNED, ROSTER};
 use crate::wall_ms;
 use runloom_store::disk::{Folder, Lock};
-use runloom_store::learned::Book;
+use runloom_store::learned::LearnedServers;
 use runloom_store::{describe, Store};
 use std::path::Path;
 
@@ -39,7 +39,7 @@
         println!("edit {}  by {}  accepted {}  {}", edit.id, edit.who, edit.accepted, edit.digest);
     }
     let (_, learned) = open(LEARNED)?;
-    let Some(book) = learned.state.and_then(|bytes| Book::read(&bytes).ok()) else {
+    let Some(book) = learned.state.and_then(|bytes| LearnedServers::read(&bytes).ok()) else {
         println!("nothing learned");
         return Ok(());
     };
@@ -69,7 +69,7 @@
             |(_, opened)| match layout.name {
                 "edits" => accepted(&opened).map(|a| (opened.notes, a.is_some())),
                 "learned" => {
-                    let book = opened.state.as_deref().map(Book::read).transpose();
+                    let book = opened.state.as_deref().map(LearnedServers::read).transpose();
                     book.map(|b| (opened.notes, b.is_some()))
                 }
                 _ => Ok((opened.notes, opened.state.is_some())),
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,9 +1,9 @@
 //! One connection: its socket, its TLS state, and what waits to be written.
 
-use crate::{Bounds, Why};
+use crate::{BufferLimits, CloseReason};
 use polling::Event;
 use rustls::pki_types::ServerName;
-use rustls::{ClientConfig, ClientConnection, Connection, ServerConfig, ServerConnection};
+use rustls::{ClientConfig, ClientConnection, Connection as TlsConnection, ServerConfig, ServerConnection};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 }
 
 impl Security {
-    pub(crate) fn start(&self) -> io::Result<Option<Connection>> {
-        let bounded = |mut connection: Connection| {
+    pub(crate) fn start(&self) -> io::Result<Option<TlsConnection>> {
+        let bounded = |mut connection: TlsConnection| {
             // What waits is kept, and bounded, outside of the library.
             connection.set_buffer_limit(Some(TLS_BUFFER));
             Some(connection)
@@ -49,13 +49,13 @@
     /// It stands now; the peer's certificate, if there is one.
     pub opened: Option<Option<Vec<u8>>>,
     pub bytes: Vec<u8>,
-    pub ended: Option<Why>,
+    pub ended: Option<CloseReason>,
 }
 
-pub struct Line {
+pub struct Connection {
     stream: TcpStream,
-    tls: Option<Connection>,
-    bounds: Bounds,
+    tls: Option<TlsConnection>,
+    bounds: BufferLimits,
     pub listener: Option<usize>,
     connecting: bool,
     open: bool,
@@ -71,17 +71,17 @@
     pub interest: Option<(bool, bool)>,
 }
 
-impl Line {
+impl Connection {
     pub fn new(
         stream: TcpStream,
-        tls: Option<Connection>,
-        bounds: Bounds,
+        tls: Option<TlsConnection>,
+        bounds: BufferLimits,
         listener: Option<usize>,
         connecting: bool,
         now: Duration,
-    ) -> Line {
+    ) -> Connection {
         let open = tls.is_none() && !connecting;
-        Line {
+        Connection {
             stream,
             tls,
             bounds,
@@ -149,15 +149,15 @@
     }
 
     /// Overdue: why it ends.
-    pub fn late(&self, now: Duration) -> Option<Why> {
+    pub fn late(&self, now: Duration) -> Option<CloseReason> {
         if self.finish_by.is_some_and(|by| now >= by) {
-            return Some(Why::Finished);
+            return Some(CloseReason::Finished);
         }
         if !self.open {
-            return (now >= self.since + self.bounds.handshake).then_some(Why::Slow);
+            return (now >= self.since + self.bounds.handshake).then_some(CloseReason::Slow);
         }
         let idle = self.bounds.idle.is_some_and(|idle| !self.held && now >= self.read_at + idle);
-        idle.then_some(Why::Idle)
+        idle.then_some(CloseReason::Idle)
     }
 
     pub fn ready(&mut self, event: &Event, now: Duration) -> Outcome {
@@ -170,7 +170,7 @@
                 (Ok(None), Ok(_)) => self.connecting = false,
                 (Ok(None), Err(_)) => return outcome,
                 _ => {
-                    outcome.ended = Some(Why::Refused);
+                    outcome.ended = Some(CloseReason::Refused);
                     return outcome;
                 }
             }
@@ -210,7 +210,7 @@
                 Some(tls) => tls.read_tls(&mut self.stream),
             };
             match read {
-                Ok(0) => outcome.ended = Some(if self.open { Why::Ended } else { Why::Broken }),
+                Ok(0) => outcome.ended = Some(if self.open { CloseReason::Ended } else { CloseReason::Broken }),
                 Ok(n) => {
                     self.read_at = now;
                     match &mut self.tls {
@@ -220,13 +220,13 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => outcome.ended = Some(Why::Broken),
+                Err(_) => outcome.ended = Some(CloseReason::Broken),
             }
         }
         if self.is_finishing() {
             // Nobody here listens any more.
             outcome.bytes.clear();
-            outcome.ended = outcome.ended.map(|_| Why::Finished);
+            outcome.ended = outcome.ended.map(|_| CloseReason::Finished);
         }
     }
 
@@ -237,7 +237,7 @@
             Err(_) => {
                 // The alert tells the other side why.
                 let _ = tls.write_tls(&mut self.stream);
-                outcome.ended = Some(if self.open { Why::Broken } else { Why::Untrusted });
+                outcome.ended = Some(if self.open { CloseReason::Broken } else { CloseReason::Untrusted });
                 return;
             }
         };
@@ -247,12 +247,12 @@
             outcome.bytes.truncate(from);
         }
         if state.peer_has_closed() {
-            outcome.ended = Some(Why::Ended);
+            outcome.ended = Some(CloseReason::Ended);
         }
     }
 
     /// Writes what the socket takes.
-    pub fn flush(&mut self) -> Result<(), Why> {
+    pub fn flush(&mut self) -> Result<(), CloseReason> {
         if self.connecting {
             return Ok(());
         }
@@ -271,7 +271,7 @@
                 Ok(()) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Err(Why::Broken),
+                Err(_) => return Err(CloseReason::Broken),
             }
         }
         if self.written == self.out.len() {
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -8,7 +8,7 @@
 
 use hdrhistogram::Histogram;
 pub use connection::Security;
-use connection::{Line, Outcome};
+use connection::{Connection, Outcome};
 use polling::{Event, Events, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::BTreeMap;
@@ -20,11 +20,11 @@
 use std::time::{Duration, Instant};
 
 /// A connection's number; never used again.
-pub type Conn = usize;
+pub type ConnectionId = usize;
 
 /// Bounds of a connection, and of all that a listener takes.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct BufferLimits {
     /// Bytes that may wait to be written; more ends the connection. Four of the largest messages.
     pub unread: usize,
     /// Bytes read in one turn: enough for any ordinary message, little against a turn's length.
@@ -37,16 +37,16 @@
     pub connections: usize,
 }
 
-impl Default for Bounds {
+impl Default for BufferLimits {
     fn default() -> Self {
         let handshake = Duration::from_secs(5);
-        Bounds { unread: 8 << 20, share: 64 << 10, idle: None, handshake, connections: 2048 }
+        BufferLimits { unread: 8 << 20, share: 64 << 10, idle: None, handshake, connections: 2048 }
     }
 }
 
 /// Why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum CloseReason {
     /// The other side closed it in order.
     Ended,
     /// It broke.
@@ -67,20 +67,20 @@
 
 /// What happened in a turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Happened {
+pub enum IoEvent {
     /// A connection stands: accepted by a listener, or dialled; with the peer's certificate, if it gave one.
     Open {
-        conn: Conn,
-        listener: Option<Conn>,
+        conn: ConnectionId,
+        listener: Option<ConnectionId>,
         certificate: Option<Vec<u8>>,
     },
     Bytes {
-        conn: Conn,
+        conn: ConnectionId,
         bytes: Vec<u8>,
     },
     Closed {
-        conn: Conn,
-        why: Why,
+        conn: ConnectionId,
+        why: CloseReason,
     },
     Signal(i32),
 }
@@ -88,7 +88,7 @@
 struct Listener {
     socket: TcpListener,
     security: Security,
-    bounds: Bounds,
+    bounds: BufferLimits,
     count: usize,
     /// Whether a turn may accept: a loop that stops takes nobody new.
     open: bool,
@@ -117,20 +117,20 @@
 /// How often times are looked at when nothing else happens; idle and handshake bounds are this coarse.
 const SWEEP: Duration = Duration::from_millis(250);
 
-pub struct Turn {
+pub struct EventLoop {
     poller: Arc<Poller>,
     events: Events,
-    lines: BTreeMap<Conn, Line>,
-    listeners: BTreeMap<Conn, Listener>,
-    signals: BTreeMap<Conn, (UnixStream, i32)>,
-    next: Conn,
+    lines: BTreeMap<ConnectionId, Connection>,
+    listeners: BTreeMap<ConnectionId, Listener>,
+    signals: BTreeMap<ConnectionId, (UnixStream, i32)>,
+    next: ConnectionId,
     start: Instant,
     swept: Duration,
     looked: Duration,
     /// Ended by the other side in the last turn; what was written since still goes out.
-    parting: Vec<Conn>,
+    parting: Vec<ConnectionId>,
     /// Ended outside of reading: told with the next turn.
-    told: Vec<Happened>,
+    told: Vec<IoEvent>,
     busy_since: Option<Instant>,
     /// Lengths of turns, microseconds, from what was read to the next wait.
     pub lengths: Histogram<u64>,
@@ -157,9 +157,9 @@
     io::Error::other(e.to_string())
 }
 
-impl Turn {
-    pub fn new() -> io::Result<Turn> {
-        Ok(Turn {
+impl EventLoop {
+    pub fn new() -> io::Result<EventLoop> {
+        Ok(EventLoop {
             poller: Arc::new(Poller::new()?),
             events: Events::new(),
             lines: BTreeMap::new(),
@@ -195,7 +195,7 @@
         Waker(self.poller.clone())
     }
 
-    fn number(&mut self) -> Conn {
+    fn number(&mut self) -> ConnectionId {
         self.next += 1;
         self.next
     }
@@ -205,8 +205,8 @@
         &mut self,
         at: SocketAddr,
         security: Security,
-        bounds: Bounds,
-    ) -> io::Result<(Conn, SocketAddr)> {
+        bounds: BufferLimits,
+    ) -> io::Result<(ConnectionId, SocketAddr)> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
@@ -224,7 +224,7 @@
     }
 
     /// Dials. That it stands, or not, is told later.
-    pub fn dial(&mut self, to: SocketAddr, security: &Security, bounds: Bounds) -> io::Result<Conn> {
+    pub fn dial(&mut self, to: SocketAddr, security: &Security, bounds: BufferLimits) -> io::Result<ConnectionId> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
@@ -235,10 +235,10 @@
         };
         let id = self.number();
         if refused {
-            self.told.push(Happened::Closed { conn: id, why: Why::Refused });
+            self.told.push(IoEvent::Closed { conn: id, why: CloseReason::Refused });
             return Ok(id);
         }
-        let line = Line::new(socket.into(), security.start()?, bounds, None, true, self.now());
+        let line = Connection::new(socket.into(), security.start()?, bounds, None, true, self.now());
         unsafe { self.poller.add_with_mode(line.socket(), Event::all(id), PollMode::Level)? };
         self.lines.insert(id, line);
         Ok(id)
@@ -256,7 +256,7 @@
     }
 
     /// Writes, now or as the other side reads. Past the bound, the connection ends.
-    pub fn write(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn write(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         if line.is_finishing() || bytes.is_empty() {
             return;
@@ -264,21 +264,21 @@
         if line.queue(bytes) {
             self.flush(conn);
         } else {
-            self.close(conn, Why::Unread);
+            self.close(conn, CloseReason::Unread);
         }
     }
 
     /// Bytes that wait to be written.
-    pub fn waiting(&self, conn: Conn) -> usize {
-        self.lines.get(&conn).map_or(0, Line::waiting)
+    pub fn waiting(&self, conn: ConnectionId) -> usize {
+        self.lines.get(&conn).map_or(0, Connection::waiting)
     }
 
-    pub fn is_open(&self, conn: Conn) -> bool {
+    pub fn is_open(&self, conn: ConnectionId) -> bool {
         self.lines.contains_key(&conn)
     }
 
     /// Reads no more from it for now, or again: what the peer sends then fills its own side.
-    pub fn hold(&mut self, conn: Conn, held: bool) {
+    pub fn hold(&mut self, conn: ConnectionId, held: bool) {
         if let Some(line) = self.lines.get_mut(&conn) {
             line.held = held;
             let _ = interest(&self.poller, conn, line);
@@ -286,7 +286,7 @@
     }
 
     /// Closes it once all is written.
-    pub fn finish(&mut self, conn: Conn) {
+    pub fn finish(&mut self, conn: ConnectionId) {
         let now = self.now();
         if let Some(line) = self.lines.get_mut(&conn) {
             line.finish(now + LINGER);
@@ -295,12 +295,12 @@
     }
 
     /// Closes it at once; nothing more is told of it.
-    pub fn cut(&mut self, conn: Conn) {
+    pub fn cut(&mut self, conn: ConnectionId) {
         self.forget(conn);
     }
 
     /// Takes no new connections for now, or again: where descriptors run short, who comes waits in the system's queue.
-    pub fn hold_listener(&mut self, id: Conn, held: bool) {
+    pub fn hold_listener(&mut self, id: ConnectionId, held: bool) {
         if let Some(listener) = self.listeners.get_mut(&id).filter(|l| l.open && l.held != held) {
             listener.held = held;
             self.arm(id);
@@ -308,7 +308,7 @@
     }
 
     /// Looks for who comes to a listener, or no longer.
-    fn arm(&self, id: Conn) {
+    fn arm(&self, id: ConnectionId) {
         if let Some(listener) = self.listeners.get(&id).filter(|l| l.open) {
             let event = if listener.takes() { Event::readable(id) } else { Event::none(id) };
             let _ = self.poller.modify_with_mode(&listener.socket, event, PollMode::Level);
@@ -318,7 +318,7 @@
     /// Takes newcomers again where the rest is over. Gives when the next one is.
     fn end_rests(&mut self, now: Duration) -> Option<Duration> {
         let over = |l: &Listener| l.rests_until.is_some_and(|until| now >= until);
-        let over: Vec<Conn> = self.listeners.iter().filter(|(_, l)| over(l)).map(|(id, _)| *id).collect();
+        let over: Vec<ConnectionId> = self.listeners.iter().filter(|(_, l)| over(l)).map(|(id, _)| *id).collect();
         for id in over {
             self.listeners.entry(id).and_modify(|l| l.rests_until = None);
             self.arm(id);
@@ -327,7 +327,7 @@
     }
 
     /// Closes one listener for good; its connections stay.
-    pub fn close_listener(&mut self, id: Conn) {
+    pub fn close_listener(&mut self, id: ConnectionId) {
         if let Some(listener) = self.listeners.remove(&id).filter(|l| l.open) {
             let _ = self.poller.delete(&listener.socket);
         }
@@ -341,7 +341,7 @@
         }
     }
 
-    fn forget(&mut self, conn: Conn) {
+    fn forget(&mut self, conn: ConnectionId) {
         if let Some(line) = self.lines.remove(&conn) {
             let _ = self.poller.delete(line.socket());
             if let Some(listener) = line.listener.and_then(|l| self.listeners.get_mut(&l)) {
@@ -350,11 +350,11 @@
         }
     }
 
-    fn close(&mut self, conn: Conn, why: Why) {
+    fn close(&mut self, conn: ConnectionId, why: CloseReason) {
         let Some(line) = self.lines.get(&conn) else { return };
         // Of one that the other side ended this has been told.
         if !line.ended {
-            self.told.push(Happened::Closed { conn, why });
+            self.told.push(IoEvent::Closed { conn, why });
         }
         self.forget(conn);
     }
@@ -372,7 +372,7 @@
         }
     }
 
-    fn flush(&mut self, conn: Conn) {
+    fn flush(&mut self, conn: ConnectionId) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         match line.flush() {
             Ok(()) => _ = interest(&self.poller, conn, line),
@@ -381,7 +381,7 @@
                 let mut outcome = Outcome::default();
                 line.read(self.start.elapsed(), &mut outcome);
                 if !outcome.bytes.is_empty() {
-                    self.told.push(Happened::Bytes { conn, bytes: outcome.bytes });
+                    self.told.push(IoEvent::Bytes { conn, bytes: outcome.bytes });
                 }
                 self.close(conn, why);
             }
@@ -389,7 +389,7 @@
     }
 
     /// One turn: waits until something is ready, or until `until`, and tells what happened.
-    pub fn wait(&mut self, until: Option<Duration>) -> io::Result<Vec<Happened>> {
+    pub fn wait(&mut self, until: Option<Duration>) -> io::Result<Vec<IoEvent>> {
         if let Some(since) = self.busy_since.take() {
             self.lengths.saturating_record(since.elapsed().as_micros() as u64);
         }
@@ -409,7 +409,7 @@
         let ready: Vec<Event> = self.events.iter().collect();
         let mut handshakes = 0;
         for event in ready {
-            if self.lines.get(&event.key).is_some_and(Line::is_shaking_hands) {
+            if self.lines.get(&event.key).is_some_and(Connection::is_shaking_hands) {
                 handshakes += 1;
                 if handshakes > self.handshakes {
                     continue;
@@ -424,7 +424,7 @@
         Ok(happened)
     }
 
-    fn ready(&mut self, event: Event, happened: &mut Vec<Happened>) {
+    fn ready(&mut self, event: Event, happened: &mut Vec<IoEvent>) {
         let id = event.key;
         if self.listeners.contains_key(&id) {
             self.accept(id);
@@ -433,7 +433,7 @@
         if let Some((pipe, signal)) = self.signals.get_mut(&id) {
             let mut sink = [0; 64];
             while matches!(pipe.read(&mut sink), Ok(n) if n > 0) {}
-            happened.push(Happened::Signal(*signal));
+            happened.push(IoEvent::Signal(*signal));
             return;
         }
         let now = self.now();
@@ -441,24 +441,24 @@
         let listener = line.listener;
         let outcome = line.ready(&event, now);
         if let Some(certificate) = outcome.opened {
-            happened.push(Happened::Open { conn: id, listener, certificate });
+            happened.push(IoEvent::Open { conn: id, listener, certificate });
         }
         if !outcome.bytes.is_empty() {
-            happened.push(Happened::Bytes { conn: id, bytes: outcome.bytes });
+            happened.push(IoEvent::Bytes { conn: id, bytes: outcome.bytes });
         }
         match outcome.ended {
             // Half-closed: it may still read, and is owed the answers to what it sent.
-            Some(Why::Ended) if line.is_plain() && !line.is_finishing() => {
+            Some(CloseReason::Ended) if line.is_plain() && !line.is_finishing() => {
                 line.ended = true;
                 let _ = interest(&self.poller, id, line);
                 self.parting.push(id);
-                happened.push(Happened::Closed { conn: id, why: Why::Ended });
+                happened.push(IoEvent::Closed { conn: id, why: CloseReason::Ended });
             }
             Some(why) => {
                 let told = line.ended;
                 self.forget(id);
                 if !told {
-                    happened.push(Happened::Closed { conn: id, why });
+                    happened.push(IoEvent::Closed { conn: id, why });
                 }
             }
             None if line.ended && line.waiting() == 0 => self.forget(id),
@@ -470,7 +470,7 @@
         }
     }
 
-    fn accept(&mut self, id: Conn) {
+    fn accept(&mut self, id: ConnectionId) {
         for _ in 0..self.accepts {
             let now = self.now();
             let Some(listener) = self.listeners.get_mut(&id).filter(|l| l.takes()) else { return };
@@ -490,7 +490,7 @@
             }
             let set = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
             let Ok(tls) = set.and_then(|()| listener.security.start()) else { continue };
-            let line = Line::new(stream, tls, listener.bounds, Some(id), false, now);
+            let line = Connection::new(stream, tls, listener.bounds, Some(id), false, now);
             listener.count += 1;
             let conn = self.number();
             let plain = line.is_plain();
@@ -502,7 +502,7 @@
                 continue;
             }
             if plain {
-                self.told.push(Happened::Open { conn, listener: Some(id), certificate: None });
+                self.told.push(IoEvent::Open { conn, listener: Some(id), certificate: None });
             } else {
                 // A side that starts the handshake has bytes to write at once.
                 self.flush(conn);
@@ -512,8 +512,8 @@
 
     fn sweep(&mut self) {
         self.swept = self.now();
-        let late = |(conn, line): (&Conn, &Line)| line.late(self.looked).map(|why| (*conn, why));
-        let late: Vec<(Conn, Why)> = self.lines.iter().filter_map(late).collect();
+        let late = |(conn, line): (&ConnectionId, &Connection)| line.late(self.looked).map(|why| (*conn, why));
+        let late: Vec<(ConnectionId, CloseReason)> = self.lines.iter().filter_map(late).collect();
         late.into_iter().for_each(|(conn, why)| self.close(conn, why));
     }
 }
@@ -523,7 +523,7 @@
 /// Connecting goes on in the background (Linux, and alike on what else this runs on).
 const EINPROGRESS: i32 = 115;
 
-fn interest(poller: &Poller, conn: Conn, line: &mut Line) -> io::Result<()> {
+fn interest(poller: &Poller, conn: ConnectionId, line: &mut Connection) -> io::Result<()> {
     let wanted = (line.wants_read(), line.wants_write());
     if line.interest != Some(wanted) {
         line.interest = Some(wanted);
--- a/crates/event-loop/src/tests.rs
+++ b/crates/event-loop/src/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// Turns until something is told that `wanted` picks; a minute is far beyond what any of this takes.
-fn until<T>(turn: &mut Turn, mut wanted: impl FnMut(&mut Turn, &Happened) -> Option<T>) -> T {
+fn until<T>(turn: &mut EventLoop, mut wanted: impl FnMut(&mut EventLoop, &IoEvent) -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(60);
     while Instant::now() < end {
         for h in turn.wait(None).unwrap() {
@@ -62,23 +62,23 @@
 #[test]
 fn bytes_pass_both_ways_under_tls_with_certificates_on_both_sides() {
     let (answers, starts, _) = issue();
-    let mut turn = Turn::new().unwrap();
-    let (_, at) = turn.listen(any(), answers, Bounds::default()).unwrap();
-    let near = turn.dial(at, &starts, Bounds::default()).unwrap();
+    let mut turn = EventLoop::new().unwrap();
+    let (_, at) = turn.listen(any(), answers, BufferLimits::default()).unwrap();
+    let near = turn.dial(at, &starts, BufferLimits::default()).unwrap();
     // Written before the handshake is over, and larger than any buffer on the way.
     let long: Vec<u8> = (0..3_000_000u32).map(|k| k as u8).collect();
     turn.write(near, &long);
     let mut got = Vec::new();
     until(&mut turn, |turn, h| match h {
-        Happened::Open { certificate, .. } => certificate.is_none().then(|| panic!("no certificate")),
-        Happened::Bytes { conn, bytes } if *conn != near => {
+        IoEvent::Open { certificate, .. } => certificate.is_none().then(|| panic!("no certificate")),
+        IoEvent::Bytes { conn, bytes } if *conn != near => {
             got.extend_from_slice(bytes);
             if got.len() == long.len() {
                 turn.write(*conn, b"thanks");
             }
             None
         }
-        Happened::Bytes { bytes, .. } => (bytes == b"thanks").then_some(()),
+        IoEvent::Bytes { bytes, .. } => (bytes == b"thanks").then_some(()),
         _ => None,
     });
     assert!(got == long);
@@ -87,18 +87,18 @@
 #[test]
 fn who_has_no_certificate_or_speaks_no_tls_is_untrusted() {
     let (answers, _, nameless) = issue();
-    let mut turn = Turn::new().unwrap();
-    let (_, at) = turn.listen(any(), answers, Bounds::default()).unwrap();
-    let near = turn.dial(at, &nameless, Bounds::default()).unwrap();
+    let mut turn = EventLoop::new().unwrap();
+    let (_, at) = turn.listen(any(), answers, BufferLimits::default()).unwrap();
+    let near = turn.dial(at, &nameless, BufferLimits::default()).unwrap();
     let why = until(&mut turn, |_, h| match h {
-        Happened::Closed { conn, why } if *conn != near => Some(*why),
+        IoEvent::Closed { conn, why } if *conn != near => Some(*why),
         _ => None,
     });
-    assert_eq!(why, Why::Untrusted);
+    assert_eq!(why, CloseReason::Untrusted);
     let mut plain = TcpStream::connect(at).unwrap();
     plain.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    let closed = |_: &mut Turn, h: &Happened| match h {
-        Happened::Closed { why: Why::Untrusted, conn } if *conn != near => Some(()),
+    let closed = |_: &mut EventLoop, h: &IoEvent| match h {
+        IoEvent::Closed { why: CloseReason::Untrusted, conn } if *conn != near => Some(()),
         _ => None,
     };
     until(&mut turn, closed);
@@ -106,69 +106,69 @@
 
 #[test]
 fn a_peer_that_says_nothing_or_reads_nothing_loses_its_connection() {
-    let mut turn = Turn::new().unwrap();
-    let bounds = Bounds { idle: Some(Duration::from_millis(50)), unread: 1 << 20, ..Bounds::default() };
+    let mut turn = EventLoop::new().unwrap();
+    let bounds = BufferLimits { idle: Some(Duration::from_millis(50)), unread: 1 << 20, ..BufferLimits::default() };
     let (_, at) = turn.listen(any(), Security::Plain, bounds).unwrap();
     let _silent = TcpStream::connect(at).unwrap();
-    let closed = |_: &mut Turn, h: &Happened| match h {
-        Happened::Closed { why, .. } => Some(*why),
+    let closed = |_: &mut EventLoop, h: &IoEvent| match h {
+        IoEvent::Closed { why, .. } => Some(*why),
         _ => None,
     };
-    assert_eq!(until(&mut turn, closed), Why::Idle);
+    assert_eq!(until(&mut turn, closed), CloseReason::Idle);
 
-    let bounds = Bounds { idle: None, ..bounds };
+    let bounds = BufferLimits { idle: None, ..bounds };
     let (_, at) = turn.listen(any(), Security::Plain, bounds).unwrap();
     let _deaf = TcpStream::connect(at).unwrap();
-    let conn = until(&mut turn, |_, h| if let Happened::Open { conn, .. } = h { Some(*conn) } else { None });
+    let conn = until(&mut turn, |_, h| if let IoEvent::Open { conn, .. } = h { Some(*conn) } else { None });
     while turn.is_open(conn) {
         turn.write(conn, &[7; 100_000]);
         assert!(turn.waiting(conn) <= 1 << 20);
     }
-    assert_eq!(until(&mut turn, closed), Why::Unread);
+    assert_eq!(until(&mut turn, closed), CloseReason::Unread);
 }
 
 #[test]
 fn a_handshake_that_stalls_ends_and_a_refused_connection_is_told() {
     let (answers, starts, _) = issue();
-    let mut turn = Turn::new().unwrap();
-    let bounds = Bounds { handshake: Duration::from_millis(50), ..Bounds::default() };
+    let mut turn = EventLoop::new().unwrap();
+    let bounds = BufferLimits { handshake: Duration::from_millis(50), ..BufferLimits::default() };
     let (_, at) = turn.listen(any(), answers, bounds).unwrap();
     let _stalled = TcpStream::connect(at).unwrap();
     let closed =
-        |_: &mut Turn, h: &Happened| if let Happened::Closed { why, .. } = h { Some(*why) } else { None };
-    assert_eq!(until(&mut turn, closed), Why::Slow);
+        |_: &mut EventLoop, h: &IoEvent| if let IoEvent::Closed { why, .. } = h { Some(*why) } else { None };
+    assert_eq!(until(&mut turn, closed), CloseReason::Slow);
     // Bound and not listening: it refuses, and nobody else is given it meanwhile.
     let deaf = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     deaf.bind(&any().into()).unwrap();
     let deaf_at = deaf.local_addr().unwrap().as_socket().unwrap();
-    turn.dial(deaf_at, &starts, Bounds::default()).unwrap();
-    assert_eq!(until(&mut turn, closed), Why::Refused);
+    turn.dial(deaf_at, &starts, BufferLimits::default()).unwrap();
+    assert_eq!(until(&mut turn, closed), CloseReason::Refused);
 }
 
 #[test]
 fn a_finished_connection_delivers_what_was_written() {
-    let mut turn = Turn::new().unwrap();
-    let (_, at) = turn.listen(any(), Security::Plain, Bounds::default()).unwrap();
+    let mut turn = EventLoop::new().unwrap();
+    let (_, at) = turn.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     peer.write_all(b"unread by the other side").unwrap();
-    let conn = until(&mut turn, |_, h| if let Happened::Open { conn, .. } = h { Some(*conn) } else { None });
+    let conn = until(&mut turn, |_, h| if let IoEvent::Open { conn, .. } = h { Some(*conn) } else { None });
     turn.write(conn, &[1; 200_000]);
     turn.finish(conn);
     let reader = std::thread::spawn(move || {
         let mut all = Vec::new();
         peer.read_to_end(&mut all).map(|_| all.len())
     });
-    until(&mut turn, |_, h| matches!(h, Happened::Closed { why: Why::Finished, .. }).then_some(()));
+    until(&mut turn, |_, h| matches!(h, IoEvent::Closed { why: CloseReason::Finished, .. }).then_some(()));
     assert_eq!(reader.join().unwrap().unwrap(), 200_000);
 }
 
 #[test]
 fn a_listener_takes_no_more_than_it_may_and_a_held_connection_is_not_read() {
-    let mut turn = Turn::new().unwrap();
-    let bounds = Bounds { connections: 1, ..Bounds::default() };
+    let mut turn = EventLoop::new().unwrap();
+    let bounds = BufferLimits { connections: 1, ..BufferLimits::default() };
     let (_, at) = turn.listen(any(), Security::Plain, bounds).unwrap();
     let mut first = TcpStream::connect(at).unwrap();
-    let conn = until(&mut turn, |_, h| if let Happened::Open { conn, .. } = h { Some(*conn) } else { None });
+    let conn = until(&mut turn, |_, h| if let IoEvent::Open { conn, .. } = h { Some(*conn) } else { None });
     let mut second = TcpStream::connect(at).unwrap();
     while turn.turned_away == 0 {
         turn.wait(None).unwrap();
@@ -176,7 +176,7 @@
     assert!(matches!(second.read(&mut [0; 8]), Ok(0) | Err(_)));
     turn.hold(conn, true);
     first.write_all(b"x").unwrap();
-    let bytes = |h: &Happened| matches!(h, Happened::Bytes { .. });
+    let bytes = |h: &IoEvent| matches!(h, IoEvent::Bytes { .. });
     for _ in 0..3 {
         assert!(!turn.wait(Some(turn.now() + Duration::from_millis(5))).unwrap().iter().any(bytes));
     }
@@ -188,14 +188,14 @@
 /// all get there.
 #[test]
 fn a_storm_of_handshakes_is_spread_over_turns() {
-    let (mut turn, (answers, starts, _)) = (Turn::new().unwrap(), issue());
-    let (_, at) = turn.listen(any(), answers, Bounds::default()).unwrap();
+    let (mut turn, (answers, starts, _)) = (EventLoop::new().unwrap(), issue());
+    let (_, at) = turn.listen(any(), answers, BufferLimits::default()).unwrap();
     let count = 5 * HANDSHAKES_MOST;
-    let dialled: Vec<Conn> = (0..count).map(|_| turn.dial(at, &starts, Bounds::default()).unwrap()).collect();
+    let dialled: Vec<ConnectionId> = (0..count).map(|_| turn.dial(at, &starts, BufferLimits::default()).unwrap()).collect();
     let (mut open, end) = (0, Instant::now() + Duration::from_secs(60));
     while open < 2 * dialled.len() && Instant::now() < end {
         let opened = turn.wait(None).unwrap();
-        let opened = opened.iter().filter(|h| matches!(h, Happened::Open { .. })).count();
+        let opened = opened.iter().filter(|h| matches!(h, IoEvent::Open { .. })).count();
         assert!(opened <= HANDSHAKES_MOST, "{opened} handshakes in one turn");
         open += opened;
     }
@@ -204,22 +204,22 @@
 
 #[test]
 fn who_closes_its_own_half_gets_what_is_written_in_the_turn_of_its_end() {
-    let mut turn = Turn::new().unwrap();
-    let (_, at) = turn.listen(any(), Security::Plain, Bounds::default()).unwrap();
+    let mut turn = EventLoop::new().unwrap();
+    let (_, at) = turn.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     peer.write_all(b"well?").unwrap();
     peer.shutdown(std::net::Shutdown::Write).unwrap();
     // The whole turn is taken in before anything is written, as by a shell whose core answers then.
     let mut asked = Vec::new();
     let ended = until(&mut turn, |_, h| match h {
-        Happened::Bytes { bytes, .. } => {
+        IoEvent::Bytes { bytes, .. } => {
             asked.extend_from_slice(bytes);
             None
         }
-        Happened::Closed { conn, why } => Some((*conn, *why)),
+        IoEvent::Closed { conn, why } => Some((*conn, *why)),
         _ => None,
     });
-    assert_eq!((asked.as_slice(), ended.1), (&b"well?"[..], Why::Ended));
+    assert_eq!((asked.as_slice(), ended.1), (&b"well?"[..], CloseReason::Ended));
     turn.write(ended.0, b"well.");
     let answer = std::thread::spawn(move || {
         let mut answer = Vec::new();
@@ -234,11 +234,11 @@
 
 #[test]
 fn what_a_peer_sent_before_it_broke_is_told_before_its_end() {
-    let mut turn = Turn::new().unwrap();
-    let (_, at) = turn.listen(any(), Security::Plain, Bounds::default()).unwrap();
+    let mut turn = EventLoop::new().unwrap();
+    let (_, at) = turn.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     let conn = until(&mut turn, |_, h| match h {
-        Happened::Open { conn, .. } => Some(*conn),
+        IoEvent::Open { conn, .. } => Some(*conn),
         _ => None,
     });
     peer.write_all(b"last words").unwrap();
@@ -250,10 +250,10 @@
     let mut told = Vec::new();
     until(&mut turn, |_, h| {
         told.push(h.clone());
-        matches!(h, Happened::Closed { .. }).then_some(())
+        matches!(h, IoEvent::Closed { .. }).then_some(())
     });
-    let bytes = Happened::Bytes { conn, bytes: b"last words".to_vec() };
-    assert_eq!(told, vec![bytes, Happened::Closed { conn, why: Why::Broken }]);
+    let bytes = IoEvent::Bytes { conn, bytes: b"last words".to_vec() };
+    assert_eq!(told, vec![bytes, IoEvent::Closed { conn, why: CloseReason::Broken }]);
 }
 
 /// In a process of its own, where few descriptors are left; plays nothing when it is called by itself.
@@ -262,8 +262,8 @@
     let Ok(at) = std::env::var("RUNLOOM_TURN_SHORT") else {
         return in_a_process_of_few_descriptors();
     };
-    let mut turn = Turn::new().unwrap();
-    let (_, at) = turn.listen(at.parse().unwrap(), Security::Plain, Bounds::default()).unwrap();
+    let mut turn = EventLoop::new().unwrap();
+    let (_, at) = turn.listen(at.parse().unwrap(), Security::Plain, BufferLimits::default()).unwrap();
     println!("listens at {at}");
     let (mut taken, mut all, mut idle) = (Vec::new(), 0, 0);
     // Some rests long nobody goes, and more wait than can be taken.
@@ -272,7 +272,7 @@
         let happened = turn.wait(None).unwrap();
         idle += usize::from(happened.is_empty());
         taken.extend(happened.iter().filter_map(|h| match h {
-            Happened::Open { conn, .. } => Some(*conn),
+            IoEvent::Open { conn, .. } => Some(*conn),
             _ => None,
         }));
         if turn.now() > full {
--- a/crates/inventory/src/edit_history.rs
+++ b/crates/inventory/src/edit_history.rs
@@ -12,7 +12,7 @@
 
 /// How an id stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum EditLookup {
     New,
     Same,
     Other,
@@ -52,22 +52,22 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Ledger {
+pub struct EditHistory {
     edits: VecDeque<Edit>,
     made: u64,
 }
 
-impl Ledger {
+impl EditHistory {
     pub fn edits(&self) -> impl Iterator<Item = &Edit> {
         self.edits.iter()
     }
 
     /// How an id stands; without a digest, any edit of that id is the same.
-    pub fn known(&self, id: &str, digest: &str) -> Known {
+    pub fn known(&self, id: &str, digest: &str) -> EditLookup {
         match self.edits.iter().rfind(|e| e.id == id) {
-            None => Known::New,
-            Some(e) if digest.is_empty() || e.digest == digest => Known::Same,
-            Some(_) => Known::Other,
+            None => EditLookup::New,
+            Some(e) if digest.is_empty() || e.digest == digest => EditLookup::Same,
+            Some(_) => EditLookup::Other,
         }
     }
 
@@ -161,7 +161,7 @@
         settled
     }
 
-    /// When [`Ledger::settle`] has something to do without any event.
+    /// When [`EditHistory::settle`] has something to do without any event.
     pub fn wakes_at(&self) -> Option<Duration> {
         let waiting = self.edits.iter().filter(|e| e.in_force.is_none() && !e.open.is_empty());
         waiting.filter_map(|e| e.decided.map(|at| at + BEAT)).min()
@@ -174,7 +174,7 @@
 
     /// From the file, as id, who, digest, and when each was accepted: edits of before this start are accepted, and
     /// where they are in force is not known.
-    pub fn of(kept: impl Iterator<Item = (String, String, String, u64)>) -> Ledger {
+    pub fn of(kept: impl Iterator<Item = (String, String, String, u64)>) -> EditHistory {
         let edit = |(id, who, digest, accepted)| Edit {
             id,
             who,
@@ -189,6 +189,6 @@
             of: 0,
         };
         let edits: VecDeque<Edit> = kept.map(edit).collect();
-        Ledger { made: edits.len() as u64, edits }
+        EditHistory { made: edits.len() as u64, edits }
     }
 }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -30,7 +30,7 @@
 
 /// The merged roster.
 #[derive(Debug, Clone, Default)]
-pub struct Roster {
+pub struct Inventory {
     servers: BTreeMap<String, Server>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-impl Roster {
+impl Inventory {
     pub fn servers(&self) -> &BTreeMap<String, Server> {
         &self.servers
     }
--- a/crates/inventory/src/tests.rs
+++ b/crates/inventory/src/tests.rs
@@ -1,4 +1,4 @@
-use super::edit_history::{Known, Ledger, BEAT};
+use super::edit_history::{EditLookup, EditHistory, BEAT};
 use super::*;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_zones_share_and_an_operators_weight_make_the_listed_weight() {
-    let mut roster = Roster::default();
+    let mut roster = Inventory::default();
     roster.update(&fleet(ZONE, ""), &listed(&["s1", "s2"]));
     let words = "<server><name>s2</name><weight>3</weight></server>";
     let changed =
@@ -45,7 +45,7 @@
 
 #[test]
 fn an_undrain_does_not_bring_back_what_is_gone() {
-    let mut roster = Roster::default();
+    let mut roster = Inventory::default();
     roster
         .update(&fleet(ZONE, "<server><name>s1</name><drain>true</drain></server>"), &listed(&["s1", "s2"]));
     let gone = roster.update(&fleet(ZONE, ""), &listed(&["s2"]));
@@ -55,17 +55,17 @@
 
 #[test]
 fn an_id_is_new_the_same_or_anothers() {
-    let mut ledger = Ledger::default();
+    let mut ledger = EditHistory::default();
     ledger.accept(Some("a"), "staff", "d1", 5);
-    assert_eq!(["d1", "d2", ""].map(|d| ledger.known("a", d)), [Known::Same, Known::Other, Known::Same]);
+    assert_eq!(["d1", "d2", ""].map(|d| ledger.known("a", d)), [EditLookup::Same, EditLookup::Other, EditLookup::Same]);
     let noted = |e: &edit_history::Edit| (e.id.clone(), e.who.clone(), e.digest.clone(), e.accepted);
-    let kept = Ledger::of(ledger.edits().map(noted));
-    assert_eq!((kept.known("a", "d1"), kept.known("b", "d1")), (Known::Same, Known::New));
+    let kept = EditHistory::of(ledger.edits().map(noted));
+    assert_eq!((kept.known("a", "d1"), kept.known("b", "d1")), (EditLookup::Same, EditLookup::New));
 }
 
 #[test]
 fn an_edit_is_in_force_once_all_that_were_ordered_have_confirmed() {
-    let mut ledger = Ledger::default();
+    let mut ledger = EditHistory::default();
     let servers: BTreeSet<String> = ["s1".to_string()].into();
     let id = ledger.accept(Some("a"), "staff", "d", 5);
     // Not on disk yet: the decisions are not told.
@@ -84,7 +84,7 @@
 
 #[test]
 fn an_edit_that_changes_no_line_is_in_force_after_a_beat() {
-    let mut ledger = Ledger::default();
+    let mut ledger = EditHistory::default();
     let id = ledger.accept(None, "staff", "d", 5);
     ledger.kept(&[id], Duration::ZERO);
     ledger.decided(Duration::ZERO, &["s1".to_string()].into());
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_full_ledger_forgets_the_oldest() {
-    let mut ledger = Ledger::default();
+    let mut ledger = EditHistory::default();
     (0..=edit_history::KEPT_MOST).for_each(|k| _ = ledger.accept(Some(&k.to_string()), "staff", "d", 5));
-    assert_eq!((ledger.known("0", "d"), ledger.known("1", "d")), (Known::New, Known::Same));
+    assert_eq!((ledger.known("0", "d"), ledger.known("1", "d")), (EditLookup::New, EditLookup::Same));
 }
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -2,7 +2,7 @@
 
 use crate::{at, fleet, set_out, turned, Unusable};
 use runloom_control_session::recording::call;
-use runloom_control_session::Driver;
+use runloom_control_session::ControlSession;
 use runloom_event_log::entry::Sent;
 use runloom_event_log::{Entry, Happened};
 use serde::Serialize;
@@ -32,7 +32,7 @@
 
 /// A replay under way, entry by entry.
 pub struct Replay {
-    driver: Driver,
+    driver: ControlSession,
     same: Same,
     sum: Sha256,
     lost: bool,
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod other;
 pub mod page;
 
-use runloom_control_session::Driver;
+use runloom_control_session::ControlSession;
 use runloom_event_log::{Entry, Happened};
 use runloom_model::fleet::Fleet;
 use runloom_netconf::tree::Element;
@@ -34,18 +34,18 @@
     entries: &[Entry],
     other: Option<&Fleet>,
     other_seed: Option<u64>,
-) -> Result<Driver, Unusable> {
+) -> Result<ControlSession, Unusable> {
     let Some(Happened::Start { seed, epoch, fleet: text, .. }) = entries.first().map(|e| &e.what) else {
         return Err(Unusable::NoStart);
     };
     let fleet = other.map_or_else(|| fleet(text), |f| Ok(f.clone()))?;
-    let mut driver = Driver::new(fleet, other_seed.unwrap_or(*seed), *epoch);
+    let mut driver = ControlSession::new(fleet, other_seed.unwrap_or(*seed), *epoch);
     driver.witness = Some(vec![]);
     Ok(driver)
 }
 
 /// What the last call came to, if it was a turn with decisions.
-pub(crate) fn turned(driver: &mut Driver) -> Option<Happened> {
+pub(crate) fn turned(driver: &mut ControlSession) -> Option<Happened> {
     let witness = driver.witness.as_mut()?;
     let last = std::mem::take(witness).pop()?;
     matches!(last.1, Happened::Turn { .. }).then_some(last.1)
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -4,7 +4,7 @@
 use crate::force::Force;
 use crate::{at, fleet, set_out, turned, Unusable};
 use runloom_control_session::recording::call;
-use runloom_control_session::Driver;
+use runloom_control_session::ControlSession;
 use runloom_event_log::entry::{Outcome, Sent};
 use runloom_event_log::{Entry, Happened};
 use runloom_model::fleet::Fleet;
@@ -51,7 +51,7 @@
 
 /// One of the two planners that are compared, and the tables as they come in force by it.
 struct Side {
-    driver: Driver,
+    driver: ControlSession,
     force: Force,
     /// The fleet as it was recorded at this time, and the one that stands in for it.
     recorded: Fleet,
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -1,7 +1,7 @@
 use crate::estimate::Estimate;
 use crate::exact::replay;
 use crate::other::{compare, Setting};
-use runloom_control_session::{Deed, Driver};
+use runloom_control_session::{Action, ControlSession};
 use runloom_controller::EndpointUpdate;
 use runloom_event_log::{Entry, Happened};
 use runloom_inventory::{Change, Server};
@@ -35,7 +35,7 @@
 /// A day of a minute: four proxies, six servers of which one is late from the tenth second on and one drains at the
 /// thirtieth; written down as the planner does.
 fn a_day() -> Vec<Entry> {
-    let mut driver = Driver::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
+    let mut driver = ControlSession::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
     let start = Happened::Start {
         build: "test".into(),
         planner: "p".into(),
@@ -74,7 +74,7 @@
         }
         let (deeds, _) = driver.turn(now);
         for deed in deeds {
-            if let Deed::Send { proxy, number, .. } = deed {
+            if let Action::Send { proxy, number, .. } = deed {
                 driver.applied(now + Duration::from_millis(20), proxy, number);
             }
         }
@@ -318,7 +318,7 @@
 /// Edits come three a second for an hour's worth: the record replays the same.
 #[test]
 fn ten_thousand_edits_replay_the_same() {
-    let mut driver = Driver::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
+    let mut driver = ControlSession::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
     let (build, planner) = ("test".to_string(), "p".to_string());
     let start = Happened::Start { build, planner, seed: 7, epoch: 1_000_000, fleet: FLEET.into() };
     driver.witness = Some(vec![(Duration::ZERO, start)]);
@@ -332,7 +332,7 @@
         let change = Change::Is(Server { weight, ..is });
         driver.list(EndpointUpdate::Delta, vec![(format!("s{}", k % 5), change)]);
         for deed in driver.turn(now).0 {
-            if let Deed::Send { proxy, number, .. } = deed {
+            if let Action::Send { proxy, number, .. } = deed {
                 driver.applied(now + Duration::from_millis(5), proxy, number);
             }
         }
--- a/crates/store/src/learned.rs
+++ b/crates/store/src/learned.rs
@@ -6,7 +6,7 @@
 
 /// What was learned of one server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct LearnedServer {
     pub name: String,
     /// Where it was, and when it started, milliseconds since 1970: another machine, or another start, is a new server.
     pub address: String,
@@ -20,15 +20,15 @@
 
 /// All that was learned, at a time.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Book {
+pub struct LearnedServers {
     /// Milliseconds since 1970.
     pub written: u64,
-    pub servers: Vec<Learned>,
+    pub servers: Vec<LearnedServer>,
 }
 
 /// What is left of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Hint {
+pub struct WarmStartHint {
     pub swift: f64,
     /// From 0, nothing, to 1: it failed just now.
     pub doubt: f64,
@@ -49,21 +49,21 @@
     0.5f64.powf(age.as_secs_f64() / halves.as_secs_f64())
 }
 
-impl Book {
+impl LearnedServers {
     /// As it is on disk.
     pub fn write(&self) -> Vec<u8> {
         // Texts, numbers and lists of them can always be written.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Result<Book, String> {
+    pub fn read(bytes: &[u8]) -> Result<LearnedServers, String> {
         postcard::from_bytes(bytes).map_err(|e| e.to_string())
     }
 
     /// What was learned by now, after what an earlier start had learned: a server that it knew to be failing, and that
     /// this one has seen too little of to say so, is not forgotten. A planner that is started again and again within
     /// seconds would lose it all.
-    pub fn renewed(self, earlier: &Book) -> Book {
+    pub fn renewed(self, earlier: &LearnedServers) -> LearnedServers {
         let mut servers = self.servers;
         let now = self.written;
         for old in &earlier.servers {
@@ -78,14 +78,14 @@
                 Some(new) if (&new.address, new.started) != (&old.address, old.started) => {}
                 Some(new) if new.failed >= old.failed => {}
                 Some(new) => (new.failed, new.held) = (old.failed, old.held),
-                None => servers.push(Learned { swift: 1.0, ..old.clone() }),
+                None => servers.push(LearnedServer { swift: 1.0, ..old.clone() }),
             }
         }
-        Book { written: now, servers }
+        LearnedServers { written: now, servers }
     }
 
     /// What still counts at `now` of a server that is listed so; none: nothing.
-    pub fn hint(&self, now: u64, name: &str, address: &str, started: Option<u64>) -> Option<Hint> {
+    pub fn hint(&self, now: u64, name: &str, address: &str, started: Option<u64>) -> Option<WarmStartHint> {
         let known = self.servers.iter().find(|s| s.name == name)?;
         // An id given to another machine, or a process that started anew.
         if known.address != address || known.started != started {
@@ -97,10 +97,10 @@
         let halves = if known.held { DOUBT_HALVES * HELD_TIMES } else { DOUBT_HALVES };
         let since = known.failed.and_then(|at| now.checked_sub(at)).map(Duration::from_millis);
         let doubt = since.map_or(0.0, |since| left(since, halves));
-        let hint = Hint {
+        let hint = WarmStartHint {
             swift: if swift.ln().abs() < SWIFT_LEAST { 1.0 } else { swift },
             doubt: if doubt < DOUBT_LEAST { 0.0 } else { doubt },
         };
-        (hint != Hint { swift: 1.0, doubt: 0.0 }).then_some(hint)
+        (hint != WarmStartHint { swift: 1.0, doubt: 0.0 }).then_some(hint)
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -21,7 +21,7 @@
 const GENERATIONS: u64 = 2;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum StoreError {
     #[error("{0}")]
     Io(#[from] io::Error),
     /// Written by a newer version: it would be lost if this one went on.
@@ -67,7 +67,7 @@
 
 /// What was read back.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Opened {
+pub struct OpenedState {
     pub state: Option<Vec<u8>>,
     /// Entries since the snapshot, oldest first.
     pub entries: Vec<Vec<u8>>,
@@ -91,9 +91,9 @@
     rest: usize,
 }
 
-fn frame(bytes: &[u8], out: &mut Vec<u8>) -> Result<(), Failed> {
+fn frame(bytes: &[u8], out: &mut Vec<u8>) -> Result<(), StoreError> {
     if bytes.len() > FRAME_MOST {
-        return Err(Failed::TooLarge(bytes.len()));
+        return Err(StoreError::TooLarge(bytes.len()));
     }
     out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     // Over the length too: a length that was cut off half written must not pass.
@@ -133,9 +133,9 @@
     Some(Contents { head, frames, rest: rest.len() })
 }
 
-fn begun(head: Head) -> Result<Vec<u8>, Failed> {
+fn begun(head: Head) -> Result<Vec<u8>, StoreError> {
     let mut out = MAGIC.to_vec();
-    let unusable = |e: postcard::Error| Failed::Unusable { file: "head".into(), reason: e.to_string() };
+    let unusable = |e: postcard::Error| StoreError::Unusable { file: "head".into(), reason: e.to_string() };
     frame(&postcard::to_stdvec(&head).map_err(unusable)?, &mut out)?;
     Ok(out)
 }
@@ -143,7 +143,7 @@
 impl<D: Disk> Store<D> {
     /// Reads back what is there. A snapshot must follow before anything is kept: nothing is ever written behind an
     /// end that may have been cut off.
-    pub fn open(disk: D, layout: Layout) -> Result<(Store<D>, Opened), Failed> {
+    pub fn open(disk: D, layout: Layout) -> Result<(Store<D>, OpenedState), StoreError> {
         let mut store = Store { disk, layout, generation: 0, written: 0, sound: false };
         let opened = store.recover()?;
         Ok((store, opened))
@@ -155,7 +155,7 @@
     }
 
     /// Files of this name, by generation.
-    fn there(&self) -> Result<BTreeMap<(Part, u64), String>, Failed> {
+    fn there(&self) -> Result<BTreeMap<(Part, u64), String>, StoreError> {
         let mut all = BTreeMap::new();
         for file in self.disk.list()? {
             let Some(rest) = file.strip_prefix(self.layout.name).and_then(|r| r.strip_prefix('.')) else {
@@ -174,9 +174,9 @@
         Ok(all)
     }
 
-    fn recover(&mut self) -> Result<Opened, Failed> {
+    fn recover(&mut self) -> Result<OpenedState, StoreError> {
         let there = self.there()?;
-        let mut opened = Opened::default();
+        let mut opened = OpenedState::default();
         // The next snapshot's files are new, whatever was left of an earlier one.
         self.generation = there.keys().map(|(_, g)| *g).max().unwrap_or(0);
         let mut from = 0;
@@ -216,14 +216,14 @@
     }
 
     /// A file; none: broken from its beginning, or another's.
-    fn contents(&self, file: &str, part: Part, generation: u64) -> Result<Option<Contents>, Failed> {
+    fn contents(&self, file: &str, part: Part, generation: u64) -> Result<Option<Contents>, StoreError> {
         let Some(contents) = read(&self.disk.read(file)?) else { return Ok(None) };
         if contents.head.part != part || contents.head.generation != generation {
             return Ok(None);
         }
         if contents.head.version > self.layout.version {
             let (found, known) = (contents.head.version, self.layout.version);
-            return Err(Failed::Newer { file: file.into(), found, known });
+            return Err(StoreError::Newer { file: file.into(), found, known });
         }
         Ok(Some(contents))
     }
@@ -234,16 +234,16 @@
         version: u16,
         bytes: Vec<u8>,
         which: impl Fn(&(Upgrade, Upgrade)) -> Upgrade,
-    ) -> Result<Vec<u8>, Failed> {
+    ) -> Result<Vec<u8>, StoreError> {
         let steps = self.layout.upgrades.iter().skip(usize::from(version.max(1)) - 1);
         let step = |bytes, up| which(up)(bytes);
-        let unusable = |reason| Failed::Unusable { file: file.into(), reason };
+        let unusable = |reason| StoreError::Unusable { file: file.into(), reason };
         steps.take(usize::from(self.layout.version - version.max(1))).try_fold(bytes, step).map_err(unusable)
     }
 
     /// All that there is, in place of everything before; what comes after is entries. Once this returns it is there
     /// after a power cut; if it fails, what was there before is.
-    pub fn snapshot(&mut self, state: &[u8]) -> Result<(), Failed> {
+    pub fn snapshot(&mut self, state: &[u8]) -> Result<(), StoreError> {
         self.sound = false;
         let (version, generation) = (self.layout.version, self.generation + 1);
         // A number is never used again, be it that this fails half way.
@@ -269,9 +269,9 @@
 
     /// Keeps entries; once this returns they are there after a power cut. If it fails, whether they are is not known,
     /// and nothing more can be kept before the next snapshot.
-    pub fn append(&mut self, entries: &[Vec<u8>]) -> Result<(), Failed> {
+    pub fn append(&mut self, entries: &[Vec<u8>]) -> Result<(), StoreError> {
         if !self.sound {
-            return Err(Failed::Unknown);
+            return Err(StoreError::Unknown);
         }
         let mut bytes = Vec::new();
         entries.iter().try_for_each(|entry| frame(entry, &mut bytes))?;
@@ -293,7 +293,7 @@
     }
 
     /// Removes all but the newest generations, and what was left half made. Gives the files' names.
-    pub fn prune(&mut self) -> Result<Vec<String>, Failed> {
+    pub fn prune(&mut self) -> Result<Vec<String>, StoreError> {
         let there = self.there()?;
         let mut snapshots: Vec<u64> =
             there.keys().filter(|(p, _)| *p == Part::State).map(|(_, g)| *g).collect();
@@ -314,7 +314,7 @@
 
 /// One file as it is, for people.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Described {
+pub struct FileDescription {
     pub file: String,
     pub bytes: usize,
     /// Version, generation and number of entries; none: it cannot be read.
@@ -324,7 +324,7 @@
 }
 
 /// All files of the store's form in a folder.
-pub fn describe(disk: &impl Disk) -> Result<Vec<Described>, Failed> {
+pub fn describe(disk: &impl Disk) -> Result<Vec<FileDescription>, StoreError> {
     let mut all = Vec::new();
     for file in disk.list()? {
         if !file.contains(".state.") && !file.contains(".journal.") {
@@ -334,7 +334,7 @@
         let contents = read(&bytes);
         let head = contents.as_ref().map(|c| (c.head.version, c.head.generation, c.frames.len()));
         let rest = contents.map_or(bytes.len(), |c| c.rest);
-        all.push(Described { file, bytes: bytes.len(), head, rest });
+        all.push(FileDescription { file, bytes: bytes.len(), head, rest });
     }
     Ok(all)
 }
--- a/crates/store/src/tests.rs
+++ b/crates/store/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::accepted::{pieces, Accepted, Patch, Piece};
-use crate::learned::{Book, Learned};
+use crate::accepted::{pieces, AcceptedState, StatePatch, ListPiece};
+use crate::learned::{LearnedServers, LearnedServer};
 use proptest::prelude::*;
 
 /// A disk that may lose, cut and reorder what was not synced: each file has what is sure to be there and what was
@@ -145,7 +145,7 @@
 fn accept(disk: Flaky, batches: &[usize]) -> (Flaky, Vec<u8>, Vec<u8>) {
     let (mut kept, mut maybe, mut next) = (vec![], vec![], 0u8);
     let Ok((mut store, opened)) = Store::open(disk, LAYOUT) else { panic!("nothing is there yet") };
-    assert_eq!(opened, Opened::default());
+    assert_eq!(opened, OpenedState::default());
     for count in batches {
         if store.wants_snapshot() {
             if store.snapshot(&kept).is_err() {
@@ -222,20 +222,20 @@
     /// Lists of entries that become one another by patches; what is written is read back.
     #[test]
     fn patches_make_one_list_of_another(lists in prop::collection::vec(prop::collection::vec(0u32..30, 0..20), 1..12)) {
-        let mut all = Accepted::default();
+        let mut all = AcceptedState::default();
         for (k, list) in lists.iter().enumerate() {
             let place = |entry: &u32| {
                 let text = format!("<e>{entry}</e>");
                 all.entries.iter().position(|old| *old == text).map(|at| at as u32).ok_or(text)
             };
-            let patch = Patch { pieces: Some(pieces(list.iter().map(place))), ..Patch::default() };
-            let patch = Patch { before: (k % 3 == 0).then(|| Some(vec!["b".into()])), ..patch };
-            all.take(Patch::read(&patch.write()).unwrap()).unwrap();
+            let patch = StatePatch { pieces: Some(pieces(list.iter().map(place))), ..StatePatch::default() };
+            let patch = StatePatch { before: (k % 3 == 0).then(|| Some(vec!["b".into()])), ..patch };
+            all.take(StatePatch::read(&patch.write()).unwrap()).unwrap();
             let texts: Vec<String> = list.iter().map(|e| format!("<e>{e}</e>")).collect();
             prop_assert_eq!(&all.entries, &texts);
-            prop_assert_eq!(&Accepted::read(&all.write()).unwrap(), &all);
+            prop_assert_eq!(&AcceptedState::read(&all.write()).unwrap(), &all);
         }
-        let other = Patch { pieces: Some(vec![Piece::Old { from: 19, count: 9 }]), ..Patch::default() };
+        let other = StatePatch { pieces: Some(vec![ListPiece::Old { from: 19, count: 9 }]), ..StatePatch::default() };
         prop_assert!(all.take(other).is_err());
     }
 
@@ -296,18 +296,18 @@
     assert_eq!((opened.state.unwrap(), &opened.entries[0]), (b"s+2+3".to_vec(), &b"e+2+3".to_vec()));
     store.snapshot(b"now").unwrap();
     let refused = Store::open(store.disk, LAYOUT).err().unwrap();
-    assert!(matches!(refused, Failed::Newer { found: 3, known: 2, .. }), "{refused}");
+    assert!(matches!(refused, StoreError::Newer { found: 3, known: 2, .. }), "{refused}");
 }
 
 #[test]
 fn after_a_write_that_failed_nothing_is_kept_before_a_snapshot() {
     let (mut store, _) = Store::open(Flaky::default(), LAYOUT).unwrap();
-    assert!(matches!(store.append(&[vec![1]]), Err(Failed::Unknown)), "not before the first snapshot either");
+    assert!(matches!(store.append(&[vec![1]]), Err(StoreError::Unknown)), "not before the first snapshot either");
     store.snapshot(&[]).unwrap();
     let next = store.disk().done + 2;
     store.disk().faults = vec![next];
     assert!(store.append(&[vec![1]]).is_err() && store.wants_snapshot());
-    assert!(matches!(store.append(&[vec![2]]), Err(Failed::Unknown)));
+    assert!(matches!(store.append(&[vec![2]]), Err(StoreError::Unknown)));
     store.snapshot(&[7]).unwrap();
     store.append(&[vec![8]]).unwrap();
     let (_, opened) = Store::open(store.disk, LAYOUT).unwrap();
@@ -342,7 +342,7 @@
 fn what_was_learned_ages_and_another_machine_or_start_is_a_new_server() {
     const HOUR: u64 = 3_600_000;
     let now = 500_000 * HOUR;
-    let server = |name: &str, swift, failed: Option<u64>, held| Learned {
+    let server = |name: &str, swift, failed: Option<u64>, held| LearnedServer {
         name: name.into(),
         address: "10.0.0.1:80".into(),
         started: Some(7),
@@ -355,7 +355,7 @@
         server("bad", 1.0, Some(now), false),
         server("worse", 1.0, Some(now), true),
     ];
-    let book = Book::read(&Book { written: now, servers }.write()).unwrap();
+    let book = LearnedServers::read(&LearnedServers { written: now, servers }.write()).unwrap();
     let hint = |at: u64, name: &str| book.hint(at, name, "10.0.0.1:80", Some(7));
     assert_eq!(hint(now, "slow").map(|h| (h.swift, h.doubt)), Some((0.5, 0.0)));
     assert_eq!(hint(now, "bad").map(|h| (h.swift, h.doubt)), Some((1.0, 1.0)));
@@ -369,12 +369,12 @@
         assert_eq!(book.hint(now, name, "10.0.0.1:80", Some(8)), None, "another start");
     }
     // Started again before it has seen anything: what failed is not forgotten, until it counts no more.
-    let again = Book { written: now + 4_000, servers: vec![] }.renewed(&book);
+    let again = LearnedServers { written: now + 4_000, servers: vec![] }.renewed(&book);
     assert!(again.hint(now + 4_000, "bad", "10.0.0.1:80", Some(7)).unwrap().doubt > 0.9);
     assert_eq!(again.servers.len(), 2, "swiftness alone is the newer start's to tell");
     let seen = vec![server("bad", 0.8, Some(now + 3_000), true)];
-    let again = Book { written: now + 4_000, servers: seen.clone() }.renewed(&book);
+    let again = LearnedServers { written: now + 4_000, servers: seen.clone() }.renewed(&book);
     assert_eq!(again.servers[0], seen[0], "the newer word counts");
-    assert_eq!(Book { written: now + HOUR, servers: vec![] }.renewed(&book).servers, []);
-    assert!(hint(now, "new").is_none() && Book::read(b"\xff\xff").is_err());
+    assert_eq!(LearnedServers { written: now + HOUR, servers: vec![] }.renewed(&book).servers, []);
+    assert!(hint(now, "new").is_none() && LearnedServers::read(b"\xff\xff").is_err());
 }
--- a/crates/testbed/src/command_corruption.rs
+++ b/crates/testbed/src/command_corruption.rs
@@ -1,7 +1,7 @@
 //! Ways to break the decisions on purpose, for trials of the guard: each changes orders on their way out, from
 //! some seconds after the start on, so that a day is under way.
 
-use runloom_control_session::Spoil;
+use runloom_control_session::CommandTamper;
 use runloom_controller::Command;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 const FROM: Duration = Duration::from_secs(5);
 
 /// A way by its name.
-pub fn named(name: &str) -> Option<Spoil> {
+pub fn named(name: &str) -> Option<CommandTamper> {
     let name = NAMES.iter().find(|n| **n == name)?;
     let (mut seen, mut turn) = (BTreeSet::new(), 0usize);
     Some(Box::new(move |now, orders| {
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
 use runloom_daemon::http::{write_answer, Message, Reader};
-use runloom_event_loop::{Bounds, Conn, Security, Turn};
+use runloom_event_loop::{BufferLimits, ConnectionId, Security, EventLoop};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 }
 
 struct Job {
-    conn: Conn,
+    conn: ConnectionId,
     key: String,
     class: String,
 }
@@ -45,7 +45,7 @@
     pub name: String,
     pub zone: String,
     pub address: SocketAddr,
-    listener: Option<Conn>,
+    listener: Option<ConnectionId>,
     pub health: Health,
     pub slow: f64,
     /// Mean work of some queries is so many times the usual.
@@ -54,7 +54,7 @@
     /// Started cold: not at the very beginning of the day.
     pub cold: bool,
     pub fell: Option<Duration>,
-    readers: BTreeMap<Conn, Reader>,
+    readers: BTreeMap<ConnectionId, Reader>,
     running: Vec<(Duration, Job)>,
     queue: VecDeque<Job>,
     arrivals: VecDeque<(Duration, f64)>,
@@ -66,7 +66,7 @@
 
 pub struct Servers {
     pub all: Vec<Server>,
-    of: BTreeMap<Conn, usize>,
+    of: BTreeMap<ConnectionId, usize>,
     work: Duration,
     cores: usize,
     warm: Duration,
@@ -82,7 +82,7 @@
     }
 
     /// Starts one that was not there before.
-    pub fn add(&mut self, turn: &mut Turn, zone: &str, cold: bool) -> io::Result<usize> {
+    pub fn add(&mut self, turn: &mut EventLoop, zone: &str, cold: bool) -> io::Result<usize> {
         let (listener, address) = listen(turn, SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let id = self.all.len();
         self.of.insert(listener, id);
@@ -111,7 +111,7 @@
     }
 
     /// The process dies: connections are reset, what ran is lost.
-    pub fn stop(&mut self, turn: &mut Turn, id: usize) {
+    pub fn stop(&mut self, turn: &mut EventLoop, id: usize) {
         let server = &mut self.all[id];
         for conn in std::mem::take(&mut server.readers).into_keys() {
             self.of.remove(&conn);
@@ -125,7 +125,7 @@
     }
 
     /// It comes back cold, under the same name and address.
-    pub fn start(&mut self, turn: &mut Turn, id: usize) -> io::Result<()> {
+    pub fn start(&mut self, turn: &mut EventLoop, id: usize) -> io::Result<()> {
         let server = &mut self.all[id];
         if server.listener.is_none() && server.fell.is_none() {
             let (listener, _) = listen(turn, server.address)?;
@@ -153,11 +153,11 @@
         }
     }
 
-    pub fn owns(&self, conn: Conn) -> bool {
+    pub fn owns(&self, conn: ConnectionId) -> bool {
         self.of.contains_key(&conn)
     }
 
-    pub fn opened(&mut self, turn: &mut Turn, conn: Conn, listener: Conn) {
+    pub fn opened(&mut self, turn: &mut EventLoop, conn: ConnectionId, listener: ConnectionId) {
         let Some(id) = self.of.get(&listener).copied() else { return };
         if self.all[id].health == Health::Silent {
             // Accepted by the machine's kernel only: nobody ever reads it.
@@ -167,13 +167,13 @@
         self.all[id].readers.insert(conn, Reader::queries());
     }
 
-    pub fn closed(&mut self, conn: Conn) {
+    pub fn closed(&mut self, conn: ConnectionId) {
         if let Some(id) = self.of.remove(&conn) {
             self.all[id].readers.remove(&conn);
         }
     }
 
-    pub fn bytes(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8], chance: &mut StdRng) {
+    pub fn bytes(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8], chance: &mut StdRng) {
         let Some(id) = self.of.get(&conn).copied() else { return };
         let Some(reader) = self.all[id].readers.get_mut(&conn) else { return };
         reader.push(bytes);
@@ -182,7 +182,7 @@
         }
     }
 
-    fn came(&mut self, turn: &mut Turn, id: usize, conn: Conn, query: &Message, chance: &mut StdRng) {
+    fn came(&mut self, turn: &mut EventLoop, id: usize, conn: ConnectionId, query: &Message, chance: &mut StdRng) {
         let now = turn.now();
         if query.path == "/health" {
             if !matches!(self.all[id].health, Health::Hangs | Health::Silent) {
@@ -256,7 +256,7 @@
     }
 
     /// Ends what is worked off, and begins what waits.
-    pub fn turned(&mut self, turn: &mut Turn, chance: &mut StdRng) {
+    pub fn turned(&mut self, turn: &mut EventLoop, chance: &mut StdRng) {
         let now = turn.now();
         for id in 0..self.all.len() {
             let span = now.saturating_sub(self.all[id].looked);
@@ -288,6 +288,6 @@
     }
 }
 
-fn listen(turn: &mut Turn, at: SocketAddr) -> io::Result<(Conn, SocketAddr)> {
-    turn.listen(at, Security::Plain, Bounds { idle: Some(Duration::from_secs(60)), ..Bounds::default() })
+fn listen(turn: &mut EventLoop, at: SocketAddr) -> io::Result<(ConnectionId, SocketAddr)> {
+    turn.listen(at, Security::Plain, BufferLimits { idle: Some(Duration::from_secs(60)), ..BufferLimits::default() })
 }
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use runloom_daemon::http::{write_query, Message, Reader};
-use runloom_event_loop::{Bounds, Conn, Security, Turn};
+use runloom_event_loop::{BufferLimits, ConnectionId, Security, EventLoop};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -52,8 +52,8 @@
     pub surge: f64,
     next: Duration,
     number: u64,
-    lines: BTreeMap<Conn, Line>,
-    pool: Vec<Vec<Conn>>,
+    lines: BTreeMap<ConnectionId, Line>,
+    pool: Vec<Vec<ConnectionId>>,
     again: VecDeque<(Duration, Query)>,
     pub tally: Tally,
     pub asking: bool,
@@ -85,7 +85,7 @@
         [again, next].into_iter().flatten().min()
     }
 
-    pub fn owns(&self, conn: Conn) -> bool {
+    pub fn owns(&self, conn: ConnectionId) -> bool {
         self.lines.contains_key(&conn)
     }
 
@@ -93,7 +93,7 @@
         self.lines.values().filter(|l| l.query.is_some()).count() + self.again.len()
     }
 
-    pub fn turned(&mut self, turn: &mut Turn, chance: &mut StdRng) {
+    pub fn turned(&mut self, turn: &mut EventLoop, chance: &mut StdRng) {
         let now = turn.now();
         while self.asking && self.next <= now && self.rate > 0.0 {
             let gap = Exp::new(self.rate * self.surge).map_or(1.0, |d| d.sample(chance));
@@ -120,12 +120,12 @@
         }
     }
 
-    fn send(&mut self, turn: &mut Turn, query: Query) {
+    fn send(&mut self, turn: &mut EventLoop, query: Query) {
         let f = query.forwarder;
         let pooled = self.pool[f].pop();
         let conn = match pooled {
             Some(conn) => conn,
-            None => match turn.dial(self.forwarders[f], &Security::Plain, Bounds::default()) {
+            None => match turn.dial(self.forwarders[f], &Security::Plain, BufferLimits::default()) {
                 Ok(conn) => {
                     self.lines.insert(conn, Line { forwarder: f, reader: Reader::answers(), query: None });
                     conn
@@ -141,7 +141,7 @@
         }
     }
 
-    pub fn bytes(&mut self, turn: &mut Turn, conn: Conn, bytes: &[u8]) {
+    pub fn bytes(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         line.reader.push(bytes);
         let Ok(Some(answer)) = line.reader.next_message() else { return };
@@ -170,7 +170,7 @@
         }
     }
 
-    pub fn closed(&mut self, turn: &mut Turn, conn: Conn) {
+    pub fn closed(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         let Some(line) = self.lines.remove(&conn) else { return };
         self.pool[line.forwarder].retain(|c| *c != conn);
         if let Some(query) = line.query {
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -11,8 +11,8 @@
 use runloom_daemon::config_service::{schema, Desk};
 use runloom_daemon::proxy_runtime::Forwarder;
 use runloom_daemon::tls_credentials::{Holder, PROXY};
-use runloom_event_loop::{Happened, Turn};
-use runloom_inventory::edit_history::Ledger;
+use runloom_event_loop::{IoEvent, EventLoop};
+use runloom_inventory::edit_history::EditHistory;
 use runloom_model::fleet::{Class, Repeats};
 use runloom_model::forwarder::Stand;
 use runloom_model::FLEET;
@@ -180,7 +180,7 @@
     );
     let data = Arc::new(Element::parse(&text).map_err(|e| e.reason)?);
     for (name, top, count) in [("feed", "roster", 10_000u32), ("operator", "fleet", 3_000)] {
-        let mut desk = Desk::new(data.clone(), Ledger::default())?;
+        let mut desk = Desk::new(data.clone(), EditHistory::default())?;
         desk.met(&Holder { name: "feed".into(), ..Holder::default() });
         let mut service = Service::new(schema()?, Limits { edits: 1e9, ..Limits::default() });
         let id = service.open("feed", Duration::ZERO).ok_or("no session")?;
@@ -225,7 +225,7 @@
     let issuer = Issuer::new(folder)?;
     let told = |e: std::io::Error| e.to_string();
     let papers = issuer.issue("f0", Some(PROXY))?;
-    let mut turn = Turn::new().map_err(told)?;
+    let mut turn = EventLoop::new().map_err(told)?;
     let mut servers = Servers::new(Duration::from_micros(1), 64, Duration::from_secs(1));
     for _ in 0..4 {
         servers.add(&mut turn, "z0", false).map_err(told)?;
@@ -253,7 +253,7 @@
     };
     let (give, take) = std::sync::mpsc::channel();
     std::thread::spawn(move || -> Told {
-        let mut turn = Turn::new().map_err(told)?;
+        let mut turn = EventLoop::new().map_err(told)?;
         let (mut forwarder, at) = Forwarder::start(&mut turn, stand, 1).map_err(|e| e.to_string())?;
         let _ = give.send(at);
         forwarder.run(&mut turn).map_err(told)
@@ -274,7 +274,7 @@
 }
 
 fn timed(
-    turn: &mut Turn,
+    turn: &mut EventLoop,
     servers: &mut Servers,
     to: Vec<SocketAddr>,
     rate: f64,
@@ -289,15 +289,15 @@
         let wakes = [servers.wakes_at(), clients.wakes_at(), Some(turn.now() + Duration::from_millis(100))];
         for h in turn.wait(wakes.into_iter().flatten().min()).map_err(|e| e.to_string())? {
             match h {
-                Happened::Open { conn, listener: Some(l), .. } if servers.owns(l) => {
+                IoEvent::Open { conn, listener: Some(l), .. } if servers.owns(l) => {
                     servers.opened(turn, conn, l)
                 }
-                Happened::Bytes { conn, bytes } if servers.owns(conn) => {
+                IoEvent::Bytes { conn, bytes } if servers.owns(conn) => {
                     servers.bytes(turn, conn, &bytes, &mut chance)
                 }
-                Happened::Closed { conn, .. } if servers.owns(conn) => servers.closed(conn),
-                Happened::Bytes { conn, bytes } => clients.bytes(turn, conn, &bytes),
-                Happened::Closed { conn, .. } => clients.closed(turn, conn),
+                IoEvent::Closed { conn, .. } if servers.owns(conn) => servers.closed(conn),
+                IoEvent::Bytes { conn, bytes } => clients.bytes(turn, conn, &bytes),
+                IoEvent::Closed { conn, .. } => clients.closed(turn, conn),
                 _ => {}
             }
         }
@@ -382,7 +382,7 @@
     };
     let mut parts = [Duration::ZERO; 3];
     for (place, recorded) in [(0, false), (1, true)] {
-        let mut driver = runloom_control_session::Driver::new(fleet.clone(), 1, 1_000_000);
+        let mut driver = runloom_control_session::ControlSession::new(fleet.clone(), 1, 1_000_000);
         driver.witness = recorded.then(Vec::new);
         (0..proxies).for_each(|p| _ = driver.joined(&format!("f{p}"), "z", 4.0, true));
         let terms = runloom_event_log::Terms::default();
@@ -474,13 +474,13 @@
     let terms = Terms { segment: 20_000, sync: Duration::from_millis(5), ..Terms::default() };
     let mut recorder = Recorder::open(folder, terms).map_err(|e| e.to_string())?;
     let (build, planner, fleet) = (String::new(), String::new(), String::new());
-    recorder.push(Duration::ZERO, Happened::Start { build, planner, seed: 0, epoch: 0, fleet });
+    recorder.push(Duration::ZERO, IoEvent::Start { build, planner, seed: 0, epoch: 0, fleet });
     let start = Instant::now();
     let mut k = 0;
     while start.elapsed() < Duration::from_secs(60) {
         for _ in 0..7 {
             k += 1;
-            recorder.push(Duration::from_micros(k), Happened::Left { proxy: "f".repeat(k as usize % 90) });
+            recorder.push(Duration::from_micros(k), IoEvent::Left { proxy: "f".repeat(k as usize % 90) });
         }
         recorder.write(start.elapsed());
     }
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -9,9 +9,9 @@
 use runloom_daemon::tls_credentials::Terms;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, Accepted, Noted, Patch};
+use runloom_store::accepted::{pieces, AcceptedState, AcceptedEdit, StatePatch};
 use runloom_store::disk::Folder;
-use runloom_store::learned::{Book, Learned};
+use runloom_store::learned::{LearnedServers, LearnedServer};
 use runloom_store::Store;
 use statrs::statistics::Statistics;
 use std::path::Path;
@@ -23,17 +23,17 @@
 const WAYS: [Way; 4] = [("wrong", wrong), ("cold", cold), ("fresh", |_| ()), ("six_hours", six_hours)];
 const SEEDS: [u64; 4] = [21, 22, 23, 24];
 
-fn edit(state: &Path, change: impl FnOnce(Option<Book>) -> Option<Book>) {
+fn edit(state: &Path, change: impl FnOnce(Option<LearnedServers>) -> Option<LearnedServers>) {
     let Ok(folder) = Folder::open(state) else { return };
     let Ok((mut store, opened)) = Store::open(folder, LEARNED) else { return };
-    let book = opened.state.and_then(|bytes| Book::read(&bytes).ok());
+    let book = opened.state.and_then(|bytes| LearnedServers::read(&bytes).ok());
     if let Some(book) = change(book) {
         let _ = store.snapshot(&book.write());
     }
 }
 
 fn cold(state: &Path) {
-    edit(state, |_| Some(Book::default()));
+    edit(state, |_| Some(LearnedServers::default()));
 }
 
 fn six_hours(state: &Path) {
@@ -55,10 +55,10 @@
     let Some(roster) = planner.child("roster") else { return };
     edit(state, |book| {
         let book = book?;
-        let bad = |s: &Learned| s.failed.is_some() || s.swift < 0.8;
+        let bad = |s: &LearnedServer| s.failed.is_some() || s.swift < 0.8;
         let failed = |name: &str| book.servers.iter().any(|s| s.name == name && bad(s));
         let entries = roster.named("server").filter(|e| !failed(e.text_of("name").unwrap_or_default()));
-        let doubted = |e: &std::sync::Arc<Element>| Learned {
+        let doubted = |e: &std::sync::Arc<Element>| LearnedServer {
             name: e.text_of("name").unwrap_or_default().to_string(),
             address: e.text_of("address").unwrap_or_default().to_string(),
             started: e.text_of("started").and_then(|t| t.parse().ok()),
@@ -66,7 +66,7 @@
             failed: Some(book.written),
             held: true,
         };
-        Some(Book { written: book.written, servers: entries.take(5).map(doubted).collect() })
+        Some(LearnedServers { written: book.written, servers: entries.take(5).map(doubted).collect() })
     });
 }
 
@@ -130,9 +130,9 @@
 /// Edits kept in a folder of this machine's disk: one a sync, and sixteen a sync; a snapshot of a fleet of 544 words
 /// with a full ledger; and what reading it all back takes.
 pub fn keeping(folder: &Path, own: &Path) -> Told {
-    let told = |e: runloom_store::Failed| e.to_string();
+    let told = |e: runloom_store::StoreError| e.to_string();
     let io = |e: std::io::Error| e.to_string();
-    let noted = |k: usize| Noted {
+    let noted = |k: usize| AcceptedEdit {
         id: format!("e{k}"),
         who: "staff".into(),
         digest: "d".repeat(64),
@@ -141,7 +141,7 @@
     let word = |k: usize| {
         format!("<server xmlns=\"urn:runloom:fleet\"><name>server-{k}</name><weight>0.5</weight></server>")
     };
-    let all = Accepted {
+    let all = AcceptedState {
         entries: (0..544).map(word).collect(),
         before: None,
         noted: (0..1024).map(noted).collect(),
@@ -159,7 +159,7 @@
         while start.elapsed() < Duration::from_secs(3) {
             let entry = |k: usize| {
                 let place = |at: usize| if at == k % 544 { Err(word(at)) } else { Ok(at as u32) };
-                Patch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None }
+                StatePatch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None }
                     .write()
             };
             let entries: Vec<Vec<u8>> = (0..batch).map(|k| entry(edits + k)).collect();
@@ -179,7 +179,7 @@
     let mut k = 0;
     while !store.wants_snapshot() {
         let place = |at: usize| if at == k % 544 { Err(word(at)) } else { Ok(at as u32) };
-        let patch = Patch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None };
+        let patch = StatePatch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None };
         store.append(&[patch.write()]).map_err(told)?;
         k += 1;
     }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -14,7 +14,7 @@
 use runloom_daemon::tls_credentials::{PLANNER, PROXY};
 use runloom_daemon::planner_runtime::Reachable;
 use runloom_daemon::wall_ms;
-use runloom_event_loop::{Conn, Happened, Turn, Why};
+use runloom_event_loop::{ConnectionId, IoEvent, EventLoop, CloseReason};
 use runloom_identity::access::{May, Rule, Whom};
 use runloom_model::fleet::{Class, Listed, Papers, Repeats};
 use runloom_model::forwarder::{Stand, Told};
@@ -160,7 +160,7 @@
 }
 
 pub struct World {
-    pub turn: Turn,
+    pub turn: EventLoop,
     day: Day,
     chance: StdRng,
     seed: u64,
@@ -173,7 +173,7 @@
     servers: Servers,
     clients: Clients,
     forwarders: Vec<Held>,
-    owner: BTreeMap<Conn, usize>,
+    owner: BTreeMap<ConnectionId, usize>,
     shared: Arc<Shared>,
     start: Instant,
     /// How the servers are listed in truth; servers that a lying list leaves out.
@@ -274,7 +274,7 @@
     pub fn new(day: Day, seed: u64, folder: &Path, own: &Path, trial: &[&str]) -> Result<World, String> {
         let told = |e: std::io::Error| e.to_string();
         let issuer = Issuer::new(&folder.join("papers"))?;
-        let mut turn = Turn::new().map_err(told)?;
+        let mut turn = EventLoop::new().map_err(told)?;
         // It plays all proxies at once, each of which would have a loop of its own.
         turn.handshakes = usize::MAX;
         let mut servers = Servers::new(day.work, day.cores, day.warm);
@@ -840,37 +840,37 @@
         }
     }
 
-    fn route(&mut self, happened: Happened) {
+    fn route(&mut self, happened: IoEvent) {
         let conn = match &happened {
-            Happened::Open { conn, listener, .. } => {
+            IoEvent::Open { conn, listener, .. } => {
                 let listener = listener.unwrap_or(*conn);
                 if self.servers.owns(listener) {
                     return self.servers.opened(&mut self.turn, *conn, listener);
                 }
                 listener
             }
-            Happened::Bytes { conn, .. } | Happened::Closed { conn, .. } => *conn,
-            Happened::Signal(_) => return,
+            IoEvent::Bytes { conn, .. } | IoEvent::Closed { conn, .. } => *conn,
+            IoEvent::Signal(_) => return,
         };
         if let Some(f) = self.owner.get(&conn).copied() {
-            if let Happened::Closed { conn, .. } = &happened {
+            if let IoEvent::Closed { conn, .. } = &happened {
                 self.owner.remove(conn);
             }
             self.forwarders[f].forwarder.happened(&mut self.turn, happened);
             self.adopt(f);
         } else if self.servers.owns(conn) {
             match happened {
-                Happened::Bytes { conn, bytes } => {
+                IoEvent::Bytes { conn, bytes } => {
                     self.servers.bytes(&mut self.turn, conn, &bytes, &mut self.chance);
                     self.arrivals();
                 }
-                Happened::Closed { conn, .. } => self.servers.closed(conn),
+                IoEvent::Closed { conn, .. } => self.servers.closed(conn),
                 _ => {}
             }
         } else if self.clients.owns(conn) {
             match happened {
-                Happened::Bytes { conn, bytes } => self.clients.bytes(&mut self.turn, conn, &bytes),
-                Happened::Closed { conn, why } if why != Why::Finished => {
+                IoEvent::Bytes { conn, bytes } => self.clients.bytes(&mut self.turn, conn, &bytes),
+                IoEvent::Closed { conn, why } if why != CloseReason::Finished => {
                     self.clients.closed(&mut self.turn, conn)
                 }
                 _ => {}
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -6,7 +6,7 @@
 use runloom_daemon::client::{edit_config, Client};
 use runloom_daemon::proxy_runtime::Forwarder;
 use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
-use runloom_event_loop::{Bounds, Happened, Security, Turn};
+use runloom_event_loop::{BufferLimits, IoEvent, Security, EventLoop};
 use runloom_identity::access::{May, Rule, Whom};
 use runloom_model::fleet::{Class, Papers, Repeats};
 use runloom_model::forwarder::{Stand, Told as Front};
@@ -55,19 +55,19 @@
 /// Whether a subscriber of these papers is let in under a name.
 fn joins(desk: &Desk, papers: &Papers, name: &str) -> bool {
     let Ok(terms) = Terms::load(papers) else { return false };
-    let mut turn = Turn::new().unwrap();
+    let mut turn = EventLoop::new().unwrap();
     let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
-    let conn = turn.dial(desk.pubsub, &security, Bounds::default()).unwrap();
+    let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
     let hello = Hello { zone: "a".into(), rate: 1.0, fresh: true };
     let mut client = Subscription::new(turn.now(), "p", name, &hello, Wish::Weights, vec![]);
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
         for happened in turn.wait(Some(turn.now() + Duration::from_millis(50))).unwrap() {
             match happened {
-                Happened::Bytes { bytes, .. } if client.take(turn.now(), &bytes).contains(&Told::Joined) => {
+                IoEvent::Bytes { bytes, .. } if client.take(turn.now(), &bytes).contains(&Told::Joined) => {
                     return true;
                 }
-                Happened::Closed { .. } => return false,
+                IoEvent::Closed { .. } => return false,
                 _ => {}
             }
         }
@@ -159,7 +159,7 @@
 
 /// A forwarder on a loop of its own.
 struct Proxy {
-    turn: Turn,
+    turn: EventLoop,
     forwarder: Forwarder,
 }
 
@@ -186,7 +186,7 @@
             classes: vec![class],
             standing: vec![("own".into(), "127.0.0.1:9".parse().unwrap())],
         };
-        let mut turn = Turn::new().unwrap();
+        let mut turn = EventLoop::new().unwrap();
         let (forwarder, _) = Forwarder::start(&mut turn, stand, 3).unwrap();
         Proxy { turn, forwarder }
     }
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -6,7 +6,7 @@
 use help::Desk;
 use runloom_daemon::client::edit_config;
 use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
-use runloom_event_loop::{Bounds, Conn, Happened, Security, Turn, Why};
+use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
 use runloom_model::order::{Came, Met, Report};
 use runloom_model::{FLEET, STATE};
 use runloom_mqtt::client::{Client, Over, Told, Wish};
@@ -21,22 +21,22 @@
 const PATIENCE: Duration = Duration::from_secs(40);
 
 struct Subscriber {
-    turn: Turn,
-    conn: Conn,
+    turn: EventLoop,
+    conn: ConnectionId,
     client: Client,
     reader: Reader,
     parts: Vec<Part>,
     /// Whether it confirms what it takes.
     confirms: bool,
-    closed: Option<Why>,
+    closed: Option<CloseReason>,
 }
 
 impl Subscriber {
     /// Dials, greets, and subscribes; `planner` and `proxy` as it says them.
     fn new(desk: &Desk, terms: &Terms, planner: &str, proxy: &str, reader: Reader) -> Subscriber {
-        let mut turn = Turn::new().unwrap();
+        let mut turn = EventLoop::new().unwrap();
         let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
-        let conn = turn.dial(desk.pubsub, &security, Bounds::default()).unwrap();
+        let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
         let hello = Hello { zone: "a".into(), rate: 5.0, fresh: reader.topics().next().is_none() };
         let holds = reader.topics().filter_map(|t| reader.holds(t).map(|(e, v)| (t, e, v))).collect();
         let client = Client::new(turn.now(), planner, proxy, &hello, Wish::Weights, holds);
@@ -61,7 +61,7 @@
         let until = self.turn.now() + span;
         for happened in self.turn.wait(Some(until)).unwrap() {
             match happened {
-                Happened::Bytes { bytes, .. } => {
+                IoEvent::Bytes { bytes, .. } => {
                     let now = self.turn.now();
                     for told in self.client.take(now, &bytes) {
                         let Told::Part(id, part) = told else { continue };
@@ -72,7 +72,7 @@
                         }
                     }
                 }
-                Happened::Closed { why, .. } => self.closed = Some(why),
+                IoEvent::Closed { why, .. } => self.closed = Some(why),
                 _ => {}
             }
         }
