--- a/crates/control-session/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -12,8 +12,8 @@
     Command, EndpointRecord, EndpointUpdate, Event, HealthCheckResult, LearnedState, ListedState, ProxyId,
     ServerId, TableId, WarmStartHint,
 };
-use runloom_event_log::Happened;
-use runloom_guard::{Guard, Terms};
+use runloom_event_log::RecordedEvent;
+use runloom_guard::{SafetyGuard, GuardConfig};
 use runloom_inventory::Change;
 use runloom_model::fleet::Fleet;
 use runloom_model::order::{Message, Report, TableEdit};
@@ -85,12 +85,12 @@
 
 /// One planner and what it is joined to.
 pub struct ControlSession {
-    guard: Guard,
+    guard: SafetyGuard,
     /// Without it orders go out unjudged: for trials only.
     pub guarded: bool,
     pub spoil: Option<CommandTamper>,
     /// All calls and what came of them, for a record; empty unless it is wanted.
-    pub witness: Option<Vec<(Duration, Happened)>>,
+    pub witness: Option<Vec<(Duration, RecordedEvent)>>,
     clock: Duration,
     flows: BTreeMap<(ServerId, usize), f64>,
     controller: Controller,
@@ -124,7 +124,7 @@
         fleet.zones.iter().for_each(|(name, _)| _ = zones.index(name.clone()));
         let happened = vec![Event::Start { seed, config: Box::new(fleet.deployment_config()) }];
         ControlSession {
-            guard: Guard::new(Terms::of(&fleet.deployment_config())),
+            guard: SafetyGuard::new(GuardConfig::of(&fleet.deployment_config())),
             guarded: true,
             spoil: None,
             witness: None,
@@ -155,7 +155,7 @@
         &self.fleet
     }
 
-    pub fn guard(&self) -> &Guard {
+    pub fn guard(&self) -> &SafetyGuard {
         &self.guard
     }
 
@@ -208,7 +208,7 @@
         if same {
             return false;
         }
-        self.guard.restart(Terms::of(&self.fleet.deployment_config()));
+        self.guard.restart(GuardConfig::of(&self.fleet.deployment_config()));
         self.flows.clear();
         self.zones = IdMap::default();
         self.fleet.zones.iter().for_each(|(name, _)| _ = self.zones.index(name.clone()));
@@ -267,7 +267,7 @@
     pub fn remembered(&mut self, hints: &[(String, f64, f64)]) {
         let bits =
             |(name, swift, doubt): &(String, f64, f64)| (name.clone(), swift.to_bits(), doubt.to_bits());
-        self.note(|| Happened::Remembered { hints: hints.iter().map(bits).collect() });
+        self.note(|| RecordedEvent::Remembered { hints: hints.iter().map(bits).collect() });
         let known = |(name, swift, doubt): &(String, f64, f64)| {
             Some(WarmStartHint { server: self.servers.get(name)?, speed_factor: *swift, suspicion: *doubt })
         };
@@ -300,7 +300,7 @@
     /// A proxy joined: what it says of itself, and whether it holds nothing but what it started with.
     pub fn joined(&mut self, name: &str, zone: &str, rate: f64, fresh: bool) -> ProxyId {
         let (name_of, zone_of) = (name.to_string(), zone.to_string());
-        self.note(|| Happened::Joined { proxy: name_of, zone: zone_of, rate, fresh });
+        self.note(|| RecordedEvent::Joined { proxy: name_of, zone: zone_of, rate, fresh });
         let proxy = self.proxies.index(name.to_string());
         self.drop_member(proxy);
         self.members.insert(proxy, Member { zone: zone.to_string(), ..Member::default() });
@@ -318,11 +318,11 @@
 
     pub fn left(&mut self, proxy: ProxyId) {
         let name = self.proxy_name(proxy).to_string();
-        self.note(|| Happened::Left { proxy: name });
+        self.note(|| RecordedEvent::Left { proxy: name });
         self.drop_member(proxy);
     }
 
-    fn note(&mut self, what: impl FnOnce() -> Happened) {
+    fn note(&mut self, what: impl FnOnce() -> RecordedEvent) {
         if let Some(witness) = &mut self.witness {
             witness.push((self.clock, what()));
         }
@@ -342,7 +342,7 @@
         self.clock = now;
         if self.witness.is_some() {
             let name = self.proxy_name(proxy).to_string();
-            self.note(|| Happened::Applied { proxy: name, number });
+            self.note(|| RecordedEvent::Applied { proxy: name, number });
         }
         let Some(member) = self.members.get_mut(&proxy) else { return };
         self.guard.confirmed(proxy, number);
--- a/crates/control-session/src/report_aggregator.rs
+++ b/crates/control-session/src/report_aggregator.rs
@@ -2,7 +2,7 @@
 //! the oldest first: the decisions take a report for the sum over the proxies of a zone.
 
 use runloom_controller::{ClassId, Event, ProxyId, ServerId, ZoneId};
-use runloom_model::order::{Came, Met};
+use runloom_model::order::{ClassArrivals, ServerOutcomes};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
         sum
     }
 
-    pub fn met(&mut self, now: Duration, zone: ZoneId, server: ServerId, met: &Met, span: Duration) {
+    pub fn met(&mut self, now: Duration, zone: ZoneId, server: ServerId, met: &ServerOutcomes, span: Duration) {
         let sum = self.at(Key::Met(zone, server), now, span);
         let failed = met.failed.min(met.tries);
         sum.tries += met.tries;
@@ -63,7 +63,7 @@
         }
     }
 
-    pub fn came(&mut self, now: Duration, proxy: ProxyId, class: ClassId, came: &Came, span: Duration) {
+    pub fn came(&mut self, now: Duration, proxy: ProxyId, class: ClassId, came: &ClassArrivals, span: Duration) {
         let sum = self.at(Key::Came(proxy, class), now, span);
         sum.tries += came.queries;
         sum.failed += came.unanswered;
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use runloom_inventory::Server as Listed;
-use runloom_model::order::{Came, Met};
+use runloom_model::order::{ClassArrivals, ServerOutcomes};
 use runloom_netconf::tree::Element;
 
 const FLEET: &str = "<fleet xmlns='urn:runloom:fleet'><zone><name>a</name></zone><class><name>q</name>\
@@ -101,11 +101,11 @@
 #[test]
 fn reports_of_a_zone_add_up_and_are_handed_on_by_period_the_oldest_first() {
     let mut sums = ReportAggregator::new(ms(1000), 2.0);
-    let met = Met { tries: 10, failed: 2, took: ms(100), ..Met::default() };
+    let met = ServerOutcomes { tries: 10, failed: 2, took: ms(100), ..ServerOutcomes::default() };
     sums.met(ms(1000), 0, 7, &met, ms(1000));
     sums.met(ms(1500), 0, 7, &met, ms(1000));
     sums.met(ms(1600), 0, 8, &met, ms(1000));
-    sums.came(ms(1700), 3, 0, &Came { queries: 4, ..Came::default() }, ms(1000));
+    sums.came(ms(1700), 3, 0, &ClassArrivals { queries: 4, ..ClassArrivals::default() }, ms(1000));
     let mut happened = Vec::new();
     sums.hand_on(ms(1999), &mut happened);
     assert!(happened.is_empty());
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -7,8 +7,8 @@
 use runloom_identity::id::Id;
 use runloom_inventory::edit_history::{self, EditHistory};
 use runloom_inventory::merged;
-use runloom_model::fleet::{misfit, Fleet, Listed, Misfit};
-use runloom_model::schema::{derive, Judge};
+use runloom_model::fleet::{misfit, Fleet, ListedServer, InvalidSettings};
+use runloom_model::schema::{derive, SchemaValidator};
 use runloom_model::{Schema, FLEET, FLEET_XSD, YANG};
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, Host, Known};
@@ -22,11 +22,11 @@
 type Point = (Arc<Element>, Fleet, Option<Arc<Element>>);
 
 pub struct Desk {
-    judge: Judge,
+    judge: SchemaValidator,
     data: Arc<Element>,
     fleet: Fleet,
     /// The roster's entries, and the elements they were read from: unchanged ones are not read again.
-    listed: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, ListedServer>,
     read: BTreeMap<String, Arc<Element>>,
     pub ledger: EditHistory,
     /// What a confirmed commit goes back to.
@@ -57,7 +57,7 @@
     derive(FLEET_XSD, &["fleet", "roster"]).map(Schema::root)
 }
 
-fn invalid(m: Misfit) -> Vec<RpcError> {
+fn invalid(m: InvalidSettings) -> Vec<RpcError> {
     vec![RpcError::application(Tag::InvalidValue, m.reason).at(m.path)]
 }
 
@@ -84,14 +84,14 @@
 /// Entries of the roster that are new or other than before, and the names of those that are gone.
 #[derive(Default)]
 struct RosterChange {
-    put: Vec<(Arc<Element>, (String, Listed))>,
+    put: Vec<(Arc<Element>, (String, ListedServer))>,
     gone: Vec<String>,
 }
 
 impl Desk {
     /// Starts from a datastore that is valid; the error says why it is not.
     pub fn new(data: Arc<Element>, ledger: EditHistory) -> Result<Desk, String> {
-        let judge = Judge::new(FLEET_XSD)?;
+        let judge = SchemaValidator::new(FLEET_XSD)?;
         let fleet = top(&data, "fleet").ok_or("there is no <fleet>")?;
         if let Some(fault) = judge.faults(&fleet.to_text()).first() {
             return Err(fault.to_string());
@@ -139,7 +139,7 @@
         top(&self.saved.0, "fleet").map(|f| f.to_text()).unwrap_or_default()
     }
 
-    pub fn listed(&self) -> &BTreeMap<String, Listed> {
+    pub fn listed(&self) -> &BTreeMap<String, ListedServer> {
         &self.listed
     }
 
@@ -259,7 +259,7 @@
                 old => {
                     kept += usize::from(old.is_some());
                     changed.children.push(e.clone());
-                    put.push((e.clone(), Listed::read(e).map_err(invalid)?));
+                    put.push((e.clone(), ListedServer::read(e).map_err(invalid)?));
                 }
             }
         }
@@ -289,7 +289,7 @@
 
     fn valid(&self, part: &Element) -> Result<(), Vec<RpcError>> {
         let faults = self.judge.faults(&part.to_text());
-        let error = |f: &runloom_model::schema::Fault| {
+        let error = |f: &runloom_model::schema::SchemaViolation| {
             let path = format!("/{}//{}", part.name, f.element);
             RpcError::application(Tag::InvalidValue, f.reason.clone())
                 .at(path)
@@ -371,7 +371,7 @@
     fn seen<'a>(
         &self,
         fleet: &Fleet,
-        listed: impl Iterator<Item = (&'a String, &'a Listed)>,
+        listed: impl Iterator<Item = (&'a String, &'a ListedServer)>,
     ) -> Vec<guard::Seen> {
         let warm_after = fleet.warm_after.as_millis() as u64;
         let seen = listed.map(|(name, listed)| {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -8,10 +8,10 @@
 use runloom_daemon::state;
 use runloom_daemon::{run, wall_ms};
 use runloom_event_log::Entry;
-use runloom_guard::case::Case;
+use runloom_guard::case::RejectionCase;
 use runloom_identity::access::{May, Rule, Whom};
 use runloom_identity::id::Id;
-use runloom_model::fleet::Papers;
+use runloom_model::fleet::TlsFiles;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::{BASE, NOTIFY};
@@ -209,7 +209,7 @@
         let (certificate, key, trust) = (self.certificate.clone(), self.key.clone(), self.trust.clone());
         let rule = |id: &String| Id::read(id).map(|id| Rule { whom: Whom::One(id), may: May::Order });
         let rules = self.planner_id.iter().map(rule).collect::<Result<_, _>>().map_err(|e| e.to_string())?;
-        let papers = Papers { certificate, key, trust, rules, federated: vec![] };
+        let papers = TlsFiles { certificate, key, trust, rules, federated: vec![] };
         let terms = Terms::load(&papers).map_err(|e| e.to_string())?;
         let patience = Duration::from_secs(self.patience);
         Client::open(self.planner, &terms, patience).map_err(|e| e.to_string())
@@ -436,11 +436,11 @@
 }
 
 /// Cases stand in the log as JSON, in a JSON log once more escaped.
-fn cases(log: &str) -> Vec<Case> {
+fn cases(log: &str) -> Vec<RejectionCase> {
     let case = |line: &str| {
         let plain = line.replace("\\\"", "\"");
         let from = plain.find("{\"reason\"")?;
-        serde_json::Deserializer::from_str(&plain[from..]).into_iter::<Case>().next()?.ok()
+        serde_json::Deserializer::from_str(&plain[from..]).into_iter::<RejectionCase>().next()?.ok()
     };
     log.lines().filter_map(case).collect()
 }
@@ -578,12 +578,12 @@
 mod tests {
     use super::*;
     use runloom_controller::{Command, ListedState};
-    use runloom_guard::{Guard, Terms as GuardTerms};
+    use runloom_guard::{SafetyGuard, GuardConfig as GuardTerms};
 
     /// A refusal stands in a text log as it is, in a JSON log once more escaped; both are found and judged anew.
     #[test]
     fn refusals_are_found_in_logs_of_both_kinds_and_judged_anew() {
-        let mut guard = Guard::new(GuardTerms {
+        let mut guard = SafetyGuard::new(GuardTerms {
             classes: 1,
             planners: 1.0,
             cold_from: 0.2,
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -12,13 +12,13 @@
 use runloom_control_session::{Action, ControlSession, CommandTamper, LEAD};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_distribution::{Front, Way};
-use runloom_event_log::{Happened as Recorded, Recorder, Writer};
+use runloom_event_log::{RecordedEvent as Recorded, Recorder, Writer};
 use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
-use runloom_guard::refusal::Refusal;
+use runloom_guard::refusal::Rejection;
 use runloom_identity::access::Action as RequestedAccess;
 use runloom_inventory::edit_history::EditHistory;
 use runloom_inventory::{Change, Inventory};
-use runloom_model::fleet::{Fleet, Place};
+use runloom_model::fleet::{Fleet, PlannerSettings};
 use runloom_model::{FLEET, STATE, YANG};
 use runloom_netconf::service::{Limits, Service, CAPABILITIES};
 use runloom_netconf::session::{Bounds as SessionBounds, Broken, Heard, Role, Session};
@@ -181,7 +181,7 @@
 
 impl Planner {
     /// Starts on a loop: what was accepted before is taken from the folder, else the fleet of the settings.
-    pub fn start(turn: &mut EventLoop, place: &Place, seed: u64) -> Result<(Planner, Reachable), Failed> {
+    pub fn start(turn: &mut EventLoop, place: &PlannerSettings, seed: u64) -> Result<(Planner, Reachable), Failed> {
         let shelf = Shelf::open(&place.folder)?;
         let terms = Terms::load(&place.papers)?;
         let mut desk = None;
@@ -765,7 +765,7 @@
     }
 
     /// Why, and what would have been safe.
-    fn told(&self, refusal: &Refusal) -> (String, String) {
+    fn told(&self, refusal: &Rejection) -> (String, String) {
         let server = |s: usize| self.driver.server_name(s).to_string();
         let proxy = |p: usize| self.driver.proxy_name(p).to_string();
         (refusal.sentence(&server, &proxy), refusal.safe(&server))
@@ -1007,14 +1007,14 @@
 
 /// Opens the record, if the settings name a folder for it, and begins with the start itself.
 fn open_record(
-    place: &Place,
+    place: &PlannerSettings,
     driver: &mut ControlSession,
     desk: &Desk,
     seed: u64,
     epoch: u64,
 ) -> Result<Option<Writer>, Failed> {
     let Some(folder) = &place.record else { return Ok(None) };
-    let terms = runloom_event_log::Terms { most: place.record_bytes, ..runloom_event_log::Terms::default() };
+    let terms = runloom_event_log::RecorderConfig { most: place.record_bytes, ..runloom_event_log::RecorderConfig::default() };
     let recorder = Recorder::open(folder, terms)?;
     let (build, planner, fleet) = (BUILD.to_string(), place.name.clone(), desk.fleet_text());
     driver.witness = Some(vec![(Duration::ZERO, Recorded::Start { build, planner, seed, epoch, fleet })]);
@@ -1027,7 +1027,7 @@
 }
 
 /// What was accepted before, if anything was; else what the settings say. Folders of before this form are taken over.
-fn open_desk(shelf: &Shelf, place: &Place, found: &mut Found) -> Result<Desk, Failed> {
+fn open_desk(shelf: &Shelf, place: &PlannerSettings, found: &mut Found) -> Result<Desk, Failed> {
     let mut data = (*place.data).clone();
     let mut ledger = EditHistory::default();
     let mut put = |name: &str, element: Element| {
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -5,7 +5,7 @@
 use crate::{earliest, wall_ms, wall_text};
 use nanorand::{Rng, WyRand};
 use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
-use runloom_model::forwarder::{Stand, Told};
+use runloom_model::forwarder::{ProxySettings, TableDelivery};
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY, PROXY_XSD, YANG};
 use runloom_mqtt::client::{Client, Told as Say, Wish};
@@ -146,7 +146,7 @@
 }
 
 pub struct Forwarder {
-    stand: Stand,
+    stand: ProxySettings,
     proxy: Proxy,
     store: Store,
     service: Service,
@@ -184,7 +184,7 @@
 }
 
 impl Forwarder {
-    pub fn start(turn: &mut EventLoop, stand: Stand, seed: u64) -> Result<(Forwarder, SocketAddr), Failed> {
+    pub fn start(turn: &mut EventLoop, stand: ProxySettings, seed: u64) -> Result<(Forwarder, SocketAddr), Failed> {
         let terms = Terms::load(&stand.papers)?;
         let bounds = BufferLimits { idle: Some(Duration::from_secs(60)), unread: 4 << 20, ..BufferLimits::default() };
         let (listener, at) = turn.listen(stand.listen, Security::Plain, bounds)?;
@@ -204,8 +204,8 @@
             service: Service::new(schema, Limits::default()),
             security: match stand.front {
                 // RFC 8071: it dials, and is the server all the same.
-                Told::Edits => Security::Answers(terms.answers.clone()),
-                Told::Weights | Told::Subsets => Security::Starts(terms.starts.clone(), server_name(PLANNER)),
+                TableDelivery::Edits => Security::Answers(terms.answers.clone()),
+                TableDelivery::Weights | TableDelivery::Subsets => Security::Starts(terms.starts.clone(), server_name(PLANNER)),
             },
             stand,
             terms,
@@ -370,13 +370,13 @@
     /// The session with a planner, by its certificate's name.
     fn way(&mut self, now: Duration, planner: &str) -> Option<Way> {
         let wish = match self.stand.front {
-            Told::Edits => {
+            TableDelivery::Edits => {
                 let id = self.service.open(planner, now)?;
                 let session = Session::new(Role::Server { id }, &CAPABILITIES, SessionBounds::default());
                 return Some(Way::Edits { session: Box::new(session), id });
             }
-            Told::Weights => Wish::Weights,
-            Told::Subsets => Wish::Subsets,
+            TableDelivery::Weights => Wish::Weights,
+            TableDelivery::Subsets => Wish::Subsets,
         };
         let (reader, of) = &mut self.published;
         reader.broke();
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -7,7 +7,7 @@
 use runloom_identity::bundle::{Bundle, Trust};
 use runloom_identity::id::{Domain, Id};
 use runloom_identity::svid::{self, Svid};
-use runloom_model::fleet::Papers;
+use runloom_model::fleet::TlsFiles;
 use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
 use rustls::client::{
     verify_server_cert_signed_by_trust_anchor, verify_server_name, ResolvesClientCert, Resumption,
@@ -62,7 +62,7 @@
 
 #[derive(Debug)]
 struct Live {
-    papers: Papers,
+    papers: TlsFiles,
     provider: Arc<CryptoProvider>,
     read: RwLock<(Arc<Read>, Trust)>,
 }
@@ -104,7 +104,7 @@
 }
 
 /// Reads all files. With identities, a key that others may read is refused.
-fn read(papers: &Papers, provider: &Arc<CryptoProvider>, trust: &mut Trust) -> Result<Read, Unusable> {
+fn read(papers: &TlsFiles, provider: &Arc<CryptoProvider>, trust: &mut Trust) -> Result<Read, Unusable> {
     let chain = certificates(&papers.certificate)?;
     let bad_key = |e: String| Unusable::File(papers.key.clone(), e);
     if papers.by_identity() {
@@ -153,7 +153,7 @@
     Ok(Read { key: Arc::new(key), authorities: all, own })
 }
 
-fn stamps(papers: &Papers) -> Stamps {
+fn stamps(papers: &TlsFiles) -> Stamps {
     let files = [&papers.certificate, &papers.key, &papers.trust];
     let files = files.into_iter().chain(papers.federated.iter().map(|(_, path)| path));
     let stamp = |path: &PathBuf| {
@@ -298,7 +298,7 @@
 }
 
 impl Terms {
-    pub fn load(papers: &Papers) -> Result<Terms, Unusable> {
+    pub fn load(papers: &TlsFiles) -> Result<Terms, Unusable> {
         let provider = Arc::new(ring::default_provider());
         let stamps = stamps(papers);
         let mut trust = Trust::default();
--- a/crates/event-log/src/columns.rs
+++ b/crates/event-log/src/columns.rs
@@ -1,6 +1,6 @@
 //! Closed segments as Parquet: a row an entry, with columns that other tools can ask, and the entry itself.
 
-use crate::entry::{Entry, Happened, OLDEST, VERSION};
+use crate::entry::{Entry, RecordedEvent, OLDEST, VERSION};
 use parquet::basic::Compression;
 use parquet::column::writer::ColumnWriter;
 use parquet::data_type::ByteArray;
@@ -26,7 +26,7 @@
 }";
 
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum ColumnError {
     #[error("{0}")]
     Parquet(#[from] parquet::errors::ParquetError),
     #[error("an entry cannot be read: {0}")]
@@ -36,20 +36,20 @@
 }
 
 /// Queries, failed tries and lines of an entry.
-pub fn sums(what: &Happened) -> (i64, i64, i64) {
+pub fn sums(what: &RecordedEvent) -> (i64, i64, i64) {
     match what {
-        Happened::Report { met, came, .. } => {
+        RecordedEvent::Report { met, came, .. } => {
             let queries: u64 = came.iter().map(|c| c.queries).sum();
             let failed: u64 = met.iter().map(|m| m.failed).sum();
             (queries as i64, failed as i64, 0)
         }
-        Happened::Turn { sent, .. } => (0, 0, sent.iter().map(|s| i64::from(s.lines)).sum()),
+        RecordedEvent::Turn { sent, .. } => (0, 0, sent.iter().map(|s| i64::from(s.lines)).sum()),
         _ => (0, 0, 0),
     }
 }
 
 /// Writes entries as one file.
-pub fn write(entries: &[Entry], out: impl Write + Send) -> Result<(), Unusable> {
+pub fn write(entries: &[Entry], out: impl Write + Send) -> Result<(), ColumnError> {
     let schema = Arc::new(parse_message_type(SCHEMA)?);
     let version = KeyValue { key: "runloom.version".into(), value: Some(VERSION.to_string()) };
     let properties = WriterProperties::builder()
@@ -91,14 +91,14 @@
 }
 
 /// Reads a file that [`write`] wrote.
-pub fn read(file: impl ChunkReader + 'static) -> Result<Vec<Entry>, Unusable> {
+pub fn read(file: impl ChunkReader + 'static) -> Result<Vec<Entry>, ColumnError> {
     let reader = SerializedFileReader::new(file)?;
     let told = reader.metadata().file_metadata().key_value_metadata().cloned().unwrap_or_default();
     let version = told.into_iter().find(|kv| kv.key == "runloom.version").and_then(|kv| kv.value);
     let known =
         version.as_deref().and_then(|v| v.parse().ok()).is_some_and(|v| (OLDEST..=VERSION).contains(&v));
     if !known {
-        return Err(Unusable::Version(version.unwrap_or_else(|| "unknown".into())));
+        return Err(ColumnError::Version(version.unwrap_or_else(|| "unknown".into())));
     }
     let mut entries = Vec::new();
     for row in reader.get_row_iter(None)? {
--- a/crates/event-log/src/entry.rs
+++ b/crates/event-log/src/entry.rs
@@ -10,7 +10,7 @@
 
 /// A server as the list had it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Server {
+pub struct RecordedServer {
     pub name: String,
     pub address: String,
     pub zone: String,
@@ -24,7 +24,7 @@
 
 /// What a proxy met at a server over a span; times in microseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Met {
+pub struct RecordedOutcome {
     pub server: String,
     pub tries: u64,
     pub failed: u64,
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Came {
+pub struct RecordedArrivals {
     pub class: String,
     pub queries: u64,
     pub unanswered: u64,
@@ -44,7 +44,7 @@
 
 /// What a proxy met at a server with the queries of one class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outcome {
+pub struct RecordedClassOutcome {
     pub server: String,
     pub class: String,
     pub tries: u64,
@@ -56,7 +56,7 @@
 
 /// One message that went out: to whom, under which number, and which of the turn's texts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sent {
+pub struct SentUpdate {
     pub proxy: String,
     pub number: u64,
     pub text: u32,
@@ -64,7 +64,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Happened {
+pub enum RecordedEvent {
     /// A planner started: its build, its name, the seed, the wall clock at zero, and `<fleet>`.
     Start {
         build: String,
@@ -76,7 +76,7 @@
     /// The list: whole as held before (`whole`) or changes; who is gone is named alone.
     Listed {
         whole: bool,
-        servers: Vec<Server>,
+        servers: Vec<RecordedServer>,
         gone: Vec<String>,
     },
     /// The fleet was edited; the seed with which the decisions start over if its facts changed.
@@ -100,8 +100,8 @@
     Report {
         proxy: String,
         span: u64,
-        met: Vec<Met>,
-        came: Vec<Came>,
+        met: Vec<RecordedOutcome>,
+        came: Vec<RecordedArrivals>,
     },
     Probed {
         server: String,
@@ -118,7 +118,7 @@
     Turn {
         took: u64,
         texts: Vec<String>,
-        sent: Vec<Sent>,
+        sent: Vec<SentUpdate>,
         probes: Vec<String>,
         log: Vec<String>,
         refused: Vec<String>,
@@ -130,7 +130,7 @@
     /// A report's outcomes by class, from proxies that tell them. Decisions do not see them.
     Outcomes {
         proxy: String,
-        met: Vec<Outcome>,
+        met: Vec<RecordedClassOutcome>,
     },
     /// Hints of an earlier start: server, swiftness and doubt, both as bits.
     Remembered {
@@ -142,40 +142,40 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub at: u64,
-    pub what: Happened,
+    pub what: RecordedEvent,
 }
 
-impl Happened {
+impl RecordedEvent {
     /// A word for it.
     pub fn kind(&self) -> &'static str {
         match self {
-            Happened::Start { .. } => "start",
-            Happened::Listed { .. } => "listed",
-            Happened::Refit { .. } => "refit",
-            Happened::Joined { .. } => "joined",
-            Happened::Left { .. } => "left",
-            Happened::Applied { .. } => "applied",
-            Happened::Report { .. } => "report",
-            Happened::Probed { .. } => "probed",
-            Happened::Edit { .. } => "edit",
-            Happened::Turn { .. } => "turn",
-            Happened::Lost { .. } => "lost",
-            Happened::Outcomes { .. } => "outcomes",
-            Happened::Remembered { .. } => "remembered",
+            RecordedEvent::Start { .. } => "start",
+            RecordedEvent::Listed { .. } => "listed",
+            RecordedEvent::Refit { .. } => "refit",
+            RecordedEvent::Joined { .. } => "joined",
+            RecordedEvent::Left { .. } => "left",
+            RecordedEvent::Applied { .. } => "applied",
+            RecordedEvent::Report { .. } => "report",
+            RecordedEvent::Probed { .. } => "probed",
+            RecordedEvent::Edit { .. } => "edit",
+            RecordedEvent::Turn { .. } => "turn",
+            RecordedEvent::Lost { .. } => "lost",
+            RecordedEvent::Outcomes { .. } => "outcomes",
+            RecordedEvent::Remembered { .. } => "remembered",
         }
     }
 
     /// Whom it is about, if it is about one.
     pub fn name(&self) -> &str {
         match self {
-            Happened::Start { planner, .. } => planner,
-            Happened::Joined { proxy, .. }
-            | Happened::Left { proxy }
-            | Happened::Applied { proxy, .. }
-            | Happened::Outcomes { proxy, .. }
-            | Happened::Report { proxy, .. } => proxy,
-            Happened::Probed { server, .. } => server,
-            Happened::Edit { id, .. } => id,
+            RecordedEvent::Start { planner, .. } => planner,
+            RecordedEvent::Joined { proxy, .. }
+            | RecordedEvent::Left { proxy }
+            | RecordedEvent::Applied { proxy, .. }
+            | RecordedEvent::Outcomes { proxy, .. }
+            | RecordedEvent::Report { proxy, .. } => proxy,
+            RecordedEvent::Probed { server, .. } => server,
+            RecordedEvent::Edit { id, .. } => id,
             _ => "",
         }
     }
--- a/crates/event-log/src/folder.rs
+++ b/crates/event-log/src/folder.rs
@@ -1,6 +1,6 @@
 //! The folder of a record: one open journal, closed segments, and how many of them are kept.
 
-use crate::entry::{Entry, Happened};
+use crate::entry::{Entry, RecordedEvent};
 use crate::{columns, framing};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -9,7 +9,7 @@
 
 /// How a record is kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct RecorderConfig {
     /// Bytes of a journal until it is closed and made columnar: some minutes of a fleet of hundreds.
     pub segment: u64,
     /// All files together: past it the oldest closed ones go.
@@ -22,10 +22,10 @@
     pub waiting: usize,
 }
 
-impl Default for Terms {
+impl Default for RecorderConfig {
     fn default() -> Self {
         let day = Duration::from_secs(86_400);
-        Terms {
+        RecorderConfig {
             segment: 16 << 20,
             most: 2 << 30,
             age: 7 * day,
@@ -54,7 +54,7 @@
     #[error("{0}: {1}")]
     Journal(PathBuf, framing::Unreadable),
     #[error("{0}: {1}")]
-    Columns(PathBuf, columns::Unusable),
+    Columns(PathBuf, columns::ColumnError),
 }
 
 /// The segments of a folder, in order. What was half made columnar is left out: its journal is still there.
@@ -108,7 +108,7 @@
 /// past it, which the record then says.
 pub struct Recorder {
     folder: PathBuf,
-    terms: Terms,
+    terms: RecorderConfig,
     number: u64,
     file: Option<File>,
     written: u64,
@@ -124,7 +124,7 @@
 
 impl Recorder {
     /// Opens a folder: a new segment begins, those of before are closed.
-    pub fn open(folder: &Path, terms: Terms) -> io::Result<Recorder> {
+    pub fn open(folder: &Path, terms: RecorderConfig) -> io::Result<Recorder> {
         fs::create_dir_all(folder)?;
         let old = segments(folder)?;
         let number = old.last().map_or(0, |s| s.number) + 1;
@@ -157,14 +157,14 @@
     }
 
     /// Takes an entry in.
-    pub fn push(&mut self, at: Duration, what: Happened) {
+    pub fn push(&mut self, at: Duration, what: RecordedEvent) {
         let at = at.as_micros() as u64;
         if self.waiting.len() >= self.terms.waiting {
             (self.untold, self.lost) = (self.untold + 1, self.lost + 1);
             return;
         }
         if self.untold > 0 {
-            let lost = Entry { at, what: Happened::Lost { entries: std::mem::take(&mut self.untold) } };
+            let lost = Entry { at, what: RecordedEvent::Lost { entries: std::mem::take(&mut self.untold) } };
             let _ = framing::push(&lost, &mut self.waiting);
         }
         if framing::push(&Entry { at, what }, &mut self.waiting).is_err() {
@@ -294,14 +294,14 @@
         let gap = last.is_some_and(|l| l.number + 1 != segment.number);
         last = Some(segment);
         if let Some((day, first)) = day.zip(entries.first()).filter(|_| gap) {
-            if !take(day, Entry { at: first.at, what: Happened::Lost { entries: 0 } }) {
+            if !take(day, Entry { at: first.at, what: RecordedEvent::Lost { entries: 0 } }) {
                 return Ok(());
             }
         }
         for entry in entries {
             let now = match day {
                 None => 0,
-                Some(day) => day + usize::from(matches!(entry.what, Happened::Start { .. })),
+                Some(day) => day + usize::from(matches!(entry.what, RecordedEvent::Start { .. })),
             };
             day = Some(now);
             if !take(now, entry) {
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod framing;
 pub mod writer;
 
-pub use entry::{Entry, Happened};
-pub use folder::{Recorder, Segment, Terms};
+pub use entry::{Entry, RecordedEvent};
+pub use folder::{Recorder, Segment, RecorderConfig};
 pub use writer::Writer;
 
 #[cfg(test)]
--- a/crates/event-log/src/tests.rs
+++ b/crates/event-log/src/tests.rs
@@ -1,11 +1,11 @@
 use crate::entry::*;
-use crate::folder::{close, day, each, read, segments, Recorder, Segment, Terms};
+use crate::folder::{close, day, each, read, segments, Recorder, Segment, RecorderConfig};
 use crate::{columns, framing};
 use std::path::PathBuf;
 use std::time::Duration;
 
 fn entries(count: u64) -> Vec<Entry> {
-    let met = Met {
+    let met = RecordedOutcome {
         server: "s1".into(),
         tries: 9,
         failed: 2,
@@ -13,16 +13,16 @@
         in_time: 6,
         load: vec![f64::NAN.to_bits()],
     };
-    let came = Came { class: "q".into(), queries: 9, unanswered: 1 };
-    let sent = Sent { proxy: "f1".into(), number: 3, text: 0, lines: 12 };
+    let came = RecordedArrivals { class: "q".into(), queries: 9, unanswered: 1 };
+    let sent = SentUpdate { proxy: "f1".into(), number: 3, text: 0, lines: 12 };
     let what = |k: u64| match k % 3 {
-        0 => Happened::Report {
+        0 => RecordedEvent::Report {
             proxy: "f1".into(),
             span: 500,
             met: vec![met.clone()],
             came: vec![came.clone()],
         },
-        1 => Happened::Turn {
+        1 => RecordedEvent::Turn {
             took: 5,
             texts: vec!["<edit-config/>".into()],
             sent: vec![sent.clone()],
@@ -30,7 +30,7 @@
             log: vec![],
             refused: vec![],
         },
-        _ => Happened::Joined { proxy: format!("f{k}"), zone: "a".into(), rate: 1.5, fresh: true },
+        _ => RecordedEvent::Joined { proxy: format!("f{k}"), zone: "a".into(), rate: 1.5, fresh: true },
     };
     (0..count).map(|k| Entry { at: 1000 * k, what: what(k) }).collect()
 }
@@ -73,7 +73,7 @@
     }
     let read = day(&folder.0, 0).unwrap();
     let gaps: Vec<usize> =
-        (0..read.len()).filter(|k| matches!(read[*k].what, Happened::Lost { .. })).collect();
+        (0..read.len()).filter(|k| matches!(read[*k].what, RecordedEvent::Lost { .. })).collect();
     assert_eq!((gaps, read.len()), (vec![6], 10));
 }
 
@@ -145,7 +145,7 @@
 #[test]
 fn segments_are_closed_kept_within_bounds_and_read_in_order() {
     let folder = Folder::new("segments");
-    let terms = Terms { segment: 2000, most: 20_000, ..Terms::default() };
+    let terms = RecorderConfig { segment: 2000, most: 20_000, ..RecorderConfig::default() };
     let mut recorder = Recorder::open(&folder.0, terms).unwrap();
     let all = entries(3000);
     for e in &all {
@@ -180,7 +180,7 @@
 fn a_disk_that_cannot_be_written_stops_the_record_and_nothing_else() {
     let folder = Folder::new("full");
     let inner = folder.0.join("record");
-    let terms = Terms { waiting: 4000, ..Terms::default() };
+    let terms = RecorderConfig { waiting: 4000, ..RecorderConfig::default() };
     let mut recorder = Recorder::open(&inner, terms).unwrap();
     std::fs::remove_dir_all(&inner).unwrap();
     for (k, e) in entries(500).into_iter().enumerate() {
@@ -190,12 +190,12 @@
     assert!(recorder.stopped().is_some() && recorder.lost() > 300);
     std::fs::create_dir_all(&inner).unwrap();
     recorder.write(Duration::from_secs(60));
-    recorder.push(Duration::from_secs(60), Happened::Left { proxy: "f1".into() });
+    recorder.push(Duration::from_secs(60), RecordedEvent::Left { proxy: "f1".into() });
     recorder.write(Duration::from_secs(60));
     assert_eq!(recorder.stopped(), None);
     recorder.finish(Duration::from_secs(61));
     let kept = day(&inner, 0).unwrap();
-    let lost = |e: &Entry| matches!(e.what, Happened::Lost { entries } if entries > 300);
+    let lost = |e: &Entry| matches!(e.what, RecordedEvent::Lost { entries } if entries > 300);
     assert!(kept.iter().any(lost) && kept.len() < 200);
 }
 
@@ -204,7 +204,7 @@
 #[test]
 fn a_record_is_read_while_it_is_written() {
     let folder = Folder::new("while");
-    let terms = Terms { segment: 3000, ..Terms::default() };
+    let terms = RecorderConfig { segment: 3000, ..RecorderConfig::default() };
     let mut recorder = Recorder::open(&folder.0, terms).unwrap();
     let all = entries(4000);
     let mut longest = 0;
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -1,7 +1,7 @@
 //! A recorder on a thread of its own, so that a disk that stalls holds up no planner. What waits for it is bounded
 //! by bytes; past the bound entries are lost, counted, and the record says so.
 
-use crate::entry::Happened;
+use crate::entry::RecordedEvent;
 use crate::folder::Recorder;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
@@ -18,11 +18,11 @@
 /// turns, and the loop need not wake the thread for each.
 const GATHER: Duration = Duration::from_millis(100);
 
-type Batch = (Duration, Vec<(Duration, Happened)>, usize);
+type Batch = (Duration, Vec<(Duration, RecordedEvent)>, usize);
 
 /// How the record does.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct WriterStatus {
     /// Why nothing is recorded at the moment, if so.
     pub stopped: Option<String>,
     /// Entries lost since the start.
@@ -32,7 +32,7 @@
 pub struct Writer {
     to: Option<Sender<Batch>>,
     waiting: Arc<AtomicUsize>,
-    standing: Arc<Mutex<Standing>>,
+    standing: Arc<Mutex<WriterStatus>>,
     thread: Option<JoinHandle<()>>,
     /// Entries that found no room since the last that did, and since the start.
     untold: u64,
@@ -41,24 +41,24 @@
 }
 
 /// About how many bytes an entry takes while it waits.
-fn weight(what: &Happened) -> usize {
+fn weight(what: &RecordedEvent) -> usize {
     // A name, a number or two, and the allocation of each.
     const PIECE: usize = 64;
     match what {
-        Happened::Turn { texts, sent, probes, log, refused, .. } => {
+        RecordedEvent::Turn { texts, sent, probes, log, refused, .. } => {
             let texts = texts.iter().chain(log).chain(refused).map(|t| t.len() + PIECE).sum::<usize>();
             texts + PIECE * (2 + sent.len() + probes.len())
         }
-        Happened::Report { met, came, .. } => PIECE * (2 + 2 * met.len() + came.len()),
-        Happened::Outcomes { met, .. } => PIECE * (2 + 3 * met.len()),
-        Happened::Remembered { hints } => PIECE * (2 + hints.len()),
-        Happened::Listed { servers, gone, .. } => PIECE * (2 + 4 * servers.len() + gone.len()),
-        Happened::Start { fleet, .. } | Happened::Refit { fleet, .. } => PIECE * 2 + fleet.len(),
+        RecordedEvent::Report { met, came, .. } => PIECE * (2 + 2 * met.len() + came.len()),
+        RecordedEvent::Outcomes { met, .. } => PIECE * (2 + 3 * met.len()),
+        RecordedEvent::Remembered { hints } => PIECE * (2 + hints.len()),
+        RecordedEvent::Listed { servers, gone, .. } => PIECE * (2 + 4 * servers.len() + gone.len()),
+        RecordedEvent::Start { fleet, .. } | RecordedEvent::Refit { fleet, .. } => PIECE * 2 + fleet.len(),
         _ => PIECE * 2,
     }
 }
 
-fn write(mut recorder: Recorder, from: &Receiver<Batch>, waiting: &AtomicUsize, standing: &Mutex<Standing>) {
+fn write(mut recorder: Recorder, from: &Receiver<Batch>, waiting: &AtomicUsize, standing: &Mutex<WriterStatus>) {
     let mut last = Duration::ZERO;
     loop {
         let mut done = 0;
@@ -75,7 +75,7 @@
         }
         recorder.write(last);
         waiting.fetch_sub(done, Ordering::Relaxed);
-        let now = Standing { stopped: recorder.stopped().map(String::from), lost: recorder.lost() };
+        let now = WriterStatus { stopped: recorder.stopped().map(String::from), lost: recorder.lost() };
         *standing.lock().unwrap_or_else(PoisonError::into_inner) = now;
     }
 }
@@ -87,14 +87,14 @@
 
     fn bounded(recorder: Recorder, most: usize) -> Writer {
         let (to, from) = channel();
-        let (waiting, standing) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Standing::default())));
+        let (waiting, standing) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(WriterStatus::default())));
         let (theirs, told) = (waiting.clone(), standing.clone());
         let thread = std::thread::spawn(move || write(recorder, &from, &theirs, &told));
         Writer { to: Some(to), waiting, standing, thread: Some(thread), untold: 0, lost: 0, most }
     }
 
     /// Takes in what happened in one turn.
-    pub fn push(&mut self, now: Duration, mut batch: Vec<(Duration, Happened)>) {
+    pub fn push(&mut self, now: Duration, mut batch: Vec<(Duration, RecordedEvent)>) {
         if batch.is_empty() {
             return;
         }
@@ -102,7 +102,7 @@
         let full = self.waiting.load(Ordering::Relaxed) + weight > self.most;
         let Some(to) = self.to.as_ref().filter(|_| !full) else { return self.lose(batch.len()) };
         if self.untold > 0 {
-            batch.insert(0, (batch[0].0, Happened::Lost { entries: self.untold }));
+            batch.insert(0, (batch[0].0, RecordedEvent::Lost { entries: self.untold }));
         }
         self.waiting.fetch_add(weight, Ordering::Relaxed);
         let count = batch.len();
@@ -118,7 +118,7 @@
         self.lost += entries as u64;
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> WriterStatus {
         let mut standing = self.standing.lock().unwrap_or_else(PoisonError::into_inner).clone();
         standing.lost += self.lost;
         if standing.stopped.is_none() && self.untold > 0 {
@@ -139,10 +139,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::folder::{day, Terms};
+    use crate::folder::{day, RecorderConfig};
 
-    fn left(k: usize) -> Happened {
-        Happened::Left { proxy: format!("f{k}") }
+    fn left(k: usize) -> RecordedEvent {
+        RecordedEvent::Left { proxy: format!("f{k}") }
     }
 
     /// Everything is there in order after the end; and of what finds no room the record tells how much it was.
@@ -150,7 +150,7 @@
     fn what_is_taken_in_is_written_in_order_and_what_found_no_room_is_counted() {
         let folder = std::env::temp_dir().join(format!("runloom-writer-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        let recorder = Recorder::open(&folder, Terms::default()).unwrap();
+        let recorder = Recorder::open(&folder, RecorderConfig::default()).unwrap();
         let mut writer = Writer::bounded(recorder, 1000);
         let at = Duration::from_millis;
         // More than the bound at once never fits.
@@ -166,7 +166,7 @@
         assert_eq!(writer.standing().lost, 100);
         writer.finish();
         let read = day(&folder, 0).unwrap();
-        assert_eq!(read[0].what, Happened::Lost { entries: 100 });
+        assert_eq!(read[0].what, RecordedEvent::Lost { entries: 100 });
         assert!(read[1..].iter().enumerate().all(|(k, e)| e.what == left(k)) && read.len() == 51);
         let _ = std::fs::remove_dir_all(&folder);
     }
--- a/crates/guard/src/case.rs
+++ b/crates/guard/src/case.rs
@@ -1,13 +1,13 @@
 //! All that one verdict went by, small enough for a log line, so that it can be judged again.
 
-use crate::refusal::{Reason, Refusal};
-use crate::{Guard, Terms};
+use crate::refusal::{RejectionReason, Rejection};
+use crate::{SafetyGuard, GuardConfig};
 use runloom_controller::{Command, ListedState};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CaseLine {
+pub struct RejectionCaseEntry {
     pub server: usize,
     pub weight: f64,
     pub open: bool,
@@ -17,10 +17,10 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Case {
+pub struct RejectionCase {
     pub reason: String,
     pub table: u16,
-    pub lines: Vec<CaseLine>,
+    pub lines: Vec<RejectionCaseEntry>,
     /// Queries a second on the table.
     pub rate: f64,
     pub can: f64,
@@ -35,8 +35,8 @@
     pub what: String,
 }
 
-impl Case {
-    pub(crate) fn of(guard: &Guard, now: Duration, refusal: &Refusal) -> Case {
+impl RejectionCase {
+    pub(crate) fn of(guard: &SafetyGuard, now: Duration, refusal: &Rejection) -> RejectionCase {
         let watched = guard.tables.get(&refusal.table);
         let mut lines = guard.lines(refusal.table);
         let line = match &refusal.order {
@@ -48,7 +48,7 @@
         }
         let line_of = |(server, weight): (&usize, &f64)| {
             let known = guard.servers.get(*server).cloned().unwrap_or_default();
-            CaseLine {
+            RejectionCaseEntry {
                 server: *server,
                 weight: *weight,
                 open: guard.open(*server) && !guard.withdrawn.contains(server),
@@ -57,7 +57,7 @@
             }
         };
         let rate: f64 = watched.map_or(0.0, |w| w.load_of_all());
-        Case {
+        RejectionCase {
             reason: refusal.reason.word().into(),
             table: refusal.table,
             lines: lines.iter().map(line_of).collect(),
@@ -75,9 +75,9 @@
     }
 
     /// Judges the case anew, on a guard that knows no more than it holds: the refusal, if it is refused again.
-    pub fn replay(&self) -> Option<Refusal> {
+    pub fn replay(&self) -> Option<Rejection> {
         let warm_after = Duration::from_secs_f64(self.warm_after.clamp(0.001, 1e6));
-        let mut guard = Guard::new(Terms {
+        let mut guard = SafetyGuard::new(GuardConfig {
             classes: self.classes.max(1),
             planners: self.planners,
             cold_from: self.cold_from,
@@ -114,7 +114,7 @@
     }
 
     /// The reason, as a word that the log has.
-    pub fn is(&self, reason: Reason) -> bool {
+    pub fn is(&self, reason: RejectionReason) -> bool {
         self.reason == reason.word()
     }
 }
--- a/crates/guard/src/edit.rs
+++ b/crates/guard/src/edit.rs
@@ -12,13 +12,13 @@
 
 /// Why an edit is refused: the servers that it takes out, of which some has to stay.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Empties {
+pub struct EmptiedPool {
     pub takes: Vec<String>,
 }
 
 /// Judges an edit by the servers before and after it: an open server that is warm has to be left wherever there
 /// was one, else any open one. One under a millionth of the greatest weight is as good as none.
-pub fn judge(before: &[Seen], after: &[Seen]) -> Result<(), Empties> {
+pub fn judge(before: &[Seen], after: &[Seen]) -> Result<(), EmptiedPool> {
     let open = |seen: &[Seen], warm: bool| -> Vec<String> {
         let most = seen.iter().map(|s| s.weight).fold(0.0, f64::max);
         let fit = |s: &&Seen| {
@@ -29,7 +29,7 @@
     for warm in [true, false] {
         let was = open(before, warm);
         if !was.is_empty() && open(after, warm).is_empty() {
-            return Err(Empties { takes: was });
+            return Err(EmptiedPool { takes: was });
         }
     }
     Ok(())
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -9,14 +9,14 @@
 pub mod refusal;
 pub mod watch;
 
-use case::Case;
-use refusal::{Reason, Refusal};
+use case::RejectionCase;
+use refusal::{RejectionReason, Rejection};
 use runloom_controller::{
     ClassId, Command, DeploymentConfig, ListedState, ProxyId, RetryPolicy, ServerId, TableId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use watch::{Lines, Watched};
+use watch::{Entries, TrackedTable};
 
 /// A line under a millionth of the table's greatest weight is picked once in hours: no line at all.
 pub const LEAST_PART: f64 = 1e-6;
@@ -37,7 +37,7 @@
 
 /// What the guard goes by, from the same facts as the decisions.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Terms {
+pub struct GuardConfig {
     pub classes: usize,
     pub planners: f64,
     pub cold_from: f64,
@@ -48,11 +48,11 @@
     pub only_drains_bind: bool,
 }
 
-impl Terms {
-    pub fn of(config: &DeploymentConfig) -> Terms {
+impl GuardConfig {
+    pub fn of(config: &DeploymentConfig) -> GuardConfig {
         let slow_start = &config.slow_start;
         let warm_after = Duration::try_from_secs_f64(slow_start.warm_up_seconds);
-        Terms {
+        GuardConfig {
             classes: config.classes.len(),
             planners: config.planner_count.max(1.0),
             cold_from: slow_start.initial_capacity.clamp(0.01, 1.0),
@@ -65,7 +65,7 @@
 
 /// A server as the list has it.
 #[derive(Debug, Clone, Default)]
-struct Known {
+struct KnownServer {
     mode: Option<ListedState>,
     weight: f64,
     started: Option<Duration>,
@@ -85,25 +85,25 @@
 
 /// An order that was not let pass, and what stands in its place.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct RejectedCommand {
     pub order: Command,
     /// For a line: the weight that the table has for that server.
     pub weight: Option<f64>,
 }
 
 #[derive(Debug, Default)]
-pub struct Judged {
+pub struct Validated {
     pub passed: Vec<Command>,
-    pub held: Vec<Held>,
+    pub held: Vec<RejectedCommand>,
     /// Proxies that orders held here would have reached: the decisions wait for their mark.
     pub concerned: BTreeSet<ProxyId>,
 }
 
 #[derive(Debug)]
-pub struct Guard {
-    terms: Terms,
-    servers: Vec<Known>,
-    tables: BTreeMap<TableId, Watched>,
+pub struct SafetyGuard {
+    terms: GuardConfig,
+    servers: Vec<KnownServer>,
+    tables: BTreeMap<TableId, TrackedTable>,
     members: BTreeMap<ProxyId, Member>,
     withdrawn: BTreeSet<ServerId>,
     /// Queries a second that a unit of listed weight is known to take: the best of late.
@@ -111,7 +111,7 @@
     can_at: Duration,
     /// A bound that an operator raised, until then.
     raised: Option<(f64, Duration)>,
-    kept: VecDeque<Refusal>,
+    kept: VecDeque<Rejection>,
     counts: BTreeMap<&'static str, u64>,
     pub judged: u64,
 }
@@ -120,14 +120,14 @@
 struct Staged {
     /// How many proxies more, or fewer, are on a table by the binds.
     moved: BTreeMap<TableId, i64>,
-    tables: BTreeMap<TableId, Lines>,
+    tables: BTreeMap<TableId, Entries>,
     binds: Vec<(ProxyId, TableId, u64)>,
     withdrawn: BTreeSet<ServerId>,
 }
 
-impl Guard {
-    pub fn new(terms: Terms) -> Guard {
-        Guard {
+impl SafetyGuard {
+    pub fn new(terms: GuardConfig) -> SafetyGuard {
+        SafetyGuard {
             terms,
             servers: vec![],
             tables: BTreeMap::new(),
@@ -142,7 +142,7 @@
         }
     }
 
-    pub fn refusals(&self) -> impl Iterator<Item = &Refusal> {
+    pub fn refusals(&self) -> impl Iterator<Item = &Rejection> {
         self.kept.iter()
     }
 
@@ -163,9 +163,9 @@
         (known.mode, known.weight, known.started) = (Some(mode), weight, started);
     }
 
-    fn known(&mut self, server: ServerId) -> &mut Known {
+    fn known(&mut self, server: ServerId) -> &mut KnownServer {
         if self.servers.len() <= server {
-            self.servers.resize_with(server + 1, Known::default);
+            self.servers.resize_with(server + 1, KnownServer::default);
         }
         &mut self.servers[server]
     }
@@ -248,7 +248,7 @@
     }
 
     /// The decisions start over: what their tables hold counts no more, and proxies keep what they have.
-    pub fn restart(&mut self, terms: Terms) {
+    pub fn restart(&mut self, terms: GuardConfig) {
         self.terms = terms;
         self.tables.clear();
         self.withdrawn.clear();
@@ -273,7 +273,7 @@
     /// Lines that leave a server to pick: open, not withdrawn, of some weight.
     fn pickable<'a>(
         &'a self,
-        lines: &'a Lines,
+        lines: &'a Entries,
         withdrawn: &'a BTreeSet<ServerId>,
     ) -> impl Iterator<Item = ServerId> + 'a {
         let most = lines.values().copied().fold(0.0, f64::max);
@@ -283,7 +283,7 @@
         lines.iter().filter(fit).map(|(s, _)| *s)
     }
 
-    fn bare(&self, lines: &Lines, withdrawn: &BTreeSet<ServerId>) -> bool {
+    fn bare(&self, lines: &Entries, withdrawn: &BTreeSet<ServerId>) -> bool {
         self.pickable(lines, withdrawn).next().is_none()
     }
 
@@ -308,9 +308,9 @@
     }
 
     /// Judges a batch of orders that goes out as one message a proxy. What passes is taken for sent.
-    pub fn judge(&mut self, now: Duration, orders: Vec<Command>) -> Judged {
+    pub fn judge(&mut self, now: Duration, orders: Vec<Command>) -> Validated {
         self.judged += 1;
-        let mut refused: BTreeMap<usize, Refusal> = BTreeMap::new();
+        let mut refused: BTreeMap<usize, Rejection> = BTreeMap::new();
         for (k, order) in orders.iter().enumerate() {
             if let Some(refusal) = malformed(order).or_else(|| self.closed(order)) {
                 refused.insert(k, refusal);
@@ -329,17 +329,17 @@
     }
 
     /// Rule 3: a line to a server that drains, is gone or was never listed may be lowered, and no more.
-    fn closed(&self, order: &Command) -> Option<Refusal> {
+    fn closed(&self, order: &Command) -> Option<Rejection> {
         let Command::SetEntry { table, server, weight } = order else { return None };
         let has = self.tables.get(table).and_then(|w| w.lines().get(server)).copied().unwrap_or(0.0);
         if self.open(*server) || *weight <= has {
             return None;
         }
-        let users = self.tables.get(table).map(Watched::proxies).unwrap_or_default();
-        Some(Refusal::new(Reason::Drains, order, *table, &users, [*server].into_iter()))
+        let users = self.tables.get(table).map(TrackedTable::proxies).unwrap_or_default();
+        Some(Rejection::new(RejectionReason::Drains, order, *table, &users, [*server].into_iter()))
     }
 
-    fn stage(&self, orders: &[Command], refused: &BTreeMap<usize, Refusal>) -> Staged {
+    fn stage(&self, orders: &[Command], refused: &BTreeMap<usize, Rejection>) -> Staged {
         let mut staged = Staged {
             tables: BTreeMap::new(),
             binds: vec![],
@@ -357,7 +357,7 @@
                         lines.remove(server);
                     }
                 }
-                Command::ClearTable { table } => _ = staged.tables.insert(*table, Lines::new()),
+                Command::ClearTable { table } => _ = staged.tables.insert(*table, Entries::new()),
                 Command::AssignTable { proxy, table, class_mask: classes } => {
                     staged.binds.push((*proxy, *table, *classes))
                 }
@@ -380,7 +380,7 @@
         staged
     }
 
-    fn lines(&self, table: TableId) -> Lines {
+    fn lines(&self, table: TableId) -> Entries {
         self.tables.get(&table).map(|w| w.lines().clone()).unwrap_or_default()
     }
 
@@ -409,7 +409,7 @@
 
     /// How many proxies are on a table for some class, once this batch has gone out.
     fn users(&self, table: TableId, staged: &Staged) -> i64 {
-        let here = self.tables.get(&table).map_or(0, Watched::users) as i64;
+        let here = self.tables.get(&table).map_or(0, TrackedTable::users) as i64;
         here + staged.moved.get(&table).copied().unwrap_or(0)
     }
 
@@ -434,9 +434,9 @@
         &self,
         now: Duration,
         orders: &[Command],
-        refused: &BTreeMap<usize, Refusal>,
+        refused: &BTreeMap<usize, Rejection>,
         staged: &Staged,
-    ) -> BTreeMap<usize, Refusal> {
+    ) -> BTreeMap<usize, Rejection> {
         let live = || orders.iter().enumerate().filter(|(k, _)| !refused.contains_key(k));
         let mut faults = BTreeMap::new();
         let mut touched: BTreeSet<TableId> = staged.tables.keys().copied().collect();
@@ -461,9 +461,9 @@
     fn emptied<'a>(
         &self,
         table: TableId,
-        old: &Lines,
+        old: &Entries,
         live: impl Iterator<Item = (usize, &'a Command)> + Clone,
-        faults: &mut BTreeMap<usize, Refusal>,
+        faults: &mut BTreeMap<usize, Rejection>,
     ) {
         let was: BTreeSet<ServerId> = self.pickable(old, &self.withdrawn).collect();
         for (k, order) in live {
@@ -479,8 +479,8 @@
                 _ => false,
             };
             if takes {
-                let users = self.tables.get(&table).map(Watched::proxies).unwrap_or_default();
-                faults.insert(k, Refusal::new(Reason::Empties, order, table, &users, was.iter().copied()));
+                let users = self.tables.get(&table).map(TrackedTable::proxies).unwrap_or_default();
+                faults.insert(k, Rejection::new(RejectionReason::Empties, order, table, &users, was.iter().copied()));
             }
         }
     }
@@ -515,7 +515,7 @@
         (server, tables): (ServerId, &[TableId]),
         staged: &Staged,
         live: impl Iterator<Item = (usize, &'a Command)> + Clone,
-        faults: &mut BTreeMap<usize, Refusal>,
+        faults: &mut BTreeMap<usize, Rejection>,
     ) {
         let old = self.lines(table);
         let (before, after, bound) = if self.evenly(now, table, staged) {
@@ -525,7 +525,7 @@
             let all: f64 = self.pickable(new, &staged.withdrawn).map(|s| size(&s)).sum();
             let even = 1.5 * size(&server) / all.max(f64::MIN_POSITIVE);
             let part =
-                |lines: &Lines, out: &BTreeSet<ServerId>| watch::share(&watch::effective(lines, out), server);
+                |lines: &Entries, out: &BTreeSet<ServerId>| watch::share(&watch::effective(lines, out), server);
             (part(&old, &self.withdrawn), part(new, &staged.withdrawn), even)
         } else {
             let Some(bound) = can.and_then(|can| self.bound(server, now, can)) else { return };
@@ -544,8 +544,8 @@
             };
             if raises {
                 found = true;
-                let users = self.tables.get(&table).map(Watched::proxies).unwrap_or_default();
-                let refusal = Refusal::new(Reason::Pushes, order, table, &users, [server].into_iter());
+                let users = self.tables.get(&table).map(TrackedTable::proxies).unwrap_or_default();
+                let refusal = Rejection::new(RejectionReason::Pushes, order, table, &users, [server].into_iter());
                 faults.insert(k, refusal.reckoned(after, bound));
             }
         }
@@ -569,8 +569,8 @@
                 _ => false,
             };
             if shifts {
-                let users = self.tables.get(&table).map(Watched::proxies).unwrap_or_default();
-                let refusal = Refusal::new(Reason::Shifts, order, table, &users, [server].into_iter());
+                let users = self.tables.get(&table).map(TrackedTable::proxies).unwrap_or_default();
+                let refusal = Rejection::new(RejectionReason::Shifts, order, table, &users, [server].into_iter());
                 faults.insert(k, refusal.reckoned(after, bound));
             }
         }
@@ -594,7 +594,7 @@
                 .filter(|c| member.binds.get(c) != Some(table))
                 .map(|c| member.rates[c])
                 .sum();
-            let lines = staged.tables.get(table).or_else(|| self.tables.get(table).map(Watched::lines));
+            let lines = staged.tables.get(table).or_else(|| self.tables.get(table).map(TrackedTable::lines));
             load += rate * lines.map_or(0.0, |lines| watch::share(&watch::effective(lines, out), server));
         }
         load
@@ -605,10 +605,10 @@
         &mut self,
         now: Duration,
         orders: Vec<Command>,
-        mut refused: BTreeMap<usize, Refusal>,
-    ) -> Judged {
+        mut refused: BTreeMap<usize, Rejection>,
+    ) -> Validated {
         let staged = self.stage(&orders, &refused);
-        let mut judged = Judged::default();
+        let mut judged = Validated::default();
         for (k, order) in orders.into_iter().enumerate() {
             let Some(refusal) = refused.remove(&k) else {
                 judged.passed.push(order);
@@ -623,7 +623,7 @@
                 Command::SetEntry { table, .. }
                 | Command::ClearTable { table }
                 | Command::SetAdmission { table, .. } => {
-                    judged.concerned.extend(self.tables.get(table).map(Watched::proxies).unwrap_or_default());
+                    judged.concerned.extend(self.tables.get(table).map(TrackedTable::proxies).unwrap_or_default());
                 }
                 _ => {}
             }
@@ -631,9 +631,9 @@
             if self.kept.len() >= KEPT_MOST {
                 self.kept.pop_front();
             }
-            let case = Case::of(self, now, &refusal);
-            self.kept.push_back(Refusal { at: now, case: Some(case), ..refusal });
-            judged.held.push(Held { order, weight });
+            let case = RejectionCase::of(self, now, &refusal);
+            self.kept.push_back(Rejection { at: now, case: Some(case), ..refusal });
+            judged.held.push(RejectedCommand { order, weight });
         }
         for (table, lines) in staged.tables {
             self.tables.entry(table).or_default().version(lines, &staged.withdrawn);
@@ -676,15 +676,15 @@
 }
 
 /// The part of its capacity that a server has by its age: the least that the facts allow.
-fn age_part(terms: &Terms, started: Option<Duration>, now: Duration) -> f64 {
+fn age_part(terms: &GuardConfig, started: Option<Duration>, now: Duration) -> f64 {
     let Some(started) = started else { return 1.0 };
     let age = now.saturating_sub(started).as_secs_f64() / terms.warm_after.as_secs_f64().max(0.001);
     (terms.cold_from + (1.0 - terms.cold_from) * age).min(1.0)
 }
 
 /// What no table may hold.
-fn malformed(order: &Command) -> Option<Refusal> {
-    let bad = |table| Some(Refusal::new(Reason::Malformed, order, table, &[], std::iter::empty()));
+fn malformed(order: &Command) -> Option<Rejection> {
+    let bad = |table| Some(Rejection::new(RejectionReason::Malformed, order, table, &[], std::iter::empty()));
     match order {
         Command::SetEntry { table, weight, .. }
             if !weight.is_finite() || *weight < 0.0 || *weight > MOST_WEIGHT =>
@@ -693,7 +693,7 @@
         }
         Command::SetAdmission { table, admission_rate: Some(pace), .. } if !pace.is_finite() => bad(*table),
         Command::SetAdmission { table, admission_rate: Some(pace), .. } if *pace < LEAST_PACE => {
-            Some(Refusal::new(Reason::Closes, order, *table, &[], std::iter::empty()))
+            Some(Rejection::new(RejectionReason::Closes, order, *table, &[], std::iter::empty()))
         }
         // Nothing may be tried again but by proof, or as the class allows; the forwarder keeps that too.
         Command::SetAdmission { retry_policy: RetryPolicy::Never | RetryPolicy::IfNotExecuted, .. } => None,
--- a/crates/guard/src/refusal.rs
+++ b/crates/guard/src/refusal.rs
@@ -1,11 +1,11 @@
 //! Why an order was refused: for people in a sentence, and as data.
 
-use crate::case::Case;
+use crate::case::RejectionCase;
 use runloom_controller::{Command, ProxyId, ServerId, TableId};
 use std::time::Duration;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectionReason {
     /// Rule 1: a table that proxies are on would have no server to pick.
     Empties,
     /// Rule 1: a level that lets in next to nothing.
@@ -22,34 +22,34 @@
     EditEmpties,
 }
 
-impl Reason {
+impl RejectionReason {
     /// The tag in log, state, counters and `error-app-tag`.
     pub fn word(self) -> &'static str {
         match self {
-            Reason::Empties => "empties-table",
-            Reason::Closes => "closes-class",
-            Reason::Drains => "sends-to-draining",
-            Reason::Pushes => "pushes-cold",
-            Reason::Shifts => "shifts-to-cold",
-            Reason::Malformed => "malformed",
-            Reason::EditEmpties => "empties-pool",
+            RejectionReason::Empties => "empties-table",
+            RejectionReason::Closes => "closes-class",
+            RejectionReason::Drains => "sends-to-draining",
+            RejectionReason::Pushes => "pushes-cold",
+            RejectionReason::Shifts => "shifts-to-cold",
+            RejectionReason::Malformed => "malformed",
+            RejectionReason::EditEmpties => "empties-pool",
         }
     }
 
     pub fn rule(self) -> u8 {
         match self {
-            Reason::Empties | Reason::Closes | Reason::EditEmpties => 1,
-            Reason::Drains => 3,
-            Reason::Pushes | Reason::Shifts => 4,
-            Reason::Malformed => 0,
+            RejectionReason::Empties | RejectionReason::Closes | RejectionReason::EditEmpties => 1,
+            RejectionReason::Drains => 3,
+            RejectionReason::Pushes | RejectionReason::Shifts => 4,
+            RejectionReason::Malformed => 0,
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Refusal {
+pub struct Rejection {
     pub at: Duration,
-    pub reason: Reason,
+    pub reason: RejectionReason,
     pub order: Command,
     pub table: TableId,
     /// How many proxies it concerns, and the first few.
@@ -59,21 +59,21 @@
     /// Queries a second that a cold server would have been sent, and may be.
     pub load: Option<(f64, f64)>,
     /// What the verdict went by, to be judged again.
-    pub case: Option<Case>,
+    pub case: Option<RejectionCase>,
 }
 
 /// Proxies and servers named in a refusal: enough to find them, little in a log.
 const NAMED_MOST: usize = 5;
 
-impl Refusal {
+impl Rejection {
     pub fn new(
-        reason: Reason,
+        reason: RejectionReason,
         order: &Command,
         table: TableId,
         proxies: &[ProxyId],
         servers: impl Iterator<Item = ServerId>,
-    ) -> Refusal {
-        Refusal {
+    ) -> Rejection {
+        Rejection {
             at: Duration::ZERO,
             reason,
             order: order.clone(),
@@ -86,7 +86,7 @@
         }
     }
 
-    pub fn reckoned(mut self, load: f64, bound: f64) -> Refusal {
+    pub fn reckoned(mut self, load: f64, bound: f64) -> Rejection {
         self.load = Some((load, bound));
         self
     }
@@ -103,23 +103,23 @@
             self.load.map(|(load, bound)| format!("{load:.1} queries/s of {bound:.1} that it can bear"));
         let load = load.unwrap_or_default();
         match self.reason {
-            Reason::Empties => {
+            RejectionReason::Empties => {
                 format!("table {table}{proxies} would have no server to pick without {servers}")
             }
-            Reason::Closes => format!("a level in table {table} would let in next to nothing"),
-            Reason::Drains => {
+            RejectionReason::Closes => format!("a level in table {table} would let in next to nothing"),
+            RejectionReason::Drains => {
                 format!(
                     "{servers} drains, is gone or was never listed, and may not be in table {table}{proxies}"
                 )
             }
-            Reason::Pushes => {
+            RejectionReason::Pushes => {
                 format!("{servers} has just started and would be sent {load}, by table {table}{proxies}")
             }
-            Reason::Shifts => {
+            RejectionReason::Shifts => {
                 format!("what others lose in table {table}{proxies} would fall on {servers}: {load}")
             }
-            Reason::Malformed => format!("a weight or pace in table {table} is no usable number"),
-            Reason::EditEmpties => format!("no open server would be left without {servers}"),
+            RejectionReason::Malformed => format!("a weight or pace in table {table} is no usable number"),
+            RejectionReason::EditEmpties => format!("no open server would be left without {servers}"),
         }
     }
 
@@ -127,19 +127,19 @@
     pub fn safe(&self, server: &dyn Fn(ServerId) -> String) -> String {
         let first = self.servers.first().map(|s| server(*s)).unwrap_or_default();
         match (self.reason, self.load) {
-            (Reason::Empties, _) => {
+            (RejectionReason::Empties, _) => {
                 format!("keep {first} in table {} until another open server is in it", self.table)
             }
-            (Reason::EditEmpties, _) => format!("keep {first}, or list another server first"),
-            (Reason::Drains, _) => format!("leave {first} out"),
-            (Reason::Closes, _) => "a pace of at least one query in ten minutes, or no level".into(),
-            (Reason::Pushes, Some((load, bound))) => {
+            (RejectionReason::EditEmpties, _) => format!("keep {first}, or list another server first"),
+            (RejectionReason::Drains, _) => format!("leave {first} out"),
+            (RejectionReason::Closes, _) => "a pace of at least one query in ten minutes, or no level".into(),
+            (RejectionReason::Pushes, Some((load, bound))) => {
                 format!(
                     "{first} at {:.2} of the ordered part now, more as it warms",
                     (bound / load).clamp(0.0, 1.0)
                 )
             }
-            (Reason::Shifts, _) => format!("keep the others until {first} is warm"),
+            (RejectionReason::Shifts, _) => format!("keep the others until {first} is warm"),
             _ => "a weight from 0 to a milliard".into(),
         }
     }
--- a/crates/guard/src/watch.rs
+++ b/crates/guard/src/watch.rs
@@ -3,20 +3,20 @@
 use runloom_controller::{ProxyId, ServerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub type Lines = BTreeMap<ServerId, f64>;
+pub type Entries = BTreeMap<ServerId, f64>;
 
 /// Versions kept apart; past it the two oldest become one that has the larger share of each line, which errs on
 /// the cautious side.
 const VERSIONS_MOST: usize = 64;
 
 /// The part of a table's queries that a server gets.
-pub fn share(lines: &Lines, server: ServerId) -> f64 {
+pub fn share(lines: &Entries, server: ServerId) -> f64 {
     let all: f64 = lines.values().sum();
     lines.get(&server).map_or(0.0, |w| w / all.max(f64::MIN_POSITIVE))
 }
 
 /// Lines without those to withdrawn servers.
-pub fn effective(lines: &Lines, withdrawn: &BTreeSet<ServerId>) -> Lines {
+pub fn effective(lines: &Entries, withdrawn: &BTreeSet<ServerId>) -> Entries {
     lines.iter().filter(|(s, _)| !withdrawn.contains(s)).map(|(s, w)| (*s, *w)).collect()
 }
 
@@ -31,10 +31,10 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Watched {
-    lines: Lines,
+pub struct TrackedTable {
+    lines: Entries,
     /// Without those that are withdrawn: their part goes to the others.
-    effective: Lines,
+    effective: Entries,
     newest: u64,
     /// Older versions that may be in force somewhere, oldest first: their number and each server's share.
     older: VecDeque<(u64, BTreeMap<ServerId, f64>)>,
@@ -44,8 +44,8 @@
     at: BTreeMap<u64, (usize, f64)>,
 }
 
-impl Watched {
-    pub fn lines(&self) -> &Lines {
+impl TrackedTable {
+    pub fn lines(&self) -> &Entries {
         &self.lines
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// A new version goes out: lines, or withdrawals of servers in it, changed.
-    pub fn version(&mut self, lines: Lines, withdrawn: &BTreeSet<ServerId>) {
+    pub fn version(&mut self, lines: Entries, withdrawn: &BTreeSet<ServerId>) {
         if !self.proxies.is_empty() && self.newest > 0 {
             let all: f64 = self.effective.values().sum();
             let shares = self.effective.iter().map(|(s, w)| (*s, w / all.max(f64::MIN_POSITIVE))).collect();
@@ -156,7 +156,7 @@
 
     /// The most that the proxies on it may send to a server, each on any version from the one it confirmed on;
     /// with a version that is to come, also on that one.
-    pub fn load(&self, server: ServerId, next: Option<&Lines>) -> f64 {
+    pub fn load(&self, server: ServerId, next: Option<&Entries>) -> f64 {
         let mut most = share(&self.effective, server).max(next.map_or(0.0, |n| share(n, server)));
         let mut load = 0.0;
         let mut older = self.older.iter().rev().peekable();
@@ -171,7 +171,7 @@
     }
 }
 
-impl Watched {
+impl TrackedTable {
     /// Queries a second on it.
     pub fn load_of_all(&self) -> f64 {
         self.at.values().map(|(_, rate)| rate).sum()
--- a/crates/guard/tests/naive.rs
+++ b/crates/guard/tests/naive.rs
@@ -3,17 +3,17 @@
 
 use proptest::prelude::*;
 use runloom_controller::{Command, ListedState, ProxyId, RetryPolicy, ServerId, TableId};
-use runloom_guard::refusal::Reason;
-use runloom_guard::{edit, Guard, Terms};
+use runloom_guard::refusal::RejectionReason;
+use runloom_guard::{edit, SafetyGuard, GuardConfig};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1000);
 const CLASSES: usize = 2;
 
-fn terms() -> Terms {
+fn terms() -> GuardConfig {
     let warm_after = Duration::from_secs(10);
-    Terms {
+    GuardConfig {
         classes: CLASSES,
         planners: 1.0,
         cold_from: 0.2,
@@ -32,8 +32,8 @@
 }
 
 /// Two servers that are ready and warm, one cold from just now on, one proxy with 30 queries a second on table 1.
-fn small() -> Guard {
-    let mut guard = Guard::new(terms());
+fn small() -> SafetyGuard {
+    let mut guard = SafetyGuard::new(terms());
     guard.listed(0, ListedState::Ready, 1.0, None);
     guard.listed(1, ListedState::Ready, 1.0, None);
     guard.listed(2, ListedState::Ready, 1.0, Some(NOW));
@@ -45,7 +45,7 @@
     guard
 }
 
-fn reasons(guard: &Guard) -> Vec<&'static str> {
+fn reasons(guard: &SafetyGuard) -> Vec<&'static str> {
     guard.refusals().map(|r| r.reason.word()).collect()
 }
 
@@ -159,7 +159,7 @@
 
 #[test]
 fn planners_that_share_nothing_reckon_with_what_the_others_send() {
-    let mut guard = Guard::new(Terms { planners: 2.0, ..terms() });
+    let mut guard = SafetyGuard::new(GuardConfig { planners: 2.0, ..terms() });
     (0..2).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, None));
     guard.listed(2, ListedState::Ready, 1.0, Some(NOW));
     guard.joined(0, 30.0);
@@ -171,7 +171,7 @@
 
 #[test]
 fn first_binds_pass_after_a_restart_but_not_to_a_table_without_a_server() {
-    let mut guard = Guard::new(terms());
+    let mut guard = SafetyGuard::new(terms());
     (0..100).for_each(|s| {
         guard.listed(s, if s < 12 { ListedState::Ready } else { ListedState::Removed }, 1.0, None)
     });
@@ -181,20 +181,20 @@
     let judged = guard.judge(NOW, orders);
     assert_eq!((judged.passed.len(), judged.held.len()), (12 + 149, 1));
     // With nothing open anywhere there is nothing better.
-    let mut guard = Guard::new(terms());
+    let mut guard = SafetyGuard::new(terms());
     guard.joined(0, 5.0);
     assert_eq!(guard.judge(NOW, vec![bind(0, 9, 0)]).held.len(), 0);
 }
 
 #[test]
 fn after_a_mass_restart_with_only_cold_ones_left_they_ramp_together() {
-    let mut guard = Guard::new(terms());
+    let mut guard = SafetyGuard::new(terms());
     (0..10).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, Some(NOW)));
     guard.joined(0, 100.0);
     // An even share of all is ten each; a fresh one may be sent eight.
     let all: Vec<Command> = (0..10).map(|s| line(1, s, 0.3)).chain([bind(0, 1, 0)]).collect();
     assert_eq!(guard.judge(NOW, all.clone()).held.len(), 0, "a first bind passes: rule 3 for what it holds");
-    let mut guard = Guard::new(terms());
+    let mut guard = SafetyGuard::new(terms());
     (0..10).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, Some(NOW)));
     guard.joined(0, 100.0);
     guard.judge(NOW, all);
@@ -214,7 +214,7 @@
 #[test]
 fn what_only_vanished_stays_open_where_only_drains_bind() {
     for (only_drains_bind, held) in [(true, 1), (false, 0)] {
-        let mut guard = Guard::new(Terms { only_drains_bind, ..terms() });
+        let mut guard = SafetyGuard::new(GuardConfig { only_drains_bind, ..terms() });
         guard.listed(0, ListedState::Ready, 1.0, None);
         guard.joined(0, 3.0);
         guard.judge(NOW, vec![line(1, 0, 1.0), bind(0, 1, 0)]);
@@ -233,7 +233,7 @@
     };
     let before = [seen("a", false, true, 1.0), seen("b", true, true, 1.0), seen("c", false, false, 1.0)];
     let drained = [seen("a", true, true, 1.0), seen("b", true, true, 1.0), seen("c", false, false, 1.0)];
-    assert_eq!(edit::judge(&before, &drained), Err(edit::Empties { takes: vec!["a".into()] }));
+    assert_eq!(edit::judge(&before, &drained), Err(edit::EmptiedPool { takes: vec!["a".into()] }));
     let tiny = [seen("a", false, true, 1e-9), seen("c", false, false, 100.0)];
     assert!(edit::judge(&before, &tiny).is_err());
     let swapped = [seen("a", true, true, 1.0), seen("b", false, true, 1.0)];
@@ -247,17 +247,17 @@
     guard.judge(NOW, vec![line(1, 0, 0.0)]);
     guard.judge(NOW, vec![line(1, 1, 0.0)]);
     let refusals: Vec<_> = guard.refusals().cloned().collect();
-    assert_eq!(refusals.iter().map(|r| r.reason).collect::<Vec<_>>(), [Reason::Pushes, Reason::Empties]);
+    assert_eq!(refusals.iter().map(|r| r.reason).collect::<Vec<_>>(), [RejectionReason::Pushes, RejectionReason::Empties]);
     for refusal in refusals {
         let name = |s: usize| format!("s{s}");
         let sentence = refusal.sentence(&name, &|p| format!("f{p}"));
         assert!(
-            sentence.contains(if refusal.reason == Reason::Pushes { "s2" } else { "f0 first" }),
+            sentence.contains(if refusal.reason == RejectionReason::Pushes { "s2" } else { "f0 first" }),
             "{sentence}"
         );
         assert!(!refusal.safe(&name).is_empty());
         let text = serde_json::to_string(refusal.case.as_ref().unwrap()).unwrap();
-        let case: runloom_guard::case::Case = serde_json::from_str(&text).unwrap();
+        let case: runloom_guard::case::RejectionCase = serde_json::from_str(&text).unwrap();
         assert_eq!(case.replay().map(|r| r.reason), Some(refusal.reason));
     }
 }
@@ -277,21 +277,21 @@
 
 // The naive checker.
 
-type Lines = BTreeMap<ServerId, f64>;
+type Entries = BTreeMap<ServerId, f64>;
 
 /// All that a proxy may hold: the states it passes through, from the one it confirmed on, in the order in which
 /// messages reach it.
 #[derive(Clone, Default)]
 struct Naive {
     /// By proxy: the tables of its classes after each message that is not yet overtaken by a confirmation.
-    ways: Vec<Vec<[Lines; CLASSES]>>,
+    ways: Vec<Vec<[Entries; CLASSES]>>,
 }
 
 /// Every way in which the proxies can be on their ways at once; the most that a server is sent in any of them.
 /// With `apart`, the tables of a proxy's classes count as if they came by messages of their own, which is how the
 /// guard reckons: it errs on the cautious side there.
 fn most(naive: &Naive, server: ServerId, rate: f64, apart: bool) -> f64 {
-    let share = |lines: &Lines| {
+    let share = |lines: &Entries| {
         let all: f64 = lines.values().sum();
         lines.get(&server).map_or(0.0, |w| w / all)
     };
@@ -326,8 +326,8 @@
 }
 
 /// Table of class k for all proxies is table k + 1. Gives the guard and the naive state after the first binds.
-fn set_out(fleet: &Fleet, first: &[Lines; CLASSES]) -> Option<(Guard, Naive)> {
-    let mut guard = Guard::new(terms());
+fn set_out(fleet: &Fleet, first: &[Entries; CLASSES]) -> Option<(SafetyGuard, Naive)> {
+    let mut guard = SafetyGuard::new(terms());
     for (s, mode) in fleet.modes.iter().enumerate() {
         guard.listed(s, ListedState::Ready, 1.0, (*mode == 2).then_some(NOW));
     }
@@ -364,7 +364,7 @@
     if weight > 0.0 {
         next.insert(server, weight);
     }
-    let bare = |l: &Lines| !l.keys().any(|s| open(fleet.modes[*s]));
+    let bare = |l: &Entries| !l.keys().any(|s| open(fleet.modes[*s]));
     if bare(&next) && !bare(now) && open(fleet.modes[server]) {
         return false;
     }
@@ -378,7 +378,7 @@
     let can = RATE * fleet.proxies as f64 / ready.max(1.0);
     let bound = 4.0 * 0.2 * can;
     let cold = (0..fleet.modes.len()).filter(|s| fleet.modes[*s] == 2 && next.contains_key(s));
-    let share = |l: &Lines, s: ServerId| l.get(&s).map_or(0.0, |w| w / l.values().sum::<f64>());
+    let share = |l: &Entries, s: ServerId| l.get(&s).map_or(0.0, |w| w / l.values().sum::<f64>());
     for s in cold {
         // With no warm one anywhere they are judged against each other.
         let (before, after, bound) = if fleet.modes.contains(&0) {
@@ -403,7 +403,7 @@
 fn walk(
     fleet: &Fleet,
     script: &mut Vec<(usize, ServerId, f64, usize)>,
-    first: &[Lines; CLASSES],
+    first: &[Entries; CLASSES],
     depth: usize,
 ) -> (u64, u64) {
     let mut states = (0, 0);
@@ -428,7 +428,7 @@
 }
 
 /// Plays a script on guard and naive checker, and compares the verdicts on its last order.
-fn replay(fleet: &Fleet, script: &[(usize, ServerId, f64, usize)], first: &[Lines; CLASSES]) -> (u64, u64) {
+fn replay(fleet: &Fleet, script: &[(usize, ServerId, f64, usize)], first: &[Entries; CLASSES]) -> (u64, u64) {
     let Some((mut guard, mut naive)) = set_out(fleet, first) else { return (0, 0) };
     let (mut number, mut stricter) = (1, 0);
     for (k, (table, server, weight, confirms)) in script.iter().enumerate() {
@@ -480,8 +480,8 @@
                 let modes: Vec<u8> = (0..servers).map(|s| (code / 3usize.pow(s as u32) % 3) as u8).collect();
                 let fleet = Fleet { modes, proxies };
                 // The classes' tables at the start: all servers at half weight, and the first server alone.
-                let all: Lines = (0..servers).map(|s| (s, 0.5)).collect();
-                let one: Lines = [(0, 1.0)].into();
+                let all: Entries = (0..servers).map(|s| (s, 0.5)).collect();
+                let one: Entries = [(0, 1.0)].into();
                 if !one.keys().any(|s| open(fleet.modes[*s])) {
                     continue;
                 }
@@ -507,12 +507,12 @@
         batches in proptest::collection::vec(
             proptest::collection::vec((0u8..7, 0u16..4, 0usize..12, 0usize..8, 0u32..5), 1..9), 1..30),
     ) {
-        let mut guard = Guard::new(terms());
+        let mut guard = SafetyGuard::new(terms());
         for (s, mode) in modes.iter().enumerate() {
             guard.listed(s, if open(*mode) { ListedState::Ready } else { ListedState::Draining }, 1.0, (*mode == 2).then_some(NOW));
         }
         (0..8).for_each(|p| guard.joined(p, RATE));
-        let (mut tables, mut binds) = (BTreeMap::<TableId, Lines>::new(), BTreeMap::<ProxyId, TableId>::new());
+        let (mut tables, mut binds) = (BTreeMap::<TableId, Entries>::new(), BTreeMap::<ProxyId, TableId>::new());
         for batch in batches {
             let orders: Vec<Command> = batch.iter().map(|(kind, table, server, proxy, size)| match kind {
                 0..=3 => line(*table, *server, [0.0, 0.1, 1.0, 30.0, f64::NAN][*size as usize]),
@@ -528,12 +528,12 @@
                         tables.entry(table).or_default().insert(server, weight);
                     }
                     Command::SetEntry { table, server, .. } => _ = tables.entry(table).or_default().remove(&server),
-                    Command::ClearTable { table } => _ = tables.insert(table, Lines::new()),
+                    Command::ClearTable { table } => _ = tables.insert(table, Entries::new()),
                     Command::AssignTable { proxy, table, .. } => _ = binds.insert(proxy, table),
                     _ => {}
                 }
             }
-            let fit = |l: &Lines| {
+            let fit = |l: &Entries| {
                 let most = l.values().copied().fold(0.0, f64::max);
                 l.iter().any(|(s, w)| open(modes[*s]) && *w >= most * 1e-6)
             };
@@ -553,7 +553,7 @@
 /// A million unsafe orders, of eight kinds, on a fleet under way: none passes.
 #[test]
 fn a_million_unsafe_orders_are_all_refused() {
-    let mut guard = Guard::new(terms());
+    let mut guard = SafetyGuard::new(terms());
     (0..30).for_each(|s| guard.listed(s, ListedState::Ready, 1.0, (s >= 24).then_some(NOW)));
     (0..24).for_each(|p| guard.joined(p, 10.0));
     let mut first: Vec<Command> = (0..24).map(|s| line(1 + s as TableId % 3, s, 1.0)).collect();
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod edit_history;
 
-use runloom_model::fleet::{Fleet, Listed};
+use runloom_model::fleet::{Fleet, ListedServer};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -36,7 +36,7 @@
 
 /// Merges one server: an operator's weight stands in place of the feed's; a drain of either binds; a zone's
 /// share weighs all servers there.
-pub fn merged(name: &str, listed: &Listed, fleet: &Fleet) -> Server {
+pub fn merged(name: &str, listed: &ListedServer, fleet: &Fleet) -> Server {
     let word = fleet.words.get(name).cloned().unwrap_or_default();
     Server {
         address: listed.address,
@@ -56,7 +56,7 @@
 
     /// Takes in the feed's list and the operators' words as they are now; tells what changed. A word on a
     /// server that the feed does not name changes nothing: what is gone is not brought back by an undrain.
-    pub fn update(&mut self, fleet: &Fleet, listed: &BTreeMap<String, Listed>) -> Vec<(String, Change)> {
+    pub fn update(&mut self, fleet: &Fleet, listed: &BTreeMap<String, ListedServer>) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, entry) in listed {
             let server = merged(name, entry, fleet);
--- a/crates/inventory/src/tests.rs
+++ b/crates/inventory/src/tests.rs
@@ -18,11 +18,11 @@
     Fleet::read(&Element::parse(&text).unwrap()).unwrap()
 }
 
-fn listed(names: &[&str]) -> BTreeMap<String, Listed> {
+fn listed(names: &[&str]) -> BTreeMap<String, ListedServer> {
     let one = |name: &&str| {
         let text =
             format!("<server><name>{name}</name><address>127.0.0.1:1</address><zone>a</zone></server>");
-        Listed::read(&Element::parse(&text).unwrap()).unwrap()
+        ListedServer::read(&Element::parse(&text).unwrap()).unwrap()
     };
     names.iter().map(one).collect()
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -16,7 +16,7 @@
 
 /// What the schema does not say: a name that stands for nothing, a limit below another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Misfit {
+pub struct InvalidSettings {
     pub path: String,
     pub reason: String,
 }
@@ -40,13 +40,13 @@
 
 /// An operator's word on a server.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Word {
+pub struct ServerOverride {
     pub weight: Option<f64>,
     pub drain: bool,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Grace {
+pub struct GracePeriods {
     /// Within it proxies stop sending to a server that drains.
     pub drain: Duration,
     /// No proxy is without a line for longer.
@@ -69,8 +69,8 @@
 pub struct Fleet {
     pub zones: Vec<(String, f64)>,
     pub classes: Vec<Class>,
-    pub words: BTreeMap<String, Word>,
-    pub grace: Grace,
+    pub words: BTreeMap<String, ServerOverride>,
+    pub grace: GracePeriods,
     pub channel: Channel,
     pub cold_from: f64,
     pub warm_after: Duration,
@@ -92,7 +92,7 @@
 
 /// A server as the feed tells of it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     pub address: SocketAddr,
     pub zone: String,
     pub kind: String,
@@ -114,11 +114,11 @@
         self.at.text_of(name).unwrap_or_default()
     }
 
-    fn number(&self, name: &str) -> Result<f64, Misfit> {
+    fn number(&self, name: &str) -> Result<f64, InvalidSettings> {
         self.maybe(name)?.ok_or_else(|| self.misfit(name, "is missing"))
     }
 
-    fn maybe(&self, name: &str) -> Result<Option<f64>, Misfit> {
+    fn maybe(&self, name: &str) -> Result<Option<f64>, InvalidSettings> {
         let Some(text) = self.at.text_of(name) else { return Ok(None) };
         let value: f64 = text.parse().map_err(|_| self.misfit(name, "is no number"))?;
         if value.is_finite() {
@@ -128,7 +128,7 @@
         }
     }
 
-    fn span(&self, name: &str) -> Result<Duration, Misfit> {
+    fn span(&self, name: &str) -> Result<Duration, InvalidSettings> {
         Ok(Duration::from_millis(self.number(name)?.max(0.0) as u64))
     }
 
@@ -136,17 +136,17 @@
         matches!(self.text(name), "true" | "1")
     }
 
-    fn misfit(&self, name: &str, reason: &str) -> Misfit {
-        Misfit { path: format!("{}/{name}", self.path), reason: reason.to_string() }
+    fn misfit(&self, name: &str, reason: &str) -> InvalidSettings {
+        InvalidSettings { path: format!("{}/{name}", self.path), reason: reason.to_string() }
     }
 }
 
-fn under<'a>(root: &'a Element, name: &'a str) -> Result<&'a Element, Misfit> {
+fn under<'a>(root: &'a Element, name: &'a str) -> Result<&'a Element, InvalidSettings> {
     root.child(name)
-        .ok_or_else(|| Misfit { path: format!("/{}/{name}", root.name), reason: "is missing".into() })
+        .ok_or_else(|| InvalidSettings { path: format!("/{}/{name}", root.name), reason: "is missing".into() })
 }
 
-fn classes(parent: &Element) -> Result<Vec<Class>, Misfit> {
+fn classes(parent: &Element) -> Result<Vec<Class>, InvalidSettings> {
     let class = |e: &Arc<Element>| {
         let r = Reader {
             at: e,
@@ -189,14 +189,14 @@
 
 impl Fleet {
     /// Reads `<fleet>`, which the schema has found valid.
-    pub fn read(fleet: &Element) -> Result<Fleet, Misfit> {
+    pub fn read(fleet: &Element) -> Result<Fleet, InvalidSettings> {
         let zone = |e: &Arc<Element>| {
             let r = Reader { at: e, path: "/fleet/zone" };
             Ok((r.text("name").to_string(), r.maybe("share")?.unwrap_or(1.0)))
         };
         let word = |e: &Arc<Element>| {
             let r = Reader { at: e, path: "/fleet/server" };
-            Ok((r.text("name").to_string(), Word { weight: r.maybe("weight")?, drain: r.flag("drain") }))
+            Ok((r.text("name").to_string(), ServerOverride { weight: r.maybe("weight")?, drain: r.flag("drain") }))
         };
         let part = |name| under(fleet, name);
         let grace = Reader { at: part("grace")?, path: "/fleet/grace" };
@@ -205,10 +205,10 @@
         let proxies = Reader { at: part("proxies")?, path: "/fleet/proxies" };
         let list = Reader { at: part("list")?, path: "/fleet/list" };
         Ok(Fleet {
-            zones: fleet.named("zone").map(zone).collect::<Result<_, Misfit>>()?,
+            zones: fleet.named("zone").map(zone).collect::<Result<_, InvalidSettings>>()?,
             classes: classes(fleet)?,
-            words: fleet.named("server").map(word).collect::<Result<_, Misfit>>()?,
-            grace: Grace {
+            words: fleet.named("server").map(word).collect::<Result<_, InvalidSettings>>()?,
+            grace: GracePeriods {
                 drain: grace.span("drain-ms")?,
                 bare: grace.span("bare-ms")?,
                 reply: grace.span("reply-ms")?,
@@ -297,13 +297,13 @@
     }
 }
 
-impl Listed {
+impl ListedServer {
     /// Reads one `<server>` of the roster.
-    pub fn read(e: &Element) -> Result<(String, Listed), Misfit> {
+    pub fn read(e: &Element) -> Result<(String, ListedServer), InvalidSettings> {
         let name = e.text_of("name").unwrap_or_default().to_string();
         let path = format!("/roster/server[name='{name}']");
         let r = Reader { at: e, path: &path };
-        let listed = Listed {
+        let listed = ListedServer {
             address: r.text("address").parse().map_err(|_| r.misfit("address", "is no address"))?,
             zone: r.text("zone").to_string(),
             kind: r.text("kind").to_string(),
@@ -335,9 +335,9 @@
 }
 
 /// Names in one part that must stand in another; what a schema of this kind cannot say.
-pub fn misfit(fleet: &Fleet, name: &str, listed: &Listed) -> Option<Misfit> {
+pub fn misfit(fleet: &Fleet, name: &str, listed: &ListedServer) -> Option<InvalidSettings> {
     let known = fleet.zones.iter().any(|(zone, _)| *zone == listed.zone);
-    (!known).then(|| Misfit {
+    (!known).then(|| InvalidSettings {
         path: format!("/roster/server[name='{name}']/zone"),
         reason: format!("there is no zone {}", listed.zone),
     })
@@ -345,7 +345,7 @@
 
 /// Files of certificates.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Papers {
+pub struct TlsFiles {
     pub certificate: PathBuf,
     pub key: PathBuf,
     pub trust: PathBuf,
@@ -355,16 +355,16 @@
     pub rules: Vec<Rule>,
 }
 
-impl Papers {
+impl TlsFiles {
     /// Reads `<tls>`, which the schema has found valid.
-    pub fn read(parent: &Element) -> Result<Papers, Misfit> {
+    pub fn read(parent: &Element) -> Result<TlsFiles, InvalidSettings> {
         let empty = Element::default();
         let tls = parent.child("tls").unwrap_or(&empty);
         let of = |name| PathBuf::from(tls.text_of(name).unwrap_or_default());
         let mut rules = Vec::new();
         for may in tls.named("may") {
             let whom = may.text_of("whom").unwrap_or_default();
-            let misfit = |e: runloom_identity::id::NotAnId| Misfit {
+            let misfit = |e: runloom_identity::id::NotAnId| InvalidSettings {
                 path: format!("/tls/may[whom='{whom}']/whom"),
                 reason: e.to_string(),
             };
@@ -385,7 +385,7 @@
         };
         let federated = tls.named("federated").map(bundle).collect();
         let (certificate, key, trust) = (of("certificate"), of("key"), of("trust"));
-        Ok(Papers { certificate, key, trust, federated, rules })
+        Ok(TlsFiles { certificate, key, trust, federated, rules })
     }
 
     /// Certificates name their holders by SPIFFE identities, and by nothing else.
@@ -396,7 +396,7 @@
 
 /// A planner's own place, by its settings file.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct PlannerSettings {
     pub name: String,
     pub edits: SocketAddr,
     pub home: SocketAddr,
@@ -407,14 +407,14 @@
     /// Where what happens is recorded, if it is, and how many bytes of it are kept.
     pub record: Option<PathBuf>,
     pub record_bytes: u64,
-    pub papers: Papers,
+    pub papers: TlsFiles,
     /// `<fleet>` and `<roster>` as they are at the first start.
     pub data: Arc<Element>,
 }
 
-impl Place {
+impl PlannerSettings {
     /// Reads `<planner>`, which the schema has found valid.
-    pub fn read(planner: &Element) -> Result<Place, Misfit> {
+    pub fn read(planner: &Element) -> Result<PlannerSettings, InvalidSettings> {
         let r = Reader { at: planner, path: "/planner" };
         let address = |name: &str| r.text(name).parse().map_err(|_| r.misfit(name, "is no address"));
         let fleet = under(planner, "fleet")?;
@@ -422,11 +422,11 @@
         let empty = Element::new(FLEET, "roster");
         let roster = planner.child("roster").unwrap_or(&empty);
         let listed =
-            roster.named("server").map(|e| Listed::read(e)).collect::<Result<BTreeMap<_, _>, _>>()?;
+            roster.named("server").map(|e| ListedServer::read(e)).collect::<Result<BTreeMap<_, _>, _>>()?;
         if let Some(misfit) = listed.iter().find_map(|(name, l)| misfit(&typed, name, l)) {
             return Err(misfit);
         }
-        Ok(Place {
+        Ok(PlannerSettings {
             name: r.text("name").to_string(),
             edits: address("edits")?,
             home: address("home")?,
@@ -438,13 +438,13 @@
                 .child("record")
                 .and_then(|e| e.text_of("megabytes")?.parse::<u64>().ok())
                 .map_or(2 << 30, |mb| mb << 20),
-            papers: Papers::read(planner)?,
+            papers: TlsFiles::read(planner)?,
             data: Arc::new(Element::new("", "data").with(fleet.clone()).with(roster.clone())),
         })
     }
 }
 
 /// The classes of a forwarder's settings.
-pub fn classes_of(forwarder: &Element) -> Result<Vec<Class>, Misfit> {
+pub fn classes_of(forwarder: &Element) -> Result<Vec<Class>, InvalidSettings> {
     classes(forwarder)
 }
--- a/crates/model/src/order.rs
+++ b/crates/model/src/order.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A level as it is ordered: queries a second (`None`: all), and further tries.
-pub type Level = (Option<f64>, RetryPolicy);
+pub type AdmissionLimit = (Option<f64>, RetryPolicy);
 
 /// Changes of one table at one proxy.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -18,7 +18,7 @@
     pub whole: bool,
     /// Server and address, and the weight; 0 removes the line.
     pub lines: BTreeMap<String, (String, f64)>,
-    pub levels: BTreeMap<String, Level>,
+    pub levels: BTreeMap<String, AdmissionLimit>,
     /// The table is not used any more.
     pub gone: bool,
 }
@@ -67,12 +67,12 @@
 }
 
 /// A level as one text: queries a second, or `-` for all, and the further tries.
-pub fn level_text((pace, tries): &Level) -> String {
+pub fn level_text((pace, tries): &AdmissionLimit) -> String {
     pace.map_or_else(|| format!("- {}", word(*tries)), |pace| format!("{pace} {}", word(*tries)))
 }
 
 /// Reads [`level_text`].
-pub fn read_level(text: &str) -> Option<Level> {
+pub fn read_level(text: &str) -> Option<AdmissionLimit> {
     let (pace, ways) = text.split_once(' ')?;
     let pace = match pace {
         "-" => None,
@@ -150,7 +150,7 @@
     out.push_str("</line>");
 }
 
-fn write_level(out: &mut String, class: &str, (pace, tries): &Level) {
+fn write_level(out: &mut String, class: &str, (pace, tries): &AdmissionLimit) {
     // In place of the level before: one without a pace lets all in again.
     out.push_str("<level nc:operation=\"replace\">");
     leaf(out, "class", class);
@@ -162,7 +162,7 @@
 }
 
 /// Tries by how long the good ones took: `k` holds those from 2^(k-1) up to 2^k microseconds.
-pub type Halved = BTreeMap<u8, u64>;
+pub type LatencyBuckets = BTreeMap<u8, u64>;
 
 /// The bucket of a time; the last takes all that is longer than two minutes.
 pub fn halved(took: Duration) -> u8 {
@@ -172,17 +172,17 @@
 
 /// What a proxy met at one server with the queries of one class.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct ByClass {
+pub struct ClassOutcomes {
     pub class: String,
     pub tries: u64,
     /// Good ones within the class's soft limit.
     pub in_time: u64,
-    pub took: Halved,
+    pub took: LatencyBuckets,
 }
 
 /// What a proxy met at one server over a span.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Met {
+pub struct ServerOutcomes {
     pub server: String,
     pub tries: u64,
     pub failed: u64,
@@ -192,12 +192,12 @@
     /// The newest load report; NaN where a value is missing.
     pub load: Vec<f64>,
     /// The same by class, from proxies that tell it. Decisions do not see it: it is for the record.
-    pub classes: Vec<ByClass>,
+    pub classes: Vec<ClassOutcomes>,
 }
 
 /// What came to a proxy over a span, of one class.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Came {
+pub struct ClassArrivals {
     pub class: String,
     pub queries: u64,
     pub unanswered: u64,
@@ -211,21 +211,21 @@
 }
 
 /// Reads `class tries in-time k:n k:n`; a class's name holds no blank.
-fn by_class(text: &str) -> Option<ByClass> {
+fn by_class(text: &str) -> Option<ClassOutcomes> {
     let mut words = text.split(' ');
     let (class, tries, in_time) = (words.next()?, words.next()?.parse().ok()?, words.next()?.parse().ok()?);
     let pair = |word: &str| {
         let (k, n) = word.split_once(':')?;
         Some((k.parse::<u8>().ok()?.min(27), n.parse().ok()?))
     };
-    Some(ByClass { class: class.to_string(), tries, in_time, took: words.filter_map(pair).collect() })
+    Some(ClassOutcomes { class: class.to_string(), tries, in_time, took: words.filter_map(pair).collect() })
 }
 
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Report {
     pub span: Duration,
-    pub met: Vec<Met>,
-    pub came: Vec<Came>,
+    pub met: Vec<ServerOutcomes>,
+    pub came: Vec<ClassArrivals>,
 }
 
 impl Report {
@@ -267,7 +267,7 @@
         }
         let met = e.named("met").filter_map(|m| {
             let load = m.named("load").map(|l| l.text.parse().unwrap_or(f64::NAN));
-            Some(Met {
+            Some(ServerOutcomes {
                 server: m.text_of("server")?.to_string(),
                 tries: number(m, "tries")?,
                 failed: number(m, "failed")?,
@@ -279,7 +279,7 @@
         });
         let came = e.named("came").filter_map(|c| {
             let (queries, unanswered) = (number(c, "queries")?, number(c, "unanswered")?);
-            Some(Came { class: c.text_of("class")?.to_string(), queries, unanswered })
+            Some(ClassArrivals { class: c.text_of("class")?.to_string(), queries, unanswered })
         });
         let span = Duration::from_millis(number(e, "span-ms")?.clamp(1, 600_000));
         Some(Report { span, met: met.collect(), came: came.collect() })
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -10,48 +10,48 @@
 
 /// One fault of a document: where, in which element, why.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct SchemaViolation {
     pub line: usize,
     pub column: usize,
     pub element: String,
     pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SchemaViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: <{}>: {}", self.line, self.column, self.element, self.reason)
     }
 }
 
 /// A compiled schema.
-pub struct Judge(XsdValidator);
+pub struct SchemaValidator(XsdValidator);
 
-impl Judge {
+impl SchemaValidator {
     /// Compiles an XSD that this package holds; the error says where it is broken.
-    pub fn new(xsd: &str) -> Result<Judge, String> {
+    pub fn new(xsd: &str) -> Result<SchemaValidator, String> {
         let document = uppsala::parse(xsd).map_err(|e| e.to_string())?;
-        XsdValidator::from_schema(&document).map(Judge).map_err(|e| e.to_string())
+        XsdValidator::from_schema(&document).map(SchemaValidator).map_err(|e| e.to_string())
     }
 
     /// All faults of a text, in order; none if it is valid.
-    pub fn faults(&self, text: &str) -> Vec<Fault> {
+    pub fn faults(&self, text: &str) -> Vec<SchemaViolation> {
         // The tree first: its bounds hold for whatever is read, and it allows no document type.
         if let Err(e) = Element::parse(text) {
-            return vec![Fault { line: e.line, column: e.column, element: "?".into(), reason: e.reason }];
+            return vec![SchemaViolation { line: e.line, column: e.column, element: "?".into(), reason: e.reason }];
         }
         let document = match uppsala::parse(text) {
             Ok(document) => document,
-            Err(e) => return vec![Fault { line: 0, column: 0, element: "?".into(), reason: e.to_string() }],
+            Err(e) => return vec![SchemaViolation { line: 0, column: 0, element: "?".into(), reason: e.to_string() }],
         };
         let faults = self.0.validate(&document).into_iter().map(|e| {
             let (line, column) = (e.line.unwrap_or(0), e.column.unwrap_or(0));
-            Fault { line, column, element: element_at(text, line, column), reason: e.message }
+            SchemaViolation { line, column, element: element_at(text, line, column), reason: e.message }
         });
         faults.collect()
     }
 }
 
-impl fmt::Debug for Judge {
+impl fmt::Debug for SchemaValidator {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Judge")
     }
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -1,5 +1,5 @@
 use crate::order::{Message, Report, TableEdit};
-use crate::schema::{derive, Judge};
+use crate::schema::{derive, SchemaValidator};
 use crate::*;
 use runloom_netconf::edit::Kind;
 use runloom_netconf::tree::Element;
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_fault_names_line_element_and_reason() {
-    let judge = Judge::new(FLEET_XSD).unwrap();
+    let judge = SchemaValidator::new(FLEET_XSD).unwrap();
     let text =
         "<roster xmlns='urn:runloom:fleet'>\n <server>\n  <name>s1</name>\n  <address>nowhere</address>\n\
         <zone>a</zone><mode>ready</mode></server></roster>";
@@ -70,17 +70,17 @@
         false,
     );
     assert_eq!(faults, []);
-    assert_eq!(Judge::new(PROXY_XSD).unwrap().faults(&data.children[0].to_text()), []);
+    assert_eq!(SchemaValidator::new(PROXY_XSD).unwrap().faults(&data.children[0].to_text()), []);
 }
 
 #[test]
 fn a_report_is_read_as_it_was_written() {
     let took = Duration::from_micros(70);
-    let of = order::ByClass { class: "q".into(), tries: 5, in_time: 3, took: [(7, 4)].into() };
+    let of = order::ClassOutcomes { class: "q".into(), tries: 5, in_time: 3, took: [(7, 4)].into() };
     let classes = vec![of];
     let met =
-        order::Met { server: "s1".into(), tries: 5, failed: 1, took, in_time: 3, load: vec![2.0], classes };
-    let came = order::Came { class: "q".into(), queries: 9, unanswered: 2 };
+        order::ServerOutcomes { server: "s1".into(), tries: 5, failed: 1, took, in_time: 3, load: vec![2.0], classes };
+    let came = order::ClassArrivals { class: "q".into(), queries: 9, unanswered: 2 };
     let report = Report { span: Duration::from_millis(500), met: vec![met], came: vec![came] };
     assert_eq!(Report::read(&report.element()), Some(report));
 }
--- a/crates/model/tests/wire_snapshot.rs
+++ b/crates/model/tests/wire_snapshot.rs
@@ -3,7 +3,7 @@
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
 use runloom_controller::RetryPolicy;
-use runloom_model::order::{level_text, line_text, ByClass, Came, Message, Met, Report, TableEdit};
+use runloom_model::order::{level_text, line_text, ClassOutcomes, ClassArrivals, Message, ServerOutcomes, Report, TableEdit};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -53,8 +53,8 @@
 #[test]
 fn a_report_is_as_it_was() {
     let class =
-        ByClass { class: "lookup".into(), tries: 9, in_time: 7, took: BTreeMap::from([(3, 4), (12, 5)]) };
-    let met = Met {
+        ClassOutcomes { class: "lookup".into(), tries: 9, in_time: 7, took: BTreeMap::from([(3, 4), (12, 5)]) };
+    let met = ServerOutcomes {
         server: "s1".into(),
         tries: 12,
         failed: 2,
@@ -63,7 +63,7 @@
         load: vec![0.5, f64::NAN, 14.0],
         classes: vec![class],
     };
-    let came = Came { class: "order".into(), queries: 30, unanswered: 1 };
+    let came = ClassArrivals { class: "order".into(), queries: 30, unanswered: 1 };
     let report = Report { span: Duration::from_millis(1000), met: vec![met], came: vec![came] };
     assert_unchanged("netconf-report.txt", &(report.element().to_text() + "\n"));
 }
--- a/crates/mqtt/src/report.rs
+++ b/crates/mqtt/src/report.rs
@@ -1,6 +1,6 @@
 //! A proxy's report as JSON, for proxies in any language.
 
-use runloom_model::order::{ByClass, Came, Met, Report};
+use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -48,13 +48,13 @@
 const MET_MOST: usize = 4096;
 
 pub fn write(report: &Report) -> Vec<u8> {
-    let of = |c: &ByClass| OfBody {
+    let of = |c: &ClassOutcomes| OfBody {
         class: c.class.clone(),
         tries: c.tries,
         in_time: c.in_time,
         took: c.took.iter().map(|(k, n)| (*k, *n)).collect(),
     };
-    let met = |m: &Met| MetBody {
+    let met = |m: &ServerOutcomes| MetBody {
         server: m.server.clone(),
         tries: m.tries,
         failed: m.failed,
@@ -63,7 +63,7 @@
         load: m.load.iter().map(|v| v.is_finite().then_some(*v)).collect(),
         of: m.classes.iter().map(of).collect(),
     };
-    let came = |c: &Came| CameBody { class: c.class.clone(), queries: c.queries, unanswered: c.unanswered };
+    let came = |c: &ClassArrivals| CameBody { class: c.class.clone(), queries: c.queries, unanswered: c.unanswered };
     let body = Body {
         span_ms: report.span.as_millis() as u64,
         met: report.met.iter().map(met).collect(),
@@ -79,13 +79,13 @@
     if body.met.len() > MET_MOST || body.came.len() > CLASSES_MOST {
         return Err("it names more than there can be".into());
     }
-    let of = |c: OfBody| ByClass {
+    let of = |c: OfBody| ClassOutcomes {
         class: c.class,
         tries: c.tries,
         in_time: c.in_time,
         took: c.took.into_iter().map(|(k, n)| (k.min(27), n)).collect(),
     };
-    let met = |m: MetBody| Met {
+    let met = |m: MetBody| ServerOutcomes {
         server: m.server,
         tries: m.tries,
         failed: m.failed,
@@ -94,7 +94,7 @@
         load: m.load.into_iter().take(LOADS_MOST).map(|v| v.unwrap_or(f64::NAN)).collect(),
         classes: m.of.into_iter().take(CLASSES_MOST).map(of).collect(),
     };
-    let came = |c: CameBody| Came { class: c.class, queries: c.queries, unanswered: c.unanswered };
+    let came = |c: CameBody| ClassArrivals { class: c.class, queries: c.queries, unanswered: c.unanswered };
     Ok(Report {
         span: Duration::from_millis(body.span_ms.clamp(1, 600_000)),
         met: body.met.into_iter().map(met).collect(),
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -11,7 +11,7 @@
 };
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
 use proptest::prelude::*;
-use runloom_model::order::{Met, Report};
+use runloom_model::order::{ServerOutcomes, Report};
 use runloom_versioned_publisher::reader::{Reader, Taken};
 use runloom_versioned_publisher::{Change, Key, Kind, Part, Publisher, Topic, Wanted, WINDOW};
 use std::time::Duration;
@@ -295,7 +295,7 @@
         assert_eq!((got.topic.table, &got.changes), (0, &part.changes));
         client.answer(ZERO, *a, true);
         client.answer(ZERO, *b, false);
-        let met = Met { server: "s1".into(), tries: 3, load: vec![1.0, f64::NAN], ..Met::default() };
+        let met = ServerOutcomes { server: "s1".into(), tries: 3, load: vec![1.0, f64::NAN], ..ServerOutcomes::default() };
         let report = Report { span: Duration::from_millis(500), met: vec![met], came: vec![] };
         client.report(ZERO, crate::report::write(&report));
         let (heard, _) = pass(&mut session, &mut client, cut);
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -2,7 +2,7 @@
 //!
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
-use runloom_model::order::{ByClass, Came, Met, Report};
+use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
 use runloom_mqtt::{body, names, report};
 use runloom_versioned_publisher::{Change, Key, Kind, Part, Topic};
 use std::collections::BTreeMap;
@@ -48,8 +48,8 @@
 #[test]
 fn a_report_is_as_it_was() {
     let class =
-        ByClass { class: "lookup".into(), tries: 9, in_time: 7, took: BTreeMap::from([(3, 4), (12, 5)]) };
-    let met = |load| Met {
+        ClassOutcomes { class: "lookup".into(), tries: 9, in_time: 7, took: BTreeMap::from([(3, 4), (12, 5)]) };
+    let met = |load| ServerOutcomes {
         server: "s1".into(),
         tries: 12,
         failed: 2,
@@ -58,7 +58,7 @@
         load,
         classes: vec![class.clone()],
     };
-    let came = Came { class: "order".into(), queries: 30, unanswered: 1 };
+    let came = ClassArrivals { class: "order".into(), queries: 30, unanswered: 1 };
     let met = vec![met(vec![]), met(vec![0.5, f64::NAN])];
     let sent = Report { span: Duration::from_millis(1000), met, came: vec![came] };
     let seen = String::from_utf8(report::write(&sent)).unwrap();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -10,7 +10,7 @@
 use query::{Ended, Query, Refusal, Step};
 use runloom_controller::RetryPolicy;
 use runloom_model::fleet::{Class, Repeats};
-use runloom_model::order::{halved, ByClass, Came, Halved, Met, Report};
+use runloom_model::order::{halved, ClassOutcomes, ClassArrivals, LatencyBuckets, ServerOutcomes, Report};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -43,7 +43,7 @@
 struct Tally {
     tries: u64,
     in_time: u64,
-    took: Halved,
+    took: LatencyBuckets,
 }
 
 /// How a try ended, as it is counted.
@@ -290,9 +290,9 @@
             let good = (s.tries - s.failed).max(1) as u32;
             let of = |(class, t): (usize, Tally)| {
                 let class = self.classes[class].name.clone();
-                ByClass { class, tries: t.tries, in_time: t.in_time, took: t.took }
+                ClassOutcomes { class, tries: t.tries, in_time: t.in_time, took: t.took }
             };
-            met.push(Met {
+            met.push(ServerOutcomes {
                 server: name.clone(),
                 tries: s.tries,
                 failed: s.failed,
@@ -305,7 +305,7 @@
         }
         let came = self.classes.iter().zip(&mut self.came).map(|(class, came)| {
             let (queries, unanswered) = std::mem::take(came);
-            Came { class: class.name.clone(), queries, unanswered }
+            ClassArrivals { class: class.name.clone(), queries, unanswered }
         });
         let report = Report { span, met, came: came.collect() };
         self.servers.retain(|name, s| self.held.names(name) || s.out > 0);
--- a/crates/proxy/src/tables.rs
+++ b/crates/proxy/src/tables.rs
@@ -1,6 +1,6 @@
 //! The tables as a proxy holds them: read from the datastore that the planner edits.
 
-use runloom_model::order::{tries, Level};
+use runloom_model::order::{tries, AdmissionLimit};
 use runloom_netconf::tree::Element;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Table {
     pub(crate) lines: Vec<Line>,
-    pub(crate) levels: BTreeMap<String, Level>,
+    pub(crate) levels: BTreeMap<String, AdmissionLimit>,
     /// For turns: what each line has saved up.
     pub(crate) credit: Vec<f64>,
 }
@@ -109,7 +109,7 @@
         lines.iter().filter(|l| !self.withdrawn.contains(&l.server)).cloned().collect()
     }
 
-    pub fn level(&self, class: &str) -> Option<Level> {
+    pub fn level(&self, class: &str) -> Option<AdmissionLimit> {
         self.table(class)?.levels.get(class).copied()
     }
 
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -3,8 +3,8 @@
 use crate::{at, fleet, set_out, turned, Unusable};
 use runloom_control_session::recording::call;
 use runloom_control_session::ControlSession;
-use runloom_event_log::entry::Sent;
-use runloom_event_log::{Entry, Happened};
+use runloom_event_log::entry::SentUpdate;
+use runloom_event_log::{Entry, RecordedEvent};
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 
@@ -44,7 +44,7 @@
     /// Sets out from a record's first entry, the planner's start. `build` is this program's, for the reason of a
     /// difference.
     pub fn new(first: &Entry, build: &str) -> Result<Replay, Unusable> {
-        let Happened::Start { build: theirs, .. } = &first.what else { return Err(Unusable::NoStart) };
+        let RecordedEvent::Start { build: theirs, .. } = &first.what else { return Err(Unusable::NoStart) };
         Ok(Replay {
             driver: set_out(std::slice::from_ref(first), None, None)?,
             same: Same::default(),
@@ -58,23 +58,23 @@
     /// The next entry. False: it differs from here on, and nothing more is wanted.
     pub fn take(&mut self, entry: &Entry) -> Result<bool, Unusable> {
         self.same.entries += 1;
-        self.lost |= matches!(entry.what, Happened::Lost { .. });
+        self.lost |= matches!(entry.what, RecordedEvent::Lost { .. });
         let difference = match &entry.what {
-            Happened::Turn { sent, .. } => {
+            RecordedEvent::Turn { sent, .. } => {
                 self.driver.turn(at(entry));
                 let ours = turned(&mut self.driver);
                 self.same.turns += 1;
                 self.same.messages += sent.len() as u64;
-                if let Some(Happened::Turn { texts, sent, .. }) = &ours {
+                if let Some(RecordedEvent::Turn { texts, sent, .. }) = &ours {
                     digest(&mut self.sum, texts, sent);
                 }
                 differs(&entry.what, ours.as_ref())
             }
-            Happened::Refit { fleet: text, seed } => {
+            RecordedEvent::Refit { fleet: text, seed } => {
                 self.driver.refit(fleet(text)?, *seed);
                 None
             }
-            Happened::Lost { entries } => Some(format!("{entries} entries were lost when the disk was full")),
+            RecordedEvent::Lost { entries } => Some(format!("{entries} entries were lost when the disk was full")),
             what => (!call(&mut self.driver, at(entry), what))
                 .then(|| format!("{} of {} is not known", what.kind(), what.name())),
         };
@@ -115,7 +115,7 @@
     Ok(replay.done())
 }
 
-fn digest(sum: &mut Sha256, texts: &[String], sent: &[Sent]) {
+fn digest(sum: &mut Sha256, texts: &[String], sent: &[SentUpdate]) {
     for s in sent {
         // A line break ends each part: none of them holds one.
         let text = texts.get(s.text as usize).map_or("", String::as_str);
@@ -124,12 +124,12 @@
 }
 
 /// What two turns differ in, if they do; how long they took is no matter.
-fn differs(theirs: &Happened, ours: Option<&Happened>) -> Option<String> {
-    let Happened::Turn { texts, sent, probes, log, refused, .. } = theirs else { return None };
-    let Some(Happened::Turn { texts: t, sent: s, probes: p, log: l, refused: r, .. }) = ours else {
+fn differs(theirs: &RecordedEvent, ours: Option<&RecordedEvent>) -> Option<String> {
+    let RecordedEvent::Turn { texts, sent, probes, log, refused, .. } = theirs else { return None };
+    let Some(RecordedEvent::Turn { texts: t, sent: s, probes: p, log: l, refused: r, .. }) = ours else {
         return Some("a turn in which the decisions were not asked".into());
     };
-    let text = |sent: &Sent, texts: &[String]| texts.get(sent.text as usize).cloned().unwrap_or_default();
+    let text = |sent: &SentUpdate, texts: &[String]| texts.get(sent.text as usize).cloned().unwrap_or_default();
     for (a, b) in sent.iter().zip(s) {
         if (&a.proxy, a.number) != (&b.proxy, b.number) {
             return Some(format!("message {} to {} is now {} to {}", a.number, a.proxy, b.number, b.proxy));
--- a/crates/replay/src/force.rs
+++ b/crates/replay/src/force.rs
@@ -1,7 +1,7 @@
 //! The tables in force at each proxy, from the messages that went out and when they were confirmed; and which
 //! rules that breaks.
 
-use runloom_event_log::{Entry, Happened};
+use runloom_event_log::{Entry, RecordedEvent};
 use runloom_model::fleet::Fleet;
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY_XSD};
@@ -90,7 +90,7 @@
     pub fn happened(&mut self, entry: &Entry) {
         let now = Duration::from_micros(entry.at);
         match &entry.what {
-            Happened::Joined { proxy, .. } => {
+            RecordedEvent::Joined { proxy, .. } => {
                 let place =
                     Place { joined: now, data: Arc::new(Element::new("", "data")), ..Place::default() };
                 // What it holds from before is not known here; it keeps what the record saw it take.
@@ -98,12 +98,12 @@
                 let (data, held) = old.map_or((place.data.clone(), Held::default()), |o| (o.data, o.held));
                 self.places.insert(proxy.clone(), Place { data, held, ..place });
             }
-            Happened::Left { proxy } => {
+            RecordedEvent::Left { proxy } => {
                 if let Some(place) = self.places.get_mut(proxy) {
                     (place.joined, place.flying) = (Duration::MAX, VecDeque::new());
                 }
             }
-            Happened::Listed { servers, gone, .. } => {
+            RecordedEvent::Listed { servers, gone, .. } => {
                 for s in servers {
                     self.weights.insert(s.name.clone(), s.weight);
                     if s.draining {
@@ -119,7 +119,7 @@
                     self.open.remove(name);
                 }
             }
-            Happened::Report { proxy, span, met, came } => {
+            RecordedEvent::Report { proxy, span, met, came } => {
                 let seconds = (*span as f64 / 1e6).max(0.1);
                 for c in came {
                     self.came.insert((proxy.clone(), c.class.clone()), c.queries as f64 / seconds);
--- a/crates/replay/src/infer.rs
+++ b/crates/replay/src/infer.rs
@@ -2,8 +2,8 @@
 //! each with the servers that had it. What a record cannot tell is left out, and named.
 
 use crate::{fleet, Unusable};
-use runloom_event_log::entry::{Met, Server};
-use runloom_event_log::{Entry, Happened};
+use runloom_event_log::entry::{RecordedOutcome, RecordedServer};
+use runloom_event_log::{Entry, RecordedEvent};
 use runloom_model::fleet::Fleet;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -132,7 +132,7 @@
         let mut sight = Sight::default();
         let mut zero = None;
         for day in days {
-            let Some(Happened::Start { epoch, fleet: text, .. }) = day.first().map(|e| &e.what) else {
+            let Some(RecordedEvent::Start { epoch, fleet: text, .. }) = day.first().map(|e| &e.what) else {
                 return Err(Unusable::NoStart);
             };
             let wall = epoch.saturating_sub(*zero.get_or_insert(*epoch)) as f64 / 1000.0;
@@ -148,16 +148,16 @@
                 let at = from + entry.at as f64 / 1e6;
                 sight.end = sight.end.max(at);
                 match &entry.what {
-                    Happened::Turn { sent, .. } => {
+                    RecordedEvent::Turn { sent, .. } => {
                         sent.iter().for_each(|s| flying.entry(&s.proxy).or_default().push((s.number, at)));
                     }
-                    Happened::Applied { proxy, number } => {
+                    RecordedEvent::Applied { proxy, number } => {
                         let waiting = flying.entry(proxy).or_default();
                         let since = waiting.first().map_or(at, |f| f.1);
                         waiting.retain(|f| f.0 > *number);
                         sight.deaf.extend((at > since + DEAF).then_some((since, at - since)));
                     }
-                    Happened::Left { proxy } => {
+                    RecordedEvent::Left { proxy } => {
                         flying.remove(proxy.as_str());
                         sight.left.push(at);
                     }
@@ -168,9 +168,9 @@
         Ok(sight)
     }
 
-    fn take(&mut self, at: f64, what: &Happened, whole: &mut bool) -> Result<(), Unusable> {
+    fn take(&mut self, at: f64, what: &RecordedEvent, whole: &mut bool) -> Result<(), Unusable> {
         match what {
-            Happened::Listed { servers, gone, .. } => {
+            RecordedEvent::Listed { servers, gone, .. } => {
                 servers.iter().for_each(|s| self.listed(at, s));
                 if std::mem::take(whole) && self.first.is_empty() {
                     self.first = servers.iter().map(|s| s.name.clone()).collect();
@@ -179,14 +179,14 @@
                     self.servers.entry(name.clone()).or_default().list.push((at, None));
                 }
             }
-            Happened::Joined { proxy, .. } => _ = self.proxies.insert(proxy.clone()),
-            Happened::Refit { fleet: text, .. } => self.fleets.push((at, fleet(text)?)),
-            Happened::Probed { server, found, .. } => {
+            RecordedEvent::Joined { proxy, .. } => _ = self.proxies.insert(proxy.clone()),
+            RecordedEvent::Refit { fleet: text, .. } => self.fleets.push((at, fleet(text)?)),
+            RecordedEvent::Probed { server, found, .. } => {
                 // As the driver numbers them: handled, failed, turned away, no answer, no connection, nothing.
                 let kind = [0, 1, 1, 2, 2, 2][usize::from(*found).min(5)];
                 self.second(server, at).probes[kind] += 1;
             }
-            Happened::Report { met, came, .. } => {
+            RecordedEvent::Report { met, came, .. } => {
                 let queries: u64 = came.iter().map(|c| c.queries).sum();
                 let tries: u64 = met.iter().map(|m| m.tries).sum();
                 // Who is refused tries again: of two refusals one is a second try of the same query.
@@ -204,7 +204,7 @@
         seen.seconds.entry((at / SPAN) as u64).or_default()
     }
 
-    fn met(&mut self, at: f64, m: &Met) {
+    fn met(&mut self, at: f64, m: &RecordedOutcome) {
         let load: Vec<f64> = m.load.iter().map(|b| f64::from_bits(*b)).collect();
         if let [_, busy, ..] = load.as_slice() {
             if busy.is_finite() {
@@ -217,7 +217,7 @@
         second.took += m.took as f64 * m.tries.saturating_sub(m.failed) as f64;
     }
 
-    fn listed(&mut self, at: f64, s: &Server) {
+    fn listed(&mut self, at: f64, s: &RecordedServer) {
         let seen = self.servers.entry(s.name.clone()).or_default();
         seen.zone = s.zone.clone();
         let now = Some((s.draining, s.started));
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod page;
 
 use runloom_control_session::ControlSession;
-use runloom_event_log::{Entry, Happened};
+use runloom_event_log::{Entry, RecordedEvent};
 use runloom_model::fleet::Fleet;
 use runloom_netconf::tree::Element;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     other: Option<&Fleet>,
     other_seed: Option<u64>,
 ) -> Result<ControlSession, Unusable> {
-    let Some(Happened::Start { seed, epoch, fleet: text, .. }) = entries.first().map(|e| &e.what) else {
+    let Some(RecordedEvent::Start { seed, epoch, fleet: text, .. }) = entries.first().map(|e| &e.what) else {
         return Err(Unusable::NoStart);
     };
     let fleet = other.map_or_else(|| fleet(text), |f| Ok(f.clone()))?;
@@ -45,10 +45,10 @@
 }
 
 /// What the last call came to, if it was a turn with decisions.
-pub(crate) fn turned(driver: &mut ControlSession) -> Option<Happened> {
+pub(crate) fn turned(driver: &mut ControlSession) -> Option<RecordedEvent> {
     let witness = driver.witness.as_mut()?;
     let last = std::mem::take(witness).pop()?;
-    matches!(last.1, Happened::Turn { .. }).then_some(last.1)
+    matches!(last.1, RecordedEvent::Turn { .. }).then_some(last.1)
 }
 
 pub(crate) fn at(entry: &Entry) -> Duration {
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -5,8 +5,8 @@
 use crate::{at, fleet, set_out, turned, Unusable};
 use runloom_control_session::recording::call;
 use runloom_control_session::ControlSession;
-use runloom_event_log::entry::{Outcome, Sent};
-use runloom_event_log::{Entry, Happened};
+use runloom_event_log::entry::{RecordedClassOutcome, SentUpdate};
+use runloom_event_log::{Entry, RecordedEvent};
 use runloom_model::fleet::Fleet;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -67,10 +67,10 @@
     let mut lags: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for entry in entries {
         match &entry.what {
-            Happened::Turn { sent: messages, .. } => {
+            RecordedEvent::Turn { sent: messages, .. } => {
                 messages.iter().for_each(|m| _ = sent.insert((m.proxy.clone(), m.number), entry.at));
             }
-            Happened::Applied { proxy, number } => {
+            RecordedEvent::Applied { proxy, number } => {
                 if let Some(from) = sent.remove(&(proxy.clone(), *number)) {
                     lags.entry(proxy.clone()).or_default().push(entry.at.saturating_sub(from));
                 }
@@ -88,9 +88,9 @@
 impl Side {
     fn turn(&mut self, now: Duration, lags: &BTreeMap<String, Duration>) {
         self.driver.turn(now);
-        let Some(Happened::Turn { texts, sent, refused, .. }) = turned(&mut self.driver) else { return };
+        let Some(RecordedEvent::Turn { texts, sent, refused, .. }) = turned(&mut self.driver) else { return };
         self.refused += refused.len() as u64;
-        for Sent { proxy, number, text, lines } in sent {
+        for SentUpdate { proxy, number, text, lines } in sent {
             self.force.sent(now, &proxy, number, &texts[text as usize], lines);
             let lag = lags.get(&proxy).copied().unwrap_or(Duration::from_millis(20));
             self.due.insert((now + lag, proxy), number);
@@ -117,8 +117,8 @@
 
     /// The list as it would have been told under the fleet that stands in: shares and operators' words are in the
     /// recorded weights and drains already.
-    fn retold(&self, what: &Happened) -> Option<Happened> {
-        let (Some(fixed), Happened::Listed { whole, servers, gone }) = (&self.fixed, what) else {
+    fn retold(&self, what: &RecordedEvent) -> Option<RecordedEvent> {
+        let (Some(fixed), RecordedEvent::Listed { whole, servers, gone }) = (&self.fixed, what) else {
             return None;
         };
         let mut servers = servers.clone();
@@ -133,22 +133,22 @@
             let by_word = was.is_some_and(|w| w.drain);
             s.draining = (s.draining && !by_word) || now.is_some_and(|w| w.drain);
         }
-        Some(Happened::Listed { whole: *whole, servers, gone: gone.clone() })
+        Some(RecordedEvent::Listed { whole: *whole, servers, gone: gone.clone() })
     }
 
     fn take(&mut self, entry: &Entry, lags: &BTreeMap<String, Duration>) -> Result<(), Unusable> {
         self.pass(at(entry), lags);
         match &entry.what {
             // These are its own, not the record's.
-            Happened::Turn { .. } | Happened::Applied { .. } | Happened::Lost { .. } => {}
-            Happened::Refit { fleet: text, seed } => {
+            RecordedEvent::Turn { .. } | RecordedEvent::Applied { .. } | RecordedEvent::Lost { .. } => {}
+            RecordedEvent::Refit { fleet: text, seed } => {
                 self.recorded = fleet(text)?;
                 if self.fixed.is_none() {
                     self.driver.refit(self.recorded.clone(), *seed);
                 }
             }
             what => {
-                if let Happened::Left { proxy } = what {
+                if let RecordedEvent::Left { proxy } = what {
                     self.due.retain(|(_, p), _| p != proxy);
                 }
                 let retold = self.retold(what).map(|what| Entry { at: entry.at, what });
@@ -157,7 +157,7 @@
                 self.force.happened(entry);
             }
         }
-        if matches!(entry.what, Happened::Joined { .. } | Happened::Listed { .. }) {
+        if matches!(entry.what, RecordedEvent::Joined { .. } | RecordedEvent::Listed { .. }) {
             self.turn(at(entry), lags);
         }
         self.force.look(at(entry));
@@ -179,7 +179,7 @@
     let mut driver = set_out(entries, setting.fleet.as_ref(), setting.seed)?;
     driver.guarded = !setting.unguarded;
     let epoch =
-        if let Some(Happened::Start { epoch, .. }) = entries.first().map(|e| &e.what) { *epoch } else { 0 };
+        if let Some(RecordedEvent::Start { epoch, .. }) = entries.first().map(|e| &e.what) { *epoch } else { 0 };
     let force = Force::new(driver.fleet().clone(), epoch);
     let recorded = set_out(entries, None, None)?.fleet().clone();
     Ok(Side { driver, force, recorded, fixed: setting.fleet.clone(), due: BTreeMap::new(), refused: 0 })
@@ -239,7 +239,7 @@
     estimate: Estimate,
     by_class: Option<Vec<String>>,
     /// A proxy's outcomes by class stand before the report that they belong to.
-    met: Vec<Outcome>,
+    met: Vec<RecordedClassOutcome>,
     gates: BTreeMap<(String, usize), [Gate; 2]>,
 }
 
@@ -262,7 +262,7 @@
 
 impl Outcomes {
     fn of(entries: &[Entry], fleet: &Fleet) -> Outcomes {
-        let told = entries.iter().any(|e| matches!(e.what, Happened::Outcomes { .. }));
+        let told = entries.iter().any(|e| matches!(e.what, RecordedEvent::Outcomes { .. }));
         let classes: Vec<(String, f64)> = fleet.classes.iter().map(|c| (c.name.clone(), c.payoff)).collect();
         let by_class = told.then(|| classes.iter().map(|c| c.0.clone()).collect());
         let estimate = Estimate::new(if told { classes } else { vec![("all".into(), 1.0)] });
@@ -271,8 +271,8 @@
 
     fn take(&mut self, entry: &Entry, was: &Side, would: &Side) {
         match (&entry.what, &self.by_class) {
-            (Happened::Outcomes { met, .. }, _) => self.met = met.clone(),
-            (Happened::Report { proxy, span, came, .. }, Some(classes)) => {
+            (RecordedEvent::Outcomes { met, .. }, _) => self.met = met.clone(),
+            (RecordedEvent::Report { proxy, span, came, .. }, Some(classes)) => {
                 let met = std::mem::take(&mut self.met);
                 let seconds = *span as f64 / 1e6;
                 for (class, name) in classes.iter().enumerate() {
@@ -293,7 +293,7 @@
                     }
                 }
             }
-            (Happened::Report { proxy, met, came, .. }, None) => {
+            (RecordedEvent::Report { proxy, met, came, .. }, None) => {
                 let weights: BTreeMap<&str, f64> =
                     came.iter().map(|c| (c.class.as_str(), c.queries as f64)).collect();
                 let shares = |side: &Side| shares(side, proxy, &weights);
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -3,9 +3,9 @@
 use crate::other::{compare, Setting};
 use runloom_control_session::{Action, ControlSession};
 use runloom_controller::EndpointUpdate;
-use runloom_event_log::{Entry, Happened};
+use runloom_event_log::{Entry, RecordedEvent};
 use runloom_inventory::{Change, Server};
-use runloom_model::order::{Came, Met, Report};
+use runloom_model::order::{ClassArrivals, ServerOutcomes, Report};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 /// thirtieth; written down as the planner does.
 fn a_day() -> Vec<Entry> {
     let mut driver = ControlSession::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
-    let start = Happened::Start {
+    let start = RecordedEvent::Start {
         build: "test".into(),
         planner: "p".into(),
         seed: 7,
@@ -58,7 +58,7 @@
             for p in &proxies {
                 // Late with all it does, but no failure: it stays in the tables.
                 let late = |k: usize| k == 1 && step > 100;
-                let met = (0..if step < 300 { SERVERS } else { SERVERS - 1 }).map(|k| Met {
+                let met = (0..if step < 300 { SERVERS } else { SERVERS - 1 }).map(|k| ServerOutcomes {
                     server: format!("s{k}"),
                     tries: 4,
                     failed: 0,
@@ -67,7 +67,7 @@
                     load: vec![],
                     classes: vec![],
                 });
-                let came = vec![Came { class: "q".into(), queries: 24, unanswered: 0 }];
+                let came = vec![ClassArrivals { class: "q".into(), queries: 24, unanswered: 0 }];
                 let report = Report { span: Duration::from_secs(1), met: met.collect(), came };
                 driver.report(now, *p, &report);
             }
@@ -98,16 +98,16 @@
     let mut day = a_day();
     let place = day
         .iter()
-        .position(|e| matches!(&e.what, Happened::Turn { sent, .. } if e.at > 20_000_000 && !sent.is_empty()))
+        .position(|e| matches!(&e.what, RecordedEvent::Turn { sent, .. } if e.at > 20_000_000 && !sent.is_empty()))
         .unwrap();
-    if let Happened::Turn { texts, .. } = &mut day[place].what {
+    if let RecordedEvent::Turn { texts, .. } = &mut day[place].what {
         texts[0].push(' ');
     }
     let found = replay(&day, "another").unwrap().first.unwrap();
     assert_eq!(found.at, day[place].at as f64 / 1e6);
     assert!(found.what.contains("another text") && found.why.contains("recorded by test"), "{found:?}");
     let mut gap = a_day();
-    gap.insert(place, Entry { at: gap[place].at, what: Happened::Lost { entries: 3 } });
+    gap.insert(place, Entry { at: gap[place].at, what: RecordedEvent::Lost { entries: 3 } });
     assert!(replay(&gap, "test").unwrap().first.unwrap().why.contains("gap"));
     assert!(replay(&day[1..], "test").is_err());
 }
@@ -170,11 +170,11 @@
     let mut day = a_day();
     let fleet = crate::fleet(FLEET).unwrap();
     let mut force = crate::force::Force::new(fleet, 1_000_000);
-    day.retain(|e| !(matches!(e.what, Happened::Turn { .. }) && e.at >= 30_000_000));
+    day.retain(|e| !(matches!(e.what, RecordedEvent::Turn { .. }) && e.at >= 30_000_000));
     for e in &day {
         force.happened(e);
         match &e.what {
-            Happened::Turn { texts, sent, .. } => {
+            RecordedEvent::Turn { texts, sent, .. } => {
                 for s in sent {
                     force.sent(
                         Duration::from_micros(e.at),
@@ -185,7 +185,7 @@
                     );
                 }
             }
-            Happened::Applied { proxy, number } => force.applied(proxy, *number),
+            RecordedEvent::Applied { proxy, number } => force.applied(proxy, *number),
             _ => {}
         }
         force.look(Duration::from_micros(e.at));
@@ -200,7 +200,7 @@
 #[test]
 fn a_cold_server_that_tables_heap_queries_on_breaks_rule_four() {
     let fleet = crate::fleet(FLEET).unwrap();
-    let listed = |name: &str, started| runloom_event_log::entry::Server {
+    let listed = |name: &str, started| runloom_event_log::entry::RecordedServer {
         name: name.into(),
         address: "127.0.0.1:9".into(),
         zone: "a".into(),
@@ -213,16 +213,16 @@
     let outcome = |cold: f64| {
         let mut force = crate::force::Force::new(fleet.clone(), 1_000_000);
         let what = [
-            Happened::Joined { proxy: "f".into(), zone: "a".into(), rate: 30.0, fresh: true },
-            Happened::Listed {
+            RecordedEvent::Joined { proxy: "f".into(), zone: "a".into(), rate: 30.0, fresh: true },
+            RecordedEvent::Listed {
                 whole: true,
                 servers: vec![listed("w", None), listed("c", Some(1_000_000))],
                 gone: vec![],
             },
-            Happened::Report {
+            RecordedEvent::Report {
                 proxy: "f".into(),
                 span: 1_000_000,
-                met: vec![runloom_event_log::entry::Met {
+                met: vec![runloom_event_log::entry::RecordedOutcome {
                     server: "w".into(),
                     tries: 10,
                     failed: 0,
@@ -230,7 +230,7 @@
                     in_time: 9,
                     load: vec![],
                 }],
-                came: vec![runloom_event_log::entry::Came { class: "q".into(), queries: 30, unanswered: 0 }],
+                came: vec![runloom_event_log::entry::RecordedArrivals { class: "q".into(), queries: 30, unanswered: 0 }],
             },
         ];
         what.into_iter().for_each(|what| force.happened(&Entry { at: 0, what }));
@@ -298,7 +298,7 @@
 #[test]
 fn a_record_tells_its_troubles_and_a_clock_that_was_set_back_does_not_turn_them_round() {
     let (first, mut second) = (a_day(), a_day());
-    if let Happened::Start { epoch, .. } = &mut second[0].what {
+    if let RecordedEvent::Start { epoch, .. } = &mut second[0].what {
         *epoch -= 500_000;
     }
     let told = crate::infer::infer(&[first, second]).unwrap();
@@ -320,7 +320,7 @@
 fn ten_thousand_edits_replay_the_same() {
     let mut driver = ControlSession::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
     let (build, planner) = ("test".to_string(), "p".to_string());
-    let start = Happened::Start { build, planner, seed: 7, epoch: 1_000_000, fleet: FLEET.into() };
+    let start = RecordedEvent::Start { build, planner, seed: 7, epoch: 1_000_000, fleet: FLEET.into() };
     driver.witness = Some(vec![(Duration::ZERO, start)]);
     driver.list(EndpointUpdate::Cached, (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect());
     driver.joined("f0", "a", 10.0, true);
--- a/crates/testbed/src/fronts.rs
+++ b/crates/testbed/src/fronts.rs
@@ -152,10 +152,10 @@
 
 /// A report on five servers, two classes each.
 fn sample() -> runloom_model::order::Report {
-    use runloom_model::order::{ByClass, Came, Met, Report};
+    use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
     let of =
-        |class: &str| ByClass { class: class.into(), tries: 3, in_time: 3, took: [(15, 2), (16, 1)].into() };
-    let met = |k: usize| Met {
+        |class: &str| ClassOutcomes { class: class.into(), tries: 3, in_time: 3, took: [(15, 2), (16, 1)].into() };
+    let met = |k: usize| ServerOutcomes {
         server: format!("server-{k}"),
         tries: 6,
         failed: 0,
@@ -164,7 +164,7 @@
         load: vec![2.0],
         classes: vec![of("search"), of("loan-checkout")],
     };
-    let came = |class: &str| Came { class: class.into(), queries: 15, unanswered: 0 };
+    let came = |class: &str| ClassArrivals { class: class.into(), queries: 15, unanswered: 0 };
     let came = vec![came("search"), came("loan-checkout")];
     Report { span: Duration::from_millis(500), met: (0..5).map(met).collect(), came }
 }
--- a/crates/testbed/src/issuer.rs
+++ b/crates/testbed/src/issuer.rs
@@ -4,7 +4,7 @@
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, KeyPair, KeyUsagePurpose,
     SanType,
 };
-use runloom_model::fleet::Papers;
+use runloom_model::fleet::TlsFiles;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
@@ -38,7 +38,7 @@
         id: &str,
         seconds: i64,
         change: impl FnOnce(&mut CertificateParams),
-    ) -> Result<Papers, String> {
+    ) -> Result<TlsFiles, String> {
         let key = KeyPair::generate().map_err(told)?;
         let mut params = CertificateParams::new(vec![]).map_err(told)?;
         params.subject_alt_names.push(SanType::URI(id.try_into().map_err(told)?));
@@ -57,7 +57,7 @@
     }
 
     /// Both files, each beside its place and then put there: no reader sees a half.
-    fn write(&self, name: &str, certificate: &str, key: &str) -> Result<Papers, String> {
+    fn write(&self, name: &str, certificate: &str, key: &str) -> Result<TlsFiles, String> {
         let at = |end: &str| self.folder.join(format!("{name}.{end}"));
         for (end, text) in [("key", key), ("pem", certificate)] {
             let beside = at(&format!("{end}.new"));
@@ -66,11 +66,11 @@
             std::fs::rename(&beside, at(end)).map_err(told)?;
         }
         let trust = self.folder.join("trust.pem");
-        Ok(Papers { certificate: at("pem"), key: at("key"), trust, ..Papers::default() })
+        Ok(TlsFiles { certificate: at("pem"), key: at("key"), trust, ..TlsFiles::default() })
     }
 
     /// Writes certificate and key of a holder; the role's name, if any, stands beside its own.
-    pub fn issue(&self, name: &str, role: Option<&str>) -> Result<Papers, String> {
+    pub fn issue(&self, name: &str, role: Option<&str>) -> Result<TlsFiles, String> {
         let names: Vec<String> = [Some(name), role].into_iter().flatten().map(str::to_string).collect();
         let key = KeyPair::generate().map_err(told)?;
         let mut params = CertificateParams::new(names).map_err(told)?;
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -14,7 +14,7 @@
 use runloom_event_loop::{IoEvent, EventLoop};
 use runloom_inventory::edit_history::EditHistory;
 use runloom_model::fleet::{Class, Repeats};
-use runloom_model::forwarder::Stand;
+use runloom_model::forwarder::ProxySettings;
 use runloom_model::FLEET;
 use runloom_netconf::service::{Limits, Service};
 use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
@@ -237,7 +237,7 @@
         outer_limit: Duration::from_secs(2),
         repeats: Repeats::Safe,
     };
-    let stand = Stand {
+    let stand = ProxySettings {
         name: "f0".into(),
         zone: "z0".into(),
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -312,9 +312,9 @@
 /// Cost of the guard: a batch that changes a line of each group's table, with a tenth of the servers cold.
 fn guard() -> Told {
     use runloom_controller::{Command, ListedState};
-    use runloom_guard::{Guard, Terms};
+    use runloom_guard::{SafetyGuard, GuardConfig};
     for (proxies, servers) in [(45usize, 32usize), (150, 107), (592, 544), (2368, 2176)] {
-        let terms = Terms {
+        let terms = GuardConfig {
             classes: 3,
             planners: 1.0,
             cold_from: 0.2,
@@ -324,7 +324,7 @@
         };
         let groups = servers.div_ceil(10);
         let now = Duration::from_secs(100);
-        let mut guard = Guard::new(terms);
+        let mut guard = SafetyGuard::new(terms);
         for s in 0..servers {
             guard.listed(s, ListedState::Ready, 1.0, (s % 10 == 9).then_some(now));
         }
@@ -366,18 +366,18 @@
 /// What recording takes of a core at 592 x 544 and 2,600 queries/s: the same reports to the same driver, without a
 /// record, with one, and what the thread that writes it takes.
 fn recording(folder: &Path) -> Told {
-    use runloom_model::order::{ByClass, Came, Met, Report};
+    use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
     let text = format!("<fleet xmlns='{FLEET}'><zone><name>z</name></zone>{FLEET_HEAD}{FLEET_TAIL}</fleet>");
     let fleet = runloom_replay::fleet(&text).map_err(|e| e.to_string())?;
     let (seconds, proxies, servers) = (60u64, 592u64, 544u64);
     let report = |p: u64, k: u64| {
         let took = Duration::from_millis(40);
         let met = (0..2).map(|n| {
-            let of = ByClass { class: "q".into(), tries: 1, in_time: 1, took: [(16, 1)].into() };
+            let of = ClassOutcomes { class: "q".into(), tries: 1, in_time: 1, took: [(16, 1)].into() };
             let server = format!("s{}", (p * 7 + k * 2 + n) % servers);
-            Met { server, tries: 1, failed: 0, took, in_time: 1, load: vec![1.0], classes: vec![of] }
+            ServerOutcomes { server, tries: 1, failed: 0, took, in_time: 1, load: vec![1.0], classes: vec![of] }
         });
-        let came = vec![Came { class: "q".into(), queries: 2, unanswered: 0 }];
+        let came = vec![ClassArrivals { class: "q".into(), queries: 2, unanswered: 0 }];
         Report { span: Duration::from_millis(500), met: met.collect(), came }
     };
     let mut parts = [Duration::ZERO; 3];
@@ -385,7 +385,7 @@
         let mut driver = runloom_control_session::ControlSession::new(fleet.clone(), 1, 1_000_000);
         driver.witness = recorded.then(Vec::new);
         (0..proxies).for_each(|p| _ = driver.joined(&format!("f{p}"), "z", 4.0, true));
-        let terms = runloom_event_log::Terms::default();
+        let terms = runloom_event_log::RecorderConfig::default();
         let mut recorder = runloom_event_log::Recorder::open(folder, terms).map_err(|e| e.to_string())?;
         for k in 0..seconds * 2 {
             let now = Duration::from_millis(500 * k);
@@ -470,17 +470,17 @@
 
 /// Writes a record until it is killed, or for a minute: entries count up from the start's own.
 pub fn writes(folder: &Path) -> Told {
-    use runloom_event_log::{Happened, Recorder, Terms};
-    let terms = Terms { segment: 20_000, sync: Duration::from_millis(5), ..Terms::default() };
+    use runloom_event_log::{RecordedEvent, Recorder, RecorderConfig};
+    let terms = RecorderConfig { segment: 20_000, sync: Duration::from_millis(5), ..RecorderConfig::default() };
     let mut recorder = Recorder::open(folder, terms).map_err(|e| e.to_string())?;
     let (build, planner, fleet) = (String::new(), String::new(), String::new());
-    recorder.push(Duration::ZERO, IoEvent::Start { build, planner, seed: 0, epoch: 0, fleet });
+    recorder.push(Duration::ZERO, RecordedEvent::Start { build, planner, seed: 0, epoch: 0, fleet });
     let start = Instant::now();
     let mut k = 0;
     while start.elapsed() < Duration::from_secs(60) {
         for _ in 0..7 {
             k += 1;
-            recorder.push(Duration::from_micros(k), IoEvent::Left { proxy: "f".repeat(k as usize % 90) });
+            recorder.push(Duration::from_micros(k), RecordedEvent::Left { proxy: "f".repeat(k as usize % 90) });
         }
         recorder.write(start.elapsed());
     }
--- a/crates/testbed/src/pairs.rs
+++ b/crates/testbed/src/pairs.rs
@@ -2,7 +2,7 @@
 //! record of the first says of the second, against what the second came to, on the same span.
 
 use crate::scenario::SHIPPED;
-use runloom_event_log::{folder, Entry, Happened};
+use runloom_event_log::{folder, Entry, RecordedEvent};
 use runloom_replay::other::{compare, Setting};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -69,7 +69,7 @@
 
 fn fleet_of(entries: &[Entry]) -> Result<String, String> {
     match entries.first().map(|e| &e.what) {
-        Some(Happened::Start { fleet, .. }) => Ok(fleet.clone()),
+        Some(RecordedEvent::Start { fleet, .. }) => Ok(fleet.clone()),
         _ => Err("the record has no start".into()),
     }
 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scripted day: sizes, traffic, troubles and edits at their times, as XML with a schema.
 
-use runloom_model::schema::Judge;
+use runloom_model::schema::SchemaValidator;
 use runloom_netconf::tree::Element;
 use std::path::Path;
 use std::time::Duration;
@@ -86,7 +86,7 @@
         Some(text) => text,
         None => std::fs::read_to_string(Path::new(name)).map_err(|e| format!("{name}: {e}"))?,
     };
-    let faults = Judge::new(include_str!("day.xsd"))?.faults(&text);
+    let faults = SchemaValidator::new(include_str!("day.xsd"))?.faults(&text);
     if !faults.is_empty() {
         return Err(faults.iter().map(|f| format!("{name}:{f}")).collect::<Vec<_>>().join("\n"));
     }
--- a/crates/testbed/src/staff.rs
+++ b/crates/testbed/src/staff.rs
@@ -3,7 +3,7 @@
 use crate::scenario::Edit;
 use runloom_daemon::client::{edit_config, Client, Failed};
 use runloom_daemon::tls_credentials::Terms;
-use runloom_model::fleet::{Listed, Papers};
+use runloom_model::fleet::{ListedServer, TlsFiles};
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// What the feed holds a list to be, and from when on it says so.
-pub type List = BTreeMap<String, Listed>;
+pub type List = BTreeMap<String, ListedServer>;
 
 /// What a planner was told of a server, and when it said that it knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -77,7 +77,7 @@
 pub fn feed(
     planner: usize,
     at: SocketAddr,
-    papers: Papers,
+    papers: TlsFiles,
     shared: Arc<Shared>,
     start: Instant,
 ) -> JoinHandle<()> {
@@ -134,7 +134,7 @@
 /// Sends one edit to each planner, again under the same id until it is known whether it took, and waits until it is in force.
 pub fn edit(
     planners: Vec<SocketAddr>,
-    papers: Papers,
+    papers: TlsFiles,
     edit: Edit,
     shared: Arc<Shared>,
     start: Instant,
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -16,8 +16,8 @@
 use runloom_daemon::wall_ms;
 use runloom_event_loop::{ConnectionId, IoEvent, EventLoop, CloseReason};
 use runloom_identity::access::{May, Rule, Whom};
-use runloom_model::fleet::{Class, Listed, Papers, Repeats};
-use runloom_model::forwarder::{Stand, Told};
+use runloom_model::fleet::{Class, ListedServer, TlsFiles, Repeats};
+use runloom_model::forwarder::{ProxySettings, TableDelivery};
 use runloom_proxy::Counts;
 use runloom_versioned_publisher::{Kind, Topic, Version};
 use socket2::{Domain, Socket, Type};
@@ -184,8 +184,8 @@
     agenda: Vec<(Duration, What)>,
     evidence: Evidence,
     lines: u64,
-    pub(crate) staff: Papers,
-    feed: Papers,
+    pub(crate) staff: TlsFiles,
+    feed: TlsFiles,
     threads: Vec<std::thread::JoinHandle<()>>,
     issuer: Option<Issuer>,
     renewed: Duration,
@@ -254,10 +254,10 @@
     <may><whom>spiffe://rig.example/tool/feed</whom><write>roster</write></may>";
 
 /// Papers that take the day's planners for theirs.
-fn trusting(papers: Papers, day: &Day) -> Papers {
+fn trusting(papers: TlsFiles, day: &Day) -> TlsFiles {
     let whom = |k: usize| Whom::read(&identity(&format!("planner-{k}"))).ok();
     let rules = (0..day.planners).filter_map(whom).map(|whom| Rule { whom, may: May::Order }).collect();
-    Papers { rules, ..papers }
+    TlsFiles { rules, ..papers }
 }
 
 fn class_xml(c: &(&str, f64, u64, u64, &str, f64)) -> String {
@@ -352,7 +352,7 @@
     }
 
     /// Papers of a planner or a forwarder.
-    fn papers(&self, issuer: &Issuer, name: &str, role: &'static str) -> Result<Papers, String> {
+    fn papers(&self, issuer: &Issuer, name: &str, role: &'static str) -> Result<TlsFiles, String> {
         let Some(lives) = self.day.lives else { return issuer.issue(name, Some(role)) };
         let papers = issuer.identity(name, &identity(name), lives.as_secs() as i64, |_| {})?;
         Ok(trusting(papers, &self.day))
@@ -392,7 +392,7 @@
         Ok(())
     }
 
-    fn planner_xml(&self, planner: usize, papers: &Papers, at: [SocketAddr; 4]) -> String {
+    fn planner_xml(&self, planner: usize, papers: &TlsFiles, at: [SocketAddr; 4]) -> String {
         let d = &self.day;
         let zones: String = (0..d.zones).map(|z| format!("<zone><name>z{z}</name></zone>")).collect();
         let classes: String = CLASSES.iter().map(class_xml).collect();
@@ -447,19 +447,19 @@
         for f in 0..self.day.forwarders {
             let name = format!("f{f}");
             let front = match self.day.fronts {
-                Fronts::Pubsub => Told::Weights,
-                Fronts::Mixed if f % 2 == 1 => Told::Weights,
-                Fronts::Subsets => Told::Subsets,
-                Fronts::Netconf | Fronts::Mixed => Told::Edits,
+                Fronts::Pubsub => TableDelivery::Weights,
+                Fronts::Mixed if f % 2 == 1 => TableDelivery::Weights,
+                Fronts::Subsets => TableDelivery::Subsets,
+                Fronts::Netconf | Fronts::Mixed => TableDelivery::Edits,
             };
-            let place = |p: &Process| if front == Told::Edits { Some(p.home) } else { p.pubsub };
+            let place = |p: &Process| if front == TableDelivery::Edits { Some(p.home) } else { p.pubsub };
             let mut homes: Vec<SocketAddr> = self.planners.iter().filter_map(place).collect();
             let count = homes.len();
             homes.rotate_left(f % count);
             // A few servers of its own zone, as a process finds them in its start-up files.
             let zone = format!("z{}", f % self.day.zones);
             let near = self.servers.all.iter().filter(|s| s.zone == zone).take(6);
-            let stand = Stand {
+            let stand = ProxySettings {
                 papers: self.papers(issuer, &name, PROXY)?,
                 name,
                 standing: near.map(|s| (s.name.clone(), s.address)).collect(),
@@ -505,7 +505,7 @@
                 continue;
             }
             let age = self.turn.now().saturating_sub(s.started).as_millis() as u64;
-            let listed = Listed {
+            let listed = ListedServer {
                 address: s.address,
                 zone: s.zone.clone(),
                 kind: "std".into(),
@@ -1012,7 +1012,7 @@
     (memory, Duration::from_millis(ticks * 10))
 }
 
-pub fn tls_xml(papers: &Papers, rules: &str) -> String {
+pub fn tls_xml(papers: &TlsFiles, rules: &str) -> String {
     format!(
         "<tls><certificate>{}</certificate><key>{}</key><trust>{}</trust>{rules}</tls>",
         papers.certificate.display(),
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -4,7 +4,7 @@
 
 use runloom_daemon::client::Client;
 use runloom_daemon::tls_credentials::Terms;
-use runloom_model::fleet::Papers;
+use runloom_model::fleet::TlsFiles;
 use runloom_testbed::issuer::Issuer;
 use runloom_testbed::world::{free, tls_xml, Process};
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
     <report-lines-per-second>500</report-lines-per-second></proxies><list><only-drains-bind>false</only-drains-bind>\
     </list></fleet>";
 
-fn write_settings(path: &Path, folder: &Path, papers: &Papers, rules: &str, at: [SocketAddr; 4]) {
+fn write_settings(path: &Path, folder: &Path, papers: &TlsFiles, rules: &str, at: [SocketAddr; 4]) {
     let text = format!(
         "<planner xmlns='urn:runloom:fleet'><name>p</name><edits>{}</edits><home>{}</home><pubsub>{}</pubsub>\
          <metrics>{}</metrics><folder>{}</folder>{}{FLEET_XML}</planner>",
@@ -82,8 +82,8 @@
     pub fn by(
         name: &str,
         dies: Option<&str>,
-        papers: impl FnOnce(&Issuer) -> Papers,
-        staff: impl FnOnce(&Issuer) -> Papers,
+        papers: impl FnOnce(&Issuer) -> TlsFiles,
+        staff: impl FnOnce(&Issuer) -> TlsFiles,
         rules: &str,
     ) -> Desk {
         let folder = Folder::new(name);
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -8,8 +8,8 @@
 use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, IoEvent, Security, EventLoop};
 use runloom_identity::access::{May, Rule, Whom};
-use runloom_model::fleet::{Class, Papers, Repeats};
-use runloom_model::forwarder::{Stand, Told as Front};
+use runloom_model::fleet::{Class, TlsFiles, Repeats};
+use runloom_model::forwarder::{ProxySettings, Told as Front};
 use runloom_model::FLEET;
 use runloom_mqtt::client::{Client as Subscription, Told, Wish};
 use runloom_mqtt::session::Hello;
@@ -29,9 +29,9 @@
     <may><whom>spiffe://valle.example/feed</whom><write>roster</write></may>";
 
 /// Papers that take one planner for theirs.
-fn trusting(papers: Papers, planner: &str) -> Papers {
+fn trusting(papers: TlsFiles, planner: &str) -> TlsFiles {
     let rules = vec![Rule { whom: Whom::read(planner).unwrap(), may: May::Order }];
-    Papers { rules, ..papers }
+    TlsFiles { rules, ..papers }
 }
 
 fn desk(name: &str, seconds: i64) -> Desk {
@@ -53,7 +53,7 @@
 }
 
 /// Whether a subscriber of these papers is let in under a name.
-fn joins(desk: &Desk, papers: &Papers, name: &str) -> bool {
+fn joins(desk: &Desk, papers: &TlsFiles, name: &str) -> bool {
     let Ok(terms) = Terms::load(papers) else { return false };
     let mut turn = EventLoop::new().unwrap();
     let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
@@ -164,7 +164,7 @@
 }
 
 impl Proxy {
-    fn new(desk: &Desk, front: Front, papers: Papers) -> Proxy {
+    fn new(desk: &Desk, front: Front, papers: TlsFiles) -> Proxy {
         let class = Class {
             name: "q".into(),
             payoff: 1.0,
@@ -172,7 +172,7 @@
             outer_limit: Duration::from_millis(900),
             repeats: Repeats::Safe,
         };
-        let stand = Stand {
+        let stand = ProxySettings {
             name: "f1".into(),
             zone: "a".into(),
             listen: "127.0.0.1:0".parse().unwrap(),
@@ -342,7 +342,7 @@
         let text = [std::fs::read(&papers.trust).unwrap(), std::fs::read(&old_f1.trust).unwrap()].concat();
         std::fs::write(&both, text).unwrap();
         trust = Some((both.clone(), papers.trust.clone(), old_f1));
-        Papers { trust: both, ..papers }
+        TlsFiles { trust: both, ..papers }
     };
     let staff = |new: &Issuer| {
         trusting(new.identity("lead", "spiffe://valle.example/staff/lead", HOUR, |_| {}).unwrap(), OWN)
@@ -350,7 +350,7 @@
     let desk = Desk::by("struck", None, papers, staff, RULES);
     let (both, new_alone, old_f1) = trust.unwrap();
     fleet(&desk);
-    let mine = Papers { trust: new_alone.clone(), ..trusting(old_f1.clone(), OWN) };
+    let mine = TlsFiles { trust: new_alone.clone(), ..trusting(old_f1.clone(), OWN) };
     let mut proxy = Proxy::new(&desk, Front::Weights, mine);
     proxy.until("its tables", |p| p.lists(&["s1", "s2", "s3"]) && p.forwarder.is_joined());
     // Half of the fleet has the new bundle and half the old one: neither side minds.
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -7,7 +7,7 @@
 use runloom_daemon::client::edit_config;
 use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
-use runloom_model::order::{Came, Met, Report};
+use runloom_model::order::{ClassArrivals, ServerOutcomes, Report};
 use runloom_model::{FLEET, STATE};
 use runloom_mqtt::client::{Client, Over, Told, Wish};
 use runloom_mqtt::report;
@@ -95,8 +95,8 @@
 
     /// Reports a try at a server.
     fn reports(&mut self, server: &str) {
-        let met = Met { server: server.into(), tries: 3, ..Met::default() };
-        let came = Came { class: "q".into(), queries: 3, unanswered: 0 };
+        let met = ServerOutcomes { server: server.into(), tries: 3, ..ServerOutcomes::default() };
+        let came = ClassArrivals { class: "q".into(), queries: 3, unanswered: 0 };
         let report = Report { span: Duration::from_millis(200), met: vec![met], came: vec![came] };
         self.client.report(self.turn.now(), report::write(&report));
     }
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -389,7 +389,7 @@
         let (entries, _) = runloom_event_log::folder::read(&segment).unwrap();
         for entry in entries {
             all += 1;
-            if matches!(entry.what, runloom_event_log::Happened::Start { .. }) {
+            if matches!(entry.what, runloom_event_log::RecordedEvent::Start { .. }) {
                 (starts, next) = (starts + 1, 1);
             } else {
                 assert_eq!(entry.at, next, "{segment:?}");
