--- a/crates/control-session/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -2,10 +2,13 @@
 //! tables as they were ordered, lays one message a proxy and reply, and counts what waits for confirmation.
 //! It decides nothing about servers; its own matters are what a message holds, and when a report is handed on.
 
-mod report_aggregator;
 mod published_tables;
 pub mod recording;
+mod report_aggregator;
 
+pub use published_tables::PublishedTable;
+use published_tables::PublishedTables;
+use report_aggregator::ReportAggregator;
 use runloom_controller::Controller;
 use runloom_controller::IdMap;
 use runloom_controller::{
@@ -13,7 +16,7 @@
     ServerId, TableId, WarmStartHint,
 };
 use runloom_event_log::RecordedEvent;
-use runloom_guard::{SafetyGuard, GuardConfig};
+use runloom_guard::{GuardConfig, SafetyGuard};
 use runloom_inventory::Change;
 use runloom_model::fleet::Fleet;
 use runloom_model::order::{Message, Report, TableEdit};
@@ -21,9 +24,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use report_aggregator::ReportAggregator;
-pub use published_tables::PublishedTable;
-use published_tables::PublishedTables;
 
 /// What a shell has to do.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -5,7 +5,7 @@
 use runloom_event_log::entry::{self, RecordedEvent};
 use runloom_guard::command_text::command_text;
 use runloom_inventory::{Change, Server};
-use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
+use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,8 +57,11 @@
         in_time: m.in_time,
         load: bits(&m.load),
     };
-    let came =
-        |c: &ClassArrivals| entry::RecordedArrivals { class: c.class.clone(), queries: c.queries, unanswered: c.unanswered };
+    let came = |c: &ClassArrivals| entry::RecordedArrivals {
+        class: c.class.clone(),
+        queries: c.queries,
+        unanswered: c.unanswered,
+    };
     RecordedEvent::Report {
         proxy,
         span: report.span.as_micros() as u64,
@@ -78,7 +81,12 @@
     (!met.is_empty()).then(|| RecordedEvent::Outcomes { proxy: proxy.to_string(), met })
 }
 
-pub(crate) fn probed(server: String, found: HealthCheckResult, after: Duration, load: &[f64]) -> RecordedEvent {
+pub(crate) fn probed(
+    server: String,
+    found: HealthCheckResult,
+    after: Duration,
+    load: &[f64],
+) -> RecordedEvent {
     let found = FOUND.iter().position(|f| *f == found).unwrap_or(5) as u8;
     RecordedEvent::Probed { server, found, after: after.as_micros() as u64, load: bits(load) }
 }
--- a/crates/control-session/src/report_aggregator.rs
+++ b/crates/control-session/src/report_aggregator.rs
@@ -52,7 +52,14 @@
         sum
     }
 
-    pub fn met(&mut self, now: Duration, zone: ZoneId, server: ServerId, met: &ServerOutcomes, span: Duration) {
+    pub fn met(
+        &mut self,
+        now: Duration,
+        zone: ZoneId,
+        server: ServerId,
+        met: &ServerOutcomes,
+        span: Duration,
+    ) {
         let sum = self.at(Key::Met(zone, server), now, span);
         let failed = met.failed.min(met.tries);
         sum.tries += met.tries;
@@ -63,7 +70,14 @@
         }
     }
 
-    pub fn came(&mut self, now: Duration, proxy: ProxyId, class: ClassId, came: &ClassArrivals, span: Duration) {
+    pub fn came(
+        &mut self,
+        now: Duration,
+        proxy: ProxyId,
+        class: ClassId,
+        came: &ClassArrivals,
+        span: Duration,
+    ) {
         let sum = self.at(Key::Came(proxy, class), now, span);
         sum.tries += came.queries;
         sum.failed += came.unanswered;
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -65,7 +65,8 @@
     driver.turn(ms(300));
     driver.list(EndpointUpdate::Delta, vec![("s2".into(), server(2, true))]);
     let (deeds, ordered) = driver.turn(ms(400));
-    let message = |d: &'_ Action| if let Action::Send { message, .. } = d { Some(message.clone()) } else { None };
+    let message =
+        |d: &'_ Action| if let Action::Send { message, .. } = d { Some(message.clone()) } else { None };
     let shared: Vec<Rc<Message>> = deeds.iter().filter_map(message).collect();
     assert!(Rc::ptr_eq(&shared[0], &shared[1]));
     let tables: Vec<&Action> = deeds.iter().filter(|d| matches!(d, Action::Table { .. })).collect();
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,8 +1,8 @@
 //! An operator's NETCONF client: one session, operations one after the other, answers waited for.
 
-use crate::tls_credentials::{server_name, Terms, PLANNER};
-use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop};
-use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
+use crate::tls_credentials::{server_name, TlsPolicy, PLANNER};
+use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
+use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 use std::collections::VecDeque;
@@ -29,12 +29,12 @@
     session: Session,
     patience: Duration,
     notices: VecDeque<Element>,
-    terms: Terms,
+    terms: TlsPolicy,
 }
 
 impl Client {
     /// Dials a planner, and waits until the session stands.
-    pub fn open(to: SocketAddr, terms: &Terms, patience: Duration) -> Result<Client, Failed> {
+    pub fn open(to: SocketAddr, terms: &TlsPolicy, patience: Duration) -> Result<Client, Failed> {
         let mut turn = EventLoop::new()?;
         let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
         let conn = turn.dial(to, &security, BufferLimits::default())?;
@@ -42,7 +42,7 @@
         let (notices, terms) = (VecDeque::new(), terms.clone());
         let mut client = Client { turn, conn, session, patience, notices, terms };
         client.flush();
-        client.until(|heard| matches!(heard, Heard::Open { .. }).then(|| Element::new("", "open")))?;
+        client.until(|heard| matches!(heard, SessionEvent::Open { .. }).then(|| Element::new("", "open")))?;
         Ok(client)
     }
 
@@ -51,7 +51,7 @@
         self.turn.write(self.conn, &bytes);
     }
 
-    fn until(&mut self, mut wanted: impl FnMut(&Heard) -> Option<Element>) -> Result<Element, Failed> {
+    fn until(&mut self, mut wanted: impl FnMut(&SessionEvent) -> Option<Element>) -> Result<Element, Failed> {
         let end = self.turn.now() + self.patience;
         let mut found = None;
         while found.is_none() {
@@ -70,7 +70,7 @@
                     }
                     IoEvent::Bytes { bytes, .. } => {
                         for heard in self.session.take(&bytes).map_err(|b| Failed::Ended(b.to_string()))? {
-                            if let Heard::Notified(event) = &heard {
+                            if let SessionEvent::Notified(event) = &heard {
                                 self.notices.push_back(event.clone());
                             }
                             found = found.or_else(|| wanted(&heard));
@@ -96,7 +96,7 @@
     /// Waits for the reply to a message; an `<rpc-error>` is an error.
     pub fn reply(&mut self, id: &str) -> Result<Element, Failed> {
         let reply = self.until(|heard| match heard {
-            Heard::Reply { message_id, reply } if message_id == id => Some(reply.clone()),
+            SessionEvent::Reply { message_id, reply } if message_id == id => Some(reply.clone()),
             _ => None,
         })?;
         match reply.child("rpc-error") {
@@ -131,7 +131,7 @@
             return Ok(self.notices.remove(place).unwrap_or_default());
         }
         let found = self.until(|heard| match heard {
-            Heard::Notified(event) if wanted(event) => Some(event.clone()),
+            SessionEvent::Notified(event) if wanted(event) => Some(event.clone()),
             _ => None,
         })?;
         self.notices.clear();
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -1,19 +1,19 @@
 //! The planner's datastore behind NETCONF: what is accepted, by whom, under which id. Free of I/O: the shell
 //! writes what [`Desk::unsaved`] gives to disk before any reply leaves, and takes it back where it can't.
 
-use crate::tls_credentials::Holder;
+use crate::tls_credentials::CertificateHolder;
 use runloom_guard::edit as guard;
-use runloom_identity::access::{decide, Action, Audit, Entry, Rule};
+use runloom_identity::access::{decide, Audit, Entry, RequestedAccess, Rule};
 use runloom_identity::id::Id;
 use runloom_inventory::edit_history::{self, EditHistory};
 use runloom_inventory::merged;
-use runloom_model::fleet::{misfit, Fleet, ListedServer, InvalidSettings};
+use runloom_model::fleet::{misfit, Fleet, InvalidSettings, ListedServer};
 use runloom_model::schema::{derive, SchemaValidator};
 use runloom_model::{Schema, FLEET, FLEET_XSD, YANG};
 use runloom_netconf::error::{RpcError, Tag};
-use runloom_netconf::service::{Access, Change, Host, Known};
+use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedState, AcceptedEdit, StatePatch};
+use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, StatePatch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -144,7 +144,7 @@
     }
 
     /// A client's session began: who may edit is known by its certificate.
-    pub fn met(&mut self, holder: &Holder) {
+    pub fn met(&mut self, holder: &CertificateHolder) {
         self.proxies.insert(holder.name.clone(), holder.proxy);
         if let Some((id, _)) = &holder.id {
             self.ids.insert(holder.name.clone(), id.clone());
@@ -152,14 +152,14 @@
     }
 
     /// Notes what an identity wished and may not.
-    pub fn refused(&mut self, id: &Id, action: Action) {
+    pub fn refused(&mut self, id: &Id, action: RequestedAccess) {
         if let Err(why) = decide(&self.rules, id, action) {
             self.audited.extend(self.audit.note(self.now, id, action, why));
         }
     }
 
     /// Whether one may do something by the rules; where there are none, by what else is asked of it.
-    fn allowed(&mut self, who: &str, actions: &[Action]) -> Result<(), RpcError> {
+    fn allowed(&mut self, who: &str, actions: &[RequestedAccess]) -> Result<(), RpcError> {
         if self.rules.is_empty() {
             return Ok(());
         }
@@ -408,7 +408,7 @@
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
         for part in ["fleet", "roster"] {
             if !same(change.wanted, &self.data, part) {
-                self.allowed(change.who, &[Action::Write { part }]).map_err(|e| vec![e])?;
+                self.allowed(change.who, &[RequestedAccess::Write { part }]).map_err(|e| vec![e])?;
             }
         }
         let (fleet, roster) = self.judged(change.wanted)?;
@@ -444,22 +444,22 @@
         self.dirty |= self.before.take().is_some();
     }
 
-    fn known(&self, edit_id: &str, content: &str) -> Known {
+    fn known(&self, edit_id: &str, content: &str) -> EditLookup {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
         match self.ledger.known(edit_id, &digest) {
-            edit_history::EditLookup::New => Known::New,
-            edit_history::EditLookup::Same => Known::Same,
-            edit_history::EditLookup::Other => Known::Other,
+            edit_history::EditLookup::New => EditLookup::New,
+            edit_history::EditLookup::Same => EditLookup::Same,
+            edit_history::EditLookup::Other => EditLookup::Other,
         }
     }
 
     fn may(&mut self, who: &str, access: Access) -> Result<(), RpcError> {
         let parts = ["fleet", "roster", "state"];
         match access {
-            Access::Read => self.allowed(who, &parts.map(|part| Action::Read { part }))?,
+            Access::Read => self.allowed(who, &parts.map(|part| RequestedAccess::Read { part }))?,
             // Which part it is shows with the change itself.
-            Access::Edit => self.allowed(who, &parts.map(|part| Action::Write { part }))?,
-            Access::Kill => self.allowed(who, &[Action::Kill])?,
+            Access::Edit => self.allowed(who, &parts.map(|part| RequestedAccess::Write { part }))?,
+            Access::Kill => self.allowed(who, &[RequestedAccess::Kill])?,
         }
         // A proxy orders nothing; it is the planner that asks it.
         if access != Access::Read && self.proxies.get(who).copied().unwrap_or(true) {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,17 +2,17 @@
 
 pub mod client;
 pub mod config_service;
-pub mod proxy_runtime;
 pub mod http;
 pub mod persistence;
-pub mod tls_credentials;
 pub mod planner_runtime;
 pub mod platform_runtime;
+pub mod proxy_runtime;
 mod proxy_sessions;
 pub mod run;
 pub mod settings;
-pub mod state_file;
 pub mod state;
+pub mod state_file;
+pub mod tls_credentials;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -2,14 +2,14 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::tls_credentials::Terms;
-use runloom_daemon::planner_runtime::{Trial, BUILD};
+use runloom_daemon::planner_runtime::{TestHooks, BUILD};
 use runloom_daemon::settings::read;
 use runloom_daemon::state;
+use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_daemon::{run, wall_ms};
 use runloom_event_log::Entry;
 use runloom_guard::case::RejectionCase;
-use runloom_identity::access::{May, Rule, Whom};
+use runloom_identity::access::{Permission, Principal, Rule};
 use runloom_identity::id::Id;
 use runloom_model::fleet::TlsFiles;
 use runloom_model::{FLEET, STATE};
@@ -207,10 +207,11 @@
 impl To {
     fn open(&self) -> Result<Client, String> {
         let (certificate, key, trust) = (self.certificate.clone(), self.key.clone(), self.trust.clone());
-        let rule = |id: &String| Id::read(id).map(|id| Rule { whom: Whom::One(id), may: May::Order });
+        let rule =
+            |id: &String| Id::read(id).map(|id| Rule { whom: Principal::One(id), may: Permission::Order });
         let rules = self.planner_id.iter().map(rule).collect::<Result<_, _>>().map_err(|e| e.to_string())?;
         let papers = TlsFiles { certificate, key, trust, rules, federated: vec![] };
-        let terms = Terms::load(&papers).map_err(|e| e.to_string())?;
+        let terms = TlsPolicy::load(&papers).map_err(|e| e.to_string())?;
         let patience = Duration::from_secs(self.patience);
         Client::open(self.planner, &terms, patience).map_err(|e| e.to_string())
     }
@@ -225,7 +226,7 @@
         Log::Text => log.with_ansi(false).init(),
     }
     let outcome = match line.command {
-        Command::Planner { settings, seed } => run::planner(&settings, seed, Trial::default()),
+        Command::Planner { settings, seed } => run::planner(&settings, seed, TestHooks::default()),
         Command::Platform => runloom_daemon::platform_runtime::run(),
         Command::Forwarder { settings, seed } => run::forwarder(&settings, seed),
         Command::Check { files } => return check(&files),
@@ -578,7 +579,7 @@
 mod tests {
     use super::*;
     use runloom_controller::{Command, ListedState};
-    use runloom_guard::{SafetyGuard, GuardConfig as GuardTerms};
+    use runloom_guard::{GuardConfig as GuardTerms, SafetyGuard};
 
     /// A refusal stands in a text log as it is, in a JSON log once more escaped; both are found and judged anew.
     #[test]
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -30,23 +30,23 @@
 
 /// What came of a batch of edits, or of a try.
 #[derive(Debug)]
-pub enum Done {
+pub enum PersistenceResult {
     Edits(Result<Duration, String>),
     Tried(Result<(), String>),
     /// The list or what was learned could not be written.
     Lost(&'static str, String),
 }
 
-pub struct Keeper {
+pub struct PersistenceWorker {
     to: Option<SyncSender<Task>>,
-    from: Receiver<Done>,
+    from: Receiver<PersistenceResult>,
     thread: Option<JoinHandle<()>>,
     _lock: Lock,
 }
 
 /// What was kept by an earlier start.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct RestoredState {
     pub accepted: Option<AcceptedState>,
     pub roster: Option<String>,
     pub learned: Option<LearnedServers>,
@@ -75,19 +75,20 @@
     Ok(accepted)
 }
 
-impl Keeper {
+impl PersistenceWorker {
     /// Takes the folder for this process and reads back what is there. `first` makes what is kept of it, which is
     /// written down before anything else.
     pub fn open(
         folder: &Path,
         waker: Waker,
-        first: impl FnOnce(&mut Found) -> Result<AcceptedState, Failed>,
-    ) -> Result<(Keeper, Found), Failed> {
+        first: impl FnOnce(&mut RestoredState) -> Result<AcceptedState, Failed>,
+    ) -> Result<(PersistenceWorker, RestoredState), Failed> {
         let lock = Lock::take(folder)?;
         let (edits, was) = opened(folder, EDITS)?;
         let (roster, list) = opened(folder, ROSTER)?;
         let (learned, book) = opened(folder, LEARNED)?;
-        let mut found = Found { accepted: accepted(&was).map_err(Failed::Data)?, ..Found::default() };
+        let mut found =
+            RestoredState { accepted: accepted(&was).map_err(Failed::Data)?, ..RestoredState::default() };
         found.roster = list.state.and_then(|text| String::from_utf8(text).ok());
         // What was learned is a hint: one that cannot be read is none.
         found.learned = book.state.and_then(|bytes| LearnedServers::read(&bytes).ok());
@@ -106,14 +107,14 @@
             }
         };
         let thread = std::thread::Builder::new().name("keeper".into()).spawn(work)?;
-        Ok((Keeper { to: Some(to), from, thread: Some(thread), _lock: lock }, found))
+        Ok((PersistenceWorker { to: Some(to), from, thread: Some(thread), _lock: lock }, found))
     }
 
     fn send(&self, task: Task) -> bool {
         self.to.as_ref().is_some_and(|to| to.try_send(task).is_ok())
     }
 
-    /// Keeps what a batch of edits changed; its end comes by [`Keeper::done`]. False: there is no room now.
+    /// Keeps what a batch of edits changed; its end comes by [`PersistenceWorker::done`]. False: there is no room now.
     pub fn edits(&self, patch: StatePatch) -> bool {
         self.send(Task::Edits(Box::new(patch)))
     }
@@ -130,7 +131,7 @@
         self.send(Task::Try)
     }
 
-    pub fn done(&self) -> Option<Done> {
+    pub fn done(&self) -> Option<PersistenceResult> {
         match self.from.try_recv() {
             Ok(done) => Some(done),
             Err(TryRecvError::Empty) => None,
@@ -140,7 +141,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for PersistenceWorker {
     /// What was given to be kept is written before the process ends.
     fn drop(&mut self) {
         self.to = None;
@@ -155,21 +156,21 @@
 }
 
 impl Shelves {
-    fn does(&mut self, task: Task) -> Option<Done> {
+    fn does(&mut self, task: Task) -> Option<PersistenceResult> {
         match task {
             Task::Edits(patch) => {
                 let start = Instant::now();
                 let kept = self.edit(*patch).map(|()| start.elapsed());
-                Some(Done::Edits(kept))
+                Some(PersistenceResult::Edits(kept))
             }
-            Task::Try => Some(Done::Tried(self.sound())),
+            Task::Try => Some(PersistenceResult::Tried(self.sound())),
             Task::Roster(text) => {
                 let kept = self.roster.snapshot(text.as_bytes());
-                kept.err().map(|e| Done::Lost("the list", e.to_string()))
+                kept.err().map(|e| PersistenceResult::Lost("the list", e.to_string()))
             }
             Task::Learned(book) => {
                 let kept = self.learned.snapshot(&book.write());
-                kept.err().map(|e| Done::Lost("what was learned", e.to_string()))
+                kept.err().map(|e| PersistenceResult::Lost("what was learned", e.to_string()))
             }
         }
     }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -2,28 +2,28 @@
 
 use crate::config_service::{schema, Desk};
 use crate::http::{write_answer, Reader};
-use crate::persistence::{Done, Found, Keeper};
-use crate::tls_credentials::{server_name, Holder, Terms, PROXY};
+use crate::persistence::{PersistenceResult, PersistenceWorker, RestoredState};
 use crate::proxy_sessions::{Bodies, Home, Joined, Stream};
-use crate::state_file::Shelf;
+use crate::state_file::StateFile;
+use crate::tls_credentials::{server_name, CertificateHolder, TlsPolicy, PROXY};
 use crate::{earliest, wall_ms, wall_text};
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
-use runloom_control_session::{Action, ControlSession, CommandTamper, LEAD};
+use runloom_control_session::{Action, CommandTamper, ControlSession, LEAD};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
-use runloom_distribution::{Front, Way};
+use runloom_distribution::{Distributor, Transport};
 use runloom_event_log::{RecordedEvent as Recorded, Recorder, Writer};
-use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
+use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_guard::refusal::Rejection;
-use runloom_identity::access::Action as RequestedAccess;
+use runloom_identity::access::RequestedAccess;
 use runloom_inventory::edit_history::EditHistory;
 use runloom_inventory::{Change, Inventory};
 use runloom_model::fleet::{Fleet, PlannerSettings};
 use runloom_model::{FLEET, STATE, YANG};
 use runloom_netconf::service::{Limits, Service, CAPABILITIES};
-use runloom_netconf::session::{Bounds as SessionBounds, Broken, Heard, Role, Session};
+use runloom_netconf::session::{Role, Session, SessionError, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
-use runloom_store::learned::{LearnedServers, LearnedServer};
+use runloom_store::learned::{LearnedServer, LearnedServers};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -84,12 +84,12 @@
 pub struct Planner {
     pub(crate) name: String,
     pub(crate) driver: ControlSession,
-    pub(crate) front: Front,
+    pub(crate) front: Distributor,
     pub(crate) desk: Desk,
     roster: Inventory,
     service: Service,
-    shelf: Shelf,
-    keeper: Keeper,
+    shelf: StateFile,
+    keeper: PersistenceWorker,
     /// Batches of edits that were given to be kept, and those that are.
     given: u64,
     durable: u64,
@@ -107,9 +107,9 @@
     /// Reports that could not be read.
     pub(crate) unread_reports: u64,
     listeners: Listeners,
-    terms: Terms,
+    terms: TlsPolicy,
     /// Streams by identities: when each ends, and the certificate.
-    pub(crate) ends: BTreeMap<ConnectionId, (Holder, Vec<u8>)>,
+    pub(crate) ends: BTreeMap<ConnectionId, (CertificateHolder, Vec<u8>)>,
     /// When one's own identity's end was last told of.
     warned: Option<Duration>,
     security: Security,
@@ -120,7 +120,7 @@
     recorder: (PrometheusRecorder, PrometheusHandle),
     pub stopping: bool,
     /// Where the process ends without a word, once: for tests of what survives that.
-    dies: Option<Dies>,
+    dies: Option<CrashPoint>,
     /// Something was accepted in this turn.
     kept: bool,
     /// Microseconds from a decision until its orders are handed to the sockets, and until each is confirmed.
@@ -136,7 +136,7 @@
 
 /// A point of the way of an edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Dies {
+pub enum CrashPoint {
     BeforeKept,
     Kept,
     Replied,
@@ -144,19 +144,19 @@
 
 /// What is done to a planner on purpose, for tests and trials.
 #[derive(Default)]
-pub struct Trial {
-    pub dies: Option<Dies>,
+pub struct TestHooks {
+    pub dies: Option<CrashPoint>,
     /// Orders go out unjudged.
     pub unguarded: bool,
     pub spoil: Option<CommandTamper>,
 }
 
-impl Dies {
-    pub fn named(word: &str) -> Option<Dies> {
+impl CrashPoint {
+    pub fn named(word: &str) -> Option<CrashPoint> {
         match word {
-            "before-kept" => Some(Dies::BeforeKept),
-            "kept" => Some(Dies::Kept),
-            "replied" => Some(Dies::Replied),
+            "before-kept" => Some(CrashPoint::BeforeKept),
+            "kept" => Some(CrashPoint::Kept),
+            "replied" => Some(CrashPoint::Replied),
             _ => None,
         }
     }
@@ -172,7 +172,7 @@
 
 /// Where a planner can be reached; ports that were asked as 0 are told here.
 #[derive(Debug, Clone, Copy)]
-pub struct Reachable {
+pub struct ListenAddresses {
     pub edits: SocketAddr,
     pub home: SocketAddr,
     pub pubsub: Option<SocketAddr>,
@@ -181,11 +181,15 @@
 
 impl Planner {
     /// Starts on a loop: what was accepted before is taken from the folder, else the fleet of the settings.
-    pub fn start(turn: &mut EventLoop, place: &PlannerSettings, seed: u64) -> Result<(Planner, Reachable), Failed> {
-        let shelf = Shelf::open(&place.folder)?;
-        let terms = Terms::load(&place.papers)?;
+    pub fn start(
+        turn: &mut EventLoop,
+        place: &PlannerSettings,
+        seed: u64,
+    ) -> Result<(Planner, ListenAddresses), Failed> {
+        let shelf = StateFile::open(&place.folder)?;
+        let terms = TlsPolicy::load(&place.papers)?;
         let mut desk = None;
-        let (keeper, found) = Keeper::open(&place.folder, turn.waker(), |found| {
+        let (keeper, found) = PersistenceWorker::open(&place.folder, turn.waker(), |found| {
             let first = open_desk(&shelf, place, found)?;
             let accepted = first.accepted();
             desk = Some(first);
@@ -210,12 +214,16 @@
         });
         let pubsub = pubsub.transpose()?;
         let metrics = place.metrics.map(|at| {
-            let bounds = BufferLimits { idle: Some(Duration::from_secs(10)), connections: 16, ..BufferLimits::default() };
+            let bounds = BufferLimits {
+                idle: Some(Duration::from_secs(10)),
+                connections: 16,
+                ..BufferLimits::default()
+            };
             turn.listen(at, Security::Plain, bounds)
         });
         let metrics = metrics.transpose()?;
         let epoch = wall_ms().saturating_sub(turn.now().as_millis() as u64);
-        let front = Front::new(next_epoch(&shelf)?, desk.fleet().grace.drain, longest(desk.fleet()));
+        let front = Distributor::new(next_epoch(&shelf)?, desk.fleet().grace.drain, longest(desk.fleet()));
         let mut driver = ControlSession::new(desk.fleet().clone(), seed, epoch);
         let mut roster = Inventory::default();
         let known = roster.update(desk.fleet(), desk.listed());
@@ -268,7 +276,7 @@
             record_stopped: false,
         };
         let (pubsub, metrics) = (pubsub.map(|p| p.1), metrics.map(|m| m.1));
-        let reachable = Reachable { edits: edits_at, home: home_at, pubsub, metrics };
+        let reachable = ListenAddresses { edits: edits_at, home: home_at, pubsub, metrics };
         tracing::info!(planner = %place.name, edits = %edits_at, home = %home_at, "planner started");
         Ok((planner, reachable))
     }
@@ -305,7 +313,7 @@
         earliest(cores.into_iter().chain([self.desk.ledger.wakes_at(), list, Some(self.learn_at)]))
     }
 
-    pub fn try_out(&mut self, trial: Trial) {
+    pub fn try_out(&mut self, trial: TestHooks) {
         self.dies = trial.dies;
         self.driver.guarded = !trial.unguarded;
         self.driver.spoil = trial.spoil;
@@ -325,7 +333,13 @@
         }
     }
 
-    fn opened(&mut self, turn: &mut EventLoop, conn: ConnectionId, listener: Option<ConnectionId>, certificate: Option<Vec<u8>>) {
+    fn opened(
+        &mut self,
+        turn: &mut EventLoop,
+        conn: ConnectionId,
+        listener: Option<ConnectionId>,
+        certificate: Option<Vec<u8>>,
+    ) {
         let who = certificate.as_deref().map(|c| self.terms.holder(c));
         let who = match who {
             Some(Err(why)) => {
@@ -366,7 +380,7 @@
         }
     }
 
-    fn staff(&mut self, turn: &mut EventLoop, conn: ConnectionId, who: &Holder) {
+    fn staff(&mut self, turn: &mut EventLoop, conn: ConnectionId, who: &CertificateHolder) {
         let Some(id) = self.service.open(&who.name, turn.now()) else {
             tracing::warn!(who = %who.name, "turned away: too many sessions");
             turn.cut(conn);
@@ -396,7 +410,12 @@
         self.heard(turn, conn, heard);
     }
 
-    fn heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: Result<Vec<Heard>, Broken>) {
+    fn heard(
+        &mut self,
+        turn: &mut EventLoop,
+        conn: ConnectionId,
+        heard: Result<Vec<SessionEvent>, SessionError>,
+    ) {
         let heard = match heard {
             Ok(heard) => heard,
             Err(broken) => {
@@ -429,8 +448,8 @@
         }
     }
 
-    fn staff_heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: Heard) {
-        let Heard::Rpc(rpc) = heard else { return };
+    fn staff_heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: SessionEvent) {
+        let SessionEvent::Rpc(rpc) = heard else { return };
         let now = turn.now();
         (self.desk.now, self.desk.wall) = (now, wall_ms());
         if rpc.operation().name == "get" {
@@ -452,7 +471,8 @@
         };
         staff.closing |= answer.close;
         for killed in answer.kill {
-            let of = |(c, p): (&ConnectionId, &Peer)| matches!(p, Peer::Staff(s) if s.id == killed).then_some(*c);
+            let of =
+                |(c, p): (&ConnectionId, &Peer)| matches!(p, Peer::Staff(s) if s.id == killed).then_some(*c);
             if let Some(other) = self.peers.iter().find_map(of) {
                 turn.cut(other);
                 self.closed(turn, other, CloseReason::Finished);
@@ -546,7 +566,7 @@
                 tracing::warn!(identity = %own.id, seconds = own.until - wall, "this planner's identity ends soon");
             }
         }
-        let over = |(conn, (holder, der)): (&ConnectionId, &(Holder, Vec<u8>))| {
+        let over = |(conn, (holder, der)): (&ConnectionId, &(CertificateHolder, Vec<u8>))| {
             let over = holder.has_ended(wall) || (renewed && !self.terms.vouches(der));
             over.then(|| (*conn, holder.name.clone()))
         };
@@ -587,23 +607,23 @@
     fn keep(&mut self, turn: &mut EventLoop, now: Duration) {
         while let Some(done) = self.keeper.done() {
             match done {
-                Done::Edits(Ok(took)) => {
+                PersistenceResult::Edits(Ok(took)) => {
                     self.keeping.saturating_record(took.as_micros() as u64);
                     self.desk.saved();
                     self.durable = self.given;
                     self.kept = true;
-                    self.die(Dies::Kept);
+                    self.die(CrashPoint::Kept);
                 }
-                Done::Edits(Err(why)) => self.not_kept(turn, why),
-                Done::Tried(Ok(())) if self.desk.refuses.take().is_some() => {
+                PersistenceResult::Edits(Err(why)) => self.not_kept(turn, why),
+                PersistenceResult::Tried(Ok(())) if self.desk.refuses.take().is_some() => {
                     tracing::info!("edits can be kept again");
                 }
-                Done::Tried(_) => {}
-                Done::Lost(what, why) => tracing::warn!(what, why, "could not be written"),
+                PersistenceResult::Tried(_) => {}
+                PersistenceResult::Lost(what, why) => tracing::warn!(what, why, "could not be written"),
             }
         }
         if let Some(patch) = self.desk.unsaved() {
-            self.die(Dies::BeforeKept);
+            self.die(CrashPoint::BeforeKept);
             self.given += 1;
             if !self.keeper.edits(patch) {
                 self.not_kept(turn, "the disk is behind".into());
@@ -835,11 +855,11 @@
             }
         }
         if std::mem::take(&mut self.kept) {
-            self.die(Dies::Replied);
+            self.die(CrashPoint::Replied);
         }
     }
 
-    fn die(&self, point: Dies) {
+    fn die(&self, point: CrashPoint) {
         if self.dies == Some(point) {
             std::process::abort();
         }
@@ -886,8 +906,8 @@
         }
         for (proxy, member) in self.driver.members() {
             let told = self.joined.get(proxy).map(|j| j.way).map_or("edits", |way| match way {
-                Way::Whole => "edits",
-                Way::Parts => "published",
+                Transport::Whole => "edits",
+                Transport::Parts => "published",
             });
             let mut e = Element::new(STATE, "proxy")
                 .with_leaf("name", self.driver.proxy_name(*proxy))
@@ -940,7 +960,7 @@
         metrics::with_local_recorder(&self.recorder.0, || {
             let gauge = |name: &'static str, value: f64| metrics::gauge!(name).set(value);
             gauge("runloom_proxies_joined", self.joined.len() as f64);
-            let published = self.joined.values().filter(|j| j.way == Way::Parts).count();
+            let published = self.joined.values().filter(|j| j.way == Transport::Parts).count();
             gauge("runloom_proxies_published_to", published as f64);
             gauge("runloom_proxies_to_be_let_in", self.front.waiting() as f64);
             gauge("runloom_messages_flying", self.front.publisher().waiting() as f64);
@@ -991,14 +1011,14 @@
 }
 
 /// A number that rises with each start, whatever the clock says: what an earlier start published is told apart by it.
-fn next_epoch(shelf: &Shelf) -> io::Result<u64> {
+fn next_epoch(shelf: &StateFile) -> io::Result<u64> {
     let last = shelf.read("epoch.xml")?.and_then(|e| e.text.parse::<u64>().ok()).unwrap_or(0);
     let epoch = wall_ms().max(last + 1);
     keep_epoch(shelf, epoch)?;
     Ok(epoch)
 }
 
-fn keep_epoch(shelf: &Shelf, epoch: u64) -> io::Result<()> {
+fn keep_epoch(shelf: &StateFile, epoch: u64) -> io::Result<()> {
     shelf.write("epoch.xml", &Element::leaf("", "epoch", epoch))
 }
 
@@ -1014,7 +1034,10 @@
     epoch: u64,
 ) -> Result<Option<Writer>, Failed> {
     let Some(folder) = &place.record else { return Ok(None) };
-    let terms = runloom_event_log::RecorderConfig { most: place.record_bytes, ..runloom_event_log::RecorderConfig::default() };
+    let terms = runloom_event_log::RecorderConfig {
+        most: place.record_bytes,
+        ..runloom_event_log::RecorderConfig::default()
+    };
     let recorder = Recorder::open(folder, terms)?;
     let (build, planner, fleet) = (BUILD.to_string(), place.name.clone(), desk.fleet_text());
     driver.witness = Some(vec![(Duration::ZERO, Recorded::Start { build, planner, seed, epoch, fleet })]);
@@ -1027,7 +1050,7 @@
 }
 
 /// What was accepted before, if anything was; else what the settings say. Folders of before this form are taken over.
-fn open_desk(shelf: &Shelf, place: &PlannerSettings, found: &mut Found) -> Result<Desk, Failed> {
+fn open_desk(shelf: &StateFile, place: &PlannerSettings, found: &mut RestoredState) -> Result<Desk, Failed> {
     let mut data = (*place.data).clone();
     let mut ledger = EditHistory::default();
     let mut put = |name: &str, element: Element| {
@@ -1069,7 +1092,7 @@
 }
 
 /// What an earlier start learned of servers that are listed as they were, as far as it still counts.
-fn hints(found: &Found, roster: &Inventory) -> Vec<(String, f64, f64)> {
+fn hints(found: &RestoredState, roster: &Inventory) -> Vec<(String, f64, f64)> {
     let Some(book) = &found.learned else { return vec![] };
     let hint = |(name, server): (&String, &runloom_inventory::Server)| {
         let hint = book.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -3,12 +3,12 @@
 
 use crate::{earliest, wall_ms};
 use runloom_controller::HealthCheckResult;
-use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop};
+use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
+use runloom_platform_protocol::bootstrap::{BootstrapConfig, Told};
 use runloom_platform_protocol::endpoint_list;
-use runloom_platform_protocol::health_check::{self, Ending, Probe};
-use runloom_platform_protocol::bootstrap::{Station, Told};
-use runloom_platform_protocol::endpoint_watch::Watching;
-use runloom_platform_protocol::{Deed, Platform};
+use runloom_platform_protocol::endpoint_watch::EndpointWatch;
+use runloom_platform_protocol::health_check::{self, HealthCheck, HealthCheckOutcome};
+use runloom_platform_protocol::{Action, Platform};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::ErrorKind;
@@ -49,9 +49,9 @@
     listener: ConnectionId,
     file: PathBuf,
     platform: Platform,
-    watching: Watching,
+    watching: EndpointWatch,
     unread: Option<Unread>,
-    probes: BTreeMap<ConnectionId, Probe>,
+    probes: BTreeMap<ConnectionId, HealthCheck>,
     /// Probes that wait for room.
     asked: VecDeque<(u64, SocketAddr)>,
     told: Duration,
@@ -61,11 +61,11 @@
     std::env::var(name).ok().filter(|v| !v.is_empty())
 }
 
-fn station(file: &Path) -> Result<Station, String> {
+fn station(file: &Path) -> Result<BootstrapConfig, String> {
     let environment =
         Told { name: told("EDGE_NAME"), listen: told("EDGE_LISTEN"), discovery: told("EDGE_DISCOVERY") };
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Station::read(&text, environment).map_err(|e| format!("{}: {e}", file.display()))
+    BootstrapConfig::read(&text, environment).map_err(|e| format!("{}: {e}", file.display()))
 }
 
 /// Runs until a signal ends it.
@@ -87,7 +87,7 @@
 
 impl Shell {
     /// `None`: a signal ended it before there was an address to listen on.
-    fn start(mut turn: EventLoop, file: PathBuf, station: &Station) -> Result<Option<Shell>, String> {
+    fn start(mut turn: EventLoop, file: PathBuf, station: &BootstrapConfig) -> Result<Option<Shell>, String> {
         let room = station.bounds.sockets.saturating_sub(OWN + health_check::AT_ONCE + ACCEPTS);
         turn.accepts = ACCEPTS;
         let bounds = BufferLimits { unread: UNREAD_MOST, connections: usize::MAX, ..BufferLimits::default() };
@@ -112,7 +112,7 @@
         let epoch = wall_ms().saturating_sub((turn.now() + BEFORE).as_millis() as u64);
         let platform = Platform::new(station, epoch, room);
         tracing::info!(name = station.name, %at, room, "started");
-        let watching = Watching::new(station.discovery);
+        let watching = EndpointWatch::new(station.discovery);
         let (probes, asked) = (BTreeMap::new(), VecDeque::new());
         Ok(Some(Shell {
             turn,
@@ -202,12 +202,12 @@
         false
     }
 
-    fn carry_out(&mut self, deed: Deed) {
+    fn carry_out(&mut self, deed: Action) {
         match deed {
-            Deed::Write { conn, bytes } => self.turn.write(conn, &bytes),
-            Deed::Close { conn } => self.turn.cut(conn),
-            Deed::Probe { ticket, to } => self.asked.push_back((ticket, to)),
-            Deed::Log { text } => tracing::info!("{text}"),
+            Action::Write { conn, bytes } => self.turn.write(conn, &bytes),
+            Action::Close { conn } => self.turn.cut(conn),
+            Action::Probe { ticket, to } => self.asked.push_back((ticket, to)),
+            Action::Log { text } => tracing::info!("{text}"),
         }
     }
 
@@ -215,11 +215,11 @@
     fn ask(&mut self) {
         while self.probes.len() < health_check::AT_ONCE {
             let Some((ticket, to)) = self.asked.pop_front() else { return };
-            self.dial(Probe::new(ticket, to, self.now()));
+            self.dial(HealthCheck::new(ticket, to, self.now()));
         }
     }
 
-    fn dial(&mut self, probe: Probe) {
+    fn dial(&mut self, probe: HealthCheck) {
         let bounds = BufferLimits { handshake: health_check::PATIENCE * 2, ..BufferLimits::default() };
         match self.turn.dial(probe.to, &Security::Plain, bounds) {
             Ok(conn) => {
@@ -234,20 +234,20 @@
 
     fn look_at_probes(&mut self) {
         let looked = self.looked();
-        let late = |p: &Probe| looked >= p.since + health_check::PATIENCE;
-        let late: Vec<(ConnectionId, Ending)> =
+        let late = |p: &HealthCheck| looked >= p.since + health_check::PATIENCE;
+        let late: Vec<(ConnectionId, HealthCheckOutcome)> =
             self.probes.iter().filter(|(_, p)| late(p)).map(|(conn, p)| (*conn, p.late())).collect();
         late.into_iter().for_each(|(conn, ending)| self.probed(conn, ending));
     }
 
-    fn probed(&mut self, conn: ConnectionId, ending: Ending) {
+    fn probed(&mut self, conn: ConnectionId, ending: HealthCheckOutcome) {
         if let Some(probe) = self.probes.remove(&conn) {
             self.turn.cut(conn);
             self.ended(probe, ending);
         }
     }
 
-    fn ended(&mut self, probe: Probe, ending: Ending) {
+    fn ended(&mut self, probe: HealthCheck, ending: HealthCheckOutcome) {
         let after = self.now().saturating_sub(probe.since);
         if ending.found != HealthCheckResult::Success {
             tracing::info!(to = %probe.to, found = ?ending.found, ?after, "probed");
@@ -336,7 +336,7 @@
     }
 
     /// Takes what of a new file counts while the planner runs: where discovery is.
-    fn take(&mut self, station: &Station) {
+    fn take(&mut self, station: &BootstrapConfig) {
         if station.discovery == self.watching.at {
             tracing::info!("read again, nothing new");
             return;
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -1,10 +1,10 @@
 //! The forwarder's shell: queries in and out by HTTP/1.1, tables by NETCONF from a planner that it dials.
 
 use crate::http::{write_answer, write_query, Bad, Message, Reader};
-use crate::tls_credentials::{server_name, Holder, Terms, Unusable, PLANNER};
+use crate::tls_credentials::{server_name, CertificateHolder, TlsPolicy, Unusable, PLANNER};
 use crate::{earliest, wall_ms, wall_text};
 use nanorand::{Rng, WyRand};
-use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
+use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_model::forwarder::{ProxySettings, TableDelivery};
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY, PROXY_XSD, YANG};
@@ -12,15 +12,15 @@
 use runloom_mqtt::report;
 use runloom_mqtt::session::Hello;
 use runloom_netconf::error::{RpcError, Tag};
-use runloom_netconf::service::{Access, Change, Host, Known, Limits, Service, CAPABILITIES};
-use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
+use runloom_netconf::service::{Access, Change, EditLookup, Host, Limits, Service, CAPABILITIES};
+use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
 use runloom_proxy::published;
-use runloom_proxy::query::{Ended, Refusal, Step};
-use runloom_proxy::tables::{Held, Pick};
-use runloom_proxy::{Manner, Proxy, QueryId};
-use runloom_versioned_publisher::reader::{Reader as Published, Taken};
-use runloom_versioned_publisher::{Part, Topic, Version};
+use runloom_proxy::query::{AttemptOutcome, Refusal, Step};
+use runloom_proxy::tables::{HeldTables, SelectionMethod};
+use runloom_proxy::{Proxy, ProxyConfig, RequestId};
+use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader as Published};
+use runloom_versioned_publisher::{Topic, UpdatePart, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -51,13 +51,13 @@
 /// The datastore that a planner edits: checked and taken whole.
 struct Store {
     data: Arc<Element>,
-    held: Option<Held>,
+    held: Option<HeldTables>,
     about: Element,
     edits: u64,
 }
 
-fn held_of(data: &Element) -> Result<Held, String> {
-    data.child("tables").map_or_else(|| Ok(Held::default()), Held::read)
+fn held_of(data: &Element) -> Result<HeldTables, String> {
+    data.child("tables").map_or_else(|| Ok(HeldTables::default()), HeldTables::read)
 }
 
 impl Host for Store {
@@ -82,8 +82,8 @@
         Ok(())
     }
 
-    fn known(&self, _: &str, _: &str) -> Known {
-        Known::New
+    fn known(&self, _: &str, _: &str) -> EditLookup {
+        EditLookup::New
     }
 
     fn may(&mut self, _: &str, _: Access) -> Result<(), RpcError> {
@@ -97,7 +97,7 @@
 
 struct Caller {
     reader: Reader,
-    query: Option<QueryId>,
+    query: Option<RequestId>,
     close: bool,
 }
 
@@ -105,7 +105,7 @@
 struct Upstream {
     address: SocketAddr,
     reader: Reader,
-    query: Option<QueryId>,
+    query: Option<RequestId>,
     open: bool,
     dialled: Duration,
 }
@@ -123,7 +123,7 @@
     planner: SocketAddr,
     way: Way,
     /// Who the planner is, and its certificate.
-    holder: Holder,
+    holder: CertificateHolder,
     certificate: Vec<u8>,
     /// When to dial anew, before either side's identity ends; seconds since 1970.
     anew_at: Option<i64>,
@@ -145,13 +145,13 @@
     until: Duration,
 }
 
-pub struct Forwarder {
+pub struct ProxyRuntime {
     stand: ProxySettings,
     proxy: Proxy,
     store: Store,
     service: Service,
     security: Security,
-    terms: Terms,
+    terms: TlsPolicy,
     looked: Duration,
     chance: WyRand,
     stream: Option<Stream>,
@@ -163,9 +163,9 @@
     callers: BTreeMap<ConnectionId, Caller>,
     upstreams: BTreeMap<ConnectionId, Upstream>,
     pool: BTreeMap<SocketAddr, Vec<ConnectionId>>,
-    out: BTreeMap<QueryId, Out>,
-    limits: BTreeSet<(Duration, QueryId)>,
-    next_query: QueryId,
+    out: BTreeMap<RequestId, Out>,
+    limits: BTreeSet<(Duration, RequestId)>,
+    next_query: RequestId,
     report_at: Duration,
     reported: Duration,
     listener: ConnectionId,
@@ -183,20 +183,28 @@
     pub stopping: bool,
 }
 
-impl Forwarder {
-    pub fn start(turn: &mut EventLoop, stand: ProxySettings, seed: u64) -> Result<(Forwarder, SocketAddr), Failed> {
-        let terms = Terms::load(&stand.papers)?;
-        let bounds = BufferLimits { idle: Some(Duration::from_secs(60)), unread: 4 << 20, ..BufferLimits::default() };
+impl ProxyRuntime {
+    pub fn start(
+        turn: &mut EventLoop,
+        stand: ProxySettings,
+        seed: u64,
+    ) -> Result<(ProxyRuntime, SocketAddr), Failed> {
+        let terms = TlsPolicy::load(&stand.papers)?;
+        let bounds =
+            BufferLimits { idle: Some(Duration::from_secs(60)), unread: 4 << 20, ..BufferLimits::default() };
         let (listener, at) = turn.listen(stand.listen, Security::Plain, bounds)?;
         let schema = Schema::root(derive(PROXY_XSD, &["tables"]).map_err(Failed::Schema)?);
-        let manner =
-            Manner { pick: Pick::named(&stand.pick), shun_after: stand.shun_after, shun_for: stand.shun_for };
+        let manner = ProxyConfig {
+            pick: SelectionMethod::named(&stand.pick),
+            shun_after: stand.shun_after,
+            shun_for: stand.shun_for,
+        };
         let proxy = Proxy::new(manner, stand.classes.clone(), &stand.standing, seed);
         let data = Arc::new(Element::new("", "data"));
         let store = Store { data, held: None, about: Element::default(), edits: 0 };
         tracing::info!(forwarder = %stand.name, listen = %at, "forwarder started");
         let now = turn.now();
-        let forwarder = Forwarder {
+        let forwarder = ProxyRuntime {
             report_at: now + stand.report,
             reported: now,
             proxy,
@@ -205,7 +213,9 @@
             security: match stand.front {
                 // RFC 8071: it dials, and is the server all the same.
                 TableDelivery::Edits => Security::Answers(terms.answers.clone()),
-                TableDelivery::Weights | TableDelivery::Subsets => Security::Starts(terms.starts.clone(), server_name(PLANNER)),
+                TableDelivery::Weights | TableDelivery::Subsets => {
+                    Security::Starts(terms.starts.clone(), server_name(PLANNER))
+                }
             },
             stand,
             terms,
@@ -269,7 +279,7 @@
     pub fn meets(&mut self, now: Duration, class: usize, work: Duration) {
         self.next_query += 1;
         if let Step::Send { .. } = self.proxy.arrived(now.saturating_sub(work), self.next_query, class) {
-            self.proxy.ended(now, self.next_query, Ended::Answered { load: vec![1.0] });
+            self.proxy.ended(now, self.next_query, AttemptOutcome::Answered { load: vec![1.0] });
         }
     }
 
@@ -317,7 +327,13 @@
         }
     }
 
-    fn opened(&mut self, turn: &mut EventLoop, conn: ConnectionId, listener: Option<ConnectionId>, certificate: Option<Vec<u8>>) {
+    fn opened(
+        &mut self,
+        turn: &mut EventLoop,
+        conn: ConnectionId,
+        listener: Option<ConnectionId>,
+        certificate: Option<Vec<u8>>,
+    ) {
         if listener == Some(self.listener) {
             self.callers.insert(conn, Caller { reader: Reader::queries(), query: None, close: false });
             self.made.push(conn);
@@ -359,7 +375,7 @@
 
     /// A stream is made anew at two thirds of the time that is left to it: an issuer has put new files there by then, and no
     /// drain is missed between the old stream and the new one.
-    fn anew_at(&self, planner: &Holder) -> Option<i64> {
+    fn anew_at(&self, planner: &CertificateHolder) -> Option<i64> {
         let own = self.terms.own()?.until;
         let ends = planner.id.as_ref().map_or(own, |(_, until)| own.min(*until));
         let now = (wall_ms() / 1000) as i64;
@@ -467,13 +483,16 @@
     }
 
     /// Sends a query to a server, on a connection that is open already if there is one.
-    fn try_at(&mut self, turn: &mut EventLoop, id: QueryId, address: SocketAddr) {
+    fn try_at(&mut self, turn: &mut EventLoop, id: RequestId, address: SocketAddr) {
         let pooled = self.pool.get_mut(&address).and_then(Vec::pop);
         let conn = match pooled {
             Some(conn) => conn,
             None => {
-                let bounds =
-                    BufferLimits { idle: Some(Duration::from_secs(15)), handshake: CONNECT, ..BufferLimits::default() };
+                let bounds = BufferLimits {
+                    idle: Some(Duration::from_secs(15)),
+                    handshake: CONNECT,
+                    ..BufferLimits::default()
+                };
                 match turn.dial(address, &Security::Plain, bounds) {
                     Ok(conn) => {
                         let reader = Reader::answers();
@@ -484,7 +503,7 @@
                         conn
                     }
                     // No socket to be had: nothing was written.
-                    Err(_) => return self.ended(turn, id, Ended::NoConnection),
+                    Err(_) => return self.ended(turn, id, AttemptOutcome::NoConnection),
                 }
             }
         };
@@ -522,9 +541,11 @@
                 }
                 let load = answer.numbers("runloom-load");
                 let how = match answer.code {
-                    503 if answer.header("runloom-turned-away").is_some() => Ended::TurnedAway { load },
-                    500..=599 => Ended::Error { load },
-                    _ => Ended::Answered { load },
+                    503 if answer.header("runloom-turned-away").is_some() => {
+                        AttemptOutcome::TurnedAway { load }
+                    }
+                    500..=599 => AttemptOutcome::Error { load },
+                    _ => AttemptOutcome::Answered { load },
                 };
                 let text = write_answer(answer.code, &answer.headers, &answer.body);
                 self.ended_with(turn, id, how, Some(text));
@@ -532,7 +553,7 @@
             Err(_) => {
                 turn.cut(conn);
                 self.drop_upstream(conn);
-                self.ended(turn, id, Ended::BrokenAfter);
+                self.ended(turn, id, AttemptOutcome::BrokenAfter);
             }
         }
     }
@@ -545,11 +566,17 @@
         }
     }
 
-    fn ended(&mut self, turn: &mut EventLoop, id: QueryId, how: Ended) {
+    fn ended(&mut self, turn: &mut EventLoop, id: RequestId, how: AttemptOutcome) {
         self.ended_with(turn, id, how, None);
     }
 
-    fn ended_with(&mut self, turn: &mut EventLoop, id: QueryId, how: Ended, text: Option<Vec<u8>>) {
+    fn ended_with(
+        &mut self,
+        turn: &mut EventLoop,
+        id: RequestId,
+        how: AttemptOutcome,
+        text: Option<Vec<u8>>,
+    ) {
         let Some(step) = self.proxy.ended(turn.now(), id, how) else { return };
         match step {
             Step::Send { address, .. } => self.try_at(turn, id, address),
@@ -570,7 +597,7 @@
     }
 
     /// The query is over: who asked.
-    fn over(&mut self, id: QueryId) -> Option<ConnectionId> {
+    fn over(&mut self, id: RequestId) -> Option<ConnectionId> {
         let out = self.out.remove(&id)?;
         self.limits.remove(&(out.until, id));
         Some(out.caller)
@@ -609,7 +636,11 @@
             self.drop_upstream(conn);
             if let Some(id) = query {
                 // A connection that never stood carried nothing; one that did may have carried all of it.
-                self.ended(turn, id, if open { Ended::BrokenAfter } else { Ended::NoConnection });
+                self.ended(
+                    turn,
+                    id,
+                    if open { AttemptOutcome::BrokenAfter } else { AttemptOutcome::NoConnection },
+                );
             }
         } else if self.dialling == Some(conn) {
             self.dialling = None;
@@ -637,7 +668,7 @@
     }
 
     /// Given up on: by the client, or since the outer limit passed.
-    fn give_up(&mut self, turn: &mut EventLoop, id: QueryId) {
+    fn give_up(&mut self, turn: &mut EventLoop, id: RequestId) {
         let upstream = self.out.get(&id).map(|o| o.upstream);
         self.over(id);
         self.proxy.given_up(turn.now(), id);
@@ -703,8 +734,8 @@
         self.write_stream(turn);
     }
 
-    fn stream_heard(&mut self, turn: &mut EventLoop, heard: Heard) {
-        let Heard::Rpc(rpc) = heard else { return };
+    fn stream_heard(&mut self, turn: &mut EventLoop, heard: SessionEvent) {
+        let SessionEvent::Rpc(rpc) = heard else { return };
         if rpc.operation().name == "get" {
             self.store.about = Element::new(PROXY, "proxy")
                 .with_leaf("name", &self.stand.name)
@@ -747,12 +778,12 @@
     }
 
     /// Takes a part of a table. False: it was of no use, and the table is to be told anew.
-    fn take_part(&mut self, part: &Part) -> bool {
+    fn take_part(&mut self, part: &UpdatePart) -> bool {
         let reader = &mut self.published.0;
         match reader.take(part) {
-            Taken::Waits => true,
-            Taken::Lacks | Taken::Stale => false,
-            Taken::Now(version) => match published::taken(reader, part.topic) {
+            ReadOutcome::Waits => true,
+            ReadOutcome::Lacks | ReadOutcome::Stale => false,
+            ReadOutcome::Now(version) => match published::taken(reader, part.topic) {
                 Ok(held) => {
                     self.taken.push((part.changes.len(), Some((part.topic, version))));
                     held.into_iter().for_each(|held| self.proxy.hold(held));
@@ -789,7 +820,8 @@
                 self.refuse(turn, caller, Refusal::Late, None);
             }
         }
-        let stalled = |(c, u): (&ConnectionId, &Upstream)| (!u.open && now >= u.dialled + CONNECT).then_some(*c);
+        let stalled =
+            |(c, u): (&ConnectionId, &Upstream)| (!u.open && now >= u.dialled + CONNECT).then_some(*c);
         let stalled: Vec<ConnectionId> = self.upstreams.iter().filter_map(stalled).collect();
         for conn in stalled {
             turn.cut(conn);
--- a/crates/daemon/src/proxy_sessions.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -1,20 +1,20 @@
 //! Proxies at a planner, on either front: those that called home and are edited, and those that subscribe. What they
 //! are told and what is in force at them is the front's core matter; here are their connections.
 
-use crate::tls_credentials::Holder;
 use crate::planner_runtime::{Peer, Planner};
+use crate::tls_credentials::CertificateHolder;
 use crate::wall_ms;
 use runloom_distribution::doubt::Verdict;
-use runloom_distribution::{Newcomer, Out, Way};
-use runloom_event_loop::{ConnectionId, EventLoop, CloseReason};
+use runloom_distribution::{Outgoing, PendingProxy, Transport};
+use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_model::order::Report;
 use runloom_model::PROXY as PROXY_NS;
-use runloom_mqtt::session::{Heard as Said, Hello, Over, Session as Subscription};
+use runloom_mqtt::session::{Hello, Session as Subscription, SessionEnd, SessionEvent as Said};
 use runloom_mqtt::{body, report};
-use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
+use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
 use runloom_netconf::{BASE, NOTIFY};
-use runloom_versioned_publisher::{Part, Topic, Version, Wanted};
+use runloom_versioned_publisher::{Topic, TopicFilter, UpdatePart, Version};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,12 +33,12 @@
     pub name: String,
     pub zone: String,
     pub rate: f64,
-    pub way: Way,
+    pub way: Transport,
 }
 
 /// A proxy that called home.
 pub(crate) struct Home {
-    pub holder: Holder,
+    pub holder: CertificateHolder,
     pub session: Session,
     /// The message that asks for what it is.
     asked: Option<String>,
@@ -48,7 +48,7 @@
 }
 
 impl Home {
-    pub fn new(holder: Holder) -> Home {
+    pub fn new(holder: CertificateHolder) -> Home {
         let session = Session::new(Role::Client, &[], SessionBounds::default());
         Home { holder, session, asked: None, proxy: None, orders: BTreeMap::new() }
     }
@@ -56,17 +56,17 @@
 
 /// A proxy that subscribes.
 pub(crate) struct Stream {
-    pub holder: Holder,
+    pub holder: CertificateHolder,
     session: Subscription,
     hello: Hello,
-    wanted: Vec<Wanted>,
+    wanted: Vec<TopicFilter>,
     pub proxy: Option<usize>,
     /// When messages that it has yet to confirm were sent.
     sent: BTreeMap<u64, Duration>,
 }
 
 impl Stream {
-    pub fn new(now: Duration, planner: &str, holder: Holder) -> Stream {
+    pub fn new(now: Duration, planner: &str, holder: CertificateHolder) -> Stream {
         let session = Subscription::new(now, planner, &holder.name);
         Stream {
             holder,
@@ -80,21 +80,21 @@
 }
 
 impl Planner {
-    pub(crate) fn home_heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: Heard) {
+    pub(crate) fn home_heard(&mut self, turn: &mut EventLoop, conn: ConnectionId, heard: SessionEvent) {
         let now = turn.now();
         let Some(Peer::Home(home)) = self.peers.get_mut(&conn) else { return };
         match heard {
-            Heard::Open { .. } => {
+            SessionEvent::Open { .. } => {
                 home.session.ask(Element::new(NOTIFY, "create-subscription"));
                 let wish = Element::new(BASE, "filter").with(Element::new(PROXY_NS, "proxy"));
                 home.asked = Some(home.session.ask(Element::new(BASE, "get").with(wish)));
                 self.write_out(turn, conn);
             }
-            Heard::Reply { message_id, reply } if home.asked.as_ref() == Some(&message_id) => {
+            SessionEvent::Reply { message_id, reply } if home.asked.as_ref() == Some(&message_id) => {
                 home.asked = None;
                 self.home_came(turn, conn, &reply);
             }
-            Heard::Reply { message_id, reply } => {
+            SessionEvent::Reply { message_id, reply } => {
                 let Some((number, sent)) = home.orders.remove(&message_id) else { return };
                 let Some(proxy) = home.proxy else { return };
                 if let Some(error) = reply.child("rpc-error") {
@@ -108,12 +108,12 @@
                 let order = self.front.confirmed(now, proxy, number);
                 self.in_force(now, proxy, order);
             }
-            Heard::Notified(event) => {
+            SessionEvent::Notified(event) => {
                 if let (Some(proxy), Some(report)) = (home.proxy, Report::read(&event)) {
                     self.reported(turn, conn, proxy, &report);
                 }
             }
-            Heard::Rpc(_) => {}
+            SessionEvent::Rpc(_) => {}
         }
     }
 
@@ -129,20 +129,20 @@
             turn.cut(conn);
             return self.closed(turn, conn, CloseReason::Untrusted);
         }
-        let newcomer = Newcomer {
+        let newcomer = PendingProxy {
             conn,
             name: name.to_string(),
             zone: told.text_of("zone").unwrap_or_default().to_string(),
             rate: told.text_of("rate").and_then(|r| r.parse().ok()).unwrap_or(0.0),
             fresh: told.text_of("fresh") == Some("true"),
-            way: Way::Whole,
-            wanted: vec![Wanted::ALL],
+            way: Transport::Whole,
+            wanted: vec![TopicFilter::ALL],
             holds: vec![],
         };
         self.came(turn, newcomer);
     }
 
-    fn came(&mut self, turn: &mut EventLoop, newcomer: Newcomer) {
+    fn came(&mut self, turn: &mut EventLoop, newcomer: PendingProxy) {
         let conn = newcomer.conn;
         if let Some(other) = self.front.waits(&newcomer.name).filter(|other| *other != conn) {
             self.taken_over(turn, other);
@@ -157,7 +157,7 @@
     /// Lets in those whose turn it is.
     pub(crate) fn admit(&mut self, turn: &mut EventLoop, now: Duration) {
         while let Some(newcomer) = self.front.admit(now) {
-            let Newcomer { conn, way, fresh, rate, .. } = newcomer;
+            let PendingProxy { conn, way, fresh, rate, .. } = newcomer;
             let (name, zone) = (newcomer.name.clone(), newcomer.zone.clone());
             let place = match self.peers.get_mut(&conn) {
                 Some(Peer::Home(home)) => &mut home.proxy,
@@ -168,7 +168,7 @@
             *place = Some(proxy);
             self.front.joined(proxy, newcomer);
             self.desk.ledger.left(proxy);
-            tracing::info!(proxy = %name, zone = %zone, rate, fresh, published = way == Way::Parts, "joined");
+            tracing::info!(proxy = %name, zone = %zone, rate, fresh, published = way == Transport::Parts, "joined");
             let joined = Joined { conn, name, zone, rate, way };
             if let Some(old) = self.joined.insert(proxy, joined).filter(|old| old.conn != conn) {
                 // The same proxy on a newer stream; the old one is half open, or another holder of its certificate.
@@ -190,7 +190,13 @@
     }
 
     /// A proxy's connection ended.
-    pub(crate) fn proxy_closed(&mut self, conn: ConnectionId, name: &str, proxy: Option<usize>, why: CloseReason) {
+    pub(crate) fn proxy_closed(
+        &mut self,
+        conn: ConnectionId,
+        name: &str,
+        proxy: Option<usize>,
+        why: CloseReason,
+    ) {
         self.front.gone(name, conn);
         if let Some(proxy) = proxy.filter(|p| self.joined.get(p).is_some_and(|j| j.conn == conn)) {
             tracing::info!(proxy = %name, ?why, "left");
@@ -293,13 +299,13 @@
 
     fn stream_came(&mut self, turn: &mut EventLoop, conn: ConnectionId, holds: Vec<(Topic, u64, u64)>) {
         let Some(Peer::Stream(stream)) = self.peers.get(&conn) else { return };
-        let newcomer = Newcomer {
+        let newcomer = PendingProxy {
             conn,
             name: stream.holder.name.clone(),
             zone: stream.hello.zone.clone(),
             rate: stream.hello.rate,
             fresh: stream.hello.fresh,
-            way: Way::Parts,
+            way: Transport::Parts,
             wanted: stream.wanted.clone(),
             holds,
         };
@@ -314,9 +320,9 @@
         turn.write(conn, &stream.session.output());
         let why = match stream.session.over() {
             None => return,
-            Some(Over::Left) => CloseReason::Ended,
-            Some(Over::Silent) => CloseReason::Idle,
-            Some(Over::Refused(reason)) => {
+            Some(SessionEnd::Left) => CloseReason::Ended,
+            Some(SessionEnd::Silent) => CloseReason::Idle,
+            Some(SessionEnd::Refused(reason)) => {
                 tracing::warn!(proxy = %stream.holder.name, reason, "stream ends");
                 CloseReason::Broken
             }
@@ -369,8 +375,8 @@
             }
             while self.has_room(conn) {
                 match self.front.next(now, proxy) {
-                    Some(Out::Message { number, text, .. }) => self.tell_home(now, conn, number, &text),
-                    Some(Out::Part { number, part }) => self.tell_stream(now, conn, number, &part),
+                    Some(Outgoing::Message { number, text, .. }) => self.tell_home(now, conn, number, &text),
+                    Some(Outgoing::Part { number, part }) => self.tell_stream(now, conn, number, &part),
                     None => break,
                 }
             }
@@ -396,7 +402,7 @@
         home.orders.insert(message_id, (number, now));
     }
 
-    fn tell_stream(&mut self, now: Duration, conn: ConnectionId, number: u64, part: &Part) {
+    fn tell_stream(&mut self, now: Duration, conn: ConnectionId, number: u64, part: &UpdatePart) {
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         let key = (part.epoch, part.topic, part.from, part.to, part.part);
         let text = self.bodies.entry(key).or_insert_with(|| body::write(part).into());
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,7 +1,7 @@
 //! Starting a planner or a forwarder from its settings file, until a signal ends it.
 
-use crate::proxy_runtime::Forwarder;
-use crate::planner_runtime::{Planner, Trial};
+use crate::planner_runtime::{Planner, TestHooks};
+use crate::proxy_runtime::ProxyRuntime;
 use crate::settings::{read, Settings};
 use crate::wall_ms;
 use runloom_event_loop::EventLoop;
@@ -16,7 +16,7 @@
 }
 
 /// Runs a planner; its addresses are told on standard output, a line each.
-pub fn planner(settings: &Path, seed: Option<u64>, trial: Trial) -> Result<(), String> {
+pub fn planner(settings: &Path, seed: Option<u64>, trial: TestHooks) -> Result<(), String> {
     let Settings::Planner(place) = read(settings).map_err(|f| f.join("\n"))? else {
         return Err(format!("{}: <planner> is wanted here", settings.display()));
     };
@@ -42,7 +42,7 @@
     };
     let mut turn = looped()?;
     let seed = seed.unwrap_or_else(wall_ms);
-    let (mut forwarder, at) = Forwarder::start(&mut turn, *stand, seed).map_err(|e| e.to_string())?;
+    let (mut forwarder, at) = ProxyRuntime::start(&mut turn, *stand, seed).map_err(|e| e.to_string())?;
     println!("listen {at}");
     forwarder.run(&mut turn).map_err(|e| e.to_string())
 }
--- a/crates/daemon/src/state_file.rs
+++ b/crates/daemon/src/state_file.rs
@@ -6,14 +6,14 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-pub struct Shelf {
+pub struct StateFile {
     folder: PathBuf,
 }
 
-impl Shelf {
-    pub fn open(folder: &Path) -> io::Result<Shelf> {
+impl StateFile {
+    pub fn open(folder: &Path) -> io::Result<StateFile> {
         fs::create_dir_all(folder)?;
-        Ok(Shelf { folder: folder.to_path_buf() })
+        Ok(StateFile { folder: folder.to_path_buf() })
     }
 
     /// Writes one file; once this returns, it is there after a power cut.
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -3,7 +3,7 @@
 //! and its role, `planner.runloom`, `proxy.runloom`, or neither for staff, tools and feeds. Files that change are read
 //! again while the process runs, whole or not at all.
 
-use runloom_identity::access::{decide, Action, Rule};
+use runloom_identity::access::{decide, RequestedAccess, Rule};
 use runloom_identity::bundle::{Bundle, Trust};
 use runloom_identity::id::{Domain, Id};
 use runloom_identity::svid::{self, Svid};
@@ -69,7 +69,7 @@
 
 /// Terms for both ends of TLS, with mutual certificates.
 #[derive(Clone)]
-pub struct Terms {
+pub struct TlsPolicy {
     pub answers: Arc<ServerConfig>,
     pub starts: Arc<ClientConfig>,
     live: Arc<Live>,
@@ -297,8 +297,8 @@
     }
 }
 
-impl Terms {
-    pub fn load(papers: &TlsFiles) -> Result<Terms, Unusable> {
+impl TlsPolicy {
+    pub fn load(papers: &TlsFiles) -> Result<TlsPolicy, Unusable> {
         let provider = Arc::new(ring::default_provider());
         let stamps = stamps(papers);
         let mut trust = Trust::default();
@@ -321,7 +321,7 @@
         answers.session_storage = Arc::new(NoServerSessionStorage {});
         answers.send_tls13_tickets = 0;
         starts.resumption = Resumption::disabled();
-        Ok(Terms { answers: Arc::new(answers), starts: Arc::new(starts), live, stamps })
+        Ok(TlsPolicy { answers: Arc::new(answers), starts: Arc::new(starts), live, stamps })
     }
 
     /// Reads the files again if one of them changed. What cannot be used is left, and what was read before stays in
@@ -352,12 +352,12 @@
     }
 
     /// Who a certificate is for that TLS has found trustworthy; an error in words: nobody.
-    pub fn holder(&self, certificate: &[u8]) -> Result<Holder, String> {
+    pub fn holder(&self, certificate: &[u8]) -> Result<CertificateHolder, String> {
         match self.live.papers.by_identity() {
             false => by_names(certificate).ok_or_else(|| "it names nobody".to_string()),
             true => {
                 let svid = svid::read(certificate).map_err(|e| e.to_string())?;
-                Ok(Holder::by_identity(svid, &self.live.papers.rules))
+                Ok(CertificateHolder::by_identity(svid, &self.live.papers.rules))
             }
         }
     }
@@ -370,7 +370,7 @@
 
 /// Who a certificate is for.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Holder {
+pub struct CertificateHolder {
     pub name: String,
     pub planner: bool,
     pub proxy: bool,
@@ -378,15 +378,15 @@
     pub id: Option<(Id, i64)>,
 }
 
-impl Holder {
-    fn by_identity(svid: Svid, rules: &[Rule]) -> Holder {
+impl CertificateHolder {
+    fn by_identity(svid: Svid, rules: &[Rule]) -> CertificateHolder {
         let Svid { id, until, .. } = svid;
         let own = id.name().unwrap_or_default().to_string();
-        let proxy = decide(rules, &id, Action::Join { name: &own }).is_ok();
-        let planner = decide(rules, &id, Action::Order).is_ok();
+        let proxy = decide(rules, &id, RequestedAccess::Join { name: &own }).is_ok();
+        let planner = decide(rules, &id, RequestedAccess::Order).is_ok();
         // Proxies and planners go by the last part of their path, staff by all of it.
         let name = if proxy || planner { own } else { id.to_string() };
-        Holder { name, planner, proxy, id: Some((id, until)) }
+        CertificateHolder { name, planner, proxy, id: Some((id, until)) }
     }
 
     /// Whether its identity has ended at `now`, seconds since 1970.
@@ -396,10 +396,10 @@
 }
 
 /// The holder by DNS names.
-fn by_names(certificate: &[u8]) -> Option<Holder> {
+fn by_names(certificate: &[u8]) -> Option<CertificateHolder> {
     let (_, parsed) = x509_parser::parse_x509_certificate(certificate).ok()?;
     let names = parsed.subject_alternative_name().ok()??;
-    let mut holder = Holder::default();
+    let mut holder = CertificateHolder::default();
     for name in &names.value.general_names {
         match name {
             GeneralName::DNSName(PLANNER) => holder.planner = true,
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -8,8 +8,10 @@
 
 use doubt::{Doubt, Dropped, Verdict, DROPPED_MOST};
 use runloom_model::order::{level_text, line_text, read_level, read_line, Message, TableEdit};
-use runloom_versioned_publisher::admit::{Admission, Age};
-use runloom_versioned_publisher::{Change, Key, Kind, Part, Publisher, Topic, Version, Wanted, Whole};
+use runloom_versioned_publisher::admit::{ReconnectQueue, TableAge};
+use runloom_versioned_publisher::{
+    Change, Key, Publisher, TableUpdate, Topic, TopicFilter, TopicKind, UpdatePart, Version,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +21,7 @@
 
 /// How a proxy is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Transport {
     /// All that it lacks as one message, taken whole.
     Whole,
     /// By table, in parts.
@@ -28,7 +30,7 @@
 
 /// Who came, and waits to be let in.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Newcomer {
+pub struct PendingProxy {
     /// The shell's number of its connection.
     pub conn: usize,
     pub name: String,
@@ -37,32 +39,32 @@
     pub rate: f64,
     /// It holds nothing but what it started with.
     pub fresh: bool,
-    pub way: Way,
-    pub wanted: Vec<Wanted>,
+    pub way: Transport,
+    pub wanted: Vec<TopicFilter>,
     /// Tables with epoch and version.
     pub holds: Vec<(Topic, u64, Version)>,
 }
 
-impl Newcomer {
+impl PendingProxy {
     /// How old what it holds is. One that does not say by epoch and version holds something old, unless it is fresh.
-    fn age(&self) -> Age {
+    fn age(&self) -> TableAge {
         let oldest = self.holds.iter().map(|(_, epoch, version)| (*epoch, *version)).min();
         oldest.or((!self.fresh).then_some((0, 0)))
     }
 
-    fn wants(&self, kind: Kind) -> bool {
+    fn wants(&self, kind: TopicKind) -> bool {
         self.wanted.iter().any(|w| w.covers(Topic { kind, table: w.table.unwrap_or_default() }))
     }
 
     /// Whether it wants what it takes to go by tables: binds, and weights or subsets.
     pub fn can_be_ordered(&self) -> bool {
-        self.wants(Kind::Binds) && (self.wants(Kind::Weights) || self.wants(Kind::Subset))
+        self.wants(TopicKind::Binds) && (self.wants(TopicKind::Weights) || self.wants(TopicKind::Subset))
     }
 }
 
 /// What goes to a proxy next.
 #[derive(Debug, Clone)]
-pub enum Out {
+pub enum Outgoing {
     /// Proxies at one position share the text.
     Message {
         number: u64,
@@ -71,7 +73,7 @@
     },
     Part {
         number: u64,
-        part: Part,
+        part: UpdatePart,
     },
 }
 
@@ -88,8 +90,8 @@
 struct Member {
     name: String,
     stream: u64,
-    way: Way,
-    wanted: Vec<Wanted>,
+    way: Transport,
+    wanted: Vec<TopicFilter>,
     holds: BTreeMap<Topic, (u64, Version)>,
     binds: BTreeMap<String, u16>,
     /// Nothing has been told to it: the first message takes the place of all that it holds.
@@ -104,16 +106,16 @@
 
 /// A proxy that cannot use so many messages in a row, each followed by a snapshot, never will.
 const LACKING_MOST: u32 = 8;
-const WITHDRAWN: Topic = Topic { kind: Kind::Withdrawn, table: 0 };
+const WITHDRAWN: Topic = Topic { kind: TopicKind::Withdrawn, table: 0 };
 
 impl Member {
     /// Weights, or subsets for one that wants no weights.
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> TopicKind {
         let wants = |kind| self.wanted.iter().any(|w| w.kind.is_none_or(|k| k == kind));
-        if wants(Kind::Weights) || !wants(Kind::Subset) {
-            Kind::Weights
+        if wants(TopicKind::Weights) || !wants(TopicKind::Subset) {
+            TopicKind::Weights
         } else {
-            Kind::Subset
+            TopicKind::Subset
         }
     }
 
@@ -133,11 +135,11 @@
 type Made = Vec<(Topic, Option<Version>, Version)>;
 
 #[derive(Debug)]
-pub struct Front {
+pub struct Distributor {
     publisher: Publisher,
     members: BTreeMap<Proxy, Member>,
-    admission: Admission,
-    waiting: BTreeMap<String, Newcomer>,
+    admission: ReconnectQueue,
+    waiting: BTreeMap<String, PendingProxy>,
     /// Proxies that may have something to be told.
     ready: BTreeSet<Proxy>,
     /// Orders that came in force without a word from outside.
@@ -155,7 +157,7 @@
 
 /// Its binds; proxies past 65,535 cannot be told, and there are no such fleets.
 fn binds_of(proxy: Proxy) -> Topic {
-    Topic { kind: Kind::Binds, table: proxy as u16 }
+    Topic { kind: TopicKind::Binds, table: proxy as u16 }
 }
 
 fn line_change(server: &str, address: &str, weight: f64) -> Change {
@@ -172,13 +174,13 @@
     lines.chain(edit.levels.iter().map(level)).collect()
 }
 
-impl Front {
+impl Distributor {
     /// `epoch` rises with each start. `grace`: within it a drain reaches all. `outer`: the longest outer limit.
-    pub fn new(epoch: u64, grace: Duration, outer: Duration) -> Front {
-        Front {
+    pub fn new(epoch: u64, grace: Duration, outer: Duration) -> Distributor {
+        Distributor {
             publisher: Publisher::new(epoch),
             members: BTreeMap::new(),
-            admission: Admission::new(grace),
+            admission: ReconnectQueue::new(grace),
             waiting: BTreeMap::new(),
             ready: BTreeSet::new(),
             settled: vec![],
@@ -198,7 +200,7 @@
     // Who comes and goes.
 
     /// One said what it is, and waits to be let in. False: too many wait.
-    pub fn came(&mut self, now: Duration, newcomer: Newcomer) -> bool {
+    pub fn came(&mut self, now: Duration, newcomer: PendingProxy) -> bool {
         let (name, age) = (newcomer.name.clone(), newcomer.age());
         let taken = self.admission.came(now, &name, age);
         if taken {
@@ -213,7 +215,7 @@
     }
 
     /// The next to be let in by now.
-    pub fn admit(&mut self, now: Duration) -> Option<Newcomer> {
+    pub fn admit(&mut self, now: Duration) -> Option<PendingProxy> {
         let name = self.admission.next(now)?;
         self.waiting.remove(&name)
     }
@@ -235,10 +237,10 @@
     }
 
     /// One that was let in is the proxy of this number; an earlier stream of it is over.
-    pub fn joined(&mut self, proxy: Proxy, newcomer: Newcomer) {
-        let Newcomer { name, way, wanted, holds, .. } = newcomer;
+    pub fn joined(&mut self, proxy: Proxy, newcomer: PendingProxy) {
+        let PendingProxy { name, way, wanted, holds, .. } = newcomer;
         let stream = self.publisher.join(&name);
-        let inside = |topic: Topic| if topic.kind == Kind::Binds { binds_of(proxy) } else { topic };
+        let inside = |topic: Topic| if topic.kind == TopicKind::Binds { binds_of(proxy) } else { topic };
         let holds = holds.into_iter().map(|(topic, epoch, v)| (inside(topic), (epoch, v))).collect();
         let member = Member {
             name,
@@ -253,8 +255,8 @@
             doubt: Doubt::default(),
             lacking: BTreeMap::new(),
         };
-        if member.kind() == Kind::Subset && !std::mem::replace(&mut self.subsets, true) {
-            let tables: Vec<u16> = self.publisher.tables_of(Kind::Weights);
+        if member.kind() == TopicKind::Subset && !std::mem::replace(&mut self.subsets, true) {
+            let tables: Vec<u16> = self.publisher.tables_of(TopicKind::Weights);
             tables.into_iter().for_each(|table| self.resubset(table));
         }
         self.members.insert(proxy, member);
@@ -290,7 +292,7 @@
 
     /// A table changed, or is to be as `edit` has it where that is whole.
     pub fn table(&mut self, table: u16, edit: &TableEdit) {
-        let topic = Topic { kind: Kind::Weights, table };
+        let topic = Topic { kind: TopicKind::Weights, table };
         let had: BTreeSet<String> = match edit.whole {
             true => self.servers(topic),
             // Only what goes out matters.
@@ -322,10 +324,10 @@
     }
 
     fn resubset(&mut self, table: u16) {
-        let weights = Topic { kind: Kind::Weights, table };
+        let weights = Topic { kind: TopicKind::Weights, table };
         if let Some((_, state)) = self.publisher.table(weights) {
             let state = subset::of(state);
-            self.publisher.replace(Topic { kind: Kind::Subset, table }, state);
+            self.publisher.replace(Topic { kind: TopicKind::Subset, table }, state);
         }
     }
 
@@ -354,7 +356,7 @@
             // A mark alone: a step that changes nothing asks for its word.
             needs.push((binds, self.publisher.touch(binds)));
         }
-        if needs.is_empty() && member.way == Way::Parts && member.orders.is_empty() {
+        if needs.is_empty() && member.way == Transport::Parts && member.orders.is_empty() {
             // It goes by nothing of this planner's: there is nothing to confirm.
             self.settled.push((proxy, number));
             return;
@@ -376,7 +378,7 @@
         let now = member.tables();
         for table in before.difference(&now) {
             // Where it is told by parts, drains in the old table reach it until it holds the bind.
-            if member.way == Way::Whole {
+            if member.way == Transport::Whole {
                 // In one message with the bind. What waits for the table waits for that: until then the proxy goes
                 // by the table as it was.
                 let old = Topic { kind, table: *table };
@@ -387,7 +389,9 @@
             member.leaving.insert(*table, version);
         }
         for topic in member.topics(topic) {
-            if topic.kind == kind && member.leaving.remove(&topic.table).is_some() && member.way == Way::Parts
+            if topic.kind == kind
+                && member.leaving.remove(&topic.table).is_some()
+                && member.way == Transport::Parts
             {
                 // It may have let go of the table by a bind on its way: it is told whole again, ahead of the new one.
                 self.publisher.start_over(&member.name, topic);
@@ -419,28 +423,28 @@
     }
 
     /// The next message to a proxy; none: it has been told all, or has too many on their way.
-    pub fn next(&mut self, now: Duration, proxy: Proxy) -> Option<Out> {
+    pub fn next(&mut self, now: Duration, proxy: Proxy) -> Option<Outgoing> {
         let member = self.members.get_mut(&proxy)?;
-        if member.way == Way::Parts {
+        if member.way == Transport::Parts {
             let (number, part) = self.publisher.next(now, &member.name)?;
-            return Some(Out::Part { number, part });
+            return Some(Outgoing::Part { number, part });
         }
         if let Some((number, all)) = self.publisher.bundle(now, &member.name) {
             let (text, lines) = self.text(proxy, all)?;
-            return Some(Out::Message { number, text, lines });
+            return Some(Outgoing::Message { number, text, lines });
         }
         // A mark for one that is bound to nothing.
         let awaited = member.orders.iter_mut().rev().find(|a| a.needs.is_empty() && a.by.is_none())?;
         let number = self.publisher.nothing(now, &member.name)?;
         awaited.by = Some(number);
         member.orders.iter_mut().filter(|a| a.needs.is_empty()).for_each(|a| _ = a.by.get_or_insert(number));
-        Some(Out::Message { number, text: Message::default().to_text().into(), lines: 0 })
+        Some(Outgoing::Message { number, text: Message::default().to_text().into(), lines: 0 })
     }
 
     /// Updates as one message.
-    fn text(&mut self, proxy: Proxy, all: Vec<Whole>) -> Option<(Rc<str>, usize)> {
+    fn text(&mut self, proxy: Proxy, all: Vec<TableUpdate>) -> Option<(Rc<str>, usize)> {
         let member = self.members.get_mut(&proxy)?;
-        let binds = |w: &&Whole| w.topic.kind == Kind::Binds;
+        let binds = |w: &&TableUpdate| w.topic.kind == TopicKind::Binds;
         let rebinds = all.iter().any(|w| binds(&w) && w.update.iter().any(|part| !part.is_empty()));
         let made: Option<Made> = (!member.first && !rebinds).then(|| {
             let others = all.iter().filter(|w| !binds(w));
@@ -502,10 +506,10 @@
         let kind = member.kind();
         for (topic, version) in held {
             member.lacking.remove(&topic);
-            if topic.kind == Kind::Weights {
+            if topic.kind == TopicKind::Weights {
                 member.doubt.confirmed(now, topic.table, version, self.dropped.get(&topic.table));
             }
-            if topic.kind == Kind::Binds && member.way == Way::Parts {
+            if topic.kind == TopicKind::Binds && member.way == Transport::Parts {
                 let done = |(_, by): &(&u16, &Version)| **by <= version;
                 let done: Vec<u16> = member.leaving.iter().filter(done).map(|(t, _)| *t).collect();
                 for table in done {
@@ -522,7 +526,7 @@
                 taken.is_some_and(|taken| taken >= *version) || !publisher.follows(&member.name, *topic)
             };
             let by_message = awaited.by.is_some_and(|by| by <= number);
-            let answered = !awaited.needs.is_empty() || by_message || member.way == Way::Parts;
+            let answered = !awaited.needs.is_empty() || by_message || member.way == Transport::Parts;
             if !answered || !awaited.needs.iter().all(is_held) {
                 break;
             }
@@ -556,7 +560,7 @@
         if verdict == Verdict::Anew {
             self.doubted += 1;
             topics.iter().for_each(|t| self.publisher.start_over(&member.name, *t));
-            member.first = member.way == Way::Whole;
+            member.first = member.way == Transport::Whole;
             self.ready.insert(proxy);
         }
         verdict
@@ -564,24 +568,24 @@
 }
 
 /// Puts one update into a message.
-fn lay(message: &mut Message, whole: &Whole) {
+fn lay(message: &mut Message, whole: &TableUpdate) {
     let changes = whole.update.iter().flat_map(|part| part.iter());
     match whole.topic.kind {
-        Kind::Binds => {
+        TopicKind::Binds => {
             for Change { key, value } in changes {
                 if let (Key::Bind(class), Some(Ok(table))) = (key, value.as_ref().map(|v| v.parse())) {
                     message.binds.insert(class.clone(), table);
                 }
             }
         }
-        Kind::Withdrawn => {
+        TopicKind::Withdrawn => {
             for Change { key, value } in changes {
                 if let Key::Withdrawn(server) = key {
                     message.withdrawn.insert(server.clone(), value.is_some());
                 }
             }
         }
-        Kind::Weights | Kind::Subset | Kind::Range => {
+        TopicKind::Weights | TopicKind::Subset | TopicKind::Range => {
             let mut edit = TableEdit { whole: whole.from.is_none(), ..TableEdit::default() };
             for Change { key, value } in changes {
                 match key {
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -6,8 +6,8 @@
 use runloom_netconf::edit::{apply, Operation};
 use runloom_netconf::tree::Element;
 use runloom_proxy::published;
-use runloom_proxy::tables::Held;
-use runloom_versioned_publisher::reader::{Reader, Taken};
+use runloom_proxy::tables::HeldTables;
+use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
 use std::sync::Arc;
 
 const ZERO: Duration = Duration::ZERO;
@@ -17,13 +17,13 @@
     Duration::from_secs(n)
 }
 
-fn newcomer(name: &str, way: Way, holds: Vec<(Topic, u64, Version)>) -> Newcomer {
-    let (zone, wanted) = ("a".to_string(), vec![Wanted::ALL]);
-    Newcomer { conn: 1, name: name.into(), zone, rate: 1.0, fresh: true, way, wanted, holds }
+fn newcomer(name: &str, way: Transport, holds: Vec<(Topic, u64, Version)>) -> PendingProxy {
+    let (zone, wanted) = ("a".to_string(), vec![TopicFilter::ALL]);
+    PendingProxy { conn: 1, name: name.into(), zone, rate: 1.0, fresh: true, way, wanted, holds }
 }
 
-fn front() -> Front {
-    Front::new(1, secs(2), secs(1))
+fn front() -> Distributor {
+    Distributor::new(1, secs(2), secs(1))
 }
 
 fn lines(lines: &[(usize, f64)]) -> TableEdit {
@@ -38,49 +38,49 @@
 
 /// A proxy at the other end of either front, as the program has them.
 struct Peer {
-    way: Way,
+    way: Transport,
     schema: Schema,
     data: Arc<Element>,
-    reader: Reader,
-    held: Held,
+    reader: UpdateReader,
+    held: HeldTables,
     joined: bool,
-    flying: VecDeque<Out>,
+    flying: VecDeque<Outgoing>,
 }
 
 impl Peer {
-    fn new(way: Way) -> Peer {
+    fn new(way: Transport) -> Peer {
         let schema = Schema::root(derive(PROXY_XSD, &["tables"]).unwrap());
         let data = Arc::new(Element::new("", "data"));
-        let (reader, held, flying) = (Reader::default(), Held::default(), VecDeque::new());
+        let (reader, held, flying) = (UpdateReader::default(), HeldTables::default(), VecDeque::new());
         Peer { way, schema, data, reader, held, joined: false, flying }
     }
 
     /// Takes a message; its number, and its table if it was of no use.
-    fn take(&mut self, out: Out) -> (u64, Option<Topic>) {
+    fn take(&mut self, out: Outgoing) -> (u64, Option<Topic>) {
         match out {
-            Out::Message { number, text, .. } => {
+            Outgoing::Message { number, text, .. } => {
                 let rpc = Element::parse(&text).unwrap();
                 let config = rpc.child("config").unwrap();
                 let (data, faults) = apply(&self.schema, &self.data, config, Operation::Merge, false);
                 assert!(faults.is_empty(), "{faults:?} in {text}");
                 self.data = data;
                 let tables = self.data.child("tables");
-                self.held = tables.map_or_else(Held::default, |t| Held::read(t).unwrap());
+                self.held = tables.map_or_else(HeldTables::default, |t| HeldTables::read(t).unwrap());
                 (number, None)
             }
-            Out::Part { number, mut part } => {
-                if part.topic.kind == Kind::Binds {
+            Outgoing::Part { number, mut part } => {
+                if part.topic.kind == TopicKind::Binds {
                     part.topic.table = 0;
                 }
                 match self.reader.take(&part) {
-                    Taken::Now(_) => {
+                    ReadOutcome::Now(_) => {
                         if let Some(held) = published::taken(&mut self.reader, part.topic).unwrap() {
                             self.held = held;
                         }
                         (number, None)
                     }
-                    Taken::Waits | Taken::Stale => (number, None),
-                    Taken::Lacks => (number, Some(part.topic)),
+                    ReadOutcome::Waits | ReadOutcome::Stale => (number, None),
+                    ReadOutcome::Lacks => (number, Some(part.topic)),
                 }
             }
         }
@@ -135,7 +135,7 @@
 }
 
 struct Rig {
-    front: Front,
+    front: Distributor,
     peers: Vec<Peer>,
     states: Vec<State>,
     /// Each proxy's orders: which state each came with.
@@ -145,7 +145,7 @@
 
 impl Rig {
     fn new() -> Rig {
-        let peers = [Way::Whole, Way::Parts, Way::Parts].map(Peer::new).into();
+        let peers = [Transport::Whole, Transport::Parts, Transport::Parts].map(Peer::new).into();
         let state = State { tables: BTreeMap::new(), binds: Default::default() };
         let (orders, in_force) = (Default::default(), [0; 3]);
         let mut rig = Rig { front: front(), peers, states: vec![state], orders, in_force };
@@ -207,7 +207,7 @@
             let newest = match lacks {
                 None => self.front.confirmed(ZERO, p, number),
                 Some(mut topic) => {
-                    topic.table = if topic.kind == Kind::Binds { p as u16 } else { topic.table };
+                    topic.table = if topic.kind == TopicKind::Binds { p as u16 } else { topic.table };
                     self.front.lacks(ZERO, p, number, topic).0
                 }
             };
@@ -325,14 +325,14 @@
     let mut front = front();
     front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 1.0)]) });
     for p in 0..3 {
-        front.joined(p, newcomer(&format!("f{p}"), Way::Whole, vec![]));
+        front.joined(p, newcomer(&format!("f{p}"), Transport::Whole, vec![]));
         front.ordered(p, 1, &binds(true, &[("q", 1)]));
-        let Some(Out::Message { number, text, .. }) = front.next(ZERO, p) else { panic!("no message") };
+        let Some(Outgoing::Message { number, text, .. }) = front.next(ZERO, p) else { panic!("no message") };
         assert!(text.contains("operation=\"replace\"") && text.contains("<bind><class>q</class>"), "{text}");
         assert_eq!(front.confirmed(ZERO, p, number), Some(1));
     }
-    let text = |front: &mut Front, p| match front.next(ZERO, p) {
-        Some(Out::Message { text, .. }) => text,
+    let text = |front: &mut Distributor, p| match front.next(ZERO, p) {
+        Some(Outgoing::Message { text, .. }) => text,
         other => panic!("{other:?}"),
     };
     for k in 0..5 {
@@ -358,21 +358,22 @@
 /// ends what was out is left alone.
 #[test]
 fn a_proxy_that_confirms_and_does_not_apply_is_told_anew_and_then_let_go() {
-    for way in [Way::Whole, Way::Parts] {
+    for way in [Transport::Whole, Transport::Parts] {
         let mut front = front();
         front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 1.0)]) });
         front.joined(0, newcomer("f0", way, vec![]));
         front.ordered(0, 1, &binds(true, &[("q", 1)]));
-        let level = |front: &mut Front, now| {
+        let level = |front: &mut Distributor, now| {
             while let Some(out) = front.next(now, 0) {
-                let (Out::Message { number, .. } | Out::Part { number, .. }) = out;
+                let (Outgoing::Message { number, .. } | Outgoing::Part { number, .. }) = out;
                 front.confirmed(now, 0, number);
             }
         };
         level(&mut front, ZERO);
         front.table(1, &lines(&[(1, 0.0)]));
         front.ordered(0, 2, &Message::default());
-        let report = |front: &mut Front, at, server| front.reported(at, 0, secs(1), [server].into_iter());
+        let report =
+            |front: &mut Distributor, at, server| front.reported(at, 0, secs(1), [server].into_iter());
         assert_eq!(report(&mut front, secs(9), "s1"), Verdict::Fine, "not confirmed yet");
         level(&mut front, secs(10));
         // Outer limit 1 s, a second for clocks, and the report's own span.
@@ -382,12 +383,12 @@
         assert_eq!(report(&mut front, secs(15), "s1"), Verdict::Fine, "once again");
         assert_eq!(report(&mut front, secs(16), "s1"), Verdict::Anew);
         let Some(out) = front.next(secs(16), 0) else { panic!("nothing is told anew") };
-        let (Out::Message { number, .. } | Out::Part { number, .. }) = out.clone();
+        let (Outgoing::Message { number, .. } | Outgoing::Part { number, .. }) = out.clone();
         match out {
-            Out::Message { text, .. } => {
+            Outgoing::Message { text, .. } => {
                 assert!(text.contains("<tables xmlns=\"urn:runloom:proxy\" xmlns:nc="))
             }
-            Out::Part { part, .. } => assert_eq!(part.from, None),
+            Outgoing::Part { part, .. } => assert_eq!(part.from, None),
         }
         front.confirmed(secs(16), 0, number);
         level(&mut front, secs(16));
@@ -402,16 +403,16 @@
 fn a_server_that_is_in_the_table_again_may_be_tried() {
     let mut front = front();
     front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 1.0)]) });
-    front.joined(0, newcomer("f0", Way::Parts, vec![]));
+    front.joined(0, newcomer("f0", Transport::Parts, vec![]));
     front.ordered(0, 1, &binds(true, &[("q", 1)]));
     for (number, weight) in [(2, 0.0), (3, 1.0)] {
-        while let Some(Out::Part { number, .. }) = front.next(ZERO, 0) {
+        while let Some(Outgoing::Part { number, .. }) = front.next(ZERO, 0) {
             front.confirmed(ZERO, 0, number);
         }
         front.table(1, &lines(&[(1, weight)]));
         front.ordered(0, number, &Message::default());
     }
-    while let Some(Out::Part { number, .. }) = front.next(ZERO, 0) {
+    while let Some(Outgoing::Part { number, .. }) = front.next(ZERO, 0) {
         front.confirmed(ZERO, 0, number);
     }
     for at in 10..20 {
@@ -424,15 +425,15 @@
     let mut front = front();
     front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]) });
     let wanted = vec![
-        Wanted { kind: Some(Kind::Binds), table: None },
-        Wanted { kind: Some(Kind::Subset), table: None },
-        Wanted { kind: Some(Kind::Withdrawn), table: None },
+        TopicFilter { kind: Some(TopicKind::Binds), table: None },
+        TopicFilter { kind: Some(TopicKind::Subset), table: None },
+        TopicFilter { kind: Some(TopicKind::Withdrawn), table: None },
     ];
-    let subsets = Newcomer { wanted, ..newcomer("f0", Way::Parts, vec![]) };
+    let subsets = PendingProxy { wanted, ..newcomer("f0", Transport::Parts, vec![]) };
     assert!(subsets.can_be_ordered());
     front.joined(0, subsets);
     front.ordered(0, 1, &binds(true, &[("q", 1)]));
-    let mut peer = Peer::new(Way::Parts);
+    let mut peer = Peer::new(Transport::Parts);
     while let Some(out) = front.next(ZERO, 0) {
         let (number, lacks) = peer.take(out);
         assert_eq!(lacks, None);
@@ -442,15 +443,15 @@
     // A weight that moves within the bound is no step of the subset: the mark alone goes out.
     front.table(1, &lines(&[(1, 0.8)]));
     front.ordered(0, 2, &Message::default());
-    let Some(Out::Part { part, number }) = front.next(ZERO, 0) else { panic!("no mark") };
-    assert!(part.topic.kind == Kind::Binds && part.changes.is_empty());
+    let Some(Outgoing::Part { part, number }) = front.next(ZERO, 0) else { panic!("no mark") };
+    assert!(part.topic.kind == TopicKind::Binds && part.changes.is_empty());
     assert_eq!(front.confirmed(ZERO, 0, number), Some(2));
 
     front.table(1, &lines(&[(0, 0.0)]));
     front.ordered(0, 3, &Message::default());
-    let subset = Topic { kind: Kind::Subset, table: 1 };
+    let subset = Topic { kind: TopicKind::Subset, table: 1 };
     let mut verdicts = vec![];
-    while let Some(Out::Part { number, .. }) = front.next(ZERO, 0).filter(|_| verdicts.len() < 20) {
+    while let Some(Outgoing::Part { number, .. }) = front.next(ZERO, 0).filter(|_| verdicts.len() < 20) {
         verdicts.push(front.lacks(ZERO, 0, number, subset).1);
     }
     assert_eq!(verdicts.iter().position(|v| *v == Verdict::LetGo), Some(LACKING_MOST as usize));
@@ -464,11 +465,11 @@
     let levels = levels.map(|(class, level)| (class.to_string(), level)).into();
     front.table(1, &TableEdit { whole: true, levels, ..lines(&[(0, 1.0), (1, 1.0)]) });
     front.withdrawn(&[("s1".to_string(), true)].into());
-    for (p, way) in [Way::Whole, Way::Parts].into_iter().enumerate() {
+    for (p, way) in [Transport::Whole, Transport::Parts].into_iter().enumerate() {
         front.joined(p, newcomer(&format!("f{p}"), way, vec![]));
         front.ordered(p, 1, &binds(true, &[("q", 1), ("r", 1)]));
         let mut peer = Peer::new(way);
-        let level = |front: &mut Front, peer: &mut Peer| {
+        let level = |front: &mut Distributor, peer: &mut Peer| {
             while let Some(out) = front.next(ZERO, p) {
                 let (number, _) = peer.take(out);
                 front.confirmed(ZERO, p, number);
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod writer;
 
 pub use entry::{Entry, RecordedEvent};
-pub use folder::{Recorder, Segment, RecorderConfig};
+pub use folder::{Recorder, RecorderConfig, Segment};
 pub use writer::Writer;
 
 #[cfg(test)]
--- a/crates/event-log/src/tests.rs
+++ b/crates/event-log/src/tests.rs
@@ -1,5 +1,5 @@
 use crate::entry::*;
-use crate::folder::{close, day, each, read, segments, Recorder, Segment, RecorderConfig};
+use crate::folder::{close, day, each, read, segments, Recorder, RecorderConfig, Segment};
 use crate::{columns, framing};
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -58,7 +58,12 @@
     }
 }
 
-fn write(mut recorder: Recorder, from: &Receiver<Batch>, waiting: &AtomicUsize, standing: &Mutex<WriterStatus>) {
+fn write(
+    mut recorder: Recorder,
+    from: &Receiver<Batch>,
+    waiting: &AtomicUsize,
+    standing: &Mutex<WriterStatus>,
+) {
     let mut last = Duration::ZERO;
     loop {
         let mut done = 0;
@@ -87,7 +92,8 @@
 
     fn bounded(recorder: Recorder, most: usize) -> Writer {
         let (to, from) = channel();
-        let (waiting, standing) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(WriterStatus::default())));
+        let (waiting, standing) =
+            (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(WriterStatus::default())));
         let (theirs, told) = (waiting.clone(), standing.clone());
         let thread = std::thread::spawn(move || write(recorder, &from, &theirs, &told));
         Writer { to: Some(to), waiting, standing, thread: Some(thread), untold: 0, lost: 0, most }
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -210,7 +210,9 @@
                 Some(tls) => tls.read_tls(&mut self.stream),
             };
             match read {
-                Ok(0) => outcome.ended = Some(if self.open { CloseReason::Ended } else { CloseReason::Broken }),
+                Ok(0) => {
+                    outcome.ended = Some(if self.open { CloseReason::Ended } else { CloseReason::Broken })
+                }
                 Ok(n) => {
                     self.read_at = now;
                     match &mut self.tls {
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -6,9 +6,9 @@
 #[cfg(test)]
 mod tests;
 
-use hdrhistogram::Histogram;
 pub use connection::Security;
 use connection::{Connection, Outcome};
+use hdrhistogram::Histogram;
 use polling::{Event, Events, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::BTreeMap;
@@ -224,7 +224,12 @@
     }
 
     /// Dials. That it stands, or not, is told later.
-    pub fn dial(&mut self, to: SocketAddr, security: &Security, bounds: BufferLimits) -> io::Result<ConnectionId> {
+    pub fn dial(
+        &mut self,
+        to: SocketAddr,
+        security: &Security,
+        bounds: BufferLimits,
+    ) -> io::Result<ConnectionId> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
@@ -318,7 +323,8 @@
     /// Takes newcomers again where the rest is over. Gives when the next one is.
     fn end_rests(&mut self, now: Duration) -> Option<Duration> {
         let over = |l: &Listener| l.rests_until.is_some_and(|until| now >= until);
-        let over: Vec<ConnectionId> = self.listeners.iter().filter(|(_, l)| over(l)).map(|(id, _)| *id).collect();
+        let over: Vec<ConnectionId> =
+            self.listeners.iter().filter(|(_, l)| over(l)).map(|(id, _)| *id).collect();
         for id in over {
             self.listeners.entry(id).and_modify(|l| l.rests_until = None);
             self.arm(id);
@@ -512,7 +518,8 @@
 
     fn sweep(&mut self) {
         self.swept = self.now();
-        let late = |(conn, line): (&ConnectionId, &Connection)| line.late(self.looked).map(|why| (*conn, why));
+        let late =
+            |(conn, line): (&ConnectionId, &Connection)| line.late(self.looked).map(|why| (*conn, why));
         let late: Vec<(ConnectionId, CloseReason)> = self.lines.iter().filter_map(late).collect();
         late.into_iter().for_each(|(conn, why)| self.close(conn, why));
     }
--- a/crates/event-loop/src/tests.rs
+++ b/crates/event-loop/src/tests.rs
@@ -107,7 +107,8 @@
 #[test]
 fn a_peer_that_says_nothing_or_reads_nothing_loses_its_connection() {
     let mut turn = EventLoop::new().unwrap();
-    let bounds = BufferLimits { idle: Some(Duration::from_millis(50)), unread: 1 << 20, ..BufferLimits::default() };
+    let bounds =
+        BufferLimits { idle: Some(Duration::from_millis(50)), unread: 1 << 20, ..BufferLimits::default() };
     let (_, at) = turn.listen(any(), Security::Plain, bounds).unwrap();
     let _silent = TcpStream::connect(at).unwrap();
     let closed = |_: &mut EventLoop, h: &IoEvent| match h {
@@ -191,7 +192,8 @@
     let (mut turn, (answers, starts, _)) = (EventLoop::new().unwrap(), issue());
     let (_, at) = turn.listen(any(), answers, BufferLimits::default()).unwrap();
     let count = 5 * HANDSHAKES_MOST;
-    let dialled: Vec<ConnectionId> = (0..count).map(|_| turn.dial(at, &starts, BufferLimits::default()).unwrap()).collect();
+    let dialled: Vec<ConnectionId> =
+        (0..count).map(|_| turn.dial(at, &starts, BufferLimits::default()).unwrap()).collect();
     let (mut open, end) = (0, Instant::now() + Duration::from_secs(60));
     while open < 2 * dialled.len() && Instant::now() < end {
         let opened = turn.wait(None).unwrap();
--- a/crates/guard/src/case.rs
+++ b/crates/guard/src/case.rs
@@ -1,7 +1,7 @@
 //! All that one verdict went by, small enough for a log line, so that it can be judged again.
 
-use crate::refusal::{RejectionReason, Rejection};
-use crate::{SafetyGuard, GuardConfig};
+use crate::refusal::{Rejection, RejectionReason};
+use crate::{GuardConfig, SafetyGuard};
 use runloom_controller::{Command, ListedState};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod watch;
 
 use case::RejectionCase;
-use refusal::{RejectionReason, Rejection};
+use refusal::{Rejection, RejectionReason};
 use runloom_controller::{
     ClassId, Command, DeploymentConfig, ListedState, ProxyId, RetryPolicy, ServerId, TableId,
 };
@@ -480,7 +480,10 @@
             };
             if takes {
                 let users = self.tables.get(&table).map(TrackedTable::proxies).unwrap_or_default();
-                faults.insert(k, Rejection::new(RejectionReason::Empties, order, table, &users, was.iter().copied()));
+                faults.insert(
+                    k,
+                    Rejection::new(RejectionReason::Empties, order, table, &users, was.iter().copied()),
+                );
             }
         }
     }
@@ -524,8 +527,9 @@
             let size = |s: &ServerId| self.servers.get(*s).map_or(0.0, |k| k.weight) * self.part(*s, now);
             let all: f64 = self.pickable(new, &staged.withdrawn).map(|s| size(&s)).sum();
             let even = 1.5 * size(&server) / all.max(f64::MIN_POSITIVE);
-            let part =
-                |lines: &Entries, out: &BTreeSet<ServerId>| watch::share(&watch::effective(lines, out), server);
+            let part = |lines: &Entries, out: &BTreeSet<ServerId>| {
+                watch::share(&watch::effective(lines, out), server)
+            };
             (part(&old, &self.withdrawn), part(new, &staged.withdrawn), even)
         } else {
             let Some(bound) = can.and_then(|can| self.bound(server, now, can)) else { return };
@@ -545,7 +549,8 @@
             if raises {
                 found = true;
                 let users = self.tables.get(&table).map(TrackedTable::proxies).unwrap_or_default();
-                let refusal = Rejection::new(RejectionReason::Pushes, order, table, &users, [server].into_iter());
+                let refusal =
+                    Rejection::new(RejectionReason::Pushes, order, table, &users, [server].into_iter());
                 faults.insert(k, refusal.reckoned(after, bound));
             }
         }
@@ -570,7 +575,8 @@
             };
             if shifts {
                 let users = self.tables.get(&table).map(TrackedTable::proxies).unwrap_or_default();
-                let refusal = Rejection::new(RejectionReason::Shifts, order, table, &users, [server].into_iter());
+                let refusal =
+                    Rejection::new(RejectionReason::Shifts, order, table, &users, [server].into_iter());
                 faults.insert(k, refusal.reckoned(after, bound));
             }
         }
@@ -623,7 +629,9 @@
                 Command::SetEntry { table, .. }
                 | Command::ClearTable { table }
                 | Command::SetAdmission { table, .. } => {
-                    judged.concerned.extend(self.tables.get(table).map(TrackedTable::proxies).unwrap_or_default());
+                    judged
+                        .concerned
+                        .extend(self.tables.get(table).map(TrackedTable::proxies).unwrap_or_default());
                 }
                 _ => {}
             }
--- a/crates/guard/tests/naive.rs
+++ b/crates/guard/tests/naive.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use runloom_controller::{Command, ListedState, ProxyId, RetryPolicy, ServerId, TableId};
 use runloom_guard::refusal::RejectionReason;
-use runloom_guard::{edit, SafetyGuard, GuardConfig};
+use runloom_guard::{edit, GuardConfig, SafetyGuard};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -247,7 +247,10 @@
     guard.judge(NOW, vec![line(1, 0, 0.0)]);
     guard.judge(NOW, vec![line(1, 1, 0.0)]);
     let refusals: Vec<_> = guard.refusals().cloned().collect();
-    assert_eq!(refusals.iter().map(|r| r.reason).collect::<Vec<_>>(), [RejectionReason::Pushes, RejectionReason::Empties]);
+    assert_eq!(
+        refusals.iter().map(|r| r.reason).collect::<Vec<_>>(),
+        [RejectionReason::Pushes, RejectionReason::Empties]
+    );
     for refusal in refusals {
         let name = |s: usize| format!("s{s}");
         let sentence = refusal.sentence(&name, &|p| format!("f{p}"));
--- a/crates/identity/src/access.rs
+++ b/crates/identity/src/access.rs
@@ -6,7 +6,7 @@
 
 /// What one end wishes of the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Action<'a> {
+pub enum RequestedAccess<'a> {
     /// A planner orders this process's tables.
     Order,
     /// A proxy joins and reports under this name.
@@ -24,39 +24,39 @@
     Kill,
 }
 
-impl Action<'_> {
+impl RequestedAccess<'_> {
     fn word(&self) -> String {
         match self {
-            Action::Order => "order tables".into(),
-            Action::Join { name } => format!("join as {name}"),
-            Action::Read { part } => format!("read {part}"),
-            Action::Write { part } => format!("write {part}"),
-            Action::Kill => "end another's session".into(),
+            RequestedAccess::Order => "order tables".into(),
+            RequestedAccess::Join { name } => format!("join as {name}"),
+            RequestedAccess::Read { part } => format!("read {part}"),
+            RequestedAccess::Write { part } => format!("write {part}"),
+            RequestedAccess::Kill => "end another's session".into(),
         }
     }
 }
 
 /// Whom a rule is about.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Whom {
+pub enum Principal {
     One(Id),
     /// Every identity one step below this one: `.../proxy/*`.
     Below(Id),
 }
 
-impl Whom {
+impl Principal {
     /// Reads an ID, or one that ends in `/*`.
-    pub fn read(text: &str) -> Result<Whom, crate::id::NotAnId> {
+    pub fn read(text: &str) -> Result<Principal, crate::id::NotAnId> {
         match text.strip_suffix("/*") {
-            Some(above) => Id::read(above).map(Whom::Below),
-            None => Id::read(text).map(Whom::One),
+            Some(above) => Id::read(above).map(Principal::Below),
+            None => Id::read(text).map(Principal::One),
         }
     }
 
     fn covers(&self, id: &Id) -> bool {
         match self {
-            Whom::One(one) => one == id,
-            Whom::Below(above) => {
+            Principal::One(one) => one == id,
+            Principal::Below(above) => {
                 let rest = id.path().strip_prefix(above.path()).and_then(|r| r.strip_prefix('/'));
                 id.domain() == above.domain() && rest.is_some_and(|r| !r.is_empty() && !r.contains('/'))
             }
@@ -66,7 +66,7 @@
 
 /// What a rule allows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum May {
+pub enum Permission {
     Order,
     /// Join, under the last part of its own path.
     Join,
@@ -78,13 +78,13 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rule {
-    pub whom: Whom,
-    pub may: May,
+    pub whom: Principal,
+    pub may: Permission,
 }
 
 /// Why a wish was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum AccessDenied {
     /// No rule is about this identity.
     Unknown,
     /// Some are, and none allows it.
@@ -93,38 +93,40 @@
     OthersName,
 }
 
-impl Refused {
+impl AccessDenied {
     pub fn word(self) -> &'static str {
         match self {
-            Refused::Unknown => "no rule knows it",
-            Refused::NotAllowed => "no rule allows it",
-            Refused::OthersName => "that is another's name",
+            AccessDenied::Unknown => "no rule knows it",
+            AccessDenied::NotAllowed => "no rule allows it",
+            AccessDenied::OthersName => "that is another's name",
         }
     }
 }
 
 /// Decides by rules alone; costs some comparisons of texts.
-pub fn decide(rules: &[Rule], id: &Id, action: Action) -> Result<(), Refused> {
-    let mut refused = Refused::Unknown;
+pub fn decide(rules: &[Rule], id: &Id, action: RequestedAccess) -> Result<(), AccessDenied> {
+    let mut refused = AccessDenied::Unknown;
     for rule in rules.iter().filter(|r| r.whom.covers(id)) {
         let of = |parts: &[String], part: &str| parts.iter().any(|p| p == "*" || p == part);
         let allowed = match (&rule.may, action) {
-            (May::Order, Action::Order) | (May::Kill, Action::Kill) => true,
+            (Permission::Order, RequestedAccess::Order) | (Permission::Kill, RequestedAccess::Kill) => true,
             // An instance speaks for itself alone.
-            (May::Join, Action::Join { name }) if id.name() == Some(name) => true,
-            (May::Join, Action::Join { .. }) => {
-                refused = refused.max(Refused::OthersName);
+            (Permission::Join, RequestedAccess::Join { name }) if id.name() == Some(name) => true,
+            (Permission::Join, RequestedAccess::Join { .. }) => {
+                refused = refused.max(AccessDenied::OthersName);
                 false
             }
-            (May::Read(parts), Action::Read { part }) => of(parts, part),
+            (Permission::Read(parts), RequestedAccess::Read { part }) => of(parts, part),
             // Who may write a part may read it.
-            (May::Write(parts), Action::Read { part } | Action::Write { part }) => of(parts, part),
+            (Permission::Write(parts), RequestedAccess::Read { part } | RequestedAccess::Write { part }) => {
+                of(parts, part)
+            }
             _ => false,
         };
         if allowed {
             return Ok(());
         }
-        refused = refused.max(Refused::NotAllowed);
+        refused = refused.max(AccessDenied::NotAllowed);
     }
     Err(refused)
 }
@@ -155,7 +157,13 @@
 
 impl Audit {
     /// Notes a refusal. The entry to be written, if it is not one of many alike.
-    pub fn note(&mut self, now: Duration, id: &Id, action: Action, why: Refused) -> Option<Entry> {
+    pub fn note(
+        &mut self,
+        now: Duration,
+        id: &Id,
+        action: RequestedAccess,
+        why: AccessDenied,
+    ) -> Option<Entry> {
         self.refused += 1;
         let key = (id.to_string(), action.word());
         if let Some((at, more)) = self.latest.get_mut(&key) {
--- a/crates/identity/src/standing.rs
+++ b/crates/identity/src/standing.rs
@@ -5,7 +5,7 @@
 
 /// How a stream stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum CertificateStatus {
     Valid,
     /// It ends within its last third: a new one should have come by now.
     Late,
@@ -30,22 +30,22 @@
 
 impl InUse {
     /// How it stands at `now`, seconds since 1970.
-    pub fn standing(&self, now: i64, trust: &Trust) -> Standing {
+    pub fn standing(&self, now: i64, trust: &Trust) -> CertificateStatus {
         let Svid { id, from, until, .. } = &self.svid;
         if !trust.authorities(id.domain()).contains(&self.authority) {
-            return Standing::Struck;
+            return CertificateStatus::Struck;
         }
         match () {
-            () if now > *until => Standing::Expired,
-            () if now + SKEW < *from => Standing::Early,
-            () if *until - now < (*until - *from) / 3 => Standing::Late,
-            () => Standing::Valid,
+            () if now > *until => CertificateStatus::Expired,
+            () if now + SKEW < *from => CertificateStatus::Early,
+            () if *until - now < (*until - *from) / 3 => CertificateStatus::Late,
+            () => CertificateStatus::Valid,
         }
     }
 
     /// Whether orders may pass.
     pub fn holds(&self, now: i64, trust: &Trust) -> bool {
-        matches!(self.standing(now, trust), Standing::Valid | Standing::Late)
+        matches!(self.standing(now, trust), CertificateStatus::Valid | CertificateStatus::Late)
     }
 
     /// When to look again, seconds since 1970: at its end, or at the third before it.
--- a/crates/identity/src/tests.rs
+++ b/crates/identity/src/tests.rs
@@ -1,7 +1,7 @@
-use crate::access::{decide, Action, Audit, May, Refused, Rule, Whom};
+use crate::access::{decide, AccessDenied, Audit, Permission, Principal, RequestedAccess, Rule};
 use crate::bundle::{Bundle, NotABundle, Trust, DOCUMENT_MOST};
 use crate::id::{Domain, Id, NotAnId, DOMAIN_MOST, ID_MOST};
-use crate::standing::{InUse, Standing};
+use crate::standing::{CertificateStatus, InUse};
 use crate::svid::{self, NotASvid, Svid};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -195,26 +195,26 @@
 /// Sixteen identities and eight actions: what each may is told by its row, all else is refused with the reason that fits.
 #[test]
 fn each_may_do_what_its_rule_says_and_nothing_else() {
-    let rule = |whom: &str, may| Rule { whom: Whom::read(whom).unwrap(), may };
+    let rule = |whom: &str, may| Rule { whom: Principal::read(whom).unwrap(), may };
     let parts = |parts: &[&str]| parts.iter().map(|p| p.to_string()).collect::<Vec<_>>();
     let rules = [
-        rule("spiffe://a/planner/p1", May::Order),
-        rule("spiffe://a/proxy/*", May::Join),
-        rule("spiffe://a/staff/*", May::Read(parts(&["*"]))),
-        rule("spiffe://a/staff/lead", May::Write(parts(&["fleet"]))),
-        rule("spiffe://a/staff/lead", May::Kill),
-        rule("spiffe://a/feed", May::Write(parts(&["roster"]))),
-        rule("spiffe://b/proxy/guest", May::Join),
+        rule("spiffe://a/planner/p1", Permission::Order),
+        rule("spiffe://a/proxy/*", Permission::Join),
+        rule("spiffe://a/staff/*", Permission::Read(parts(&["*"]))),
+        rule("spiffe://a/staff/lead", Permission::Write(parts(&["fleet"]))),
+        rule("spiffe://a/staff/lead", Permission::Kill),
+        rule("spiffe://a/feed", Permission::Write(parts(&["roster"]))),
+        rule("spiffe://b/proxy/guest", Permission::Join),
     ];
     let actions = [
-        Action::Order,
-        Action::Join { name: "f1" },
-        Action::Join { name: "guest" },
-        Action::Read { part: "fleet" },
-        Action::Read { part: "roster" },
-        Action::Write { part: "fleet" },
-        Action::Write { part: "roster" },
-        Action::Kill,
+        RequestedAccess::Order,
+        RequestedAccess::Join { name: "f1" },
+        RequestedAccess::Join { name: "guest" },
+        RequestedAccess::Read { part: "fleet" },
+        RequestedAccess::Read { part: "roster" },
+        RequestedAccess::Write { part: "fleet" },
+        RequestedAccess::Write { part: "roster" },
+        RequestedAccess::Kill,
     ];
     let expected = [
         ("spiffe://a/planner/p1", "o......."),
@@ -239,9 +239,9 @@
         for (action, told) in actions.iter().zip(row.chars()) {
             let wanted = match told {
                 'o' => Ok(()),
-                '?' => Err(Refused::Unknown),
-                'n' => Err(Refused::OthersName),
-                _ => Err(Refused::NotAllowed),
+                '?' => Err(AccessDenied::Unknown),
+                'n' => Err(AccessDenied::OthersName),
+                _ => Err(AccessDenied::NotAllowed),
             };
             assert_eq!(decide(&rules, &id(who), *action), wanted, "{who} {action:?}");
             cases += 1;
@@ -249,9 +249,9 @@
     }
     assert_eq!(cases, 128);
     assert!(
-        Whom::read("spiffe://a/*/x").is_err()
-            && Whom::read("*").is_err()
-            && Whom::read("spiffe://*").is_err()
+        Principal::read("spiffe://a/*/x").is_err()
+            && Principal::read("*").is_err()
+            && Principal::read("spiffe://*").is_err()
     );
 }
 
@@ -259,8 +259,8 @@
 fn a_flood_of_refusals_is_counted_and_told_once_in_a_while() {
     let (mut audit, who) = (Audit::default(), id("spiffe://a/x"));
     let mut note = |ms: u64, part: &str| {
-        let action = Action::Write { part };
-        audit.note(Duration::from_millis(ms), &who, action, Refused::NotAllowed)
+        let action = RequestedAccess::Write { part };
+        audit.note(Duration::from_millis(ms), &who, action, AccessDenied::NotAllowed)
     };
     let first = note(0, "fleet").unwrap();
     assert_eq!((first.wish.as_str(), first.reason), ("write fleet", "no rule allows it"));
@@ -282,23 +282,23 @@
     let svid = Svid { id: id("spiffe://a/proxy/f1"), from: 1000, until: 1300, serial: vec![1] };
     let in_use = InUse { svid, authority };
     let cases = [
-        (900, Standing::Early),
-        (969, Standing::Early),
+        (900, CertificateStatus::Early),
+        (969, CertificateStatus::Early),
         // Its issuer's clock is a little ahead.
-        (970, Standing::Valid),
-        (1200, Standing::Valid),
-        (1201, Standing::Late),
-        (1300, Standing::Late),
-        (1301, Standing::Expired),
-        (9999, Standing::Expired),
+        (970, CertificateStatus::Valid),
+        (1200, CertificateStatus::Valid),
+        (1201, CertificateStatus::Late),
+        (1300, CertificateStatus::Late),
+        (1301, CertificateStatus::Expired),
+        (9999, CertificateStatus::Expired),
     ];
     for (now, standing) in cases {
         assert_eq!(in_use.standing(now, &trust), standing, "{now}");
-        let holds = matches!(standing, Standing::Valid | Standing::Late);
+        let holds = matches!(standing, CertificateStatus::Valid | CertificateStatus::Late);
         assert_eq!(in_use.holds(now, &trust), holds);
     }
     assert_eq!((in_use.look_at(1000), in_use.look_at(1250)), (1200, 1301));
     trust.take(domain, Bundle { authorities: vec![vec![1]], ..Bundle::default() }).unwrap();
-    assert_eq!(in_use.standing(1100, &trust), Standing::Struck);
+    assert_eq!(in_use.standing(1100, &trust), CertificateStatus::Struck);
     assert!(!in_use.holds(1100, &trust));
 }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -56,7 +56,11 @@
 
     /// Takes in the feed's list and the operators' words as they are now; tells what changed. A word on a
     /// server that the feed does not name changes nothing: what is gone is not brought back by an undrain.
-    pub fn update(&mut self, fleet: &Fleet, listed: &BTreeMap<String, ListedServer>) -> Vec<(String, Change)> {
+    pub fn update(
+        &mut self,
+        fleet: &Fleet,
+        listed: &BTreeMap<String, ListedServer>,
+    ) -> Vec<(String, Change)> {
         let mut changes = Vec::new();
         for (name, entry) in listed {
             let server = merged(name, entry, fleet);
--- a/crates/inventory/src/tests.rs
+++ b/crates/inventory/src/tests.rs
@@ -1,4 +1,4 @@
-use super::edit_history::{EditLookup, EditHistory, BEAT};
+use super::edit_history::{EditHistory, EditLookup, BEAT};
 use super::*;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeSet;
@@ -57,7 +57,10 @@
 fn an_id_is_new_the_same_or_anothers() {
     let mut ledger = EditHistory::default();
     ledger.accept(Some("a"), "staff", "d1", 5);
-    assert_eq!(["d1", "d2", ""].map(|d| ledger.known("a", d)), [EditLookup::Same, EditLookup::Other, EditLookup::Same]);
+    assert_eq!(
+        ["d1", "d2", ""].map(|d| ledger.known("a", d)),
+        [EditLookup::Same, EditLookup::Other, EditLookup::Same]
+    );
     let noted = |e: &edit_history::Edit| (e.id.clone(), e.who.clone(), e.digest.clone(), e.accepted);
     let kept = EditHistory::of(ledger.edits().map(noted));
     assert_eq!((kept.known("a", "d1"), kept.known("b", "d1")), (EditLookup::Same, EditLookup::New));
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -6,7 +6,7 @@
     ServiceLimits, SlowStartConfig, TrafficClass,
 };
 use runloom_controller::DeploymentConfig;
-use runloom_identity::access::{May, Rule, Whom};
+use runloom_identity::access::{Permission, Principal, Rule};
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -142,8 +142,10 @@
 }
 
 fn under<'a>(root: &'a Element, name: &'a str) -> Result<&'a Element, InvalidSettings> {
-    root.child(name)
-        .ok_or_else(|| InvalidSettings { path: format!("/{}/{name}", root.name), reason: "is missing".into() })
+    root.child(name).ok_or_else(|| InvalidSettings {
+        path: format!("/{}/{name}", root.name),
+        reason: "is missing".into(),
+    })
 }
 
 fn classes(parent: &Element) -> Result<Vec<Class>, InvalidSettings> {
@@ -196,7 +198,10 @@
         };
         let word = |e: &Arc<Element>| {
             let r = Reader { at: e, path: "/fleet/server" };
-            Ok((r.text("name").to_string(), ServerOverride { weight: r.maybe("weight")?, drain: r.flag("drain") }))
+            Ok((
+                r.text("name").to_string(),
+                ServerOverride { weight: r.maybe("weight")?, drain: r.flag("drain") },
+            ))
         };
         let part = |name| under(fleet, name);
         let grace = Reader { at: part("grace")?, path: "/fleet/grace" };
@@ -368,14 +373,14 @@
                 path: format!("/tls/may[whom='{whom}']/whom"),
                 reason: e.to_string(),
             };
-            let whom = Whom::read(whom).map_err(misfit)?;
+            let whom = Principal::read(whom).map_err(misfit)?;
             let parts = |name| may.named(name).map(|e| e.text.clone()).collect::<Vec<String>>();
             let all = [
-                may.child("order").map(|_| May::Order),
-                may.child("join").map(|_| May::Join),
-                may.child("kill").map(|_| May::Kill),
-                may.child("read").map(|_| May::Read(parts("read"))),
-                may.child("write").map(|_| May::Write(parts("write"))),
+                may.child("order").map(|_| Permission::Order),
+                may.child("join").map(|_| Permission::Join),
+                may.child("kill").map(|_| Permission::Kill),
+                may.child("read").map(|_| Permission::Read(parts("read"))),
+                may.child("write").map(|_| Permission::Write(parts("write"))),
             ];
             rules.extend(all.into_iter().flatten().map(|may| Rule { whom: whom.clone(), may }));
         }
--- a/crates/model/src/forwarder.rs
+++ b/crates/model/src/forwarder.rs
@@ -49,8 +49,10 @@
     /// Reads `<forwarder>`, which the schema has found valid.
     pub fn read(e: &Element) -> Result<ProxySettings, InvalidSettings> {
         let text = |name: &str| e.text_of(name).unwrap_or_default().to_string();
-        let misfit =
-            |name: &str| InvalidSettings { path: format!("/forwarder/{name}"), reason: "has no usable value".into() };
+        let misfit = |name: &str| InvalidSettings {
+            path: format!("/forwarder/{name}"),
+            reason: "has no usable value".into(),
+        };
         let address = |text: &str, name: &str| text.parse::<SocketAddr>().map_err(|_| misfit(name));
         let span = |name: &str| text(name).parse().map(Duration::from_millis).map_err(|_| misfit(name));
         let planners = e.named("planner").map(|p| address(&p.text, "planner")).collect::<Result<_, _>>()?;
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -37,11 +37,23 @@
     pub fn faults(&self, text: &str) -> Vec<SchemaViolation> {
         // The tree first: its bounds hold for whatever is read, and it allows no document type.
         if let Err(e) = Element::parse(text) {
-            return vec![SchemaViolation { line: e.line, column: e.column, element: "?".into(), reason: e.reason }];
+            return vec![SchemaViolation {
+                line: e.line,
+                column: e.column,
+                element: "?".into(),
+                reason: e.reason,
+            }];
         }
         let document = match uppsala::parse(text) {
             Ok(document) => document,
-            Err(e) => return vec![SchemaViolation { line: 0, column: 0, element: "?".into(), reason: e.to_string() }],
+            Err(e) => {
+                return vec![SchemaViolation {
+                    line: 0,
+                    column: 0,
+                    element: "?".into(),
+                    reason: e.to_string(),
+                }]
+            }
         };
         let faults = self.0.validate(&document).into_iter().map(|e| {
             let (line, column) = (e.line.unwrap_or(0), e.column.unwrap_or(0));
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -78,8 +78,15 @@
     let took = Duration::from_micros(70);
     let of = order::ClassOutcomes { class: "q".into(), tries: 5, in_time: 3, took: [(7, 4)].into() };
     let classes = vec![of];
-    let met =
-        order::ServerOutcomes { server: "s1".into(), tries: 5, failed: 1, took, in_time: 3, load: vec![2.0], classes };
+    let met = order::ServerOutcomes {
+        server: "s1".into(),
+        tries: 5,
+        failed: 1,
+        took,
+        in_time: 3,
+        load: vec![2.0],
+        classes,
+    };
     let came = order::ClassArrivals { class: "q".into(), queries: 9, unanswered: 2 };
     let report = Report { span: Duration::from_millis(500), met: vec![met], came: vec![came] };
     assert_eq!(Report::read(&report.element()), Some(report));
--- a/crates/model/tests/wire_snapshot.rs
+++ b/crates/model/tests/wire_snapshot.rs
@@ -3,7 +3,9 @@
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
 use runloom_controller::RetryPolicy;
-use runloom_model::order::{level_text, line_text, ClassOutcomes, ClassArrivals, Message, ServerOutcomes, Report, TableEdit};
+use runloom_model::order::{
+    level_text, line_text, ClassArrivals, ClassOutcomes, Message, Report, ServerOutcomes, TableEdit,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -52,8 +54,12 @@
 
 #[test]
 fn a_report_is_as_it_was() {
-    let class =
-        ClassOutcomes { class: "lookup".into(), tries: 9, in_time: 7, took: BTreeMap::from([(3, 4), (12, 5)]) };
+    let class = ClassOutcomes {
+        class: "lookup".into(),
+        tries: 9,
+        in_time: 7,
+        took: BTreeMap::from([(3, 4), (12, 5)]),
+    };
     let met = ServerOutcomes {
         server: "s1".into(),
         tries: 12,
--- a/crates/mqtt/src/body.rs
+++ b/crates/mqtt/src/body.rs
@@ -1,6 +1,6 @@
 //! A part of an update as JSON, for proxies in any language; its topic is the message's.
 
-use runloom_versioned_publisher::{Change, Key, Part, Topic, PART_MOST};
+use runloom_versioned_publisher::{Change, Key, Topic, UpdatePart, PART_MOST};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
@@ -26,7 +26,7 @@
 /// Parts of one update: a table of 8,192 keys, twice what a fleet may have.
 const PARTS_MOST: usize = 64;
 
-pub fn write(part: &Part) -> Vec<u8> {
+pub fn write(part: &UpdatePart) -> Vec<u8> {
     let change = |c: &Change| {
         let (what, name) = match &c.key {
             Key::Withdrawn(name) => (What::Withdrawn, name),
@@ -37,13 +37,13 @@
         (what, name.clone(), c.value.as_deref().map(String::from))
     };
     let changes = part.changes.iter().map(change).collect();
-    let Part { epoch, from, to, part, of, .. } = *part;
+    let UpdatePart { epoch, from, to, part, of, .. } = *part;
     // Numbers, texts and lists of them are JSON whatever they hold.
     serde_json::to_vec(&Body { epoch, from, to, part, of, changes }).unwrap_or_default()
 }
 
 /// Reads what [`write`] wrote; an error in words for what is none.
-pub fn read(topic: Topic, bytes: &[u8]) -> Result<Part, String> {
+pub fn read(topic: Topic, bytes: &[u8]) -> Result<UpdatePart, String> {
     let body: Body = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
     let Body { epoch, from, to, part, of, changes } = body;
     if part >= of || of > PARTS_MOST || changes.len() > PART_MOST || from.is_some_and(|from| from >= to) {
@@ -59,5 +59,5 @@
         Change { key, value: value.map(|v| v.as_str().into()) }
     };
     let changes: Vec<Change> = changes.into_iter().map(change).collect();
-    Ok(Part { topic, epoch, from, to, part, of, changes: changes.into() })
+    Ok(UpdatePart { topic, epoch, from, to, part, of, changes: changes.into() })
 }
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -9,7 +9,7 @@
 use mqtt_protocol_core::mqtt::packet::{GenericPacketTrait, MaximumPacketSize, ReceiveMaximum};
 use mqtt_protocol_core::mqtt::result_code::{ConnectReasonCode, PubackReasonCode};
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
-use runloom_versioned_publisher::{Kind, Part, Topic, WINDOW};
+use runloom_versioned_publisher::{Topic, TopicKind, UpdatePart, WINDOW};
 use std::time::Duration;
 
 /// The largest message that is taken: a part of 128 changes with names and addresses of the greatest length.
@@ -26,12 +26,12 @@
     /// It lets this proxy have its tables.
     Joined,
     /// A part of a table, to be answered by [`Client::answer`] under the number.
-    Part(u16, Part),
+    Part(u16, UpdatePart),
 }
 
 /// Why a connection is over.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Over {
+pub enum SessionEnd {
     Left,
     Refused(String),
     Silent,
@@ -57,7 +57,7 @@
     /// When an answer is overdue, and when a sign of life is due.
     answer_by: Option<Duration>,
     sign_at: Option<Duration>,
-    over: Option<Over>,
+    over: Option<SessionEnd>,
 }
 
 impl Client {
@@ -85,7 +85,7 @@
         };
         match client.greeting(hello) {
             Some(greeting) => client.send(now, greeting),
-            None => client.over = Some(Over::Refused("its name or zone fits no message".into())),
+            None => client.over = Some(SessionEnd::Refused("its name or zone fits no message".into())),
         }
         client
     }
@@ -107,7 +107,7 @@
         std::mem::take(&mut self.out)
     }
 
-    pub fn over(&self) -> Option<&Over> {
+    pub fn over(&self) -> Option<&SessionEnd> {
         self.over.as_ref()
     }
 
@@ -122,7 +122,7 @@
     pub fn wake(&mut self, now: Duration) {
         if self.answer_by.is_some_and(|at| now >= at) {
             self.answer_by = None;
-            self.over.get_or_insert(Over::Silent);
+            self.over.get_or_insert(SessionEnd::Silent);
         }
         if self.sign_at.is_some_and(|at| now >= at) && self.over.is_none() {
             self.sign_at = None;
@@ -156,9 +156,9 @@
                 }
                 GenericEvent::RequestTimerCancel(TimerKind::PingreqSend) => self.sign_at = None,
                 GenericEvent::NotifyError(error) => {
-                    self.over.get_or_insert(Over::Refused(format!("{error:?}")));
+                    self.over.get_or_insert(SessionEnd::Refused(format!("{error:?}")));
                 }
-                GenericEvent::RequestClose => _ = self.over.get_or_insert(Over::Left),
+                GenericEvent::RequestClose => _ = self.over.get_or_insert(SessionEnd::Left),
                 _ => {}
             }
         }
@@ -177,16 +177,16 @@
             GenericPacket::V5_0Connack(p) if p.reason_code() == ConnectReasonCode::Success => {
                 match self.subscription() {
                     Some(wish) => self.send(now, wish),
-                    None => self.over = Some(Over::Refused("its tables fit no message".into())),
+                    None => self.over = Some(SessionEnd::Refused("its tables fit no message".into())),
                 }
             }
             GenericPacket::V5_0Connack(p) => {
-                self.over = Some(Over::Refused(format!("{:?}", p.reason_code())));
+                self.over = Some(SessionEnd::Refused(format!("{:?}", p.reason_code())));
             }
             GenericPacket::V5_0Suback(p) => {
                 let refused = p.reason_codes().into_iter().find(|code| !code.is_success());
                 match refused {
-                    Some(code) => self.over = Some(Over::Refused(format!("{code:?}"))),
+                    Some(code) => self.over = Some(SessionEnd::Refused(format!("{code:?}"))),
                     None => {
                         (self.joined, self.answer_by) = (true, None);
                         told.push(Told::Joined);
@@ -195,7 +195,7 @@
             }
             GenericPacket::V5_0Publish(p) => self.published(now, &p, told),
             GenericPacket::V5_0Disconnect(p) => {
-                self.over = Some(Over::Refused(format!("{:?}", p.reason_code())));
+                self.over = Some(SessionEnd::Refused(format!("{:?}", p.reason_code())));
             }
             _ => {}
         }
@@ -204,8 +204,8 @@
     fn subscription(&mut self) -> Option<v5_0::Subscribe> {
         let of = |kind| names::all_of(&self.planner, &self.proxy, kind);
         let filters = match self.wish {
-            Wish::Weights => vec![of(Kind::Weights), of(Kind::Withdrawn), of(Kind::Binds)],
-            Wish::Subsets => vec![of(Kind::Subset), of(Kind::Withdrawn), of(Kind::Binds)],
+            Wish::Weights => vec![of(TopicKind::Weights), of(TopicKind::Withdrawn), of(TopicKind::Binds)],
+            Wish::Subsets => vec![of(TopicKind::Subset), of(TopicKind::Withdrawn), of(TopicKind::Binds)],
         };
         let options = SubOpts::new().set_qos(Qos::AtLeastOnce);
         let entries =
@@ -263,6 +263,6 @@
         if let Ok(goodbye) = v5_0::Disconnect::builder().build() {
             self.send(now, goodbye);
         }
-        self.over.get_or_insert(Over::Left);
+        self.over.get_or_insert(SessionEnd::Left);
     }
 }
--- a/crates/mqtt/src/names.rs
+++ b/crates/mqtt/src/names.rs
@@ -1,23 +1,24 @@
 //! Topics, and who may have them: `runloom/<planner>/<proxy>/<kind>/<table>` for tables, which the planner alone
 //! writes, and `runloom/<planner>/<proxy>/report`, which that proxy alone writes.
 
-use runloom_versioned_publisher::{Kind, Topic, Wanted};
+use runloom_versioned_publisher::{Topic, TopicFilter, TopicKind};
 
 /// The first level of all topics.
 const ROOT: &str = "runloom";
 
-fn word(kind: Kind) -> &'static str {
+fn word(kind: TopicKind) -> &'static str {
     match kind {
-        Kind::Weights => "weights",
-        Kind::Subset => "subset",
-        Kind::Range => "range",
-        Kind::Withdrawn => "withdrawn",
-        Kind::Binds => "binds",
+        TopicKind::Weights => "weights",
+        TopicKind::Subset => "subset",
+        TopicKind::Range => "range",
+        TopicKind::Withdrawn => "withdrawn",
+        TopicKind::Binds => "binds",
     }
 }
 
-fn kind(word: &str) -> Option<Kind> {
-    let all = [Kind::Weights, Kind::Subset, Kind::Range, Kind::Withdrawn, Kind::Binds];
+fn kind(word: &str) -> Option<TopicKind> {
+    let all =
+        [TopicKind::Weights, TopicKind::Subset, TopicKind::Range, TopicKind::Withdrawn, TopicKind::Binds];
     all.into_iter().find(|k| self::word(*k) == word)
 }
 
@@ -31,7 +32,7 @@
 
 /// A table's name. A proxy has one table of binds, whatever its number at this planner: 0.
 pub fn table(planner: &str, proxy: &str, topic: Topic) -> String {
-    let number = if topic.kind == Kind::Binds { 0 } else { topic.table };
+    let number = if topic.kind == TopicKind::Binds { 0 } else { topic.table };
     format!("{ROOT}/{planner}/{proxy}/{}/{number}", word(topic.kind))
 }
 
@@ -41,7 +42,7 @@
 }
 
 /// Its tables of one kind.
-pub fn all_of(planner: &str, proxy: &str, kind: Kind) -> String {
+pub fn all_of(planner: &str, proxy: &str, kind: TopicKind) -> String {
     format!("{ROOT}/{planner}/{proxy}/{}/+", word(kind))
 }
 
@@ -60,7 +61,7 @@
 
 /// Why a filter is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum TopicRejected {
     /// It is not a filter by the protocol's rules.
     Invalid,
     /// It reaches what is not the proxy's to read.
@@ -83,29 +84,29 @@
 
 /// What a proxy asks for with a filter. Its own name and its planner's must stand there in full: a wildcard in their
 /// place would reach others' tables, be it that none is published just now.
-pub fn wanted(planner: &str, proxy: &str, filter: &str) -> Result<Wanted, Refused> {
+pub fn wanted(planner: &str, proxy: &str, filter: &str) -> Result<TopicFilter, TopicRejected> {
     if filter.starts_with("$share/") {
-        return Err(Refused::Shared);
+        return Err(TopicRejected::Shared);
     }
     if !valid(filter) {
-        return Err(Refused::Invalid);
+        return Err(TopicRejected::Invalid);
     }
     let levels: Vec<&str> = filter.split('/').collect();
     let own = [ROOT, planner, proxy];
     if levels.len() < 4 || levels[..3] != own {
-        return Err(Refused::NotIts);
+        return Err(TopicRejected::NotIts);
     }
     let kind_of = |l: &str| match l {
         "+" => Ok(None),
-        l => kind(l).map(Some).ok_or(Refused::NotIts),
+        l => kind(l).map(Some).ok_or(TopicRejected::NotIts),
     };
     let table_of = |l: &str| match l {
         "+" | "#" => Ok(None),
-        l => l.parse().ok().filter(|n: &u16| n.to_string() == l).map(Some).ok_or(Refused::NotIts),
+        l => l.parse().ok().filter(|n: &u16| n.to_string() == l).map(Some).ok_or(TopicRejected::NotIts),
     };
     match levels[3..] {
-        ["#"] => Ok(Wanted { kind: None, table: None }),
-        [kind, table] => Ok(Wanted { kind: kind_of(kind)?, table: table_of(table)? }),
-        _ => Err(Refused::NotIts),
+        ["#"] => Ok(TopicFilter { kind: None, table: None }),
+        [kind, table] => Ok(TopicFilter { kind: kind_of(kind)?, table: table_of(table)? }),
+        _ => Err(TopicRejected::NotIts),
     }
 }
--- a/crates/mqtt/src/report.rs
+++ b/crates/mqtt/src/report.rs
@@ -1,6 +1,6 @@
 //! A proxy's report as JSON, for proxies in any language.
 
-use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
+use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -63,7 +63,8 @@
         load: m.load.iter().map(|v| v.is_finite().then_some(*v)).collect(),
         of: m.classes.iter().map(of).collect(),
     };
-    let came = |c: &ClassArrivals| CameBody { class: c.class.clone(), queries: c.queries, unanswered: c.unanswered };
+    let came =
+        |c: &ClassArrivals| CameBody { class: c.class.clone(), queries: c.queries, unanswered: c.unanswered };
     let body = Body {
         span_ms: report.span.as_millis() as u64,
         met: report.met.iter().map(met).collect(),
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -1,7 +1,7 @@
 //! One connection at the planner. Who is at the other end is known by its certificate before the first byte; what
 //! it says of itself must agree with that.
 
-use crate::names::{self, Refused};
+use crate::names::{self, TopicRejected};
 use mqtt_protocol_core::mqtt::common::Cursor;
 use mqtt_protocol_core::mqtt::connection::event::{GenericEvent, TimerKind};
 use mqtt_protocol_core::mqtt::connection::ConnectionOptions;
@@ -14,7 +14,7 @@
     ConnectReasonCode, DisconnectReasonCode, PubackReasonCode, SubackReasonCode, UnsubackReasonCode,
 };
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
-use runloom_versioned_publisher::{Topic, Wanted};
+use runloom_versioned_publisher::{Topic, TopicFilter};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,16 +42,16 @@
 
 /// What a proxy said.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Heard {
+pub enum SessionEvent {
     /// It is connected, and says what it is.
     Connected(Hello),
     /// It wants these tables of its own, and holds what it says of some: epoch and version.
     Wants {
-        wanted: Vec<Wanted>,
+        wanted: Vec<TopicFilter>,
         holds: Vec<(Topic, u64, u64)>,
     },
     WantsNoMore {
-        wanted: Vec<Wanted>,
+        wanted: Vec<TopicFilter>,
     },
     Report(Vec<u8>),
     /// It took the message of this number.
@@ -62,7 +62,7 @@
 
 /// Why a connection is over.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Over {
+pub enum SessionEnd {
     /// It said goodbye.
     Left,
     /// It broke the protocol, or wanted what it may not have.
@@ -79,7 +79,7 @@
     /// Messages on their way by the protocol's own number.
     flying: BTreeMap<u16, (u64, Topic)>,
     silent_at: Option<Duration>,
-    over: Option<Over>,
+    over: Option<SessionEnd>,
 }
 
 impl Session {
@@ -95,7 +95,7 @@
             out: vec![],
             flying: BTreeMap::new(),
             silent_at: Some(now + GREETING),
-            over: (!names::fits(proxy)).then(|| Over::Refused("its name fits no topic".into())),
+            over: (!names::fits(proxy)).then(|| SessionEnd::Refused("its name fits no topic".into())),
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Why it is over, if it is: what is left to be written goes out, and the connection is cut.
-    pub fn over(&self) -> Option<&Over> {
+    pub fn over(&self) -> Option<&SessionEnd> {
         self.over.as_ref()
     }
 
@@ -119,11 +119,11 @@
             self.silent_at = None;
             let events = self.link.notify_timer_fired(TimerKind::PingreqRecv);
             self.follow(now, events);
-            self.over = Some(Over::Silent);
+            self.over = Some(SessionEnd::Silent);
         }
     }
 
-    pub fn take(&mut self, now: Duration, bytes: &[u8]) -> Vec<Heard> {
+    pub fn take(&mut self, now: Duration, bytes: &[u8]) -> Vec<SessionEvent> {
         let mut heard = Vec::new();
         let mut cursor = Cursor::new(bytes);
         while self.over.is_none() && (cursor.position() as usize) < bytes.len() {
@@ -151,9 +151,9 @@
                 GenericEvent::RequestTimerCancel(_) => self.silent_at = None,
                 // The wish to close stands before its reason.
                 GenericEvent::NotifyError(error) if !before => {
-                    self.over = Some(Over::Refused(format!("{error:?}")));
+                    self.over = Some(SessionEnd::Refused(format!("{error:?}")));
                 }
-                GenericEvent::RequestClose => _ = self.over.get_or_insert(Over::Left),
+                GenericEvent::RequestClose => _ = self.over.get_or_insert(SessionEnd::Left),
                 GenericEvent::NotifyError(_) | GenericEvent::NotifyPacketIdReleased(_) => {}
             }
         }
@@ -165,10 +165,10 @@
         self.follow(now, events);
     }
 
-    fn packet(&mut self, now: Duration, packet: GenericPacket<u16>, heard: &mut Vec<Heard>) {
+    fn packet(&mut self, now: Duration, packet: GenericPacket<u16>, heard: &mut Vec<SessionEvent>) {
         // The library lets other packets through before the greeting, and a second greeting.
         if matches!(packet, GenericPacket::V5_0Connect(_)) == self.connected {
-            self.over = Some(Over::Refused("a greeting comes first, and once".into()));
+            self.over = Some(SessionEnd::Refused("a greeting comes first, and once".into()));
             return;
         }
         match packet {
@@ -179,11 +179,15 @@
             GenericPacket::V5_0Puback(p) => {
                 if let Some((number, topic)) = self.flying.remove(&p.packet_id()) {
                     let good = p.reason_code().is_none_or(|code| code.is_success());
-                    heard.push(if good { Heard::Confirmed(number) } else { Heard::Lacks(number, topic) });
+                    heard.push(if good {
+                        SessionEvent::Confirmed(number)
+                    } else {
+                        SessionEvent::Lacks(number, topic)
+                    });
                 }
             }
             GenericPacket::V5_0Pingreq(_) => self.send(now, pong()),
-            GenericPacket::V5_0Disconnect(_) => self.over = Some(Over::Left),
+            GenericPacket::V5_0Disconnect(_) => self.over = Some(SessionEnd::Left),
             other => {
                 self.end(now, DisconnectReasonCode::ProtocolError, &format!("{:?}", other.packet_type()))
             }
@@ -195,7 +199,7 @@
         if let Ok(goodbye) = v5_0::Disconnect::builder().reason_code(code).build() {
             self.send(now, goodbye);
         }
-        self.over = Some(Over::Refused(why.to_string()));
+        self.over = Some(SessionEnd::Refused(why.to_string()));
     }
 
     /// Another stream of the same name took over.
@@ -203,7 +207,7 @@
         self.end(now, DisconnectReasonCode::SessionTakenOver, "another connection took over");
     }
 
-    fn greeted(&mut self, now: Duration, p: &v5_0::Connect, heard: &mut Vec<Heard>) {
+    fn greeted(&mut self, now: Duration, p: &v5_0::Connect, heard: &mut Vec<SessionEvent>) {
         let code = match () {
             // An empty name stands for the certificate's.
             () if !p.client_id().is_empty() && p.client_id() != self.proxy => {
@@ -226,7 +230,7 @@
             self.send(now, answer);
         }
         if code != ConnectReasonCode::Success {
-            self.over = Some(Over::Refused(format!("{code:?}")));
+            self.over = Some(SessionEnd::Refused(format!("{code:?}")));
             return;
         }
         let said = |name: &str| {
@@ -240,10 +244,10 @@
         };
         self.connected = true;
         self.silent_at = Some(now + Duration::from_secs(u64::from(ALIVE)) * 3 / 2);
-        heard.push(Heard::Connected(hello));
+        heard.push(SessionEvent::Connected(hello));
     }
 
-    fn subscribed(&mut self, now: Duration, p: &v5_0::Subscribe, heard: &mut Vec<Heard>) {
+    fn subscribed(&mut self, now: Duration, p: &v5_0::Subscribe, heard: &mut Vec<SessionEvent>) {
         let (mut codes, mut all) = (vec![], vec![]);
         for entry in p.entries().iter() {
             let wish = names::wanted(&self.planner, &self.proxy, entry.topic_filter());
@@ -254,9 +258,9 @@
                     // Whatever it asks for: a table that might be lost on the way would be none.
                     SubackReasonCode::GrantedQos1
                 }
-                Err(Refused::Invalid) => SubackReasonCode::TopicFilterInvalid,
-                Err(Refused::NotIts) => SubackReasonCode::NotAuthorized,
-                Err(Refused::Shared) => SubackReasonCode::SharedSubscriptionsNotSupported,
+                Err(TopicRejected::Invalid) => SubackReasonCode::TopicFilterInvalid,
+                Err(TopicRejected::NotIts) => SubackReasonCode::NotAuthorized,
+                Err(TopicRejected::Shared) => SubackReasonCode::SharedSubscriptionsNotSupported,
             });
         }
         if let Ok(answer) = v5_0::Suback::builder().packet_id(p.packet_id()).reason_codes(codes).build() {
@@ -271,14 +275,14 @@
                 Some((topic, words.next()?.parse().ok()?, words.next()?.parse().ok()?))
             };
             let holds = p.props().iter().take(FILTERS_MOST).filter_map(held).collect();
-            heard.push(Heard::Wants { wanted: all, holds });
+            heard.push(SessionEvent::Wants { wanted: all, holds });
         }
     }
 
-    fn unsubscribed(&mut self, now: Duration, p: &v5_0::Unsubscribe, heard: &mut Vec<Heard>) {
+    fn unsubscribed(&mut self, now: Duration, p: &v5_0::Unsubscribe, heard: &mut Vec<SessionEvent>) {
         let wishes: Vec<_> =
             p.entries().iter().map(|e| names::wanted(&self.planner, &self.proxy, e.as_str())).collect();
-        let code = |w: &Result<Wanted, Refused>| match w {
+        let code = |w: &Result<TopicFilter, TopicRejected>| match w {
             Ok(_) => UnsubackReasonCode::Success,
             Err(_) => UnsubackReasonCode::NotAuthorized,
         };
@@ -286,12 +290,12 @@
         if let Ok(answer) = v5_0::Unsuback::builder().packet_id(p.packet_id()).reason_codes(codes).build() {
             self.send(now, answer);
         }
-        let wanted: Vec<Wanted> = wishes.into_iter().flatten().collect();
-        heard.extend((!wanted.is_empty()).then_some(Heard::WantsNoMore { wanted }));
+        let wanted: Vec<TopicFilter> = wishes.into_iter().flatten().collect();
+        heard.extend((!wanted.is_empty()).then_some(SessionEvent::WantsNoMore { wanted }));
     }
 
     /// A proxy publishes its own reports and nothing else; nothing is retained.
-    fn published(&mut self, now: Duration, p: &v5_0::Publish, heard: &mut Vec<Heard>) {
+    fn published(&mut self, now: Duration, p: &v5_0::Publish, heard: &mut Vec<SessionEvent>) {
         let its = p.topic_name() == names::report(&self.planner, &self.proxy);
         if p.retain() {
             return self.end(now, DisconnectReasonCode::RetainNotSupported, "a message to be retained");
@@ -314,7 +318,7 @@
             (Qos::AtMostOnce, true) => {}
         }
         if its {
-            heard.push(Heard::Report(p.payload().as_slice().to_vec()));
+            heard.push(SessionEvent::Report(p.payload().as_slice().to_vec()));
         }
     }
 
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -1,6 +1,6 @@
 use crate::client::{self, Client, Told, Wish};
-use crate::names::{self, Refused};
-use crate::session::{Heard, Hello, Over, Session};
+use crate::names::{self, TopicRejected};
+use crate::session::{Hello, Session, SessionEnd, SessionEvent};
 use mqtt_protocol_core::mqtt::common::Cursor;
 use mqtt_protocol_core::mqtt::connection::event::GenericEvent;
 use mqtt_protocol_core::mqtt::packet::{
@@ -11,12 +11,14 @@
 };
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
 use proptest::prelude::*;
-use runloom_model::order::{ServerOutcomes, Report};
-use runloom_versioned_publisher::reader::{Reader, Taken};
-use runloom_versioned_publisher::{Change, Key, Kind, Part, Publisher, Topic, Wanted, WINDOW};
+use runloom_model::order::{Report, ServerOutcomes};
+use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
+use runloom_versioned_publisher::{
+    Change, Key, Publisher, Topic, TopicFilter, TopicKind, UpdatePart, WINDOW,
+};
 use std::time::Duration;
 
-const TABLE: Topic = Topic { kind: Kind::Weights, table: 3 };
+const TABLE: Topic = Topic { kind: TopicKind::Weights, table: 3 };
 const ZERO: Duration = Duration::ZERO;
 
 /// A proxy's end, by the library's client.
@@ -82,7 +84,7 @@
     }
 }
 
-fn tell(session: &mut Session, number: u64, part: &Part) -> bool {
+fn tell(session: &mut Session, number: u64, part: &UpdatePart) -> bool {
     session.tell(ZERO, number, part.topic, crate::body::write(part).into())
 }
 
@@ -90,7 +92,7 @@
 fn pair() -> (Session, Proxy) {
     let (mut session, mut proxy) = (Session::new(ZERO, "p", "f1"), Proxy::new());
     let hello = proxy.connect("f1");
-    assert_eq!(session.take(ZERO, &hello), vec![Heard::Connected(Hello::default())]);
+    assert_eq!(session.take(ZERO, &hello), vec![SessionEvent::Connected(Hello::default())]);
     proxy.take(&session.output());
     assert!(
         matches!(proxy.got.pop(), Some(GenericPacket::V5_0Connack(a)) if a.reason_code() == ConnectReasonCode::Success)
@@ -144,21 +146,21 @@
     ];
     let asked: Vec<&str> = filters.iter().map(|f| f.0).collect();
     let heard = session.take(ZERO, &proxy.subscribe(&asked, Some("runloom/p/f1/weights/3 7 12")));
-    let all = Wanted { kind: None, table: None };
-    let one = Wanted { kind: Some(Kind::Weights), table: Some(3) };
-    assert_eq!(heard, vec![Heard::Wants { wanted: vec![all, one], holds: vec![(TABLE, 7, 12)] }]);
+    let all = TopicFilter { kind: None, table: None };
+    let one = TopicFilter { kind: Some(TopicKind::Weights), table: Some(3) };
+    assert_eq!(heard, vec![SessionEvent::Wants { wanted: vec![all, one], holds: vec![(TABLE, 7, 12)] }]);
     assert!(all.covers(TABLE) && one.covers(TABLE) && !one.covers(Topic { table: 4, ..TABLE }));
     proxy.take(&session.output());
     let Some(GenericPacket::V5_0Suback(answer)) = proxy.got.pop() else { panic!("no answer") };
     assert_eq!(answer.reason_codes(), filters.map(|f| f.1));
-    assert_eq!(names::wanted("p", "f1", "$share/g/runloom/p/f1/#"), Err(Refused::Shared));
+    assert_eq!(names::wanted("p", "f1", "$share/g/runloom/p/f1/#"), Err(TopicRejected::Shared));
 }
 
 #[test]
 fn a_proxy_publishes_its_own_reports_and_nothing_else() {
     let (mut session, mut proxy) = pair();
     let heard = session.take(ZERO, &proxy.publish("runloom/p/f1/report", false));
-    assert_eq!(heard, vec![Heard::Report(b"{}".to_vec())]);
+    assert_eq!(heard, vec![SessionEvent::Report(b"{}".to_vec())]);
     for other in ["runloom/p/f2/report", "runloom/p/f1/weights/3", "x"] {
         assert_eq!(session.take(ZERO, &proxy.publish(other, false)), vec![]);
         proxy.take(&session.output());
@@ -181,23 +183,23 @@
     mute.wake(mute.wakes_at().unwrap() - Duration::from_millis(1));
     assert_eq!(mute.over(), None);
     mute.wake(mute.wakes_at().unwrap());
-    assert_eq!(mute.over(), Some(&Over::Silent));
+    assert_eq!(mute.over(), Some(&SessionEnd::Silent));
     let (mut session, _) = pair();
     let at = session.wakes_at().unwrap();
     assert_eq!(at, Duration::from_secs(15));
     session.wake(at);
-    assert_eq!(session.over(), Some(&Over::Silent));
+    assert_eq!(session.over(), Some(&SessionEnd::Silent));
     // One that does not say who it is gets nothing.
     let (mut early, (_, mut other)) = (Session::new(ZERO, "p", "f1"), pair());
     assert_eq!(early.take(ZERO, &other.subscribe(&["runloom/p/f1/#"], None)), vec![]);
-    assert!(matches!(early.over(), Some(Over::Refused(_))), "{:?}", early.over());
+    assert!(matches!(early.over(), Some(SessionEnd::Refused(_))), "{:?}", early.over());
     let (mut twice, mut again) = (pair().0, Proxy::new());
     assert_eq!(twice.take(ZERO, &again.connect("f1")), vec![]);
-    assert!(matches!(twice.over(), Some(Over::Refused(_))), "{:?}", twice.over());
+    assert!(matches!(twice.over(), Some(SessionEnd::Refused(_))), "{:?}", twice.over());
     let mut greedy = Session::new(ZERO, "p", "f1");
     // A first packet of 256 MB: refused by its length alone.
     greedy.take(ZERO, &[0x10, 0xff, 0xff, 0xff, 0x7f]);
-    assert!(matches!(greedy.over(), Some(Over::Refused(_))), "{:?}", greedy.over());
+    assert!(matches!(greedy.over(), Some(SessionEnd::Refused(_))), "{:?}", greedy.over());
 }
 
 /// The core behind the session: a table goes out in parts, in bytes cut anywhere, is taken whole, and confirmed; a
@@ -206,13 +208,13 @@
 fn tables_pass_in_parts_are_confirmed_and_gone_on_from() {
     let mut publisher = Publisher::new(9);
     publisher.step(TABLE, (0..300).map(|k| line(k, 1)).collect());
-    let mut reader = Reader::default();
+    let mut reader = UpdateReader::default();
     for (round, parts) in [(0, 3), (1, 1)] {
         let (mut session, mut proxy) = pair();
         let holds =
             reader.holds(TABLE).map(|(epoch, version)| format!("runloom/p/f1/weights/3 {epoch} {version}"));
         let heard = session.take(ZERO, &proxy.subscribe(&["runloom/p/f1/#"], holds.as_deref()));
-        let Heard::Wants { holds, .. } = &heard[0] else { panic!("{heard:?}") };
+        let SessionEvent::Wants { holds, .. } = &heard[0] else { panic!("{heard:?}") };
         let stream = publisher.join("f1");
         let held = holds.first().map(|(_, epoch, version)| (*epoch, *version));
         assert!(publisher.subscribe("f1", TABLE, held));
@@ -229,7 +231,7 @@
             let GenericPacket::V5_0Publish(message) = packet else { continue };
             let topic = names::read_table("p", "f1", message.topic_name()).unwrap();
             let part = crate::body::read(topic, message.payload().as_slice()).unwrap();
-            assert!(matches!(reader.take(&part), Taken::Waits | Taken::Now(_)));
+            assert!(matches!(reader.take(&part), ReadOutcome::Waits | ReadOutcome::Now(_)));
             words.extend(proxy.confirm(message.packet_id().unwrap(), PubackReasonCode::Success));
         }
         let mut confirmed = vec![];
@@ -237,7 +239,7 @@
             confirmed.extend(session.take(ZERO, piece));
         }
         assert_eq!(confirmed.len(), parts);
-        let Some(Heard::Confirmed(last)) = confirmed.last() else { panic!("{confirmed:?}") };
+        let Some(SessionEvent::Confirmed(last)) = confirmed.last() else { panic!("{confirmed:?}") };
         assert_eq!(
             publisher.confirmed("f1", stream, *last),
             vec![(TABLE, publisher.table(TABLE).unwrap().0)]
@@ -246,19 +248,26 @@
         publisher.step(TABLE, vec![line(5, 0), line(6, 4)]);
     }
     let (mut session, mut proxy) = pair();
-    let part =
-        Part { topic: TABLE, epoch: 9, from: None, to: 1, part: 0, of: 1, changes: [line(1, 1)].into() };
+    let part = UpdatePart {
+        topic: TABLE,
+        epoch: 9,
+        from: None,
+        to: 1,
+        part: 0,
+        of: 1,
+        changes: [line(1, 1)].into(),
+    };
     assert!(tell(&mut session, 44, &part));
     proxy.take(&session.output());
     let Some(GenericPacket::V5_0Publish(message)) = proxy.got.pop() else { panic!("no message") };
     let word = proxy.confirm(message.packet_id().unwrap(), PubackReasonCode::PayloadFormatInvalid);
-    assert_eq!(session.take(ZERO, &word), vec![Heard::Lacks(44, TABLE)]);
+    assert_eq!(session.take(ZERO, &word), vec![SessionEvent::Lacks(44, TABLE)]);
     // Nobody listens: what goes out is bounded by who asks, and the publisher asks for a window at the most.
     assert!((0..WINDOW).all(|k| tell(&mut session, 50 + k as u64, &part)));
 }
 
 /// Passes all that either side has to say, in pieces, until neither has more.
-fn pass(session: &mut Session, client: &mut Client, cut: usize) -> (Vec<Heard>, Vec<Told>) {
+fn pass(session: &mut Session, client: &mut Client, cut: usize) -> (Vec<SessionEvent>, Vec<Told>) {
     let (mut heard, mut told) = (vec![], vec![]);
     loop {
         let (to, back) = (client.output(), session.output());
@@ -276,30 +285,39 @@
 fn a_client_greets_subscribes_confirms_and_reports_through_bytes_cut_anywhere() {
     for cut in [1, 2, 3, 7, 4096] {
         let hello = Hello { zone: "z1".into(), rate: 2.5, fresh: true };
-        let holds = vec![(TABLE, 7, 12), (Topic { kind: Kind::Binds, table: 0 }, 7, 3)];
+        let holds = vec![(TABLE, 7, 12), (Topic { kind: TopicKind::Binds, table: 0 }, 7, 3)];
         let mut client = Client::new(ZERO, "p", "f1", &hello, Wish::Weights, holds.clone());
         let mut session = Session::new(ZERO, "p", "f1");
         let (heard, told) = pass(&mut session, &mut client, cut);
-        assert_eq!((&heard[0], told.as_slice()), (&Heard::Connected(hello), &[Told::Joined][..]));
-        let Heard::Wants { wanted, holds: said } = &heard[1] else { panic!("{heard:?}") };
+        assert_eq!((&heard[0], told.as_slice()), (&SessionEvent::Connected(hello), &[Told::Joined][..]));
+        let SessionEvent::Wants { wanted, holds: said } = &heard[1] else { panic!("{heard:?}") };
         let covers = |kind| wanted.iter().any(|w| w.covers(Topic { kind, table: 9 }));
-        let wants = [Kind::Weights, Kind::Withdrawn, Kind::Binds, Kind::Subset].map(covers);
+        let wants =
+            [TopicKind::Weights, TopicKind::Withdrawn, TopicKind::Binds, TopicKind::Subset].map(covers);
         assert_eq!((said, wants), (&holds, [true, true, true, false]));
         // A proxy's binds are its table 0, whatever the planner's number.
-        let topic = Topic { kind: Kind::Binds, table: 44 };
+        let topic = Topic { kind: TopicKind::Binds, table: 44 };
         let change = Change { key: Key::Bind("q".into()), value: Some("1".into()) };
-        let part = Part { topic, epoch: 9, from: None, to: 1, part: 0, of: 1, changes: [change].into() };
+        let part =
+            UpdatePart { topic, epoch: 9, from: None, to: 1, part: 0, of: 1, changes: [change].into() };
         assert!(tell(&mut session, 5, &part) && tell(&mut session, 6, &part));
         let (_, told) = pass(&mut session, &mut client, cut);
         let [Told::Part(a, got), Told::Part(b, _)] = &told[..] else { panic!("{told:?}") };
         assert_eq!((got.topic.table, &got.changes), (0, &part.changes));
         client.answer(ZERO, *a, true);
         client.answer(ZERO, *b, false);
-        let met = ServerOutcomes { server: "s1".into(), tries: 3, load: vec![1.0, f64::NAN], ..ServerOutcomes::default() };
+        let met = ServerOutcomes {
+            server: "s1".into(),
+            tries: 3,
+            load: vec![1.0, f64::NAN],
+            ..ServerOutcomes::default()
+        };
         let report = Report { span: Duration::from_millis(500), met: vec![met], came: vec![] };
         client.report(ZERO, crate::report::write(&report));
         let (heard, _) = pass(&mut session, &mut client, cut);
-        let [Heard::Confirmed(5), Heard::Lacks(6, lacks), Heard::Report(body)] = &heard[..] else {
+        let [SessionEvent::Confirmed(5), SessionEvent::Lacks(6, lacks), SessionEvent::Report(body)] =
+            &heard[..]
+        else {
             panic!("{heard:?}")
         };
         let read = crate::report::read(body).unwrap();
@@ -316,7 +334,7 @@
         assert_eq!(sent, 4);
         client.leave(ZERO);
         pass(&mut session, &mut client, cut);
-        assert_eq!(session.over(), Some(&Over::Left));
+        assert_eq!(session.over(), Some(&SessionEnd::Left));
     }
 }
 
@@ -329,7 +347,7 @@
     mute.output();
     let at = mute.wakes_at().unwrap();
     mute.wake(at);
-    assert_eq!(mute.over(), Some(&client::Over::Silent));
+    assert_eq!(mute.over(), Some(&client::SessionEnd::Silent));
     let (mut session, mut there) = (Session::new(ZERO, "p", "f1"), new("p", "f1"));
     pass(&mut session, &mut there, 9);
     // Its sign of life is due before the planner's patience ends, and keeps it.
@@ -346,11 +364,11 @@
     there.wake(at + Duration::from_secs(1));
     assert_eq!(there.over(), None);
     there.wake(at + Duration::from_secs(2));
-    assert_eq!(there.over(), Some(&client::Over::Silent));
+    assert_eq!(there.over(), Some(&client::SessionEnd::Silent));
     for (planner, name) in [("q", "f1"), ("p", "f2")] {
         let (mut session, mut other) = (Session::new(ZERO, "p", "f1"), new(planner, name));
         pass(&mut session, &mut other, 9);
-        assert!(matches!(other.over(), Some(client::Over::Refused(_))), "{:?}", other.over());
+        assert!(matches!(other.over(), Some(client::SessionEnd::Refused(_))), "{:?}", other.over());
     }
 }
 
@@ -374,7 +392,7 @@
         for piece in bytes.chunks(cut) {
             for heard in session.take(ZERO, piece) {
                 // Nothing but its own.
-                prop_assert!(!matches!(heard, Heard::Confirmed(_)));
+                prop_assert!(!matches!(heard, SessionEvent::Confirmed(_)));
             }
         }
         prop_assert!(session.output().len() < 4096);
@@ -398,7 +416,7 @@
             let others = ["runloom/p/f2/weights/3", "runloom/q/f1/weights/3", "runloom/p/f2/report", "x"];
             prop_assert!(!others.into_iter().any(matches), "{filter}");
             for table in [3, 4] {
-                let topic = Topic { kind: Kind::Weights, table };
+                let topic = Topic { kind: TopicKind::Weights, table };
                 prop_assert_eq!(wanted.covers(topic), matches(&names::table("p", "f1", topic)), "{}", filter);
             }
         }
@@ -412,7 +430,7 @@
             .enumerate()
             .map(|(k, n)| Change { key: Key::Line(n.clone()), value: (k % 2 == 0).then(|| n.as_str().into()) })
             .collect();
-        let part = Part { topic: TABLE, epoch: 3, from: Some(to - 1), to, part: 0, of: 2, changes: changes.into() };
+        let part = UpdatePart { topic: TABLE, epoch: 3, from: Some(to - 1), to, part: 0, of: 2, changes: changes.into() };
         prop_assert_eq!(crate::body::read(TABLE, &crate::body::write(&part)), Ok(part));
     }
 }
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -2,9 +2,9 @@
 //!
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
-use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
+use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use runloom_mqtt::{body, names, report};
-use runloom_versioned_publisher::{Change, Key, Kind, Part, Topic};
+use runloom_versioned_publisher::{Change, Key, Topic, TopicKind, UpdatePart};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,7 +23,9 @@
 #[test]
 fn tables_and_their_topics_are_as_they_were() {
     let mut seen = String::new();
-    for kind in [Kind::Weights, Kind::Subset, Kind::Range, Kind::Withdrawn, Kind::Binds] {
+    for kind in
+        [TopicKind::Weights, TopicKind::Subset, TopicKind::Range, TopicKind::Withdrawn, TopicKind::Binds]
+    {
         let topic = Topic { kind, table: 3 };
         let changes = [
             change(Key::Withdrawn("s7".into()), Some("out")),
@@ -34,7 +36,7 @@
         ];
         for from in [None, Some(4)] {
             let part =
-                Part { topic, epoch: 77, from, to: 9, part: 0, of: 2, changes: changes.clone().into() };
+                UpdatePart { topic, epoch: 77, from, to: 9, part: 0, of: 2, changes: changes.clone().into() };
             seen += &format!(
                 "{} {}\n",
                 names::table("p1", "f1", topic),
@@ -47,8 +49,12 @@
 
 #[test]
 fn a_report_is_as_it_was() {
-    let class =
-        ClassOutcomes { class: "lookup".into(), tries: 9, in_time: 7, took: BTreeMap::from([(3, 4), (12, 5)]) };
+    let class = ClassOutcomes {
+        class: "lookup".into(),
+        tries: 9,
+        in_time: 7,
+        took: BTreeMap::from([(3, 4), (12, 5)]),
+    };
     let met = |load| ServerOutcomes {
         server: "s1".into(),
         tries: 12,
--- a/crates/netconf/src/framing.rs
+++ b/crates/netconf/src/framing.rs
@@ -6,23 +6,23 @@
 
 /// Why the stream can't be followed any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Torn {
+pub enum FramingError {
     /// A message is larger than the limit.
     TooBig,
     /// What should be a chunk's head is none.
     BadChunk,
 }
 
-impl std::fmt::Display for Torn {
+impl std::fmt::Display for FramingError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Torn::TooBig => "a message is larger than allowed",
-            Torn::BadChunk => "a chunk's head is malformed",
+            FramingError::TooBig => "a message is larger than allowed",
+            FramingError::BadChunk => "a chunk's head is malformed",
         })
     }
 }
 
-impl std::error::Error for Torn {}
+impl std::error::Error for FramingError {}
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Place {
@@ -67,7 +67,7 @@
     }
 
     /// The next whole message, if there is one.
-    pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, Torn> {
+    pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         if self.chunked {
             self.by_chunks()
         } else {
@@ -75,23 +75,23 @@
         }
     }
 
-    fn by_mark(&mut self) -> Result<Option<Vec<u8>>, Torn> {
+    fn by_mark(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         let from = self.seen.saturating_sub(END.len() - 1);
         if let Some(place) = self.input[from..].windows(END.len()).position(|w| w == END) {
             let rest = self.input.split_off(from + place + END.len());
             let mut message = std::mem::replace(&mut self.input, rest);
             message.truncate(from + place);
             self.seen = 0;
-            return if message.len() > self.most { Err(Torn::TooBig) } else { Ok(Some(message)) };
+            return if message.len() > self.most { Err(FramingError::TooBig) } else { Ok(Some(message)) };
         }
         self.seen = self.input.len();
         if self.input.len() > self.most + END.len() {
-            return Err(Torn::TooBig);
+            return Err(FramingError::TooBig);
         }
         Ok(None)
     }
 
-    fn by_chunks(&mut self) -> Result<Option<Vec<u8>>, Torn> {
+    fn by_chunks(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         let mut used = 0;
         let found = loop {
             let rest = &self.input[used..];
@@ -99,7 +99,7 @@
                 Place::Body(left) => {
                     let part = left.min(rest.len());
                     if self.message.len() + part > self.most {
-                        return Err(Torn::TooBig);
+                        return Err(FramingError::TooBig);
                     }
                     self.message.extend_from_slice(&rest[..part]);
                     used += part;
@@ -128,11 +128,11 @@
 }
 
 /// A chunk's head at the front of `bytes`: its length, and the size it tells, `None` for the last one.
-fn head(bytes: &[u8]) -> Result<Option<(usize, Option<usize>)>, Torn> {
+fn head(bytes: &[u8]) -> Result<Option<(usize, Option<usize>)>, FramingError> {
     for (k, want) in b"\n#".iter().enumerate() {
         match bytes.get(k) {
             None => return Ok(None),
-            Some(byte) if byte != want => return Err(Torn::BadChunk),
+            Some(byte) if byte != want => return Err(FramingError::BadChunk),
             Some(_) => {}
         }
     }
@@ -140,24 +140,24 @@
         return match bytes.get(3) {
             None => Ok(None),
             Some(b'\n') => Ok(Some((4, None))),
-            Some(_) => Err(Torn::BadChunk),
+            Some(_) => Err(FramingError::BadChunk),
         };
     }
     let digits = bytes[2..].iter().take_while(|b| b.is_ascii_digit()).count();
     if digits > DIGITS_MOST || bytes.get(2) == Some(&b'0') {
-        return Err(Torn::BadChunk);
+        return Err(FramingError::BadChunk);
     }
     match bytes.get(2 + digits) {
         None => Ok(None),
         Some(b'\n') if digits > 0 => {
-            let text = std::str::from_utf8(&bytes[2..2 + digits]).map_err(|_| Torn::BadChunk)?;
-            let size: u64 = text.parse().map_err(|_| Torn::BadChunk)?;
+            let text = std::str::from_utf8(&bytes[2..2 + digits]).map_err(|_| FramingError::BadChunk)?;
+            let size: u64 = text.parse().map_err(|_| FramingError::BadChunk)?;
             if size > u64::from(u32::MAX) {
-                return Err(Torn::BadChunk);
+                return Err(FramingError::BadChunk);
             }
             Ok(Some((3 + digits, Some(size as usize))))
         }
-        Some(_) => Err(Torn::BadChunk),
+        Some(_) => Err(FramingError::BadChunk),
     }
 }
 
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -39,7 +39,7 @@
 
 /// How an edit's id stands in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Known {
+pub enum EditLookup {
     New,
     /// The same edit was accepted before: it is answered as then.
     Same,
@@ -72,7 +72,7 @@
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>>;
     /// A confirmed commit was confirmed, or ran out and was taken back by a commit of what was before.
     fn settled(&mut self) {}
-    fn known(&self, edit_id: &str, content: &str) -> Known;
+    fn known(&self, edit_id: &str, content: &str) -> EditLookup;
     fn may(&mut self, who: &str, access: Access) -> Result<(), RpcError>;
     /// The models for `get-schema`: identifier, version, text.
     fn schemas(&self) -> &[(&'static str, &'static str, &'static str)];
@@ -580,7 +580,7 @@
             None => String::new(),
         };
         if let (Some(id), true) = (edit_id, self.candidate.is_none()) {
-            if host.known(id, "") != Known::New {
+            if host.known(id, "") != EditLookup::New {
                 return ok();
             }
         } else if again(edit_id, &text, host)? {
@@ -639,9 +639,9 @@
 /// Whether this edit was accepted before; an id used for another edit is refused.
 fn again(edit_id: Option<&str>, content: &str, host: &dyn Host) -> Result<bool, Vec<RpcError>> {
     match edit_id.map(|id| host.known(id, content)) {
-        None | Some(Known::New) => Ok(false),
-        Some(Known::Same) => Ok(true),
-        Some(Known::Other) => {
+        None | Some(EditLookup::New) => Ok(false),
+        Some(EditLookup::Same) => Ok(true),
+        Some(EditLookup::Other) => {
             let error = RpcError::application(Tag::OperationFailed, "this edit-id stands for another edit");
             Err(one(error.app("edit-id-reused").with("bad-attribute", "edit-id")))
         }
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -7,7 +7,7 @@
 
 /// The bounds of a session.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct SessionLimits {
     /// Bytes of one message: a fleet of 600 proxies and as many servers takes some 400 KB as XML.
     pub message: usize,
     /// Bytes not yet taken by the other side, past which the session ends: two of the largest messages.
@@ -16,9 +16,9 @@
     pub at_once: usize,
 }
 
-impl Default for Bounds {
+impl Default for SessionLimits {
     fn default() -> Self {
-        Bounds { message: 2 << 20, unread: 4 << 20, at_once: 64 }
+        SessionLimits { message: 2 << 20, unread: 4 << 20, at_once: 64 }
     }
 }
 
@@ -48,7 +48,7 @@
 
 /// What came from the other side.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
+pub enum SessionEvent {
     /// The other's `<hello>`: the session stands.
     Open {
         capabilities: Vec<String>,
@@ -66,9 +66,9 @@
 
 /// Why the session has to end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken(pub String);
+pub struct SessionError(pub String);
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for SessionError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub struct Session {
     role: Role,
-    bounds: Bounds,
+    bounds: SessionLimits,
     deframer: Deframer,
     open: bool,
     chunked: bool,
@@ -87,7 +87,7 @@
 
 impl Session {
     /// Starts one side: its `<hello>` is in the output at once.
-    pub fn new(role: Role, capabilities: &[&str], bounds: Bounds) -> Self {
+    pub fn new(role: Role, capabilities: &[&str], bounds: SessionLimits) -> Self {
         let mut list = Element::new(BASE, "capabilities");
         for capability in [BASE_1_0, BASE_1_1].iter().chain(capabilities) {
             list = list.with_leaf("capability", capability);
@@ -108,23 +108,26 @@
 
     /// Takes bytes and hands on what they hold. On an error the session is over: what is in the output
     /// then, an `<rpc-error>` at the most, may still be written.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Heard>, Broken> {
+    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, SessionError> {
         self.deframer.push(bytes);
         self.more()
     }
 
     /// What waits in the buffer since one push held more messages than a fair share.
-    pub fn more(&mut self) -> Result<Vec<Heard>, Broken> {
+    pub fn more(&mut self) -> Result<Vec<SessionEvent>, SessionError> {
         let mut heard = Vec::new();
         while heard.len() < self.bounds.at_once {
             let message = match self.deframer.next_message() {
                 Ok(None) => break,
                 Ok(Some(message)) => message,
                 Err(torn) => {
-                    let tag =
-                        if torn == crate::framing::Torn::TooBig { Tag::TooBig } else { Tag::MalformedMessage };
+                    let tag = if torn == crate::framing::FramingError::TooBig {
+                        Tag::TooBig
+                    } else {
+                        Tag::MalformedMessage
+                    };
                     self.refuse(tag, &torn.to_string());
-                    return Err(Broken(torn.to_string()));
+                    return Err(SessionError(torn.to_string()));
                 }
             };
             self.message(&message, &mut heard)?;
@@ -137,7 +140,7 @@
         heard >= self.bounds.at_once
     }
 
-    fn message(&mut self, message: &[u8], heard: &mut Vec<Heard>) -> Result<(), Broken> {
+    fn message(&mut self, message: &[u8], heard: &mut Vec<SessionEvent>) -> Result<(), SessionError> {
         let parsed = std::str::from_utf8(message).map_err(|e| e.to_string()).and_then(|text| {
             Element::parse(text).map_err(|e| format!("{} at {}:{}", e.reason, e.line, e.column))
         });
@@ -146,7 +149,7 @@
             Err(reason) => {
                 // RFC 6241: malformed-message is the answer, and nothing behind it can be trusted.
                 self.refuse(Tag::MalformedMessage, &reason);
-                return Err(Broken(format!("malformed message: {reason}")));
+                return Err(SessionError(format!("malformed message: {reason}")));
             }
         };
         if !self.open {
@@ -156,33 +159,33 @@
             (Role::Server { .. }, "rpc") if element.ns == BASE => self.rpc(element, heard),
             (Role::Client, "rpc-reply") if element.ns == BASE => {
                 let message_id = element.attribute("", "message-id").unwrap_or_default().to_string();
-                heard.push(Heard::Reply { message_id, reply: element });
+                heard.push(SessionEvent::Reply { message_id, reply: element });
             }
             (Role::Client, "notification") if element.ns == NOTIFY => {
                 let event = element.children.iter().find(|c| c.name != "eventTime");
-                heard.extend(event.map(|e| Heard::Notified((**e).clone())));
+                heard.extend(event.map(|e| SessionEvent::Notified((**e).clone())));
             }
             (Role::Server { .. }, _) => {
                 let error = RpcError::new(Layer::Rpc, Tag::UnknownElement, "only <rpc> is understood here")
                     .with("bad-element", element.name.clone());
                 self.send(&Element::new(BASE, "rpc-reply").with(error.element()));
             }
-            (Role::Client, _) => return Err(Broken(format!("unexpected <{}>", element.name))),
+            (Role::Client, _) => return Err(SessionError(format!("unexpected <{}>", element.name))),
         }
         Ok(())
     }
 
-    fn hello(&mut self, element: &Element, heard: &mut Vec<Heard>) -> Result<(), Broken> {
+    fn hello(&mut self, element: &Element, heard: &mut Vec<SessionEvent>) -> Result<(), SessionError> {
         if !element.is(BASE, "hello") {
-            return Err(Broken("no <hello> at the start".into()));
+            return Err(SessionError("no <hello> at the start".into()));
         }
         let session = element.text_of("session-id").map(|s| s.parse::<u32>());
         match (self.role, &session) {
             (Role::Server { .. }, Some(_)) => {
-                return Err(Broken("a client's <hello> with a session-id".into()))
+                return Err(SessionError("a client's <hello> with a session-id".into()))
             }
             (Role::Client, None | Some(Err(_))) => {
-                return Err(Broken("a <hello> without a session-id".into()))
+                return Err(SessionError("a <hello> without a session-id".into()))
             }
             _ => {}
         }
@@ -190,18 +193,18 @@
         let capabilities: Vec<String> = list.iter().map(|c| c.text.clone()).collect();
         let has = |wanted: &str| capabilities.iter().any(|c| c == wanted);
         if !has(BASE_1_0) && !has(BASE_1_1) {
-            return Err(Broken("no base capability in common".into()));
+            return Err(SessionError("no base capability in common".into()));
         }
         self.chunked = has(BASE_1_1);
         if self.chunked {
             self.deframer.chunk();
         }
         self.open = true;
-        heard.push(Heard::Open { capabilities, session: session.and_then(Result::ok) });
+        heard.push(SessionEvent::Open { capabilities, session: session.and_then(Result::ok) });
         Ok(())
     }
 
-    fn rpc(&mut self, element: Element, heard: &mut Vec<Heard>) {
+    fn rpc(&mut self, element: Element, heard: &mut Vec<SessionEvent>) {
         let rpc = Rpc { rpc: element };
         let fault = if rpc.rpc.attribute("", "message-id").is_none() {
             Some(
@@ -216,7 +219,7 @@
         };
         match fault {
             Some(error) => self.reply(&rpc, vec![error.element()]),
-            None => heard.push(Heard::Rpc(rpc)),
+            None => heard.push(SessionEvent::Rpc(rpc)),
         }
     }
 
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 use runloom_netconf::edit::{apply, Kind, Operation, Schema};
 use runloom_netconf::error::RpcError;
-use runloom_netconf::framing::{frame, Deframer, Torn};
-use runloom_netconf::service::{Access, Answer, Change, Host, Known, Limits, Service};
-use runloom_netconf::session::{Bounds, Heard, Role, Rpc, Session};
+use runloom_netconf::framing::{frame, Deframer, FramingError};
+use runloom_netconf::service::{Access, Answer, Change, EditLookup, Host, Limits, Service};
+use runloom_netconf::session::{Role, Rpc, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 use std::collections::BTreeMap;
@@ -67,11 +67,11 @@
         }
         Ok(())
     }
-    fn known(&self, edit_id: &str, content: &str) -> Known {
+    fn known(&self, edit_id: &str, content: &str) -> EditLookup {
         match self.ledger.get(edit_id) {
-            None => Known::New,
-            Some(c) if content.is_empty() || c == content => Known::Same,
-            Some(_) => Known::Other,
+            None => EditLookup::New,
+            Some(c) if content.is_empty() || c == content => EditLookup::Same,
+            Some(_) => EditLookup::Other,
         }
     }
     fn may(&mut self, _: &str, _: Access) -> Result<(), RpcError> {
@@ -157,7 +157,7 @@
 
     #[test]
     fn a_session_survives_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), opened: bool) {
-        let mut session = Session::new(Role::Server { id: 1 }, &[], Bounds { message: 300, ..Bounds::default() });
+        let mut session = Session::new(Role::Server { id: 1 }, &[], SessionLimits { message: 300, ..SessionLimits::default() });
         if opened {
             let hello = format!("<hello xmlns='{BASE}'><capabilities><capability>urn:ietf:params:netconf:base:1.1\
                 </capability></capabilities></hello>]]>]]>");
@@ -203,7 +203,7 @@
         deframer.chunk();
         deframer.push(bad.as_bytes());
         let got = deframer.next_message();
-        assert_eq!(got, if bad == "\n#5" { Ok(None) } else { Err(Torn::BadChunk) }, "{bad:?}");
+        assert_eq!(got, if bad == "\n#5" { Ok(None) } else { Err(FramingError::BadChunk) }, "{bad:?}");
     }
     // Chunks that never end, and a message that never ends.
     for chunked in [true, false] {
@@ -216,7 +216,7 @@
             assert!(deframer.held() < 1100);
             deframer.next_message().err()
         });
-        assert_eq!(torn, Some(Torn::TooBig));
+        assert_eq!(torn, Some(FramingError::TooBig));
     }
 }
 
@@ -227,7 +227,7 @@
     for bad in
         ["", "<rpc", "<rpc></rcp>", "\u{0}", "<rpc xmlns='x'>&unknown;</rpc>", "<p:rpc/>", &deep, entities]
     {
-        let mut session = Session::new(Role::Server { id: 1 }, &[], Bounds::default());
+        let mut session = Session::new(Role::Server { id: 1 }, &[], SessionLimits::default());
         let hello = format!(
             "<hello xmlns='{BASE}'><capabilities><capability>urn:ietf:params:netconf:base:1.0</capability>\
              </capabilities></hello>]]>]]>"
@@ -251,30 +251,30 @@
         "<rpc/>]]>]]>".into(),
     ] {
         assert!(
-            Session::new(Role::Server { id: 1 }, &[], Bounds::default()).take(bad.as_bytes()).is_err(),
+            Session::new(Role::Server { id: 1 }, &[], SessionLimits::default()).take(bad.as_bytes()).is_err(),
             "{bad}"
         );
     }
-    assert!(Session::new(Role::Client, &[], Bounds::default()).take(with(base).as_bytes()).is_err());
+    assert!(Session::new(Role::Client, &[], SessionLimits::default()).take(with(base).as_bytes()).is_err());
 }
 
 #[test]
 fn two_sides_speak_chunks_after_their_hellos() {
-    let mut server = Session::new(Role::Server { id: 9 }, &[], Bounds::default());
-    let mut client = Session::new(Role::Client, &[], Bounds::default());
+    let mut server = Session::new(Role::Server { id: 9 }, &[], SessionLimits::default());
+    let mut client = Session::new(Role::Client, &[], SessionLimits::default());
     server.take(&client.output(usize::MAX)).unwrap();
     let heard = client.take(&server.output(usize::MAX)).unwrap();
-    assert!(matches!(&heard[0], Heard::Open { session: Some(9), .. }));
+    assert!(matches!(&heard[0], SessionEvent::Open { session: Some(9), .. }));
     let id = client.ask_with(Element::new(BASE, "get"), Some("e1"));
     let bytes = client.output(usize::MAX);
     assert!(bytes.starts_with(b"\n#"));
     let heard = server.take(&bytes).unwrap();
-    let Heard::Rpc(rpc) = &heard[0] else { panic!("{heard:?}") };
+    let SessionEvent::Rpc(rpc) = &heard[0] else { panic!("{heard:?}") };
     server.reply(rpc, vec![Element::new(BASE, "ok")]);
     let reply = server.output(usize::MAX);
     assert!(String::from_utf8_lossy(&reply).contains("edit-id=\"e1\""), "attributes come back");
     let heard = client.take(&reply).unwrap();
-    assert!(matches!(&heard[0], Heard::Reply { message_id, .. } if *message_id == id));
+    assert!(matches!(&heard[0], SessionEvent::Reply { message_id, .. } if *message_id == id));
 }
 
 #[test]
--- a/crates/platform-protocol/src/bootstrap.rs
+++ b/crates/platform-protocol/src/bootstrap.rs
@@ -8,15 +8,15 @@
 /// What the platform lets a planner use.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct Bounds {
+pub struct ResourceLimits {
     pub memory_mb: u64,
     pub sockets: usize,
 }
 
-impl Default for Bounds {
+impl Default for ResourceLimits {
     /// The least that the platform gives.
     fn default() -> Self {
-        Bounds { memory_mb: 32, sockets: 256 }
+        ResourceLimits { memory_mb: 32, sockets: 256 }
     }
 }
 
@@ -27,19 +27,19 @@
     discovery: Option<String>,
     seed: Option<Value>,
     #[serde(default)]
-    limits: Bounds,
+    limits: ResourceLimits,
     #[serde(default)]
     known: Value,
     settings: Value,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Station {
+pub struct BootstrapConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
-    pub bounds: Bounds,
+    pub bounds: ResourceLimits,
     /// The list as last held, in discovery's form.
     pub known: Value,
     /// The settings as the decisions' first message has them.
@@ -61,9 +61,9 @@
     }
 }
 
-impl Station {
+impl BootstrapConfig {
     /// Reads the file's text; what is wrong, in one line.
-    pub fn read(text: &str, told: Told) -> Result<Station, String> {
+    pub fn read(text: &str, told: Told) -> Result<BootstrapConfig, String> {
         let file: File = serde_json::from_str(text).map_err(|e| format!("not as it should be: {e}"))?;
         let address = |name: &str, value: Option<String>| {
             let value = value.ok_or(format!("{name} is not given"))?;
@@ -72,7 +72,7 @@
         if !file.settings.is_object() {
             return Err("settings is not an object".into());
         }
-        Ok(Station {
+        Ok(BootstrapConfig {
             name: file.name.or(told.name).unwrap_or_default(),
             listen: address("listen", file.listen.or(told.listen))?,
             discovery: address("discovery", file.discovery.or(told.discovery))?,
--- a/crates/platform-protocol/src/endpoint_list.rs
+++ b/crates/platform-protocol/src/endpoint_list.rs
@@ -54,19 +54,19 @@
 
 /// One answer of discovery as lines, however its bytes are split.
 #[derive(Debug)]
-pub struct Watch {
+pub struct WatchReader {
     at: At,
     input: Vec<u8>,
     line: Vec<u8>,
 }
 
-impl Default for Watch {
+impl Default for WatchReader {
     fn default() -> Self {
-        Watch { at: At::Head, input: Vec::new(), line: Vec::new() }
+        WatchReader { at: At::Head, input: Vec::new(), line: Vec::new() }
     }
 }
 
-impl Watch {
+impl WatchReader {
     /// The lines that are whole now, empty ones too. Over: the answer has ended.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, Unreadable> {
         self.input.extend_from_slice(bytes);
@@ -141,7 +141,7 @@
 
 /// The list as this planner holds it: its version, and where servers listen.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct EndpointList {
     pub revision: u64,
     pub addresses: BTreeMap<ServerId, SocketAddr>,
     /// What was last told of each server that is there.
@@ -154,7 +154,7 @@
     missed: u32,
 }
 
-impl List {
+impl EndpointList {
     /// What a list or a line of changes tells; `None` where it tells nothing new. `epoch` is the decisions'
     /// zero in Unix time, milliseconds: servers' starts lie before the planner's own.
     pub fn take(
--- a/crates/platform-protocol/src/health_check.rs
+++ b/crates/platform-protocol/src/health_check.rs
@@ -26,26 +26,26 @@
 
 /// What a probe came to.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ending {
+pub struct HealthCheckOutcome {
     pub found: HealthCheckResult,
     pub load: Vec<f64>,
 }
 
-impl From<HealthCheckResult> for Ending {
-    fn from(found: HealthCheckResult) -> Ending {
-        Ending { found, load: vec![] }
+impl From<HealthCheckResult> for HealthCheckOutcome {
+    fn from(found: HealthCheckResult) -> HealthCheckOutcome {
+        HealthCheckOutcome { found, load: vec![] }
     }
 }
 
 /// An answer as it comes in.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct HealthCheckResponse {
     input: Vec<u8>,
 }
 
-impl Answer {
+impl HealthCheckResponse {
     /// Takes bytes; `Some`: the answer is whole, or is none.
-    pub fn push(&mut self, bytes: &[u8], fields: &[String]) -> Option<Ending> {
+    pub fn push(&mut self, bytes: &[u8], fields: &[String]) -> Option<HealthCheckOutcome> {
         self.input.extend_from_slice(bytes);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut answer = httparse::Response::new(&mut headers);
@@ -72,45 +72,45 @@
         let body = self.input.get(from..from + length)?;
         let report = serde_json::from_slice::<Value>(body).ok();
         let load = report.as_ref().and_then(Value::as_object).and_then(|report| load(report, fields));
-        Some(Ending { found: HealthCheckResult::Success, load: load.unwrap_or_default() })
+        Some(HealthCheckOutcome { found: HealthCheckResult::Success, load: load.unwrap_or_default() })
     }
 }
 
 /// A probe on its way.
 #[derive(Debug)]
-pub struct Probe {
+pub struct HealthCheck {
     pub ticket: u64,
     pub to: SocketAddr,
     pub since: Duration,
     /// Its connection stands.
     pub open: bool,
-    answer: Answer,
+    answer: HealthCheckResponse,
     tries: usize,
 }
 
-impl Probe {
-    pub fn new(ticket: u64, to: SocketAddr, since: Duration) -> Probe {
-        Probe { ticket, to, since, open: false, answer: Answer::default(), tries: 1 }
+impl HealthCheck {
+    pub fn new(ticket: u64, to: SocketAddr, since: Duration) -> HealthCheck {
+        HealthCheck { ticket, to, since, open: false, answer: HealthCheckResponse::default(), tries: 1 }
     }
 
-    pub fn push(&mut self, bytes: &[u8], fields: &[String]) -> Option<Ending> {
+    pub fn push(&mut self, bytes: &[u8], fields: &[String]) -> Option<HealthCheckOutcome> {
         self.answer.push(bytes, fields)
     }
 
     /// The connection could not be made, or ended before the answer was whole. `None`: it is to be dialled
     /// once more.
-    pub fn cut(&mut self) -> Option<Ending> {
+    pub fn cut(&mut self) -> Option<HealthCheckOutcome> {
         // Guards against a server withdrawn, for its probation and its ramp, for one connection that was
         // reset, be it amid an answer.
         if self.tries < TRIES {
-            (self.tries, self.open, self.answer) = (self.tries + 1, false, Answer::default());
+            (self.tries, self.open, self.answer) = (self.tries + 1, false, HealthCheckResponse::default());
             return None;
         }
         Some(HealthCheckResult::ConnectionFailed.into())
     }
 
     /// Its patience is over: silence, or no connection at all.
-    pub fn late(&self) -> Ending {
+    pub fn late(&self) -> HealthCheckOutcome {
         if self.open { HealthCheckResult::Timeout } else { HealthCheckResult::ConnectionFailed }.into()
     }
 }
