--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -3,27 +3,27 @@
 //! [`runloom_controller::Controller`]; what is settled here is the protocol's own: framing, who may stay, when the other
 //! side is taken for dead.
 
-pub mod session;
+pub mod bootstrap;
 pub mod endpoint_list;
+pub mod endpoint_watch;
 pub mod framing;
-pub mod message;
 pub mod health_check;
-pub mod bootstrap;
+pub mod message;
+pub mod session;
 pub mod table_sync;
-pub mod endpoint_watch;
 
-use session::{Clients, Conn, Who};
-use endpoint_list::{List, Unreadable};
-use message::{Message, Names, Spoilt};
-use health_check::Ending;
+use bootstrap::BootstrapConfig;
+use endpoint_list::{EndpointList, Unreadable};
+use health_check::HealthCheckOutcome;
+use message::{MalformedMessage, Message, Names};
 use runloom_controller::Controller;
 use runloom_controller::{Command, EndpointUpdate, Event, ProxyId, ServerId};
-use bootstrap::Station;
+use session::{ConnectionId, Role, Sessions};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::time::Duration;
-use table_sync::Streams;
+use table_sync::TableSync;
 
 /// Reports of a server come some seconds late; after these its index may be another's.
 const SPENT_FOR: Duration = Duration::from_secs(10);
@@ -45,13 +45,13 @@
 
 /// What a shell has to do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Deed {
+pub enum Action {
     Write {
-        conn: Conn,
+        conn: ConnectionId,
         bytes: Vec<u8>,
     },
     Close {
-        conn: Conn,
+        conn: ConnectionId,
     },
     /// Ask a server how it is; the ending goes to [`Platform::probed`] with the ticket.
     Probe {
@@ -66,7 +66,7 @@
 
 /// What was counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     pub joined: u64,
     pub taken_over: u64,
     pub left: u64,
@@ -87,15 +87,15 @@
 pub struct Platform {
     controller: Controller,
     names: Names,
-    clients: Clients,
-    streams: Streams,
-    list: List,
+    clients: Sessions,
+    streams: TableSync,
+    list: EndpointList,
     /// The decisions' zero in Unix time, milliseconds.
     epoch: u64,
     /// What the list told, ahead of the rest of a turn.
     listed: Vec<Event>,
     happened: Vec<Event>,
-    deeds: Vec<Deed>,
+    deeds: Vec<Action>,
     wakes: BinaryHeap<Reverse<(Duration, u64)>>,
     /// Probes asked for that have not ended, by ticket; and the servers that they ask.
     probing: BTreeMap<u64, ServerId>,
@@ -106,14 +106,14 @@
     patience: Duration,
     spent: BTreeMap<ServerId, Duration>,
     tidied: Duration,
-    pub counts: Counts,
+    pub counts: Counters,
 }
 
 impl Platform {
     /// A planner that starts from nothing but its station. `epoch` is the decisions' zero in Unix time,
     /// milliseconds, and lies before this start, as those of servers do. `room` is for how many connections
     /// there are descriptors.
-    pub fn new(station: &Station, epoch: u64, room: usize) -> Platform {
+    pub fn new(station: &BootstrapConfig, epoch: u64, room: usize) -> Platform {
         let settings = runloom_deployment_config::read(&station.settings);
         let config = settings.config;
         let most = config.proxy_count.unwrap_or(PROXIES_MOST);
@@ -132,15 +132,15 @@
         let transit = channel.max_transit_seconds.unwrap_or(DEFAULT_MAX_TRANSIT_SECONDS);
         let way = Duration::try_from_secs_f64(backlog + transit);
         let patience = way.unwrap_or(STANDS_STILL).min(Duration::from_secs(60)) * OWES_MOST + STANDS_STILL;
-        let mut list = List::default();
+        let mut list = EndpointList::default();
         let start = Event::Start { seed: station.seed, config: Box::new(config) };
         let known = list.take(&station.known, true, &mut names, epoch, Duration::ZERO);
         let (how, entries) = known.unwrap_or_default().unwrap_or((EndpointUpdate::Cached, vec![]));
         Platform {
             controller: Controller::default(),
             names,
-            clients: Clients::new(room),
-            streams: Streams::new(classes, settings.unlimited_rate),
+            clients: Sessions::new(room),
+            streams: TableSync::new(classes, settings.unlimited_rate),
             list,
             epoch,
             listed: vec![start, Event::EndpointsListed { update: how, records: entries }],
@@ -154,7 +154,7 @@
             patience,
             spent: BTreeMap::new(),
             tidied: Duration::ZERO,
-            counts: Counts::default(),
+            counts: Counters::default(),
         }
     }
 
@@ -188,12 +188,12 @@
         self.names.servers.iter().count()
     }
 
-    pub fn opened(&mut self, conn: Conn, now: Duration) {
+    pub fn opened(&mut self, conn: ConnectionId, now: Duration) {
         self.clients.open(conn, now);
     }
 
-    pub fn closed(&mut self, conn: Conn) {
-        if let Some(Who::Stream(proxy)) = self.clients.remove(conn) {
+    pub fn closed(&mut self, conn: ConnectionId) {
+        if let Some(Role::Stream(proxy)) = self.clients.remove(conn) {
             self.left(proxy);
         }
     }
@@ -205,7 +205,7 @@
     }
 
     /// Takes what a connection brought.
-    pub fn bytes(&mut self, conn: Conn, bytes: &[u8], now: Duration) {
+    pub fn bytes(&mut self, conn: ConnectionId, bytes: &[u8], now: Duration) {
         match self.clients.get(conn) {
             Some(client) => client.reader.push(bytes),
             None => return,
@@ -217,7 +217,7 @@
                 Ok(Some(value)) => {
                     whole = true;
                     let who = client.who;
-                    if let Who::Stream(proxy) = who {
+                    if let Role::Stream(proxy) = who {
                         self.streams.heard(proxy, now);
                     }
                     let message = message::read(&value, &self.names);
@@ -230,33 +230,39 @@
     }
 
     /// Ends a connection that can't be used: a stream has left by that.
-    fn refuse(&mut self, conn: Conn) {
+    fn refuse(&mut self, conn: ConnectionId) {
         self.counts.refused += 1;
         self.say(conn, br#"{"t":"NACK"}"#);
-        self.deeds.push(Deed::Close { conn });
+        self.deeds.push(Action::Close { conn });
         self.closed(conn);
     }
 
-    fn say(&mut self, conn: Conn, body: &[u8]) {
+    fn say(&mut self, conn: ConnectionId, body: &[u8]) {
         let mut bytes = Vec::new();
         framing::write(&mut bytes, body);
-        self.deeds.push(Deed::Write { conn, bytes });
+        self.deeds.push(Action::Write { conn, bytes });
     }
 
-    fn message(&mut self, conn: Conn, who: Who, message: Result<Message, Spoilt>, now: Duration) {
+    fn message(
+        &mut self,
+        conn: ConnectionId,
+        who: Role,
+        message: Result<Message, MalformedMessage>,
+        now: Duration,
+    ) {
         match (who, message) {
             (_, Ok(Message::Ping)) => self.say(conn, br#"{"t":"PONG"}"#),
-            (Who::Newcomer, Ok(Message::Collector { zone })) => {
+            (Role::Newcomer, Ok(Message::Collector { zone })) => {
                 if let Some(old) = self.clients.collect(conn, zone) {
-                    self.deeds.push(Deed::Close { conn: old });
+                    self.deeds.push(Action::Close { conn: old });
                 }
             }
-            (Who::Newcomer, Ok(Message::Told(joined @ Event::ProxyConnected { proxy, .. }))) => {
+            (Role::Newcomer, Ok(Message::Told(joined @ Event::ProxyConnected { proxy, .. }))) => {
                 // A new stream takes over from one that is not yet seen closed; nothing that the old one may
                 // still bring has a meaning any more.
                 if let Some(old) = self.clients.join(conn, proxy) {
                     self.counts.taken_over += 1;
-                    self.deeds.push(Deed::Close { conn: old });
+                    self.deeds.push(Action::Close { conn: old });
                     self.left(proxy);
                 }
                 self.counts.joined += 1;
@@ -265,18 +271,18 @@
             }
             // Reports that no joining came before, orders, joinings of what does not exist: no client of
             // ours.
-            (Who::Newcomer, _) => self.refuse(conn),
-            (Who::Collector(_), Ok(Message::Told(met @ Event::OutcomeReport { .. }))) => {
+            (Role::Newcomer, _) => self.refuse(conn),
+            (Role::Collector(_), Ok(Message::Told(met @ Event::OutcomeReport { .. }))) => {
                 self.happened.push(met)
             }
             (_, Ok(Message::Told(came @ Event::ArrivalReport { proxy, .. })))
                 if self.clients.stream(proxy).is_some()
-                    && (who == Who::Stream(proxy) || matches!(who, Who::Collector(_))) =>
+                    && (who == Role::Stream(proxy) || matches!(who, Role::Collector(_))) =>
             {
                 self.happened.push(came);
             }
             (
-                Who::Stream(own),
+                Role::Stream(own),
                 Ok(Message::Told(applied @ Event::UpdateAcknowledged { proxy, ack_token: mark, .. })),
             ) if own == proxy => {
                 if self.streams.answered(proxy, mark) {
@@ -317,7 +323,7 @@
     }
 
     /// Takes what a probe came to.
-    pub fn probed(&mut self, ticket: u64, ending: Ending, after: Duration) {
+    pub fn probed(&mut self, ticket: u64, ending: HealthCheckOutcome, after: Duration) {
         if let Some(server) = self.probing.remove(&ticket) {
             self.asked.remove(&server);
             self.happened.push(Event::HealthChecked {
@@ -331,7 +337,7 @@
 
     /// Ends a turn: lets the planner decide once on all that happened, and gives what is to be done. All that
     /// clients had sent by `looked` has been taken in: nobody is late by what was not read.
-    pub fn turn(&mut self, now: Duration, looked: Duration) -> Vec<Deed> {
+    pub fn turn(&mut self, now: Duration, looked: Duration) -> Vec<Action> {
         for conn in self.clients.overdue(looked) {
             self.refuse(conn);
         }
@@ -360,7 +366,7 @@
             if let Some(conn) = self.clients.stream(proxy) {
                 let bytes = self.streams.write(&parts, &self.names);
                 self.counts.messages += 1;
-                self.deeds.push(Deed::Write { conn, bytes });
+                self.deeds.push(Action::Write { conn, bytes });
             }
         }
         for order in orders {
@@ -369,7 +375,7 @@
                 Command::LogEjection(report) => {
                     let server = self.names.servers.name(report.server).cloned();
                     let name = server.unwrap_or_else(|| report.server.to_string());
-                    self.deeds.push(Deed::Log { text: report.log_line(&name) });
+                    self.deeds.push(Action::Log { text: report.log_line(&name) });
                 }
                 Command::CheckHealth { server } => {
                     // One at a time: where many are silent, probes wait for room, and more of them would wait
@@ -378,7 +384,7 @@
                     if let Some(to) = to.filter(|_| self.asked.insert(server)) {
                         self.ticket += 1;
                         self.probing.insert(self.ticket, server);
-                        self.deeds.push(Deed::Probe { ticket: self.ticket, to: *to });
+                        self.deeds.push(Action::Probe { ticket: self.ticket, to: *to });
                     }
                 }
                 // The watch brings all changes unasked; planners have no way to each other here.
@@ -393,7 +399,7 @@
         for proxy in self.streams.mute(looked, self.patience) {
             if let Some(conn) = self.clients.stream(proxy) {
                 self.counts.mute += 1;
-                self.deeds.push(Deed::Close { conn });
+                self.deeds.push(Action::Close { conn });
                 self.closed(conn);
             }
         }
--- a/crates/platform-protocol/src/message.rs
+++ b/crates/platform-protocol/src/message.rs
@@ -40,7 +40,7 @@
 
 /// What is wrong with a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum MalformedMessage {
     /// No kind that is sent to a planner.
     Kind,
     /// This field is missing, mistyped or out of range, or names what does not exist.
@@ -73,39 +73,39 @@
 struct Fields<'a>(&'a Value);
 
 impl Fields<'_> {
-    fn number(&self, name: &'static str, most: f64) -> Result<f64, Spoilt> {
+    fn number(&self, name: &'static str, most: f64) -> Result<f64, MalformedMessage> {
         let value = self.0[name].as_f64().filter(|v| (0.0..=most).contains(v));
-        value.ok_or(Spoilt::Field(name))
+        value.ok_or(MalformedMessage::Field(name))
     }
 
-    fn whole(&self, name: &'static str, below: u64) -> Result<u64, Spoilt> {
-        self.0[name].as_u64().filter(|v| *v < below).ok_or(Spoilt::Field(name))
+    fn whole(&self, name: &'static str, below: u64) -> Result<u64, MalformedMessage> {
+        self.0[name].as_u64().filter(|v| *v < below).ok_or(MalformedMessage::Field(name))
     }
 
-    fn span(&self, name: &'static str) -> Result<Duration, Spoilt> {
+    fn span(&self, name: &'static str) -> Result<Duration, MalformedMessage> {
         self.number(name, SPAN_MOST_MS).map(|ms| Duration::from_secs_f64(ms / 1000.0))
     }
 
     /// A span that something was counted over; in none nothing can come.
-    fn over(&self) -> Result<Duration, Spoilt> {
-        self.span("over").and_then(|s| if s.is_zero() { Err(Spoilt::Field("over")) } else { Ok(s) })
+    fn over(&self) -> Result<Duration, MalformedMessage> {
+        self.span("over").and_then(|s| if s.is_zero() { Err(MalformedMessage::Field("over")) } else { Ok(s) })
     }
 
-    fn named(&self, name: &'static str, ids: &IdMap<String>) -> Result<usize, Spoilt> {
-        self.0[name].as_str().and_then(|id| ids.get(id)).ok_or(Spoilt::Field(name))
+    fn named(&self, name: &'static str, ids: &IdMap<String>) -> Result<usize, MalformedMessage> {
+        self.0[name].as_str().and_then(|id| ids.get(id)).ok_or(MalformedMessage::Field(name))
     }
 
-    fn load(&self, fields: &[String]) -> Result<Vec<f64>, Spoilt> {
+    fn load(&self, fields: &[String]) -> Result<Vec<f64>, MalformedMessage> {
         match &self.0["util"] {
             Value::Null => Ok(vec![]),
-            Value::Object(report) => load(report, fields).ok_or(Spoilt::Field("util")),
-            _ => Err(Spoilt::Field("util")),
+            Value::Object(report) => load(report, fields).ok_or(MalformedMessage::Field("util")),
+            _ => Err(MalformedMessage::Field("util")),
         }
     }
 }
 
 /// Judges a message, field by field.
-pub fn read(message: &Value, names: &Names) -> Result<Message, Spoilt> {
+pub fn read(message: &Value, names: &Names) -> Result<Message, MalformedMessage> {
     let fields = Fields(message);
     let proxy = || fields.whole("id", names.proxies as u64).map(|id| id as ProxyId);
     let zone = || fields.named("site", &names.zones);
@@ -113,7 +113,7 @@
         Some("PING") => Ok(Message::Ping),
         Some("SOURCE") => Ok(Message::Collector { zone: zone()? }),
         Some("SUBSCRIBE") => {
-            let fresh = message["new"].as_bool().ok_or(Spoilt::Field("new"))?;
+            let fresh = message["new"].as_bool().ok_or(MalformedMessage::Field("new"))?;
             let rate = fields.number("rps", VALUE_MOST)?;
             Ok(Message::Told(Event::ProxyConnected {
                 proxy: proxy()?,
@@ -154,6 +154,6 @@
             let (mark, after) = (fields.whole("seq", MARKS)? as u16, fields.span("ms")?);
             Ok(Message::Told(Event::UpdateAcknowledged { proxy: proxy()?, ack_token: mark, elapsed: after }))
         }
-        _ => Err(Spoilt::Kind),
+        _ => Err(MalformedMessage::Kind),
     }
 }
--- a/crates/platform-protocol/src/table_sync.rs
+++ b/crates/platform-protocol/src/table_sync.rs
@@ -30,7 +30,7 @@
 
 /// One part of a message: classes by bits, and what it changes for them.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Part {
+pub struct UpdatePart {
     pub classes: u64,
     pub replace: bool,
     pub rows: Vec<(ServerId, f64)>,
@@ -41,7 +41,7 @@
 }
 
 #[derive(Serialize, Default)]
-struct Written<'a> {
+struct ConfigMessage<'a> {
     t: &'static str,
     #[serde(rename = "for", skip_serializing_if = "Option::is_none")]
     classes: Option<Vec<&'a str>>,
@@ -78,7 +78,7 @@
 
 /// The tables, the streams, and what servers are shut out.
 #[derive(Debug, Default)]
-pub struct Streams {
+pub struct TableSync {
     tables: BTreeMap<TableId, Laid>,
     /// Servers shut out, and those let in again since the start.
     out: BTreeMap<ServerId, bool>,
@@ -88,9 +88,9 @@
     open_level: f64,
 }
 
-impl Streams {
-    pub fn new(classes: usize, open_level: f64) -> Streams {
-        Streams { classes: classes.min(CLASSES_MOST), open_level, ..Streams::default() }
+impl TableSync {
+    pub fn new(classes: usize, open_level: f64) -> TableSync {
+        TableSync { classes: classes.min(CLASSES_MOST), open_level, ..TableSync::default() }
     }
 
     fn all(&self) -> u64 {
@@ -154,7 +154,7 @@
     }
 
     /// The orders of one turn as one message for each proxy concerned, its parts in the orders' sequence.
-    pub fn lay(&mut self, orders: &[Command], now: Duration) -> BTreeMap<ProxyId, Vec<Part>> {
+    pub fn lay(&mut self, orders: &[Command], now: Duration) -> BTreeMap<ProxyId, Vec<UpdatePart>> {
         let mut messages = BTreeMap::new();
         let mut mark = None;
         for order in orders {
@@ -196,7 +196,7 @@
 
     fn line(
         &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
         table: TableId,
         server: ServerId,
         weight: f64,
@@ -208,34 +208,40 @@
             lines.remove(&server);
         }
         for (proxy, classes) in self.on(table) {
-            let parts: &mut Vec<Part> = messages.entry(proxy).or_default();
+            let parts: &mut Vec<UpdatePart> = messages.entry(proxy).or_default();
             // Lines and levels of the same classes don't touch each other.
             match parts.last_mut().filter(|p| p.classes == classes) {
                 Some(part) => part.rows.push((server, weight)),
-                None => parts.push(Part { classes, rows: vec![(server, weight)], ..Part::default() }),
+                None => {
+                    parts.push(UpdatePart { classes, rows: vec![(server, weight)], ..UpdatePart::default() })
+                }
             }
         }
     }
 
-    fn clear(&mut self, messages: &mut BTreeMap<ProxyId, Vec<Part>>, table: TableId) {
+    fn clear(&mut self, messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>, table: TableId) {
         self.tables.remove(&table);
         for (proxy, classes) in self.on(table) {
-            messages.entry(proxy).or_default().push(Part { classes, replace: true, ..Part::default() });
+            messages.entry(proxy).or_default().push(UpdatePart {
+                classes,
+                replace: true,
+                ..UpdatePart::default()
+            });
         }
     }
 
-    fn shut(&mut self, messages: &mut BTreeMap<ProxyId, Vec<Part>>, server: ServerId, out: bool) {
+    fn shut(&mut self, messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>, server: ServerId, out: bool) {
         self.out.insert(server, out);
         let (drop, undrop) = if out { (vec![server], vec![]) } else { (vec![], vec![server]) };
         for proxy in self.streams.keys() {
-            let part = Part { drop: drop.clone(), undrop: undrop.clone(), ..Part::default() };
+            let part = UpdatePart { drop: drop.clone(), undrop: undrop.clone(), ..UpdatePart::default() };
             messages.entry(*proxy).or_default().push(part);
         }
     }
 
     fn bind(
         &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
         proxy: ProxyId,
         table: TableId,
         classes: u64,
@@ -252,7 +258,7 @@
         let drop = out.into_iter().map(|(s, _)| *s).filter(|s| laid.lines.contains_key(s)).collect();
         let undrop = back.into_iter().map(|(s, _)| *s).collect();
         let parts = messages.entry(proxy).or_default();
-        parts.push(Part { classes, replace: true, rows, drop, undrop, ..Part::default() });
+        parts.push(UpdatePart { classes, replace: true, rows, drop, undrop, ..UpdatePart::default() });
         // The whole table made proxies forget the levels.
         let levels = laid.levels.iter().filter(|(class, _)| classes >> **class & 1 == 1);
         levels.for_each(|(class, level)| add_level(parts, 1 << class, *level));
@@ -260,7 +266,7 @@
 
     fn level(
         &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
         table: TableId,
         class: ClassId,
         level: Level,
@@ -278,7 +284,7 @@
 
     fn mark(
         &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<Part>>,
+        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
         mark: u16,
         everyone: bool,
         now: Duration,
@@ -289,7 +295,7 @@
         for (proxy, parts) in messages.iter_mut() {
             match parts.last_mut() {
                 Some(part) => part.mark = Some(mark),
-                None => parts.push(Part { mark: Some(mark), ..Part::default() }),
+                None => parts.push(UpdatePart { mark: Some(mark), ..UpdatePart::default() }),
             }
             if let Some(stream) = self.streams.get_mut(proxy) {
                 stream.marks.push_back((mark, now));
@@ -302,9 +308,9 @@
 
     /// The bytes of a message. A server whose name is not known any more is left out, as is what goes past
     /// the parts that a message may have: a planner's orders come nowhere near either.
-    pub fn write(&self, parts: &[Part], names: &Names) -> Vec<u8> {
+    pub fn write(&self, parts: &[UpdatePart], names: &Names) -> Vec<u8> {
         let mut out = Vec::new();
-        let pieces: Vec<Piece> = parts.iter().flat_map(pieces).take(PARTS_MOST).collect();
+        let pieces: Vec<UpdateChunk> = parts.iter().flat_map(pieces).take(PARTS_MOST).collect();
         for (k, piece) in pieces.iter().enumerate() {
             let written = self.written(piece, k + 1 < pieces.len(), names);
             // Strings and finite numbers always have a form.
@@ -313,8 +319,8 @@
         out
     }
 
-    fn written<'a>(&self, piece: &Piece, more: bool, names: &'a Names) -> Written<'a> {
-        let Piece { part, rows, first, last } = *piece;
+    fn written<'a>(&self, piece: &UpdateChunk, more: bool, names: &'a Names) -> ConfigMessage<'a> {
+        let UpdateChunk { part, rows, first, last } = *piece;
         let server = |s: &ServerId| names.servers.name(*s).map(String::as_str);
         let level = part.level.filter(|_| last);
         let whole = part.classes == 0 || part.classes == self.all();
@@ -322,7 +328,7 @@
         let classes = classes.filter_map(|class| names.classes.name(class).map(String::as_str));
         let named = rows.iter().filter_map(|(s, w)| Some((server(s)?, *w)));
         let on_last = |servers: &[ServerId]| servers.iter().filter(|_| last).filter_map(server).collect();
-        Written {
+        ConfigMessage {
             t: "CONFIG",
             classes: (!whole).then(|| classes.collect()),
             replace: (part.replace && first).then_some(true),
@@ -339,27 +345,28 @@
 
 /// What of a part goes into one: its lines in pieces, where there are too many; the whole table's word with
 /// the first, all else with the last.
-struct Piece<'a> {
-    part: &'a Part,
+struct UpdateChunk<'a> {
+    part: &'a UpdatePart,
     rows: &'a [(ServerId, f64)],
     first: bool,
     last: bool,
 }
 
-fn pieces(part: &Part) -> impl Iterator<Item = Piece<'_>> {
+fn pieces(part: &UpdatePart) -> impl Iterator<Item = UpdateChunk<'_>> {
     let count = part.rows.len().div_ceil(ROWS_MOST).max(1);
     (0..count).map(move |k| {
         let rows = &part.rows[k * ROWS_MOST..part.rows.len().min((k + 1) * ROWS_MOST)];
-        Piece { part, rows, first: k == 0, last: k + 1 == count }
+        UpdateChunk { part, rows, first: k == 0, last: k + 1 == count }
     })
 }
 
 /// Adds a level for some classes: with the same level's part where that has nothing else, or a part of its
 /// own.
-fn add_level(parts: &mut Vec<Part>, classes: u64, level: Level) {
-    let bare = |p: &&mut Part| !p.replace && p.rows.is_empty() && p.drop.is_empty() && p.undrop.is_empty();
+fn add_level(parts: &mut Vec<UpdatePart>, classes: u64, level: Level) {
+    let bare =
+        |p: &&mut UpdatePart| !p.replace && p.rows.is_empty() && p.drop.is_empty() && p.undrop.is_empty();
     match parts.last_mut().filter(|p| p.level == Some(level)).filter(bare) {
         Some(part) => part.classes |= classes,
-        None => parts.push(Part { classes, level: Some(level), ..Part::default() }),
+        None => parts.push(UpdatePart { classes, level: Some(level), ..UpdatePart::default() }),
     }
 }
--- a/crates/platform-protocol/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -2,13 +2,13 @@
 mod endings;
 
 use super::*;
-use crate::session::{Clients, JOIN_WITHIN};
-use crate::endpoint_list::Watch;
+use crate::bootstrap::Told;
+use crate::endpoint_list::WatchReader;
 use crate::framing::{Reader, Unreadable, FIRST_MOST, MESSAGE_MOST};
+use crate::health_check::{HealthCheck, HealthCheckResponse};
 use crate::message::read;
-use crate::health_check::{Answer, Probe};
-use crate::bootstrap::Told;
-use crate::table_sync::Part;
+use crate::session::{Sessions, JOIN_WITHIN};
+use crate::table_sync::UpdatePart;
 use proptest::prelude::*;
 use runloom_controller::endpoint::HealthState;
 use runloom_controller::{EjectionReport, HealthCheckResult, ListedState, RetryPolicy};
@@ -20,7 +20,7 @@
 
 impl Platform {
     /// A turn in which nothing is left unread.
-    fn turn_at(&mut self, now: Duration) -> Vec<Deed> {
+    fn turn_at(&mut self, now: Duration) -> Vec<Action> {
         self.turn(now, now)
     }
 }
@@ -57,12 +57,12 @@
         "zones": ["a", "b"], "rules": {"drainGraceS": 2.0, "coldFrom": 0.5, "warmAfterS": 1.0}})
 }
 
-fn station() -> Station {
+fn station() -> BootstrapConfig {
     let known = json!({"revision": 40, "complete": true, "members": [member("s-1", "SERVING"),
         member("s-2", "SERVING"), member("s-3", "SERVING")]});
     let text = json!({"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f",
         "limits": {"sockets": 256, "memory_mb": 32}, "known": known, "settings": settings()});
-    Station::read(&text.to_string(), Told::default()).unwrap()
+    BootstrapConfig::read(&text.to_string(), Told::default()).unwrap()
 }
 
 fn platform() -> Platform {
@@ -79,22 +79,22 @@
     json!({"t": "SUBSCRIBE", "id": id, "site": "a", "rps": 2.0, "new": true})
 }
 
-fn join(platform: &mut Platform, conn: Conn, id: u64, now: Duration) -> Vec<Deed> {
+fn join(platform: &mut Platform, conn: ConnectionId, id: u64, now: Duration) -> Vec<Action> {
     platform.opened(conn, now);
     platform.bytes(conn, &framed(&[joining(id)]), now);
     platform.turn_at(now)
 }
 
-fn written(deeds: &[Deed], to: Conn) -> Vec<Value> {
+fn written(deeds: &[Action], to: ConnectionId) -> Vec<Value> {
     let bytes = deeds.iter().filter_map(|d| match d {
-        Deed::Write { conn, bytes } if *conn == to => Some(bytes.as_slice()),
+        Action::Write { conn, bytes } if *conn == to => Some(bytes.as_slice()),
         _ => None,
     });
     unframed(&bytes.collect::<Vec<_>>().concat())
 }
 
-fn is_closed(deeds: &[Deed], conn: Conn) -> bool {
-    deeds.contains(&Deed::Close { conn })
+fn is_closed(deeds: &[Action], conn: ConnectionId) -> bool {
+    deeds.contains(&Action::Close { conn })
 }
 
 // Frames.
@@ -187,7 +187,7 @@
                 }
             }
         }
-        let (mut watch, mut got, mut rest) = (Watch::default(), Vec::new(), bytes.as_slice());
+        let (mut watch, mut got, mut rest) = (WatchReader::default(), Vec::new(), bytes.as_slice());
         for cut in cuts.iter().cycle() {
             let (piece, after) = rest.split_at((*cut).min(rest.len()));
             got.extend(watch.push(piece).unwrap());
@@ -202,7 +202,7 @@
 
     #[test]
     fn no_bytes_of_discovery_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut watch = Watch::default();
+        let mut watch = WatchReader::default();
         let _ = watch.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         if let Ok(lines) = watch.push(&bytes) {
             let mut platform = platform();
@@ -317,7 +317,7 @@
         message["util"] = util;
         read(&message, &names)
     };
-    let load = |m: Result<Message, Spoilt>| {
+    let load = |m: Result<Message, MalformedMessage>| {
         if let Ok(Message::Told(Event::OutcomeReport { load, .. })) = m {
             load
         } else {
@@ -340,13 +340,13 @@
     message["note"] = json!("x");
     assert!(read(&message, &names).is_ok());
     message["fail"] = json!(13);
-    assert_eq!(read(&message, &names), Err(Spoilt::Field("fail")));
+    assert_eq!(read(&message, &names), Err(MalformedMessage::Field("fail")));
 }
 
 // Streams.
 
-fn streams() -> Streams {
-    let mut streams = Streams::new(2, 1.0);
+fn streams() -> TableSync {
+    let mut streams = TableSync::new(2, 1.0);
     [1, 2].into_iter().for_each(|proxy| streams.join(proxy, START));
     streams
 }
@@ -384,7 +384,7 @@
     let mut streams = streams();
     streams.lay(&[bind(1, 1, 0), bind(2, 1, 0), bind(2, 2, 0b10)], START);
     let messages = streams.lay(&[line(1, 0, 0.5), line(1, 1, 0.0), line(2, 2, 2.0)], START);
-    let part = |classes, rows| Part { classes, rows, ..Part::default() };
+    let part = |classes, rows| UpdatePart { classes, rows, ..UpdatePart::default() };
     assert_eq!(messages[&1], [part(0b11, vec![(0, 0.5), (1, 0.0)])]);
     assert_eq!(messages[&2], [part(0b01, vec![(0, 0.5), (1, 0.0)]), part(0b10, vec![(2, 2.0)])]);
 }
@@ -447,7 +447,7 @@
 
 #[test]
 fn a_message_has_no_more_parts_than_it_may_and_the_last_says_so() {
-    let parts = vec![Part { classes: 1, rows: vec![(0, 1.0)], ..Part::default() }; 70];
+    let parts = vec![UpdatePart { classes: 1, rows: vec![(0, 1.0)], ..UpdatePart::default() }; 70];
     let out = unframed(&streams().write(&parts, &names()));
     assert_eq!((out.len(), &out[62]["part"], out[63].get("part")), (64, &json!(true), None));
 }
@@ -457,8 +457,14 @@
     let mut names = names();
     let servers: Vec<ServerId> = (0..9000).map(|k| names.servers.index(format!("{k:0>128}"))).collect();
     let rows: Vec<(ServerId, f64)> = servers.iter().map(|s| (*s, 1.0 / 3.0)).collect();
-    let part =
-        Part { classes: 3, replace: true, rows, drop: vec![servers[0]], mark: Some(9), ..Part::default() };
+    let part = UpdatePart {
+        classes: 3,
+        replace: true,
+        rows,
+        drop: vec![servers[0]],
+        mark: Some(9),
+        ..UpdatePart::default()
+    };
     // A part past 1 MiB could not be read here either.
     let out = unframed(&streams().write(&[part], &names));
     let told: usize = out.iter().map(|part| part["rows"].as_array().unwrap().len()).sum();
@@ -498,7 +504,7 @@
 
 #[test]
 fn a_start_before_the_planner_s_own_has_its_place_on_the_clock() {
-    let mut list = List::default();
+    let mut list = EndpointList::default();
     let mut up = member("s-1", "SERVING");
     let mut started = |since: u64| {
         up["up_since_ms"] = json!(since);
@@ -515,20 +521,20 @@
     let mut moved = member("s-1", "SERVING");
     moved["host_port"] = json!("127.0.0.1:77");
     platform.line(&listed(41, false, &[moved]), START).unwrap();
-    let deeds: Vec<Deed> = (0..30).flat_map(|k| platform.turn_at(START + ms(250 * k))).collect();
+    let deeds: Vec<Action> = (0..30).flat_map(|k| platform.turn_at(START + ms(250 * k))).collect();
     let probed = |port| {
         let to = SocketAddr::from(([127, 0, 0, 1], port));
-        deeds.iter().filter(|d| matches!(d, Deed::Probe { to: at, .. } if *at == to)).count()
+        deeds.iter().filter(|d| matches!(d, Action::Probe { to: at, .. } if *at == to)).count()
     };
     assert!(probed(77) > 0 && probed(9) > 0);
 }
 
 #[test]
 fn what_is_no_list_of_discovery_can_t_be_read() {
-    let fails = |bytes: &[u8]| Watch::default().push(bytes).is_err();
+    let fails = |bytes: &[u8]| WatchReader::default().push(bytes).is_err();
     assert!(fails(b"HTTP/1.1 503 No\r\n\r\n") && fails(b"SSH-2.0-x\r\n"));
     assert!(fails(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n"));
-    let mut watch = Watch::default();
+    let mut watch = WatchReader::default();
     let lines = watch.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n").unwrap();
     assert!(lines.is_empty() && watch.is_over());
 }
@@ -538,11 +544,14 @@
 #[test]
 fn each_answer_to_a_probe_is_told_as_what_it_is() {
     let fields = ["q".to_string(), "lat_ms".to_string()];
-    let ending = |text: &str| Answer::default().push(text.as_bytes(), &fields);
+    let ending = |text: &str| HealthCheckResponse::default().push(text.as_bytes(), &fields);
     let found = |text: &str| ending(text).map(|e| e.found);
     let body = r#"{"queue":2,"latency_ms":61}"#;
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    assert_eq!(ending(&whole), Some(Ending { found: HealthCheckResult::Success, load: vec![2.0, 61.0] }));
+    assert_eq!(
+        ending(&whole),
+        Some(HealthCheckOutcome { found: HealthCheckResult::Success, load: vec![2.0, 61.0] })
+    );
     assert_eq!(ending(&whole[..whole.len() - 1]), None);
     assert_eq!(found("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), Some(HealthCheckResult::Success));
     assert_eq!(found("HTTP/1.1 503 No\r\n\r\n"), Some(HealthCheckResult::Rejected));
@@ -557,14 +566,14 @@
 #[test]
 fn one_connection_that_is_reset_tells_nothing_of_a_server_and_two_do() {
     let fields = ["q".to_string()];
-    let mut probe = Probe::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
+    let mut probe = HealthCheck::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
     assert_eq!(probe.late().found, HealthCheckResult::ConnectionFailed);
     probe.open = true;
     assert_eq!(probe.late().found, HealthCheckResult::Timeout);
     assert_eq!((probe.cut(), probe.open), (None, false));
     assert_eq!(probe.cut().map(|e| e.found), Some(HealthCheckResult::ConnectionFailed));
     // Ways that are well lose answers too, and what came of the first is no part of the second.
-    let mut begun = Probe::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
+    let mut begun = HealthCheck::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
     assert_eq!(begun.push(b"HTTP/1.1 2", &fields), None);
     assert_eq!((begun.cut(), begun.open), (None, false));
     assert_eq!(begun.push(b"HTTP/1.1 200 OK\r\nContent-Le", &fields), None);
@@ -615,7 +624,7 @@
 
 #[test]
 fn hundreds_who_say_nothing_make_room_for_who_joins() {
-    let mut clients = Clients::new(40);
+    let mut clients = Sessions::new(40);
     (0..300).for_each(|conn| clients.open(conn, ms(conn as u64)));
     assert!(clients.is_full() && clients.wake() <= Some(ms(300)));
     clients.join(299, 5);
@@ -776,7 +785,7 @@
     platform.carry_out(vec![Command::LogEjection(report)], START);
     let text =
         "server s-2 Withdrawn: 5 of 20 failed, 3 in a row; probes: refused true, unanswered 2".to_string();
-    assert_eq!(platform.deeds, [Deed::Log { text }]);
+    assert_eq!(platform.deeds, [Action::Log { text }]);
 }
 
 #[test]
@@ -877,7 +886,7 @@
         }
         let probes = platform.turn_at(now + ms(250));
         for deed in [deeds, probes].concat() {
-            if let Deed::Probe { ticket, .. } = deed {
+            if let Action::Probe { ticket, .. } = deed {
                 platform.probed(ticket, HealthCheckResult::Success.into(), ms(2));
             }
         }
@@ -896,14 +905,14 @@
 fn a_station_is_read_from_the_file_and_what_is_missing_from_the_environment() {
     let text = json!({"seed": 5, "settings": {}, "listen": "127.0.0.1:1"}).to_string();
     let told = Told { discovery: Some("127.0.0.1:7".into()), name: Some("n2".into()), listen: None };
-    let station = Station::read(&text, told).unwrap();
+    let station = BootstrapConfig::read(&text, told).unwrap();
     assert_eq!((station.name.as_str(), station.discovery.port(), station.seed), ("n2", 7, 5));
     assert_eq!(station.bounds.sockets, 256);
 }
 
 #[test]
 fn a_broken_file_is_told_in_one_line() {
-    let wrong = |text: &str| Station::read(text, Told::default()).unwrap_err();
+    let wrong = |text: &str| BootstrapConfig::read(text, Told::default()).unwrap_err();
     let texts = [
         "",
         "{",
--- a/crates/platform-protocol/src/tests/doors.rs
+++ b/crates/platform-protocol/src/tests/doors.rs
@@ -53,8 +53,8 @@
         let now = START + ms(400 * k);
         match k {
             2..=6 => {
-                platform.opened(k as Conn, now);
-                platform.bytes(k as Conn, &framed(&[joining(k)]), now);
+                platform.opened(k as ConnectionId, now);
+                platform.bytes(k as ConnectionId, &framed(&[joining(k)]), now);
             }
             9 => platform.closed(3),
             12 => platform
@@ -79,7 +79,7 @@
         }
         for deed in platform.turn_at(now) {
             match deed {
-                Deed::Probe { ticket, .. } => {
+                Action::Probe { ticket, .. } => {
                     let found = [
                         HealthCheckResult::Success,
                         HealthCheckResult::Timeout,
@@ -87,7 +87,7 @@
                     ][ticket as usize % 3];
                     platform.probed(ticket, found.into(), ms(3));
                 }
-                Deed::Write { conn, bytes } => {
+                Action::Write { conn, bytes } => {
                     for order in unframed(&bytes) {
                         tables += usize::from(order["replace"] == json!(true));
                         let ack = json!({"t": "ACK", "id": conn, "seq": order["stamp"], "ms": 5.0});
--- a/crates/platform-protocol/src/tests/endings.rs
+++ b/crates/platform-protocol/src/tests/endings.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::endpoint_list::{FIRST_WAIT, REDIAL, SILENCE_MOST};
-use crate::endpoint_watch::Watching;
+use crate::endpoint_watch::EndpointWatch;
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -15,8 +15,8 @@
 }
 
 /// A watch on connection 1 whose answer has begun.
-fn watching() -> Watching {
-    let mut watching = Watching::new(address(1));
+fn watching() -> EndpointWatch {
+    let mut watching = EndpointWatch::new(address(1));
     assert!(watching.is_to_dial(START));
     watching.dialled(Some(1), START);
     assert!(watching.bytes(1, HEAD, START).first);
@@ -244,7 +244,7 @@
     for k in 0..40u64 {
         let deeds = platform.turn_at(START + ms(k * 500));
         asked.extend(deeds.into_iter().filter_map(|d| match d {
-            Deed::Probe { ticket, .. } => Some(ticket),
+            Action::Probe { ticket, .. } => Some(ticket),
             _ => None,
         }));
     }
@@ -254,7 +254,7 @@
     }
     let again: usize = (40..52u64)
         .map(|k| platform.turn_at(START + ms(k * 500)))
-        .map(|deeds| deeds.iter().filter(|d| matches!(d, Deed::Probe { .. })).count())
+        .map(|deeds| deeds.iter().filter(|d| matches!(d, Action::Probe { .. })).count())
         .sum();
     assert_eq!(again, 3);
 }
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -4,9 +4,9 @@
 //! `UPDATE_SNAPSHOTS=1` writes the snapshot anew.
 
 use runloom_controller::HealthCheckResult;
-use runloom_platform_protocol::health_check::Ending;
-use runloom_platform_protocol::bootstrap::{Station, Told};
-use runloom_platform_protocol::{Deed, Platform};
+use runloom_platform_protocol::bootstrap::{BootstrapConfig, Told};
+use runloom_platform_protocol::health_check::HealthCheckOutcome;
+use runloom_platform_protocol::{Action, Platform};
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     let known = json!({"revision": 40, "complete": true, "members": members});
     let text = json!({"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f",
         "limits": {"sockets": 256, "memory_mb": 32}, "known": known, "settings": settings(level_kind)});
-    Platform::new(&Station::read(&text.to_string(), Told::default()).unwrap(), EPOCH_MS, 100)
+    Platform::new(&BootstrapConfig::read(&text.to_string(), Told::default()).unwrap(), EPOCH_MS, 100)
 }
 
 /// A message behind its length, four bytes with the least first: made here by hand, so that a fault in the core's
@@ -127,10 +127,10 @@
 }
 
 /// Ends probes and acknowledges messages, but for the proxy that falls silent.
-fn answer(platform: &mut Platform, deeds: &[Deed], step: u64, now: Duration) {
+fn answer(platform: &mut Platform, deeds: &[Action], step: u64, now: Duration) {
     for deed in deeds {
         match deed {
-            Deed::Probe { ticket, .. } => {
+            Action::Probe { ticket, .. } => {
                 let endings = [
                     HealthCheckResult::Success,
                     HealthCheckResult::Success,
@@ -139,9 +139,13 @@
                     HealthCheckResult::ErrorResponse,
                 ];
                 let found = endings[*ticket as usize % endings.len()];
-                platform.probed(*ticket, Ending { found, load: vec![0.3, 40.0] }, Duration::from_millis(3));
+                platform.probed(
+                    *ticket,
+                    HealthCheckOutcome { found, load: vec![0.3, 40.0] },
+                    Duration::from_millis(3),
+                );
             }
-            Deed::Write { conn, bytes } if *conn != 9 || step < 100 => {
+            Action::Write { conn, bytes } if *conn != 9 || step < 100 => {
                 let proxy = if *conn == 60 { 7 } else { *conn };
                 for message in unframed(bytes).into_iter().filter(|message| message["stamp"].is_u64()) {
                     let ack = json!({"t": "ACK", "id": proxy, "seq": message["stamp"], "ms": 5.0});
@@ -162,10 +166,12 @@
         let deeds = platform.turn(now, now);
         for deed in &deeds {
             match deed {
-                Deed::Write { conn, bytes } => writeln!(seen, "{step} write {conn} {}", bytes.escape_ascii()),
-                Deed::Close { conn } => writeln!(seen, "{step} close {conn}"),
-                Deed::Probe { ticket, to } => writeln!(seen, "{step} probe {ticket} {to}"),
-                Deed::Log { text } => writeln!(seen, "{step} log {text}"),
+                Action::Write { conn, bytes } => {
+                    writeln!(seen, "{step} write {conn} {}", bytes.escape_ascii())
+                }
+                Action::Close { conn } => writeln!(seen, "{step} close {conn}"),
+                Action::Probe { ticket, to } => writeln!(seen, "{step} probe {ticket} {to}"),
+                Action::Log { text } => writeln!(seen, "{step} log {text}"),
             }
             .unwrap();
         }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -7,19 +7,19 @@
 pub mod tables;
 
 use nanorand::{Rng, WyRand};
-use query::{Ended, Query, Refusal, Step};
+use query::{AttemptOutcome, Refusal, Request, Step};
 use runloom_controller::RetryPolicy;
 use runloom_model::fleet::{Class, Repeats};
-use runloom_model::order::{halved, ClassOutcomes, ClassArrivals, LatencyBuckets, ServerOutcomes, Report};
+use runloom_model::order::{halved, ClassArrivals, ClassOutcomes, LatencyBuckets, Report, ServerOutcomes};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tables::{Held, Pick};
+use tables::{HeldTables, SelectionMethod};
 
 /// Queries at a time: a forwarder that has more out is behind, and holds no more in memory.
 pub const QUERIES_MOST: usize = 4096;
 
-pub type QueryId = u64;
+pub type RequestId = u64;
 
 /// What one server did to this proxy.
 #[derive(Debug, Clone, Default)]
@@ -57,8 +57,8 @@
 
 /// What a proxy is set to.
 #[derive(Debug, Clone)]
-pub struct Manner {
-    pub pick: Pick,
+pub struct ProxyConfig {
+    pub pick: SelectionMethod,
     pub shun_after: u32,
     pub shun_for: Duration,
 }
@@ -76,12 +76,12 @@
 
 #[derive(Debug)]
 pub struct Proxy {
-    manner: Manner,
+    manner: ProxyConfig,
     classes: Vec<Class>,
     chance: WyRand,
-    held: Held,
+    held: HeldTables,
     servers: BTreeMap<String, Standing>,
-    queries: BTreeMap<QueryId, Query>,
+    queries: BTreeMap<RequestId, Request>,
     /// Queries since the last report, and those let in that got no answer, by class.
     came: Vec<(u64, u64)>,
     /// What each class's level has left to let in, and when that was reckoned.
@@ -93,11 +93,16 @@
 
 impl Proxy {
     /// One that holds its standing lines, for all classes, until a planner orders otherwise.
-    pub fn new(manner: Manner, classes: Vec<Class>, standing: &[(String, SocketAddr)], seed: u64) -> Proxy {
+    pub fn new(
+        manner: ProxyConfig,
+        classes: Vec<Class>,
+        standing: &[(String, SocketAddr)],
+        seed: u64,
+    ) -> Proxy {
         let names: Vec<String> = classes.iter().map(|c| c.name.clone()).collect();
         Proxy {
             manner,
-            held: Held::standing(&names, standing),
+            held: HeldTables::standing(&names, standing),
             came: vec![(0, 0); classes.len()],
             allowance: vec![(0.0, Duration::ZERO); classes.len()],
             bare_since: vec![None; classes.len()],
@@ -109,7 +114,7 @@
         }
     }
 
-    pub fn held(&self) -> &Held {
+    pub fn held(&self) -> &HeldTables {
         &self.held
     }
 
@@ -122,13 +127,13 @@
     }
 
     /// What a planner has edited, in place of what was held. Queries that are out go on as they were.
-    pub fn hold(&mut self, held: Held) {
+    pub fn hold(&mut self, held: HeldTables) {
         self.held = held;
         self.servers.retain(|name, s| self.held.names(name) || s.out > 0 || s.tries > 0);
     }
 
     /// A query came. Its id must be new.
-    pub fn arrived(&mut self, now: Duration, id: QueryId, class: usize) -> Step {
+    pub fn arrived(&mut self, now: Duration, id: RequestId, class: usize) -> Step {
         self.counts.came += 1;
         self.came[class].0 += 1;
         if self.queries.len() >= QUERIES_MOST {
@@ -148,7 +153,7 @@
         // The way of trying again is fixed now: a table that changes meanwhile changes no proof.
         let tries = self.held.level(&self.classes[class].name).map_or(RetryPolicy::IfNotExecuted, |l| l.1);
         let until = now + self.classes[class].outer_limit;
-        self.queries.insert(id, Query::new(class, now, until, server.clone(), tries));
+        self.queries.insert(id, Request::new(class, now, until, server.clone(), tries));
         self.sent(&server);
         Step::Send { server, address, until }
     }
@@ -202,8 +207,8 @@
             open.last().copied()
         };
         let found = match self.manner.pick {
-            Pick::Chance => draw(&mut self.chance)?,
-            Pick::LessBusy => {
+            SelectionMethod::Chance => draw(&mut self.chance)?,
+            SelectionMethod::LessBusy => {
                 let (a, b) = (draw(&mut self.chance)?, draw(&mut self.chance)?);
                 let out = |k: usize| self.servers.get(&lines[k].server).map_or(0, |s| s.out);
                 if out(b) < out(a) {
@@ -212,13 +217,13 @@
                     a
                 }
             }
-            Pick::Turns => return self.held.turn(&name, &open),
+            SelectionMethod::Turns => return self.held.turn(&name, &open),
         };
         Some((lines[found].server.clone(), lines[found].address))
     }
 
     /// A try ended. What is to be done next, or `None` if the query was given up on before.
-    pub fn ended(&mut self, now: Duration, id: QueryId, how: Ended) -> Option<Step> {
+    pub fn ended(&mut self, now: Duration, id: RequestId, how: AttemptOutcome) -> Option<Step> {
         let query = self.queries.get_mut(&id)?;
         let (server, class) = (query.server.clone(), query.class);
         let took = now.saturating_sub(query.tried_at);
@@ -248,7 +253,7 @@
     }
 
     /// The client went away, or the outer limit passed: the try counts as failed if nothing came of it.
-    pub fn given_up(&mut self, now: Duration, id: QueryId) {
+    pub fn given_up(&mut self, now: Duration, id: RequestId) {
         if let Some(query) = self.queries.remove(&id) {
             let took = now.saturating_sub(query.tried_at);
             let outcome = Outcome { class: query.class, good: false, in_time: false, took, load: &[] };
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -43,7 +43,7 @@
 
 /// How a try ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// An answer that is none of the failures below.
     Answered { load: Vec<f64> },
     /// The server's own word that it failed; it ran.
@@ -60,25 +60,30 @@
     Late,
 }
 
-impl Ended {
+impl AttemptOutcome {
     pub fn is_good(&self) -> bool {
-        matches!(self, Ended::Answered { .. })
+        matches!(self, AttemptOutcome::Answered { .. })
     }
 
     /// The try provably never ran.
     pub fn never_ran(&self) -> bool {
-        matches!(self, Ended::TurnedAway { .. } | Ended::NoConnection | Ended::BrokenBefore)
+        matches!(
+            self,
+            AttemptOutcome::TurnedAway { .. } | AttemptOutcome::NoConnection | AttemptOutcome::BrokenBefore
+        )
     }
 
     pub fn load(&self) -> &[f64] {
         match self {
-            Ended::Answered { load } | Ended::Error { load } | Ended::TurnedAway { load } => load,
+            AttemptOutcome::Answered { load }
+            | AttemptOutcome::Error { load }
+            | AttemptOutcome::TurnedAway { load } => load,
             _ => &[],
         }
     }
 
     pub fn refusal(&self) -> Refusal {
-        if *self == Ended::Late {
+        if *self == AttemptOutcome::Late {
             Refusal::Late
         } else {
             Refusal::Failed
@@ -88,7 +93,7 @@
 
 /// A query that is out.
 #[derive(Debug, Clone)]
-pub struct Query {
+pub struct Request {
     pub class: usize,
     pub until: Duration,
     pub server: String,
@@ -101,21 +106,21 @@
     may_have_run: bool,
 }
 
-impl Query {
-    pub fn new(class: usize, now: Duration, until: Duration, server: String, tries: RetryPolicy) -> Query {
+impl Request {
+    pub fn new(class: usize, now: Duration, until: Duration, server: String, tries: RetryPolicy) -> Request {
         let (left, needs_proof) = match tries {
             RetryPolicy::Never => (0, true),
             RetryPolicy::IfNotExecuted => (1, true),
             RetryPolicy::Once => (1, false),
             RetryPolicy::Twice => (2, false),
         };
-        Query { class, until, server, tried_at: now, came_at: now, left, needs_proof, may_have_run: false }
+        Request { class, until, server, tried_at: now, came_at: now, left, needs_proof, may_have_run: false }
     }
 
     /// Whether a further try follows this ending. Whatever is ordered, one that may have run is tried again
     /// only where repeating is safe.
-    pub fn may_try_again(&mut self, now: Duration, how: &Ended, repeats: Repeats) -> bool {
-        if how.is_good() || *how == Ended::Late || self.left == 0 || now >= self.until {
+    pub fn may_try_again(&mut self, now: Duration, how: &AttemptOutcome, repeats: Repeats) -> bool {
+        if how.is_good() || *how == AttemptOutcome::Late || self.left == 0 || now >= self.until {
             return false;
         }
         self.may_have_run |= !how.never_ran();
--- a/crates/proxy/src/tables.rs
+++ b/crates/proxy/src/tables.rs
@@ -7,7 +7,7 @@
 
 /// How a line is picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pick {
+pub enum SelectionMethod {
     /// At random by weight.
     Chance,
     /// Evenly by weight, one after the other.
@@ -16,18 +16,18 @@
     LessBusy,
 }
 
-impl Pick {
-    pub fn named(word: &str) -> Pick {
+impl SelectionMethod {
+    pub fn named(word: &str) -> SelectionMethod {
         match word {
-            "turns" => Pick::Turns,
-            "less-busy" => Pick::LessBusy,
-            _ => Pick::Chance,
+            "turns" => SelectionMethod::Turns,
+            "less-busy" => SelectionMethod::LessBusy,
+            _ => SelectionMethod::Chance,
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct TableEntry {
     pub server: String,
     pub address: SocketAddr,
     pub weight: f64,
@@ -35,7 +35,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Table {
-    pub(crate) lines: Vec<Line>,
+    pub(crate) lines: Vec<TableEntry>,
     pub(crate) levels: BTreeMap<String, AdmissionLimit>,
     /// For turns: what each line has saved up.
     pub(crate) credit: Vec<f64>,
@@ -43,7 +43,7 @@
 
 /// All that a proxy holds.
 #[derive(Debug, Clone, Default)]
-pub struct Held {
+pub struct HeldTables {
     pub(crate) tables: BTreeMap<u16, Table>,
     pub(crate) binds: BTreeMap<String, u16>,
     pub(crate) withdrawn: BTreeSet<String>,
@@ -51,23 +51,23 @@
     pub ordered: bool,
 }
 
-impl Held {
+impl HeldTables {
     /// What it starts with: one table of even lines for all classes.
-    pub fn standing(classes: &[String], lines: &[(String, SocketAddr)]) -> Held {
-        let line = |(server, address): &(String, SocketAddr)| Line {
+    pub fn standing(classes: &[String], lines: &[(String, SocketAddr)]) -> HeldTables {
+        let line = |(server, address): &(String, SocketAddr)| TableEntry {
             server: server.clone(),
             address: *address,
             weight: 1.0,
         };
-        let lines: Vec<Line> = lines.iter().map(line).collect();
+        let lines: Vec<TableEntry> = lines.iter().map(line).collect();
         let table = Table { credit: vec![0.0; lines.len()], lines, ..Table::default() };
         let binds = classes.iter().map(|c| (c.clone(), 0)).collect();
-        Held { tables: [(0, table)].into(), binds, ..Held::default() }
+        HeldTables { tables: [(0, table)].into(), binds, ..HeldTables::default() }
     }
 
     /// Reads `<tables>`. An edit is whole or refused: the error names what cannot be used.
-    pub fn read(tables: &Element) -> Result<Held, String> {
-        let mut held = Held { ordered: true, ..Held::default() };
+    pub fn read(tables: &Element) -> Result<HeldTables, String> {
+        let mut held = HeldTables { ordered: true, ..HeldTables::default() };
         for e in tables.named("table") {
             let id = e.text_of("id").and_then(|t| t.parse().ok()).ok_or("a table's id is no number")?;
             let mut table = Table::default();
@@ -79,7 +79,7 @@
                 if !(weight.is_finite() && weight > 0.0) {
                     return Err(format!("the weight of {server} is no positive number"));
                 }
-                table.lines.push(Line { server, address, weight });
+                table.lines.push(TableEntry { server, address, weight });
             }
             for l in e.named("level") {
                 let pace = l.text_of("pace").map(|p| p.parse::<f64>().map_err(|_| "a pace is no number"));
@@ -104,7 +104,7 @@
     }
 
     /// The lines for a class, withdrawn servers left out.
-    pub fn lines(&self, class: &str) -> Vec<Line> {
+    pub fn lines(&self, class: &str) -> Vec<TableEntry> {
         let lines = self.table(class).map(|t| t.lines.as_slice()).unwrap_or_default();
         lines.iter().filter(|l| !self.withdrawn.contains(&l.server)).cloned().collect()
     }
@@ -117,7 +117,7 @@
         self.tables.values().any(|t| t.lines.iter().any(|l| l.server == server))
     }
 
-    /// The next in turn among the open ones of [`Held::lines`]: each saves its weight up, the richest pays.
+    /// The next in turn among the open ones of [`HeldTables::lines`]: each saves its weight up, the richest pays.
     pub fn turn(&mut self, class: &str, open: &[usize]) -> Option<(String, SocketAddr)> {
         let withdrawn = &self.withdrawn;
         let table = self.tables.get_mut(self.binds.get(class)?)?;
--- a/crates/proxy/src/tests.rs
+++ b/crates/proxy/src/tests.rs
@@ -6,8 +6,8 @@
     Class { name: "q".into(), payoff: 1.0, soft_limit, outer_limit, repeats }
 }
 
-fn proxy(pick: Pick, repeats: Repeats, level: &str, weights: &[f64]) -> Proxy {
-    let manner = Manner { pick, shun_after: 3, shun_for: Duration::from_secs(5) };
+fn proxy(pick: SelectionMethod, repeats: Repeats, level: &str, weights: &[f64]) -> Proxy {
+    let manner = ProxyConfig { pick, shun_after: 3, shun_for: Duration::from_secs(5) };
     let mut proxy = Proxy::new(manner, vec![class(repeats)], &[], 7);
     let line = |(k, w): (usize, &f64)| {
         format!(
@@ -20,7 +20,7 @@
         "<tables xmlns='urn:runloom:proxy'><table><id>1</id>{lines}{level}</table><bind><class>q</class>\
          <table>1</table></bind></tables>"
     );
-    proxy.hold(Held::read(&Element::parse(&text).unwrap()).unwrap());
+    proxy.hold(HeldTables::read(&Element::parse(&text).unwrap()).unwrap());
     proxy
 }
 
@@ -35,8 +35,8 @@
     }
 }
 
-fn good() -> Ended {
-    Ended::Answered { load: vec![] }
+fn good() -> AttemptOutcome {
+    AttemptOutcome::Answered { load: vec![] }
 }
 
 fn level(pace: &str, tries: &str) -> String {
@@ -47,7 +47,7 @@
 #[test]
 fn picks_agree_with_the_table_within_sampling_error() {
     let weights = [1.0, 2.0, 3.0, 0.5, 3.5];
-    for pick in [Pick::Chance, Pick::LessBusy, Pick::Turns] {
+    for pick in [SelectionMethod::Chance, SelectionMethod::LessBusy, SelectionMethod::Turns] {
         let (mut proxy, mut counts) = (proxy(pick, Repeats::Safe, "", &weights), [0.0; 5]);
         for id in 0..100_000 {
             let step = proxy.arrived(ZERO, id, 0);
@@ -64,7 +64,7 @@
 
 #[test]
 fn of_two_drawn_the_less_busy_is_picked() {
-    let mut proxy = proxy(Pick::LessBusy, Repeats::Safe, "", &[1.0, 1.0]);
+    let mut proxy = proxy(SelectionMethod::LessBusy, Repeats::Safe, "", &[1.0, 1.0]);
     let mut out = [0u32; 2];
     for id in 0..1000 {
         out[usize::from(server(&proxy.arrived(ZERO, id, 0)) == "s1")] += 1;
@@ -75,39 +75,39 @@
 
 #[test]
 fn three_failures_in_a_row_shun_and_a_good_one_ends_the_row() {
-    let mut proxy = proxy(Pick::Turns, Repeats::Never, &level("", "none"), &[1.0, 1e-9]);
+    let mut proxy = proxy(SelectionMethod::Turns, Repeats::Never, &level("", "none"), &[1.0, 1e-9]);
     let fail = |proxy: &mut Proxy, id, how| {
         assert_eq!(server(&proxy.arrived(ZERO, id, 0)), "s0");
         proxy.ended(ZERO, id, how);
     };
-    fail(&mut proxy, 1, Ended::BrokenAfter);
-    fail(&mut proxy, 2, Ended::BrokenAfter);
+    fail(&mut proxy, 1, AttemptOutcome::BrokenAfter);
+    fail(&mut proxy, 2, AttemptOutcome::BrokenAfter);
     fail(&mut proxy, 3, good());
-    (4..7).for_each(|id| fail(&mut proxy, id, Ended::BrokenAfter));
+    (4..7).for_each(|id| fail(&mut proxy, id, AttemptOutcome::BrokenAfter));
     assert_eq!(server(&proxy.arrived(Duration::from_secs(4), 7, 0)), "s1");
     assert_eq!(server(&proxy.arrived(Duration::from_secs(6), 8, 0)), "s0");
 }
 
 #[test]
 fn where_all_are_shunned_one_is_picked_all_the_same() {
-    let mut proxy = proxy(Pick::Chance, Repeats::Never, &level("", "none"), &[1.0]);
+    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Never, &level("", "none"), &[1.0]);
     for id in 0..4 {
         assert_eq!(server(&proxy.arrived(ZERO, id, 0)), "s0");
-        proxy.ended(ZERO, id, Ended::BrokenAfter);
+        proxy.ended(ZERO, id, AttemptOutcome::BrokenAfter);
     }
 }
 
 #[test]
 fn a_further_try_needs_proof_and_goes_elsewhere() {
     for (how, again) in [
-        (Ended::NoConnection, true),
-        (Ended::BrokenBefore, true),
-        (Ended::TurnedAway { load: vec![] }, true),
-        (Ended::BrokenAfter, false),
-        (Ended::Error { load: vec![] }, false),
-        (Ended::Late, false),
+        (AttemptOutcome::NoConnection, true),
+        (AttemptOutcome::BrokenBefore, true),
+        (AttemptOutcome::TurnedAway { load: vec![] }, true),
+        (AttemptOutcome::BrokenAfter, false),
+        (AttemptOutcome::Error { load: vec![] }, false),
+        (AttemptOutcome::Late, false),
     ] {
-        let mut proxy = proxy(Pick::Chance, Repeats::Never, &level("", "unrun"), &[1.0, 1.0]);
+        let mut proxy = proxy(SelectionMethod::Chance, Repeats::Never, &level("", "unrun"), &[1.0, 1.0]);
         let first = server(&proxy.arrived(ZERO, 1, 0)).to_string();
         let next = proxy.ended(ZERO, 1, how.clone()).unwrap();
         match next {
@@ -127,30 +127,30 @@
         (Repeats::Keyed, "two", 0),
         (Repeats::Never, "two", 0),
     ] {
-        let mut proxy = proxy(Pick::Chance, repeats, &level("", tries), &[1.0, 1.0, 1.0]);
+        let mut proxy = proxy(SelectionMethod::Chance, repeats, &level("", tries), &[1.0, 1.0, 1.0]);
         proxy.arrived(ZERO, 1, 0);
-        while let Some(Step::Send { .. }) = proxy.ended(ZERO, 1, Ended::BrokenAfter) {}
+        while let Some(Step::Send { .. }) = proxy.ended(ZERO, 1, AttemptOutcome::BrokenAfter) {}
         assert_eq!(proxy.counts.further, count, "{repeats:?} {tries}");
     }
     // A proof that comes after a try that may have run proves nothing of that one.
-    let mut proxy = proxy(Pick::Chance, Repeats::Never, &level("", "two"), &[1.0, 1.0, 1.0]);
+    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Never, &level("", "two"), &[1.0, 1.0, 1.0]);
     proxy.arrived(ZERO, 1, 0);
-    assert!(matches!(proxy.ended(ZERO, 1, Ended::NoConnection), Some(Step::Send { .. })));
-    assert!(matches!(proxy.ended(ZERO, 1, Ended::BrokenAfter), Some(Step::Refuse { .. })));
+    assert!(matches!(proxy.ended(ZERO, 1, AttemptOutcome::NoConnection), Some(Step::Send { .. })));
+    assert!(matches!(proxy.ended(ZERO, 1, AttemptOutcome::BrokenAfter), Some(Step::Refuse { .. })));
 }
 
 #[test]
 fn a_table_that_changes_under_a_query_changes_none_of_its_proofs() {
-    let mut proxy = proxy(Pick::Chance, Repeats::Safe, &level("", "none"), &[1.0, 1.0]);
+    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Safe, &level("", "none"), &[1.0, 1.0]);
     proxy.arrived(ZERO, 1, 0);
-    let other = super::tests::proxy(Pick::Chance, Repeats::Safe, &level("", "two"), &[1.0, 1.0]);
+    let other = super::tests::proxy(SelectionMethod::Chance, Repeats::Safe, &level("", "two"), &[1.0, 1.0]);
     proxy.hold(other.held().clone());
-    assert!(matches!(proxy.ended(ZERO, 1, Ended::BrokenAfter), Some(Step::Refuse { .. })));
+    assert!(matches!(proxy.ended(ZERO, 1, AttemptOutcome::BrokenAfter), Some(Step::Refuse { .. })));
 }
 
 #[test]
 fn a_level_lets_in_its_pace_and_says_when_to_come_back() {
-    let mut proxy = proxy(Pick::Chance, Repeats::Safe, &level("<pace>10</pace>", "none"), &[1.0]);
+    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Safe, &level("<pace>10</pace>", "none"), &[1.0]);
     let mut let_in = 0;
     for k in 0..1000u64 {
         match proxy.arrived(Duration::from_millis(10 * k), k, 0) {
@@ -167,14 +167,14 @@
 
 #[test]
 fn without_a_line_a_query_is_refused_at_once() {
-    let mut proxy = proxy(Pick::LessBusy, Repeats::Safe, "", &[]);
+    let mut proxy = proxy(SelectionMethod::LessBusy, Repeats::Safe, "", &[]);
     assert!(matches!(proxy.arrived(ZERO, 1, 0), Step::Refuse { why: Refusal::NoLine, .. }));
     assert_eq!((proxy.out(), proxy.counts.no_line), (0, 1));
 }
 
 #[test]
 fn a_query_that_was_given_up_on_ends_once_and_counts_as_failed() {
-    let mut proxy = proxy(Pick::Chance, Repeats::Safe, "", &[1.0, 1.0]);
+    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Safe, "", &[1.0, 1.0]);
     proxy.arrived(ZERO, 1, 0);
     proxy.given_up(Duration::from_secs(1), 1);
     assert_eq!(proxy.ended(Duration::from_secs(1), 1, good()), None);
@@ -191,6 +191,6 @@
         ("<server>a</server><address>127.0.0.1:1</address><weight>NaN</weight>", "weight"),
     ] {
         let text = format!("<tables><table><id>1</id><line>{line}</line></table></tables>");
-        assert!(Held::read(&Element::parse(&text).unwrap()).unwrap_err().contains(why));
+        assert!(HeldTables::read(&Element::parse(&text).unwrap()).unwrap_err().contains(why));
     }
 }
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -74,7 +74,9 @@
                 self.driver.refit(fleet(text)?, *seed);
                 None
             }
-            RecordedEvent::Lost { entries } => Some(format!("{entries} entries were lost when the disk was full")),
+            RecordedEvent::Lost { entries } => {
+                Some(format!("{entries} entries were lost when the disk was full"))
+            }
             what => (!call(&mut self.driver, at(entry), what))
                 .then(|| format!("{} of {} is not known", what.kind(), what.name())),
         };
@@ -129,7 +131,8 @@
     let Some(RecordedEvent::Turn { texts: t, sent: s, probes: p, log: l, refused: r, .. }) = ours else {
         return Some("a turn in which the decisions were not asked".into());
     };
-    let text = |sent: &SentUpdate, texts: &[String]| texts.get(sent.text as usize).cloned().unwrap_or_default();
+    let text =
+        |sent: &SentUpdate, texts: &[String]| texts.get(sent.text as usize).cloned().unwrap_or_default();
     for (a, b) in sent.iter().zip(s) {
         if (&a.proxy, a.number) != (&b.proxy, b.number) {
             return Some(format!("message {} to {} is now {} to {}", a.number, a.proxy, b.number, b.proxy));
--- a/crates/replay/src/force.rs
+++ b/crates/replay/src/force.rs
@@ -7,7 +7,7 @@
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, Operation};
 use runloom_netconf::tree::Element;
-use runloom_proxy::tables::Held;
+use runloom_proxy::tables::HeldTables;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 struct Place {
     joined: Duration,
     data: Arc<Element>,
-    held: Held,
+    held: HeldTables,
     flying: VecDeque<(u64, String, u32)>,
     /// Classes without a line, since when.
     bare: BTreeMap<String, Duration>,
@@ -82,7 +82,7 @@
     }
 
     /// What every proxy holds.
-    pub fn held(&self, proxy: &str) -> Option<&Held> {
+    pub fn held(&self, proxy: &str) -> Option<&HeldTables> {
         self.places.get(proxy).map(|p| &p.held).filter(|h| h.ordered)
     }
 
@@ -95,7 +95,8 @@
                     Place { joined: now, data: Arc::new(Element::new("", "data")), ..Place::default() };
                 // What it holds from before is not known here; it keeps what the record saw it take.
                 let old = self.places.remove(proxy);
-                let (data, held) = old.map_or((place.data.clone(), Held::default()), |o| (o.data, o.held));
+                let (data, held) =
+                    old.map_or((place.data.clone(), HeldTables::default()), |o| (o.data, o.held));
                 self.places.insert(proxy.clone(), Place { data, held, ..place });
             }
             RecordedEvent::Left { proxy } => {
@@ -226,7 +227,7 @@
                 place.data = data;
             }
         }
-        if let Some(Ok(held)) = place.data.child("tables").map(Held::read) {
+        if let Some(Ok(held)) = place.data.child("tables").map(HeldTables::read) {
             place.held = held;
         }
     }
@@ -255,7 +256,7 @@
                         self.broken.insert(format!("rule 1: {name} had no server for {}", class.name));
                     }
                 }
-                let late = |l: &&runloom_proxy::tables::Line| {
+                let late = |l: &&runloom_proxy::tables::TableEntry| {
                     let since = self.closed.get(&l.server).copied();
                     since.is_some_and(|at| now > at.max(place.joined) + self.fleet.grace.drain)
                 };
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -178,8 +178,11 @@
 fn side(entries: &[Entry], setting: &Setting) -> Result<Side, Unusable> {
     let mut driver = set_out(entries, setting.fleet.as_ref(), setting.seed)?;
     driver.guarded = !setting.unguarded;
-    let epoch =
-        if let Some(RecordedEvent::Start { epoch, .. }) = entries.first().map(|e| &e.what) { *epoch } else { 0 };
+    let epoch = if let Some(RecordedEvent::Start { epoch, .. }) = entries.first().map(|e| &e.what) {
+        *epoch
+    } else {
+        0
+    };
     let force = Force::new(driver.fleet().clone(), epoch);
     let recorded = set_out(entries, None, None)?.fleet().clone();
     Ok(Side { driver, force, recorded, fixed: setting.fleet.clone(), due: BTreeMap::new(), refused: 0 })
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -5,7 +5,7 @@
 use runloom_controller::EndpointUpdate;
 use runloom_event_log::{Entry, RecordedEvent};
 use runloom_inventory::{Change, Server};
-use runloom_model::order::{ClassArrivals, ServerOutcomes, Report};
+use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -98,7 +98,9 @@
     let mut day = a_day();
     let place = day
         .iter()
-        .position(|e| matches!(&e.what, RecordedEvent::Turn { sent, .. } if e.at > 20_000_000 && !sent.is_empty()))
+        .position(
+            |e| matches!(&e.what, RecordedEvent::Turn { sent, .. } if e.at > 20_000_000 && !sent.is_empty()),
+        )
         .unwrap();
     if let RecordedEvent::Turn { texts, .. } = &mut day[place].what {
         texts[0].push(' ');
@@ -230,7 +232,11 @@
                     in_time: 9,
                     load: vec![],
                 }],
-                came: vec![runloom_event_log::entry::RecordedArrivals { class: "q".into(), queries: 30, unanswered: 0 }],
+                came: vec![runloom_event_log::entry::RecordedArrivals {
+                    class: "q".into(),
+                    queries: 30,
+                    unanswered: 0,
+                }],
             },
         ];
         what.into_iter().for_each(|what| force.happened(&Entry { at: 0, what }));
--- a/crates/store/src/tests.rs
+++ b/crates/store/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::accepted::{pieces, AcceptedState, StatePatch, ListPiece};
-use crate::learned::{LearnedServers, LearnedServer};
+use crate::accepted::{pieces, AcceptedState, ListPiece, StatePatch};
+use crate::learned::{LearnedServer, LearnedServers};
 use proptest::prelude::*;
 
 /// A disk that may lose, cut and reorder what was not synced: each file has what is sure to be there and what was
@@ -302,7 +302,10 @@
 #[test]
 fn after_a_write_that_failed_nothing_is_kept_before_a_snapshot() {
     let (mut store, _) = Store::open(Flaky::default(), LAYOUT).unwrap();
-    assert!(matches!(store.append(&[vec![1]]), Err(StoreError::Unknown)), "not before the first snapshot either");
+    assert!(
+        matches!(store.append(&[vec![1]]), Err(StoreError::Unknown)),
+        "not before the first snapshot either"
+    );
     store.snapshot(&[]).unwrap();
     let next = store.disk().done + 2;
     store.disk().faults = vec![next];
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
 use runloom_daemon::http::{write_answer, Message, Reader};
-use runloom_event_loop::{BufferLimits, ConnectionId, Security, EventLoop};
+use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -182,7 +182,14 @@
         }
     }
 
-    fn came(&mut self, turn: &mut EventLoop, id: usize, conn: ConnectionId, query: &Message, chance: &mut StdRng) {
+    fn came(
+        &mut self,
+        turn: &mut EventLoop,
+        id: usize,
+        conn: ConnectionId,
+        query: &Message,
+        chance: &mut StdRng,
+    ) {
         let now = turn.now();
         if query.path == "/health" {
             if !matches!(self.all[id].health, Health::Hangs | Health::Silent) {
@@ -289,5 +296,9 @@
 }
 
 fn listen(turn: &mut EventLoop, at: SocketAddr) -> io::Result<(ConnectionId, SocketAddr)> {
-    turn.listen(at, Security::Plain, BufferLimits { idle: Some(Duration::from_secs(60)), ..BufferLimits::default() })
+    turn.listen(
+        at,
+        Security::Plain,
+        BufferLimits { idle: Some(Duration::from_secs(60)), ..BufferLimits::default() },
+    )
 }
--- a/crates/testbed/src/fronts.rs
+++ b/crates/testbed/src/fronts.rs
@@ -1,15 +1,15 @@
 //! Measurements of the two fronts: what telling costs, what slow subscribers do to others, and how long it takes until
 //! all are told again after a planner's restart.
 
-use crate::scenario::{Day, Fronts, Trouble};
 use crate::measure::{figure, sized, told_path, Told};
-use crate::world::World;
-use runloom_distribution::{Front, Newcomer, Out, Way};
+use crate::scenario::{Fronts, Scenario, ScheduledFault};
+use crate::world::Testbed;
+use runloom_distribution::{Distributor, Outgoing, PendingProxy, Transport};
 use runloom_model::order::{Message, TableEdit};
 use runloom_mqtt::client::{Client, Told as Say, Wish};
-use runloom_mqtt::session::{Heard, Hello, Session};
+use runloom_mqtt::session::{Hello, Session, SessionEvent};
 use runloom_mqtt::{body, report};
-use runloom_versioned_publisher::Wanted;
+use runloom_versioned_publisher::TopicFilter;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -31,9 +31,9 @@
     TableEdit { whole, lines: (0..count).map(line).collect(), ..TableEdit::default() }
 }
 
-fn newcomer(p: usize, way: Way) -> Newcomer {
-    let (zone, wanted) = ("z".to_string(), vec![Wanted::ALL]);
-    Newcomer { conn: p, name: format!("f{p}"), zone, rate: 1.0, fresh: true, way, wanted, holds: vec![] }
+fn newcomer(p: usize, way: Transport) -> PendingProxy {
+    let (zone, wanted) = ("z".to_string(), vec![TopicFilter::ALL]);
+    PendingProxy { conn: p, name: format!("f{p}"), zone, rate: 1.0, fresh: true, way, wanted, holds: vec![] }
 }
 
 /// Resident memory of this process, bytes.
@@ -46,12 +46,12 @@
 /// TLS: what it takes to make all messages, with the protocol's own state for those that subscribe.
 pub fn fronts() -> Told {
     let now = Duration::ZERO;
-    for (name, way) in [("pubsub", Way::Parts), ("netconf", Way::Whole)] {
+    for (name, way) in [("pubsub", Transport::Parts), ("netconf", Transport::Whole)] {
         let greet =
             |p: usize| Client::new(now, "p", &format!("f{p}"), &Hello::default(), Wish::Weights, vec![]);
         let clients: Vec<Client> = (0..PROXIES).map(greet).collect();
         let before = resident();
-        let mut front = Front::new(1, Duration::from_secs(2), Duration::from_secs(2));
+        let mut front = Distributor::new(1, Duration::from_secs(2), Duration::from_secs(2));
         front.table(1, &edit(true, 0));
         let mut pairs: BTreeMap<usize, (Session, Client)> = BTreeMap::new();
         for (p, client) in clients.into_iter().enumerate() {
@@ -81,11 +81,11 @@
                         told += 1;
                     }
                     match out {
-                        Out::Message { number, text, .. } => {
+                        Outgoing::Message { number, text, .. } => {
                             bytes += if step > 0 { text.len() as u64 } else { 0 };
                             sent.push((p, number));
                         }
-                        Out::Part { number, part } => {
+                        Outgoing::Part { number, part } => {
                             let key = (part.topic, part.from, part.to, part.part);
                             let text = bodies.entry(key).or_insert_with(|| body::write(&part).into());
                             let session = pairs.get_mut(&p).map(|(session, _)| session);
@@ -95,7 +95,7 @@
                 }
             }
             let mut written: Vec<(usize, Vec<u8>)> = vec![];
-            if way == Way::Parts {
+            if way == Transport::Parts {
                 written.extend(pairs.iter_mut().map(|(p, (session, _))| (*p, session.output())));
             }
             busy += if step > 0 { start.elapsed() } else { Duration::ZERO };
@@ -114,7 +114,7 @@
             for (p, word) in words {
                 let Some((session, _)) = pairs.get_mut(&p) else { continue };
                 for heard in session.take(now, &word) {
-                    if let Heard::Confirmed(number) = heard {
+                    if let SessionEvent::Confirmed(number) = heard {
                         front.confirmed(now, p, number);
                     }
                 }
@@ -132,7 +132,7 @@
         figure(&format!("{name}.messages_per_second"), told as f64 / busy.as_secs_f64(), "messages/s");
         figure(&format!("{name}.step_to_all"), busy.as_secs_f64() / STEPS as f64 * 1e3, "ms");
         figure(&format!("{name}.bytes_a_message"), bytes as f64 / told as f64, "bytes");
-        if way == Way::Parts {
+        if way == Transport::Parts {
             // The planner's side: its session, its place in the front, and its part of what passed.
             figure(&format!("{name}.memory_a_proxy"), (resident() - before) / PROXIES as f64 / 1024.0, "KiB");
         }
@@ -148,13 +148,17 @@
 }
 
 const TABLE: runloom_versioned_publisher::Topic =
-    runloom_versioned_publisher::Topic { kind: runloom_versioned_publisher::Kind::Weights, table: 1 };
+    runloom_versioned_publisher::Topic { kind: runloom_versioned_publisher::TopicKind::Weights, table: 1 };
 
 /// A report on five servers, two classes each.
 fn sample() -> runloom_model::order::Report {
-    use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
-    let of =
-        |class: &str| ClassOutcomes { class: class.into(), tries: 3, in_time: 3, took: [(15, 2), (16, 1)].into() };
+    use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+    let of = |class: &str| ClassOutcomes {
+        class: class.into(),
+        tries: 3,
+        in_time: 3,
+        took: [(15, 2), (16, 1)].into(),
+    };
     let met = |k: usize| ServerOutcomes {
         server: format!("server-{k}"),
         tries: 6,
@@ -173,9 +177,9 @@
 /// first the others take a version of a table.
 pub fn slow(folder: &Path, own: &Path) -> Told {
     for part in [0.0, 0.1, 0.5] {
-        let day = Day { fronts: Fronts::Pubsub, ..sized(PROXIES, SERVERS, 0.0, 20) };
+        let day = Scenario { fronts: Fronts::Pubsub, ..sized(PROXIES, SERVERS, 0.0, 20) };
         let place = folder.join(format!("slow-{part}"));
-        let mut world = World::new(day, 1, &place, own, &[])?;
+        let mut world = Testbed::new(day, 1, &place, own, &[])?;
         (world.scripted, world.slow) = (Some(2600.0), part);
         let outcome = world.play()?;
         let size = format!("592x544.pubsub.slow_{:.0}%", part * 100.0);
@@ -191,9 +195,9 @@
 /// 592 x 544 over sockets on either front: the planner is killed and started again.
 pub fn storm(folder: &Path, own: &Path) -> Told {
     for (name, fronts) in [("pubsub", Fronts::Pubsub), ("netconf", Fronts::Netconf)] {
-        let mut day = Day { fronts, ..sized(PROXIES, SERVERS, 0.0, 14) };
+        let mut day = Scenario { fronts, ..sized(PROXIES, SERVERS, 0.0, 14) };
         day.edits.truncate(2);
-        day.troubles = vec![Trouble {
+        day.troubles = vec![ScheduledFault {
             at: Duration::from_secs(6),
             kind: "planner-kill".into(),
             count: 1,
@@ -201,7 +205,7 @@
             size: 1.0,
             servers: vec![],
         }];
-        let mut world = World::new(day, 1, &folder.join(format!("storm-{name}")), own, &[])?;
+        let mut world = Testbed::new(day, 1, &folder.join(format!("storm-{name}")), own, &[])?;
         world.scripted = Some(2600.0);
         let outcome = world.play()?;
         let recovered = world.recovered.ok_or("not all were told again")?;
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use runloom_daemon::http::{write_query, Message, Reader};
-use runloom_event_loop::{BufferLimits, ConnectionId, Security, EventLoop};
+use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,9 +1,9 @@
 //! The rig's command line.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use runloom_daemon::planner_runtime::{Dies, Trial};
+use runloom_daemon::planner_runtime::{CrashPoint, TestHooks};
 use runloom_testbed::scenario;
-use runloom_testbed::world::{Outcomes, World};
+use runloom_testbed::world::{Outcomes, Testbed};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -105,7 +105,7 @@
         Command::Day { file, seed, report, keep, spoil, unguarded, fleet, front, lives } => {
             let mut trial: Vec<String> = spoil.map(|way| format!("--spoil={way}")).into_iter().collect();
             trial.extend(unguarded.then(|| "--unguarded".to_string()));
-            let day = read(&file, fleet).map(|day| scenario::Day {
+            let day = read(&file, fleet).map(|day| scenario::Scenario {
                 fronts: front,
                 lives: lives.map(Duration::from_secs),
                 ..day
@@ -116,9 +116,9 @@
         Command::Again { folder, back } => again(&folder, back),
         Command::Writes { folder } => runloom_testbed::measure::writes(&folder).map(|()| true),
         Command::Planner { settings, seed, dies, spoil, unguarded } => {
-            let dies = dies.as_deref().and_then(Dies::named);
+            let dies = dies.as_deref().and_then(CrashPoint::named);
             let spoil = spoil.as_deref().and_then(runloom_testbed::command_corruption::named);
-            let trial = Trial { dies, unguarded, spoil };
+            let trial = TestHooks { dies, unguarded, spoil };
             runloom_daemon::run::planner(&settings, Some(seed), trial).map(|()| true)
         }
     };
@@ -132,14 +132,14 @@
     }
 }
 
-fn read(name: &str, fleet: Option<PathBuf>) -> Result<scenario::Day, String> {
+fn read(name: &str, fleet: Option<PathBuf>) -> Result<scenario::Scenario, String> {
     let text = fleet.map(|f| std::fs::read_to_string(&f).map_err(|e| format!("{}: {e}", f.display())));
-    Ok(scenario::Day { fleet: text.transpose()?, ..scenario::read(name)? })
+    Ok(scenario::Scenario { fleet: text.transpose()?, ..scenario::read(name)? })
 }
 
 fn play(
     name: &str,
-    day: scenario::Day,
+    day: scenario::Scenario,
     seed: u64,
     report: Report,
     keep: Option<PathBuf>,
@@ -159,7 +159,7 @@
     );
     let edits = day.edits.len() * day.planners;
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let outcome = World::new(day, seed, &folder, &own, &trial).and_then(|mut world| world.play());
+    let outcome = Testbed::new(day, seed, &folder, &own, &trial).and_then(|mut world| world.play());
     if !kept {
         let _ = std::fs::remove_dir_all(&folder);
     }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,23 +1,23 @@
 //! Measurements: one figure a line, `name value unit`. Sizes are told with the names.
 
-use crate::load_generator::Clients;
-use crate::scenario::{Day, Edit, Fronts};
-use crate::issuer::Issuer;
 use crate::fake_servers::Servers;
-use crate::world::{Outcomes, World};
+use crate::issuer::Issuer;
+use crate::load_generator::Clients;
+use crate::scenario::{Edit, Fronts, Scenario};
+use crate::world::{Outcomes, Testbed};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use runloom_daemon::config_service::{schema, Desk};
-use runloom_daemon::proxy_runtime::Forwarder;
-use runloom_daemon::tls_credentials::{Holder, PROXY};
-use runloom_event_loop::{IoEvent, EventLoop};
+use runloom_daemon::proxy_runtime::ProxyRuntime;
+use runloom_daemon::tls_credentials::{CertificateHolder, PROXY};
+use runloom_event_loop::{EventLoop, IoEvent};
 use runloom_inventory::edit_history::EditHistory;
 use runloom_model::fleet::{Class, Repeats};
 use runloom_model::forwarder::ProxySettings;
 use runloom_model::FLEET;
 use runloom_netconf::service::{Limits, Service};
-use runloom_netconf::session::{Bounds as SessionBounds, Heard, Role, Session};
+use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -56,7 +56,7 @@
         "large" => path("150x107", sized(150, 107, 850.0, 20), folder, own, None),
         "alone" => path("592x544", sized(592, 544, 0.0, 20), folder, own, Some(2600.0)),
         "unrecorded" => {
-            let day = Day { recorded: false, ..sized(592, 544, 0.0, 20) };
+            let day = Scenario { recorded: false, ..sized(592, 544, 0.0, 20) };
             path("592x544.unrecorded", day, folder, own, Some(2600.0))
         }
         "fronts" => crate::fronts::fronts(),
@@ -77,7 +77,7 @@
 }
 
 /// A quiet day with an edit of a zone's share each second and a half.
-pub(crate) fn sized(forwarders: usize, servers: usize, rate: f64, seconds: u64) -> Day {
+pub(crate) fn sized(forwarders: usize, servers: usize, rate: f64, seconds: u64) -> Scenario {
     let ms = Duration::from_millis;
     let edit = |k: u64| Edit {
         at: ms(1500 + 1500 * k),
@@ -86,7 +86,7 @@
         drain: None,
         dropped: false,
     };
-    Day {
+    Scenario {
         fleet: None,
         fronts: Fronts::default(),
         lives: None,
@@ -112,9 +112,9 @@
     }
 }
 
-fn path(size: &str, day: Day, folder: &Path, own: &Path, scripted: Option<f64>) -> Told {
+fn path(size: &str, day: Scenario, folder: &Path, own: &Path, scripted: Option<f64>) -> Told {
     let seconds = day.lasts.as_secs_f64();
-    let mut world = World::new(day, 1, folder, own, &[])?;
+    let mut world = Testbed::new(day, 1, folder, own, &[])?;
     world.scripted = scripted;
     let outcome = world.play()?;
     told_path(size, seconds, &outcome)?;
@@ -181,7 +181,7 @@
     let data = Arc::new(Element::parse(&text).map_err(|e| e.reason)?);
     for (name, top, count) in [("feed", "roster", 10_000u32), ("operator", "fleet", 3_000)] {
         let mut desk = Desk::new(data.clone(), EditHistory::default())?;
-        desk.met(&Holder { name: "feed".into(), ..Holder::default() });
+        desk.met(&CertificateHolder { name: "feed".into(), ..CertificateHolder::default() });
         let mut service = Service::new(schema()?, Limits { edits: 1e9, ..Limits::default() });
         let id = service.open("feed", Duration::ZERO).ok_or("no session")?;
         let mut near = Session::new(Role::Client, &[], SessionBounds::default());
@@ -199,7 +199,7 @@
         let (start, mut done) = (Instant::now(), 0u32);
         for bytes in &all {
             for heard in far.take(bytes).map_err(|e| e.to_string())? {
-                if let Heard::Rpc(rpc) = heard {
+                if let SessionEvent::Rpc(rpc) = heard {
                     let answer = service.handle(Duration::ZERO, id, &rpc, &mut desk);
                     done += u32::from(answer.content.first().is_some_and(|c| c.name == "ok"));
                     far.reply(&rpc, answer.content);
@@ -254,7 +254,7 @@
     let (give, take) = std::sync::mpsc::channel();
     std::thread::spawn(move || -> Told {
         let mut turn = EventLoop::new().map_err(told)?;
-        let (mut forwarder, at) = Forwarder::start(&mut turn, stand, 1).map_err(|e| e.to_string())?;
+        let (mut forwarder, at) = ProxyRuntime::start(&mut turn, stand, 1).map_err(|e| e.to_string())?;
         let _ = give.send(at);
         forwarder.run(&mut turn).map_err(told)
     });
@@ -312,7 +312,7 @@
 /// Cost of the guard: a batch that changes a line of each group's table, with a tenth of the servers cold.
 fn guard() -> Told {
     use runloom_controller::{Command, ListedState};
-    use runloom_guard::{SafetyGuard, GuardConfig};
+    use runloom_guard::{GuardConfig, SafetyGuard};
     for (proxies, servers) in [(45usize, 32usize), (150, 107), (592, 544), (2368, 2176)] {
         let terms = GuardConfig {
             classes: 3,
@@ -366,7 +366,7 @@
 /// What recording takes of a core at 592 x 544 and 2,600 queries/s: the same reports to the same driver, without a
 /// record, with one, and what the thread that writes it takes.
 fn recording(folder: &Path) -> Told {
-    use runloom_model::order::{ClassOutcomes, ClassArrivals, ServerOutcomes, Report};
+    use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
     let text = format!("<fleet xmlns='{FLEET}'><zone><name>z</name></zone>{FLEET_HEAD}{FLEET_TAIL}</fleet>");
     let fleet = runloom_replay::fleet(&text).map_err(|e| e.to_string())?;
     let (seconds, proxies, servers) = (60u64, 592u64, 544u64);
@@ -375,7 +375,15 @@
         let met = (0..2).map(|n| {
             let of = ClassOutcomes { class: "q".into(), tries: 1, in_time: 1, took: [(16, 1)].into() };
             let server = format!("s{}", (p * 7 + k * 2 + n) % servers);
-            ServerOutcomes { server, tries: 1, failed: 0, took, in_time: 1, load: vec![1.0], classes: vec![of] }
+            ServerOutcomes {
+                server,
+                tries: 1,
+                failed: 0,
+                took,
+                in_time: 1,
+                load: vec![1.0],
+                classes: vec![of],
+            }
         });
         let came = vec![ClassArrivals { class: "q".into(), queries: 2, unanswered: 0 }];
         Report { span: Duration::from_millis(500), met: met.collect(), came }
@@ -445,7 +453,7 @@
     day.work = Duration::from_millis(40);
     // Cold for all of the day but the beginning, so that what pushes cold servers over can.
     day.warm = Duration::from_secs(10);
-    let trouble = |at: u64, kind: &str, count: usize, lasts: u64| crate::scenario::Trouble {
+    let trouble = |at: u64, kind: &str, count: usize, lasts: u64| crate::scenario::ScheduledFault {
         at: Duration::from_secs(at),
         kind: kind.into(),
         count,
@@ -460,7 +468,7 @@
     if !guarded {
         trial.push("--unguarded");
     }
-    let outcome = World::new(day, 3, folder, own, &trial)?.play()?;
+    let outcome = Testbed::new(day, 3, folder, own, &trial)?.play()?;
     let mut rules: Vec<String> = outcome.broken;
     // A rule counts once, however many forwarders it broke at.
     rules.sort();
@@ -471,7 +479,8 @@
 /// Writes a record until it is killed, or for a minute: entries count up from the start's own.
 pub fn writes(folder: &Path) -> Told {
     use runloom_event_log::{RecordedEvent, Recorder, RecorderConfig};
-    let terms = RecorderConfig { segment: 20_000, sync: Duration::from_millis(5), ..RecorderConfig::default() };
+    let terms =
+        RecorderConfig { segment: 20_000, sync: Duration::from_millis(5), ..RecorderConfig::default() };
     let mut recorder = Recorder::open(folder, terms).map_err(|e| e.to_string())?;
     let (build, planner, fleet) = (String::new(), String::new(), String::new());
     recorder.push(Duration::ZERO, RecordedEvent::Start { build, planner, seed: 0, epoch: 0, fleet });
@@ -480,7 +489,8 @@
     while start.elapsed() < Duration::from_secs(60) {
         for _ in 0..7 {
             k += 1;
-            recorder.push(Duration::from_micros(k), RecordedEvent::Left { proxy: "f".repeat(k as usize % 90) });
+            recorder
+                .push(Duration::from_micros(k), RecordedEvent::Left { proxy: "f".repeat(k as usize % 90) });
         }
         recorder.write(start.elapsed());
     }
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -1,17 +1,17 @@
 //! Measurements of what outlasts a restart: what hints are worth when a planner starts again amid servers that fail,
 //! and what keeping edits costs.
 
-use crate::scenario::{Day, Fronts, Trouble};
 use crate::measure::{figure, sized, Told};
-use crate::world::{Outcomes, World};
+use crate::scenario::{Fronts, Scenario, ScheduledFault};
+use crate::world::{Outcomes, Testbed};
 use runloom_daemon::client::Client;
 use runloom_daemon::persistence::{EDITS, LEARNED};
-use runloom_daemon::tls_credentials::Terms;
+use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedState, AcceptedEdit, StatePatch};
+use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, StatePatch};
 use runloom_store::disk::Folder;
-use runloom_store::learned::{LearnedServers, LearnedServer};
+use runloom_store::learned::{LearnedServer, LearnedServers};
 use runloom_store::Store;
 use statrs::statistics::Statistics;
 use std::path::Path;
@@ -70,15 +70,15 @@
     });
 }
 
-fn trouble(at: u64, kind: &str, count: usize, lasts: u64, size: f64) -> Trouble {
+fn trouble(at: u64, kind: &str, count: usize, lasts: u64, size: f64) -> ScheduledFault {
     let seconds = Duration::from_secs;
-    Trouble { at: seconds(at), kind: kind.into(), count, lasts: seconds(lasts), size, servers: vec![] }
+    ScheduledFault { at: seconds(at), kind: kind.into(), count, lasts: seconds(lasts), size, servers: vec![] }
 }
 
 /// 24 servers, three of which fail fast and two are slow from the third second on; the planner is killed at 14 s and is
 /// back a second later.
-fn day() -> Day {
-    let mut day = Day { fronts: Fronts::Mixed, ..sized(24, 24, 240.0, 46) };
+fn day() -> Scenario {
+    let mut day = Scenario { fronts: Fronts::Mixed, ..sized(24, 24, 240.0, 46) };
     day.edits.clear();
     day.pick = "chance".into();
     day.troubles = vec![
@@ -91,7 +91,7 @@
 
 fn one(folder: &Path, own: &Path, way: usize, seed: u64) -> Result<([usize; 2], Outcomes), String> {
     let (name, between) = WAYS[way];
-    let mut world = World::new(day(), seed, &folder.join(format!("{name}-{seed}")), own, &[])?;
+    let mut world = Testbed::new(day(), seed, &folder.join(format!("{name}-{seed}")), own, &[])?;
     world.between = Some(between);
     let outcome = world.play()?;
     Ok((world.to_bad, outcome))
@@ -179,7 +179,8 @@
     let mut k = 0;
     while !store.wants_snapshot() {
         let place = |at: usize| if at == k % 544 { Err(word(at)) } else { Ok(at as u32) };
-        let patch = StatePatch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None };
+        let patch =
+            StatePatch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None };
         store.append(&[patch.write()]).map_err(told)?;
         k += 1;
     }
@@ -196,8 +197,8 @@
 
 /// Operators' edits through a planner's process, each answered once it is on disk: one client, and sixteen at once.
 fn over_sockets(folder: &Path, own: &Path) -> Told {
-    let world = World::new(sized(2, 24, 0.0, 6), 1, &folder.join("over"), own, &[])?;
-    let (at, terms) = (world.planners[0].edits, Terms::load(&world.staff).map_err(|e| e.to_string())?);
+    let world = Testbed::new(sized(2, 24, 0.0, 6), 1, &folder.join("over"), own, &[])?;
+    let (at, terms) = (world.planners[0].edits, TlsPolicy::load(&world.staff).map_err(|e| e.to_string())?);
     for clients in [1usize, 16] {
         let span = Duration::from_secs(4);
         let one = |c: usize| -> Result<Vec<u64>, String> {
@@ -240,19 +241,23 @@
 /// What identities cost: the check of a wish by a hundred rules; and 150 and 592 forwarders whose identities live fifteen
 /// seconds, so that all streams are made anew at about the same time.
 pub fn identity(folder: &Path, own: &Path) -> Told {
-    use runloom_identity::access::{decide, Action, May, Rule, Whom};
+    use runloom_identity::access::{decide, Permission, Principal, RequestedAccess, Rule};
     use runloom_identity::id::Id;
     let told = |e: runloom_identity::id::NotAnId| e.to_string();
     let one = |k: usize| {
-        let whom = Whom::read(&format!("spiffe://valle.example/staff/member-{k}")).map_err(told)?;
-        Ok(Rule { whom, may: May::Read(vec!["fleet".into()]) })
+        let whom = Principal::read(&format!("spiffe://valle.example/staff/member-{k}")).map_err(told)?;
+        Ok(Rule { whom, may: Permission::Read(vec!["fleet".into()]) })
     };
     let mut rules = (0..99).map(one).collect::<Result<Vec<_>, String>>()?;
-    rules.push(Rule { whom: Whom::read("spiffe://valle.example/planner/p").map_err(told)?, may: May::Order });
+    rules.push(Rule {
+        whom: Principal::read("spiffe://valle.example/planner/p").map_err(told)?,
+        may: Permission::Order,
+    });
     let id = Id::read("spiffe://valle.example/planner/p").map_err(told)?;
     let (start, count) = (Instant::now(), 1_000_000u32);
-    let allowed =
-        (0..count).filter(|_| decide(std::hint::black_box(&rules), &id, Action::Order).is_ok()).count();
+    let allowed = (0..count)
+        .filter(|_| decide(std::hint::black_box(&rules), &id, RequestedAccess::Order).is_ok())
+        .count();
     figure("check_of_100_rules", start.elapsed().as_secs_f64() / f64::from(count) * 1e9, "ns");
     if allowed != count as usize {
         return Err("a rule that allows it was not found".into());
@@ -261,8 +266,8 @@
         [("150x107", 150, 107, Fronts::Mixed), ("592x544", 592, 544, Fronts::Mixed)]
     {
         let lives = Some(Duration::from_secs(15));
-        let day = Day { fronts, lives, ..sized(forwarders, servers, 0.0, 22) };
-        let mut world = World::new(day, 1, &folder.join(format!("identity-{size}")), own, &[])?;
+        let day = Scenario { fronts, lives, ..sized(forwarders, servers, 0.0, 22) };
+        let mut world = Testbed::new(day, 1, &folder.join(format!("identity-{size}")), own, &[])?;
         world.scripted = Some(forwarders as f64 * 4.4);
         let outcome = world.play()?;
         for (wave, (first, last, count)) in world.waves.iter().filter(|(w, _)| **w > 1) {
--- a/crates/testbed/src/rule_checker.rs
+++ b/crates/testbed/src/rule_checker.rs
@@ -7,7 +7,7 @@
 
 /// One look at a forwarder: classes without a line to pick, and whether it is joined, since when.
 #[derive(Debug, Clone)]
-pub struct Look {
+pub struct Observation {
     pub at: Duration,
     pub forwarder: usize,
     pub joined: Option<Duration>,
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct Evidence {
-    pub looks: Vec<Look>,
+    pub looks: Vec<Observation>,
     pub arrivals: Vec<Arrival>,
     pub told: Vec<Told>,
     /// Spans in which some server was listed ready and warm.
@@ -179,13 +179,13 @@
 
     #[test]
     fn a_forwarder_without_a_line_is_caught_only_while_joined_and_a_warm_server_is_listed() {
-        let look = |at, joined: Option<u64>| Look {
+        let look = |at, joined: Option<u64>| Observation {
             at: s(at),
             forwarder: 3,
             joined: joined.map(s),
             bare: [1].into(),
         };
-        let looks: Vec<Look> = (0..6).map(|at| look(at, Some(0))).collect();
+        let looks: Vec<Observation> = (0..6).map(|at| look(at, Some(0))).collect();
         let listed = Evidence { looks, warm_listed: vec![(s(0), s(9))], ..Evidence::default() };
         assert_eq!(broken(&listed, &limits()).len(), 1);
         let unlisted = Evidence { warm_listed: vec![], ..listed.clone() };
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
-pub struct Trouble {
+pub struct ScheduledFault {
     pub at: Duration,
     pub kind: String,
     pub count: usize,
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct Scenario {
     pub lasts: Duration,
     pub servers: usize,
     pub forwarders: usize,
@@ -64,7 +64,7 @@
     pub lives: Option<Duration>,
     /// Whether planners record.
     pub recorded: bool,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ScheduledFault>,
     pub edits: Vec<Edit>,
 }
 
@@ -80,7 +80,7 @@
 ];
 
 /// Reads a day: a file, or one of the shipped by its name.
-pub fn read(name: &str) -> Result<Day, String> {
+pub fn read(name: &str) -> Result<Scenario, String> {
     let shipped = SHIPPED.iter().find(|(n, _)| *n == name).map(|(_, text)| text.to_string());
     let text = match shipped {
         Some(text) => text,
@@ -98,12 +98,12 @@
     e.text_of(name).and_then(|t| t.parse().ok()).unwrap_or(usual)
 }
 
-fn typed(e: &Element) -> Day {
+fn typed(e: &Element) -> Scenario {
     let n = |name| number(e, name, 0.0);
     let seconds = |e: &Element, name| Duration::from_secs_f64(number(e, name, 0.0).max(0.0));
     let ms = |name| Duration::from_secs_f64(n(name).max(0.0) / 1000.0);
     let text = |e: &Element, name| e.text_of(name).unwrap_or_default().to_string();
-    let trouble = |t: &Element| Trouble {
+    let trouble = |t: &Element| ScheduledFault {
         at: seconds(t, "at"),
         kind: text(t, "kind"),
         count: number(t, "count", 1.0) as usize,
@@ -118,7 +118,7 @@
         drain: t.text_of("server").map(|s| (s.to_string(), text(t, "drain") == "true")),
         dropped: text(t, "dropped") == "true",
     };
-    Day {
+    Scenario {
         lasts: seconds(e, "seconds"),
         servers: n("servers") as usize,
         forwarders: n("forwarders") as usize,
--- a/crates/testbed/src/staff.rs
+++ b/crates/testbed/src/staff.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Edit;
 use runloom_daemon::client::{edit_config, Client, Failed};
-use runloom_daemon::tls_credentials::Terms;
+use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::fleet::{ListedServer, TlsFiles};
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
@@ -82,7 +82,7 @@
     start: Instant,
 ) -> JoinHandle<()> {
     std::thread::spawn(move || {
-        let Ok(terms) = Terms::load(&papers) else { return };
+        let Ok(terms) = TlsPolicy::load(&papers) else { return };
         while !shared.done.load(Ordering::Relaxed) {
             if let Err(e) = feed_session(planner, at, &terms, &shared, start) {
                 tracing::debug!(planner, error = %e, "the feed dials again");
@@ -95,7 +95,7 @@
 fn feed_session(
     planner: usize,
     at: SocketAddr,
-    terms: &Terms,
+    terms: &TlsPolicy,
     shared: &Shared,
     start: Instant,
 ) -> Result<(), Failed> {
@@ -140,7 +140,7 @@
     start: Instant,
 ) -> JoinHandle<()> {
     std::thread::spawn(move || {
-        let Ok(terms) = Terms::load(&papers) else { return };
+        let Ok(terms) = TlsPolicy::load(&papers) else { return };
         for (planner, at) in planners.into_iter().enumerate() {
             let outcome = one(planner, at, &terms, &edit, &shared, start);
             shared.outcomes.lock().unwrap_or_else(|e| e.into_inner()).push(outcome);
@@ -162,7 +162,7 @@
 fn one(
     planner: usize,
     at: SocketAddr,
-    terms: &Terms,
+    terms: &TlsPolicy,
     edit: &Edit,
     shared: &Shared,
     start: Instant,
@@ -191,7 +191,7 @@
 fn session(
     planner: usize,
     at: SocketAddr,
-    terms: &Terms,
+    terms: &TlsPolicy,
     edit: &Edit,
     shared: &Shared,
     start: Instant,
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -1,25 +1,25 @@
 //! One day on loopback: planners as processes of their own, forwarders, servers and clients on one loop,
 //! feed and staff on threads.
 
-use crate::rule_checker::{broken, Arrival, Evidence, Limits, Look};
-use crate::load_generator::{Clients, CLASSES};
-use crate::scenario::{Day, Fronts, Trouble};
-use crate::issuer::Issuer;
 use crate::fake_servers::{Health, Servers, COLD_FROM};
+use crate::issuer::Issuer;
+use crate::load_generator::{Clients, CLASSES};
+use crate::rule_checker::{broken, Arrival, Evidence, Limits, Observation};
+use crate::scenario::{Fronts, Scenario, ScheduledFault};
 use crate::staff::{self, List, Outcome, Shared};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use runloom_daemon::proxy_runtime::Forwarder;
+use runloom_daemon::planner_runtime::ListenAddresses;
+use runloom_daemon::proxy_runtime::ProxyRuntime;
 use runloom_daemon::tls_credentials::{PLANNER, PROXY};
-use runloom_daemon::planner_runtime::Reachable;
 use runloom_daemon::wall_ms;
-use runloom_event_loop::{ConnectionId, IoEvent, EventLoop, CloseReason};
-use runloom_identity::access::{May, Rule, Whom};
-use runloom_model::fleet::{Class, ListedServer, TlsFiles, Repeats};
+use runloom_event_loop::{CloseReason, ConnectionId, EventLoop, IoEvent};
+use runloom_identity::access::{Permission, Principal, Rule};
+use runloom_model::fleet::{Class, ListedServer, Repeats, TlsFiles};
 use runloom_model::forwarder::{ProxySettings, TableDelivery};
 use runloom_proxy::Counts;
-use runloom_versioned_publisher::{Kind, Topic, Version};
+use runloom_versioned_publisher::{Topic, TopicKind, Version};
 use socket2::{Domain, Socket, Type};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader};
@@ -69,7 +69,7 @@
         seed: u64,
         log: &Path,
         trial: &[&str],
-    ) -> Result<(Child, Reachable), String> {
+    ) -> Result<(Child, ListenAddresses), String> {
         let file =
             std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(|e| e.to_string())?;
         let mut child = Command::new(own)
@@ -95,7 +95,7 @@
         match (at.get("edits"), at.get("home"), at.get("metrics").copied()) {
             (Some(edits), Some(home), metrics @ Some(_)) => {
                 let pubsub = at.get("pubsub").copied();
-                Ok((child, Reachable { edits: *edits, home: *home, pubsub, metrics }))
+                Ok((child, ListenAddresses { edits: *edits, home: *home, pubsub, metrics }))
             }
             _ => {
                 let _ = child.kill();
@@ -153,15 +153,15 @@
 }
 
 struct Held {
-    forwarder: Forwarder,
+    forwarder: ProxyRuntime,
     joined: Option<(Duration, usize)>,
     joins: usize,
     streams: u64,
 }
 
-pub struct World {
+pub struct Testbed {
     pub turn: EventLoop,
-    day: Day,
+    day: Scenario,
     chance: StdRng,
     seed: u64,
     /// The same throughout the day; the planners' moves on with each start.
@@ -218,7 +218,7 @@
 }
 
 enum What {
-    Trouble(Trouble),
+    Trouble(ScheduledFault),
     Edit(crate::scenario::Edit),
     Start(Vec<usize>),
     Heal(Vec<usize>),
@@ -235,7 +235,7 @@
 }
 
 /// Lines that may wait: what the channel sends in two seconds.
-fn backlog(day: &Day) -> u64 {
+fn backlog(day: &Scenario) -> u64 {
     2 * day.lines_per_second
 }
 
@@ -254,9 +254,10 @@
     <may><whom>spiffe://rig.example/tool/feed</whom><write>roster</write></may>";
 
 /// Papers that take the day's planners for theirs.
-fn trusting(papers: TlsFiles, day: &Day) -> TlsFiles {
-    let whom = |k: usize| Whom::read(&identity(&format!("planner-{k}"))).ok();
-    let rules = (0..day.planners).filter_map(whom).map(|whom| Rule { whom, may: May::Order }).collect();
+fn trusting(papers: TlsFiles, day: &Scenario) -> TlsFiles {
+    let whom = |k: usize| Principal::read(&identity(&format!("planner-{k}"))).ok();
+    let rules =
+        (0..day.planners).filter_map(whom).map(|whom| Rule { whom, may: Permission::Order }).collect();
     TlsFiles { rules, ..papers }
 }
 
@@ -268,10 +269,16 @@
     )
 }
 
-impl World {
+impl Testbed {
     /// Starts everything; `own` is the rig's own program, which runs the planners' processes, with the words of
     /// `trial` added.
-    pub fn new(day: Day, seed: u64, folder: &Path, own: &Path, trial: &[&str]) -> Result<World, String> {
+    pub fn new(
+        day: Scenario,
+        seed: u64,
+        folder: &Path,
+        own: &Path,
+        trial: &[&str],
+    ) -> Result<Testbed, String> {
         let told = |e: std::io::Error| e.to_string();
         let issuer = Issuer::new(&folder.join("papers"))?;
         let mut turn = EventLoop::new().map_err(told)?;
@@ -288,7 +295,7 @@
                 (trusting(of("staff")?, &day), trusting(of("feed")?, &day))
             }
         };
-        let mut world = World {
+        let mut world = Testbed {
             chance: StdRng::seed_from_u64(seed),
             seed,
             day_seed: seed,
@@ -385,7 +392,7 @@
         let trial: Vec<&str> = self.trial.iter().map(String::as_str).collect();
         let (child, at) = Process::start(&self.own, &settings, self.seed, &log, &trial)?;
         // A restart must be found where the first start was.
-        let Reachable { edits, home, pubsub, metrics } = at;
+        let ListenAddresses { edits, home, pubsub, metrics } = at;
         let metrics = metrics.ok_or("no metrics")?;
         write([edits, home, pubsub.unwrap_or(any[2]), metrics])?;
         self.planners.push(Process { child: Some(child), settings, edits, home, pubsub, metrics });
@@ -474,7 +481,8 @@
                 classes: CLASSES.iter().map(class).collect(),
             };
             let seed = self.seed ^ (f as u64 + 1).wrapping_mul(0x9e37_79b9);
-            let (forwarder, at) = Forwarder::start(&mut self.turn, stand, seed).map_err(|e| e.to_string())?;
+            let (forwarder, at) =
+                ProxyRuntime::start(&mut self.turn, stand, seed).map_err(|e| e.to_string())?;
             listens.push(at);
             self.forwarders.push(Held { forwarder, joined: None, joins: 0, streams: 0 });
             self.adopt(f);
@@ -538,7 +546,7 @@
 
     /// A trouble's servers: those that it names, or some that are well, drawn by chance, in any zone. The chance is the
     /// trouble's own, so that the same day meets the same servers whatever else was drawn before.
-    fn draw(&mut self, t: &Trouble) -> Vec<usize> {
+    fn draw(&mut self, t: &ScheduledFault) -> Vec<usize> {
         let mut chance = StdRng::seed_from_u64(self.day_seed ^ (t.at.as_millis() as u64) << 8);
         let fine = |k: &usize| {
             let s = &self.servers.all[*k];
@@ -569,7 +577,7 @@
         self.relist();
     }
 
-    fn trouble(&mut self, t: &Trouble) -> Result<(), String> {
+    fn trouble(&mut self, t: &ScheduledFault) -> Result<(), String> {
         match t.kind.as_str() {
             "crash" => {
                 let ids = self.draw(t);
@@ -813,7 +821,7 @@
         for (lines, version) in std::mem::take(&mut held.forwarder.taken) {
             self.lines += lines as u64;
             self.evidence.messages.entry(f).or_default().push(now);
-            if let Some(version) = version.filter(|(topic, _)| topic.kind == Kind::Weights) {
+            if let Some(version) = version.filter(|(topic, _)| topic.kind == TopicKind::Weights) {
                 let first = *self.first_taken.entry(version).or_insert(now);
                 if f as f64 >= self.slow * self.day.forwarders as f64 {
                     self.behind.saturating_record(now.saturating_sub(first).as_micros() as u64);
@@ -920,7 +928,7 @@
             let tables = held.forwarder.proxy().held();
             let bare = (0..CLASSES.len()).filter(|c| tables.lines(CLASSES[*c].0).is_empty()).collect();
             let joined = held.joined.map(|j| j.0);
-            self.evidence.looks.push(Look { at: now, forwarder: f, joined, bare });
+            self.evidence.looks.push(Observation { at: now, forwarder: f, joined, bare });
         }
     }
 
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use runloom_daemon::client::Client;
-use runloom_daemon::tls_credentials::Terms;
+use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::fleet::TlsFiles;
 use runloom_testbed::issuer::Issuer;
 use runloom_testbed::world::{free, tls_xml, Process};
@@ -43,7 +43,7 @@
     pub pubsub: SocketAddr,
     pub home: SocketAddr,
     pub metrics: SocketAddr,
-    pub terms: Terms,
+    pub terms: TlsPolicy,
     pub issuer: Issuer,
     settings: PathBuf,
 }
@@ -97,7 +97,7 @@
         let (child, at) = Process::start(&own(), &settings, 1, &folder.0.join("log"), &trial).unwrap();
         let (pubsub, metrics) = (at.pubsub.unwrap(), at.metrics.unwrap());
         write_settings(&settings, &folder.0, &papers, rules, [at.edits, at.home, pubsub, metrics]);
-        let terms = Terms::load(&staff(&issuer)).unwrap();
+        let terms = TlsPolicy::load(&staff(&issuer)).unwrap();
         Desk { folder, child, at: at.edits, pubsub, home: at.home, metrics, terms, issuer, settings }
     }
 
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -4,12 +4,12 @@
 
 use help::Desk;
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::proxy_runtime::Forwarder;
-use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
-use runloom_event_loop::{BufferLimits, IoEvent, Security, EventLoop};
-use runloom_identity::access::{May, Rule, Whom};
-use runloom_model::fleet::{Class, TlsFiles, Repeats};
-use runloom_model::forwarder::{ProxySettings, Told as Front};
+use runloom_daemon::proxy_runtime::ProxyRuntime;
+use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
+use runloom_event_loop::{BufferLimits, EventLoop, IoEvent, Security};
+use runloom_identity::access::{Permission, Principal, Rule};
+use runloom_model::fleet::{Class, Repeats, TlsFiles};
+use runloom_model::forwarder::{ProxySettings, TableDelivery as Front};
 use runloom_model::FLEET;
 use runloom_mqtt::client::{Client as Subscription, Told, Wish};
 use runloom_mqtt::session::Hello;
@@ -30,7 +30,7 @@
 
 /// Papers that take one planner for theirs.
 fn trusting(papers: TlsFiles, planner: &str) -> TlsFiles {
-    let rules = vec![Rule { whom: Whom::read(planner).unwrap(), may: May::Order }];
+    let rules = vec![Rule { whom: Principal::read(planner).unwrap(), may: Permission::Order }];
     TlsFiles { rules, ..papers }
 }
 
@@ -54,7 +54,7 @@
 
 /// Whether a subscriber of these papers is let in under a name.
 fn joins(desk: &Desk, papers: &TlsFiles, name: &str) -> bool {
-    let Ok(terms) = Terms::load(papers) else { return false };
+    let Ok(terms) = TlsPolicy::load(papers) else { return false };
     let mut turn = EventLoop::new().unwrap();
     let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
     let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
@@ -120,9 +120,9 @@
     ];
     let mut seen = 0;
     for (k, (name, papers, expected)) in cases.iter().enumerate() {
-        let terms = Terms::load(&trusting(papers.clone(), OWN));
+        let terms = TlsPolicy::load(&trusting(papers.clone(), OWN));
         // Papers that are none are refused by one's own side already: with the names of old they reach the planner's.
-        let terms = terms.or_else(|_| Terms::load(papers)).unwrap();
+        let terms = terms.or_else(|_| TlsPolicy::load(papers)).unwrap();
         let ask = |operation: Element| {
             let client = Client::open(desk.at, &terms, Duration::from_secs(10));
             client.and_then(|mut client| client.ask(operation, None)).map_err(|e| e.to_string())
@@ -160,7 +160,7 @@
 /// A forwarder on a loop of its own.
 struct Proxy {
     turn: EventLoop,
-    forwarder: Forwarder,
+    forwarder: ProxyRuntime,
 }
 
 impl Proxy {
@@ -187,7 +187,7 @@
             standing: vec![("own".into(), "127.0.0.1:9".parse().unwrap())],
         };
         let mut turn = EventLoop::new().unwrap();
-        let (forwarder, _) = Forwarder::start(&mut turn, stand, 3).unwrap();
+        let (forwarder, _) = ProxyRuntime::start(&mut turn, stand, 3).unwrap();
         Proxy { turn, forwarder }
     }
 
@@ -226,7 +226,7 @@
 
 fn fleet(desk: &Desk) {
     let feed = desk.issuer.identity("feed", "spiffe://valle.example/feed", HOUR, |_| {}).unwrap();
-    let terms = Terms::load(&trusting(feed, OWN)).unwrap();
+    let terms = TlsPolicy::load(&trusting(feed, OWN)).unwrap();
     let mut client = Client::open(desk.at, &terms, PATIENCE).unwrap();
     ["s1", "s2", "s3"].iter().for_each(|name| _ = client.edit(listed(name), None).unwrap());
 }
@@ -307,7 +307,7 @@
     let desk = desk("papers", HOUR);
     let papers =
         trusting(desk.issuer.identity("x", "spiffe://valle.example/staff/x", HOUR, |_| {}).unwrap(), OWN);
-    let mut terms = Terms::load(&papers).unwrap();
+    let mut terms = TlsPolicy::load(&papers).unwrap();
     let own = terms.own().unwrap();
     assert!(!terms.renew().unwrap());
     let write = |path: &std::path::Path, text: &[u8]| std::fs::write(path, text).unwrap();
@@ -324,9 +324,9 @@
     assert!(terms.renew().unwrap());
     use std::os::unix::fs::PermissionsExt;
     std::fs::set_permissions(&papers.key, std::fs::Permissions::from_mode(0o644)).unwrap();
-    assert!(Terms::load(&papers).err().unwrap().to_string().contains("others may read"));
+    assert!(TlsPolicy::load(&papers).err().unwrap().to_string().contains("others may read"));
     let names = trusting(desk.issuer.issue("z", None).unwrap(), OWN);
-    assert!(Terms::load(&names).err().unwrap().to_string().contains("URIs"));
+    assert!(TlsPolicy::load(&names).err().unwrap().to_string().contains("URIs"));
 }
 
 /// Authorities change one after the other: an identity of the old one holds while that is trusted, ends with it, and one
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -5,16 +5,16 @@
 
 use help::Desk;
 use runloom_daemon::client::edit_config;
-use runloom_daemon::tls_credentials::{server_name, Terms, PLANNER, PROXY};
-use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security, EventLoop, CloseReason};
-use runloom_model::order::{ClassArrivals, ServerOutcomes, Report};
+use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
+use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
+use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
 use runloom_model::{FLEET, STATE};
-use runloom_mqtt::client::{Client, Over, Told, Wish};
+use runloom_mqtt::client::{Client, SessionEnd, Told, Wish};
 use runloom_mqtt::report;
 use runloom_mqtt::session::Hello;
 use runloom_netconf::tree::Element;
-use runloom_versioned_publisher::reader::{Reader, Taken};
-use runloom_versioned_publisher::{Key, Kind, Part, Topic};
+use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
+use runloom_versioned_publisher::{Key, Topic, TopicKind, UpdatePart};
 use std::time::{Duration, Instant};
 
 /// Far beyond what anything here takes.
@@ -24,8 +24,8 @@
     turn: EventLoop,
     conn: ConnectionId,
     client: Client,
-    reader: Reader,
-    parts: Vec<Part>,
+    reader: UpdateReader,
+    parts: Vec<UpdatePart>,
     /// Whether it confirms what it takes.
     confirms: bool,
     closed: Option<CloseReason>,
@@ -33,7 +33,7 @@
 
 impl Subscriber {
     /// Dials, greets, and subscribes; `planner` and `proxy` as it says them.
-    fn new(desk: &Desk, terms: &Terms, planner: &str, proxy: &str, reader: Reader) -> Subscriber {
+    fn new(desk: &Desk, terms: &TlsPolicy, planner: &str, proxy: &str, reader: UpdateReader) -> Subscriber {
         let mut turn = EventLoop::new().unwrap();
         let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
         let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
@@ -65,7 +65,8 @@
                     let now = self.turn.now();
                     for told in self.client.take(now, &bytes) {
                         let Told::Part(id, part) = told else { continue };
-                        let good = matches!(self.reader.take(&part), Taken::Now(_) | Taken::Waits);
+                        let good =
+                            matches!(self.reader.take(&part), ReadOutcome::Now(_) | ReadOutcome::Waits);
                         self.parts.push(part);
                         if self.confirms {
                             self.client.answer(now, id, good);
@@ -82,9 +83,9 @@
 
     /// Servers of the table that it is bound to.
     fn servers(&self) -> Vec<String> {
-        let binds = self.reader.held(Topic { kind: Kind::Binds, table: 0 });
+        let binds = self.reader.held(Topic { kind: TopicKind::Binds, table: 0 });
         let table = binds.and_then(|b| b.state.values().next()?.parse().ok()).unwrap_or_default();
-        let held = self.reader.held(Topic { kind: Kind::Weights, table });
+        let held = self.reader.held(Topic { kind: TopicKind::Weights, table });
         let line = |k: &Key| if let Key::Line(server) = k { Some(server.clone()) } else { None };
         held.into_iter().flat_map(|h| h.state.keys()).filter_map(line).collect()
     }
@@ -102,8 +103,8 @@
     }
 }
 
-fn papers(desk: &Desk, proxy: &str) -> Terms {
-    Terms::load(&desk.issuer.issue(proxy, Some(PROXY)).unwrap()).unwrap()
+fn papers(desk: &Desk, proxy: &str) -> TlsPolicy {
+    TlsPolicy::load(&desk.issuer.issue(proxy, Some(PROXY)).unwrap()).unwrap()
 }
 
 fn listed(desk: &Desk, servers: &[&str]) {
@@ -134,11 +135,11 @@
     meanwhile.until("the edit is in force", |_| edit_state(desk, id) == "in-force");
 }
 
-fn subscribed(name: &str) -> (Desk, Terms, Subscriber) {
+fn subscribed(name: &str) -> (Desk, TlsPolicy, Subscriber) {
     let desk = Desk::new(name, None);
     listed(&desk, &["s1", "s2", "s3"]);
     let terms = papers(&desk, "f1");
-    let mut subscriber = Subscriber::new(&desk, &terms, "p", "f1", Reader::default());
+    let mut subscriber = Subscriber::new(&desk, &terms, "p", "f1", UpdateReader::default());
     subscriber.until("its tables", |s| s.lists(&["s1", "s2", "s3"]));
     (desk, terms, subscriber)
 }
@@ -152,7 +153,8 @@
     drain(&desk, "s2", "d");
     let mut again = Subscriber::new(&desk, &terms, "p", "f1", reader);
     again.until("the drain", |s| s.lists(&["s1", "s3"]));
-    let tables: Vec<&Part> = again.parts.iter().filter(|p| p.topic.kind == Kind::Weights).collect();
+    let tables: Vec<&UpdatePart> =
+        again.parts.iter().filter(|p| p.topic.kind == TopicKind::Weights).collect();
     assert!(tables[0].from.is_some() && tables[0].changes[0].takes_out(), "{tables:?}");
     is_in_force(&desk, "d", &mut again);
 }
@@ -160,11 +162,11 @@
 #[test]
 fn a_second_connection_of_one_identity_takes_over_and_the_first_is_told_so() {
     let (desk, terms, mut first) = subscribed("takeover");
-    let mut second = Subscriber::new(&desk, &terms, "p", "f1", Reader::default());
+    let mut second = Subscriber::new(&desk, &terms, "p", "f1", UpdateReader::default());
     second.until("its tables", |s| s.lists(&["s1", "s2", "s3"]));
     first.until(
         "the word",
-        |s| matches!(s.client.over(), Some(Over::Refused(why)) if why.contains("SessionTakenOver")),
+        |s| matches!(s.client.over(), Some(SessionEnd::Refused(why)) if why.contains("SessionTakenOver")),
     );
     // The first one's end is not the second one's.
     first.until("the end", |s| s.closed.is_some());
@@ -176,17 +178,17 @@
 #[test]
 fn another_planners_tables_and_anothers_name_are_refused() {
     let (desk, terms, _) = subscribed("strangers");
-    let mut other = Subscriber::new(&desk, &terms, "q", "f1", Reader::default());
+    let mut other = Subscriber::new(&desk, &terms, "q", "f1", UpdateReader::default());
     other.until(
         "no",
-        |s| matches!(s.client.over(), Some(Over::Refused(why)) if why.contains("NotAuthorized")),
+        |s| matches!(s.client.over(), Some(SessionEnd::Refused(why)) if why.contains("NotAuthorized")),
     );
-    let mut liar = Subscriber::new(&desk, &terms, "p", "f2", Reader::default());
+    let mut liar = Subscriber::new(&desk, &terms, "p", "f2", UpdateReader::default());
     liar.until(
         "no",
-        |s| matches!(s.client.over(), Some(Over::Refused(why)) if why.contains("ClientIdentifier")),
+        |s| matches!(s.client.over(), Some(SessionEnd::Refused(why)) if why.contains("ClientIdentifier")),
     );
-    let staff = Subscriber::new(&desk, &desk.terms.clone(), "p", "staff", Reader::default());
+    let staff = Subscriber::new(&desk, &desk.terms.clone(), "p", "staff", UpdateReader::default());
     let mut staff = staff;
     staff.until("no", |s| s.closed.is_some());
     assert!(staff.parts.is_empty() && other.parts.is_empty() && liar.parts.is_empty());
@@ -206,7 +208,7 @@
     let mut reader = subscriber.reader;
     reader.broke();
     let mut again = Subscriber::new(&desk, &terms, "p", "f1", reader);
-    again.until("the tables of the next start", |s| s.parts.iter().any(|p| p.topic.kind == Kind::Binds));
+    again.until("the tables of the next start", |s| s.parts.iter().any(|p| p.topic.kind == TopicKind::Binds));
     assert!(again.parts.iter().all(|p| p.epoch > epoch && p.from.is_none()), "{:?}", again.parts);
     assert!(again.lists(&["s1", "s3"]), "{:?}", again.servers());
     assert_ne!(edit_state(&desk, "d"), "");
@@ -217,7 +219,7 @@
     let (desk, _, mut mute) = subscribed("mute");
     mute.confirms = false;
     let terms = papers(&desk, "f2");
-    let mut other = Subscriber::new(&desk, &terms, "p", "f2", Reader::default());
+    let mut other = Subscriber::new(&desk, &terms, "p", "f2", UpdateReader::default());
     other.until("its tables", |s| s.lists(&["s1", "s2", "s3"]));
     drain(&desk, "s3", "d");
     other.until("the drain", |s| s.lists(&["s1", "s2"]));
@@ -234,8 +236,9 @@
     is_in_force(&desk, "d", &mut liar);
     let told = liar.parts.len();
     let end = Instant::now() + PATIENCE;
-    let anew =
-        |s: &Subscriber| s.parts[told..].iter().any(|p| p.topic.kind == Kind::Weights && p.from.is_none());
+    let anew = |s: &Subscriber| {
+        s.parts[told..].iter().any(|p| p.topic.kind == TopicKind::Weights && p.from.is_none())
+    };
     while liar.closed.is_none() && Instant::now() < end {
         liar.reports("s3");
         liar.turn(Duration::from_millis(200));
@@ -253,7 +256,7 @@
     let grace = Element::new(FLEET, "grace").with_leaf("drain-ms", 2500);
     desk.client().edit(Element::new(FLEET, "fleet").with(grace), None).unwrap();
     subscriber.until("another epoch", |s| {
-        s.parts.last().is_some_and(|p| p.epoch > epoch && p.topic.kind == Kind::Binds)
+        s.parts.last().is_some_and(|p| p.epoch > epoch && p.topic.kind == TopicKind::Binds)
     });
     assert!(subscriber.closed.is_none() && subscriber.lists(&["s1", "s2", "s3"]));
     drain(&desk, "s2", "d");
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -4,13 +4,13 @@
 
 use help::{own, Desk, Folder};
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::tls_credentials::Terms;
+use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
-use runloom_testbed::scenario::{Day, Edit, Fronts, Trouble};
 use runloom_testbed::issuer::Issuer;
-use runloom_testbed::world::{Outcomes, World};
+use runloom_testbed::scenario::{Edit, Fronts, Scenario, ScheduledFault};
+use runloom_testbed::world::{Outcomes, Testbed};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -134,11 +134,11 @@
 #[test]
 fn a_proxys_certificate_may_not_edit_and_strangers_may_not_even_connect() {
     let desk = Desk::new("papers", None);
-    let proxy = Terms::load(&desk.issuer.issue("f1", Some("proxy.runloom")).unwrap()).unwrap();
+    let proxy = TlsPolicy::load(&desk.issuer.issue("f1", Some("proxy.runloom")).unwrap()).unwrap();
     let mut client = Client::open(desk.at, &proxy, Duration::from_secs(20)).unwrap();
     assert!(client.edit(create("s1"), None).unwrap_err().to_string().contains("access-denied"));
     let others = Issuer::new(&desk.folder.0.join("others")).unwrap();
-    let stranger = Terms::load(&others.issue("staff", None).unwrap()).unwrap();
+    let stranger = TlsPolicy::load(&others.issue("staff", None).unwrap()).unwrap();
     assert!(Client::open(desk.at, &stranger, Duration::from_secs(20)).is_err());
     assert_eq!(words(&mut desk.client()), 0);
 }
@@ -165,9 +165,9 @@
     assert_eq!(words(&mut client), 2);
 }
 
-fn day(servers: usize, forwarders: usize) -> Day {
+fn day(servers: usize, forwarders: usize) -> Scenario {
     let ms = Duration::from_millis;
-    Day {
+    Scenario {
         fleet: None,
         fronts: Fronts::default(),
         lives: None,
@@ -193,9 +193,16 @@
     }
 }
 
-fn trouble(at: u64, kind: &str, count: usize, lasts: u64) -> Trouble {
+fn trouble(at: u64, kind: &str, count: usize, lasts: u64) -> ScheduledFault {
     let seconds = Duration::from_secs;
-    Trouble { at: seconds(at), kind: kind.into(), count, lasts: seconds(lasts), size: 1.0, servers: vec![] }
+    ScheduledFault {
+        at: seconds(at),
+        kind: kind.into(),
+        count,
+        lasts: seconds(lasts),
+        size: 1.0,
+        servers: vec![],
+    }
 }
 
 fn drain(at: u64, id: &str, server: &str, dropped: bool) -> Edit {
@@ -204,10 +211,10 @@
 }
 
 /// The same day by edits, by subscriptions and by both, at the same time.
-fn on_each_front(name: &str, day: Day) -> Vec<Outcomes> {
+fn on_each_front(name: &str, day: Scenario) -> Vec<Outcomes> {
     std::thread::scope(|scope| {
         let one = |fronts: Fronts| {
-            let (name, day) = (format!("{name}-{fronts:?}"), Day { fronts, ..day.clone() });
+            let (name, day) = (format!("{name}-{fronts:?}"), Scenario { fronts, ..day.clone() });
             scope.spawn(move || play(&name, day))
         };
         let days = [Fronts::Netconf, Fronts::Pubsub, Fronts::Mixed].map(one);
@@ -215,9 +222,9 @@
     })
 }
 
-fn play(name: &str, day: Day) -> Outcomes {
+fn play(name: &str, day: Scenario) -> Outcomes {
     let folder = Folder::new(name);
-    let outcome = World::new(day, 5, &folder.0, &own(), &[]).unwrap().play().unwrap();
+    let outcome = Testbed::new(day, 5, &folder.0, &own(), &[]).unwrap().play().unwrap();
     assert_eq!((outcome.broken.as_slice(), outcome.doubled), (&[][..], 0), "{outcome:?}");
     outcome
 }
@@ -267,14 +274,15 @@
         vec![trouble(1, "crash", 2, 3), trouble(4, "planner-kill", 1, 1), trouble(6, "stream-break", 6, 0)];
     day.edits = vec![drain(2, "d1", "s1", false)];
     let folder = Folder::new("record");
-    let outcome = World::new(day, 9, &folder.0, &own(), &[]).unwrap().play().unwrap();
+    let outcome = Testbed::new(day, 9, &folder.0, &own(), &[]).unwrap().play().unwrap();
     assert_eq!(outcome.broken, Vec::<String>::new());
     let mut starts = 0;
     for planner in 0..2 {
         let record = folder.0.join(format!("record-{planner}"));
         let days = runloom_event_log::folder::days(&record).unwrap();
         for (k, entries) in days.iter().enumerate() {
-            let same = runloom_replay::exact::replay(entries, runloom_daemon::planner_runtime::BUILD).unwrap();
+            let same =
+                runloom_replay::exact::replay(entries, runloom_daemon::planner_runtime::BUILD).unwrap();
             assert_eq!(same.first, None, "{planner} {k}");
             assert!(same.turns > 10 && same.messages >= 3, "{same:?}");
             let back = (days.len() - 1 - k).to_string();
@@ -303,7 +311,7 @@
     day.lasts = Duration::from_secs(12);
     day.troubles = vec![trouble(1, "crash", 1, 2)];
     let folder = Folder::new("flood");
-    let outcome = World::new(day, 5, &folder.0, &own(), &["--spoil=flood"]).unwrap().play().unwrap();
+    let outcome = Testbed::new(day, 5, &folder.0, &own(), &["--spoil=flood"]).unwrap().play().unwrap();
     let refused: f64 =
         outcome.metrics.iter().filter(|(k, _)| k.starts_with("runloom_refused")).map(|(_, v)| v).sum();
     assert_eq!(
--- a/crates/versioned-publisher/src/admit.rs
+++ b/crates/versioned-publisher/src/admit.rs
@@ -12,23 +12,23 @@
 pub const WAITING_MOST: usize = 4096;
 
 /// How old a newcomer's tables are: nothing held at all, then by epoch and version.
-pub type Age = Option<(u64, u64)>;
+pub type TableAge = Option<(u64, u64)>;
 
 #[derive(Debug)]
-pub struct Admission {
+pub struct ReconnectQueue {
     grace: Duration,
-    waiting: BTreeSet<(Age, String)>,
-    by_name: BTreeMap<String, Age>,
+    waiting: BTreeSet<(TableAge, String)>,
+    by_name: BTreeMap<String, TableAge>,
     /// Since when this many have been waiting, and how many of a whole one time has let in.
     pace: f64,
     room: f64,
     at: Duration,
 }
 
-impl Admission {
-    pub fn new(grace: Duration) -> Admission {
+impl ReconnectQueue {
+    pub fn new(grace: Duration) -> ReconnectQueue {
         let (waiting, by_name) = (BTreeSet::new(), BTreeMap::new());
-        Admission { grace, waiting, by_name, pace: PACE_LEAST, room: 1.0, at: Duration::ZERO }
+        ReconnectQueue { grace, waiting, by_name, pace: PACE_LEAST, room: 1.0, at: Duration::ZERO }
     }
 
     pub fn set_grace(&mut self, grace: Duration) {
@@ -36,7 +36,7 @@
     }
 
     /// One came; again under the same name, it takes its own place. False: too many wait.
-    pub fn came(&mut self, now: Duration, name: &str, age: Age) -> bool {
+    pub fn came(&mut self, now: Duration, name: &str, age: TableAge) -> bool {
         self.gone(name);
         if self.waiting.len() >= WAITING_MOST {
             return false;
--- a/crates/versioned-publisher/src/lib.rs
+++ b/crates/versioned-publisher/src/lib.rs
@@ -12,7 +12,7 @@
 
 /// What a table says. Weights are what the decisions order now; the others are dealt and split by later parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum TopicKind {
     Weights,
     Subset,
     Range,
@@ -25,19 +25,19 @@
 /// One table, as it is published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Topic {
-    pub kind: Kind,
+    pub kind: TopicKind,
     pub table: u16,
 }
 
 /// Which tables a subscriber wants, of those that it is to go by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wanted {
-    pub kind: Option<Kind>,
+pub struct TopicFilter {
+    pub kind: Option<TopicKind>,
     pub table: Option<u16>,
 }
 
-impl Wanted {
-    pub const ALL: Wanted = Wanted { kind: None, table: None };
+impl TopicFilter {
+    pub const ALL: TopicFilter = TopicFilter { kind: None, table: None };
 
     pub fn covers(&self, topic: Topic) -> bool {
         self.kind.is_none_or(|k| k == topic.kind) && self.table.is_none_or(|t| t == topic.table)
@@ -74,7 +74,7 @@
 
 /// A message's content: a part of an update, which is taken whole or not at all.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct UpdatePart {
     pub topic: Topic,
     pub epoch: u64,
     /// The version that it starts from; none: a snapshot, in place of all that was held.
@@ -120,7 +120,7 @@
 
 /// One table's update, whole.
 #[derive(Debug, Clone)]
-pub struct Whole {
+pub struct TableUpdate {
     pub topic: Topic,
     pub from: Option<Version>,
     pub to: Version,
@@ -305,7 +305,7 @@
     }
 
     /// The tables of a kind.
-    pub fn tables_of(&self, kind: Kind) -> Vec<u16> {
+    pub fn tables_of(&self, kind: TopicKind) -> Vec<u16> {
         self.tables.keys().filter(|t| t.kind == kind).map(|t| t.table).collect()
     }
 
@@ -364,7 +364,7 @@
     /// The next message to a subscriber, with its number; none: it has been told all, or has too many on their way.
     /// Tables with something that takes a server out come first, and binds last: a class goes over to a table once that
     /// is held, and not before.
-    pub fn next(&mut self, now: Duration, name: &str) -> Option<(u64, Part)> {
+    pub fn next(&mut self, now: Duration, name: &str) -> Option<(u64, UpdatePart)> {
         let subscriber = self.subscribers.get_mut(name)?;
         if subscriber.flying.len() >= WINDOW {
             return None;
@@ -381,7 +381,7 @@
             let Some((_, _, update, next)) = &position.sending else { continue };
             let out = update[*next].first().is_some_and(Change::takes_out);
             // The least goes first: those that take out, then tables, then binds; among equals by their number.
-            let rank = ((!out, topic.kind == Kind::Binds), *topic);
+            let rank = ((!out, topic.kind == TopicKind::Binds), *topic);
             if chosen.is_none_or(|c| rank < c) {
                 chosen = Some(rank);
             }
@@ -397,12 +397,12 @@
         }
         let holds = last.then_some((topic, to)).into_iter().collect();
         let number = subscriber.fly(now, holds);
-        Some((number, Part { topic, epoch: self.epoch, from, to, part, of, changes }))
+        Some((number, UpdatePart { topic, epoch: self.epoch, from, to, part, of, changes }))
     }
 
     /// All that a subscriber has still to be told, as one message that it takes whole; none: it has been told all, or
     /// has too many on their way. In the order of [`Publisher::next`].
-    pub fn bundle(&mut self, now: Duration, name: &str) -> Option<(u64, Vec<Whole>)> {
+    pub fn bundle(&mut self, now: Duration, name: &str) -> Option<(u64, Vec<TableUpdate>)> {
         let subscriber = self.subscribers.get_mut(name)?;
         if subscriber.flying.len() >= WINDOW {
             return None;
@@ -412,7 +412,7 @@
             let Some(table) = self.tables.get_mut(topic) else { continue };
             let Some((from, to, update, _)) = position.behind(table) else { continue };
             position.told = Some(to);
-            all.push(Whole { topic: *topic, from, to, update });
+            all.push(TableUpdate { topic: *topic, from, to, update });
         }
         if all.is_empty() {
             return None;
--- a/crates/versioned-publisher/src/reader.rs
+++ b/crates/versioned-publisher/src/reader.rs
@@ -1,12 +1,12 @@
 //! The subscriber's side: it takes updates whole, never goes back, and asks anew where one is missing.
 
-use crate::{Change, Key, Kind, Part, Topic, Version};
+use crate::{Change, Key, Topic, TopicKind, UpdatePart, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// What became of a part.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReadOutcome {
     /// The update is whole: the table stands at this version.
     Now(Version),
     /// More parts are to come; the table is as it was.
@@ -19,7 +19,7 @@
 
 /// One table as it is held.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldTable {
     pub epoch: u64,
     pub version: Version,
     pub state: BTreeMap<Key, Rc<str>>,
@@ -38,16 +38,16 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Reader {
-    held: BTreeMap<Topic, Held>,
+pub struct UpdateReader {
+    held: BTreeMap<Topic, HeldTable>,
     pending: BTreeMap<Topic, Pending>,
     /// Tables taken on this stream: on it nothing goes back. A stream's first snapshot of a table is taken whatever is
     /// held, for a planner that lost its folder, or another one, may count its starts from anywhere.
     here: BTreeSet<Topic>,
 }
 
-impl Reader {
-    pub fn held(&self, topic: Topic) -> Option<&Held> {
+impl UpdateReader {
+    pub fn held(&self, topic: Topic) -> Option<&HeldTable> {
         self.held.get(&topic)
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// All tables held of a kind.
-    pub fn of(&self, kind: Kind) -> impl Iterator<Item = (u16, &Held)> {
+    pub fn of(&self, kind: TopicKind) -> impl Iterator<Item = (u16, &HeldTable)> {
         self.held.iter().filter(move |(topic, _)| topic.kind == kind).map(|(topic, held)| (topic.table, held))
     }
 
@@ -77,37 +77,37 @@
         self.here.clear();
     }
 
-    pub fn take(&mut self, part: &Part) -> Taken {
+    pub fn take(&mut self, part: &UpdatePart) -> ReadOutcome {
         let held = self.held.get(&part.topic);
         let strict = part.from.is_some() || self.here.contains(&part.topic);
         if strict && held.is_some_and(|h| (part.epoch, part.to) < (h.epoch, h.version)) {
-            return Taken::Stale;
+            return ReadOutcome::Stale;
         }
-        let base = |h: &Held| h.epoch == part.epoch && Some(h.version) == part.from;
+        let base = |h: &HeldTable| h.epoch == part.epoch && Some(h.version) == part.from;
         if part.from.is_some() && !held.is_some_and(base) {
             self.pending.remove(&part.topic);
-            return Taken::Lacks;
+            return ReadOutcome::Lacks;
         }
         if part.part == 0 {
-            let Part { epoch, from, to, .. } = *part;
+            let UpdatePart { epoch, from, to, .. } = *part;
             self.pending.insert(part.topic, Pending { epoch, from, to, next: 0, changes: vec![] });
         }
         let same =
             |p: &&mut Pending| (p.epoch, p.from, p.to, p.next) == (part.epoch, part.from, part.to, part.part);
         let Some(pending) = self.pending.get_mut(&part.topic).filter(same) else {
             self.pending.remove(&part.topic);
-            return Taken::Lacks;
+            return ReadOutcome::Lacks;
         };
         pending.next += 1;
         pending.changes.extend(part.changes.iter().cloned());
         if pending.changes.len() > WAITING_MOST {
             self.pending.remove(&part.topic);
-            return Taken::Lacks;
+            return ReadOutcome::Lacks;
         }
         if pending.next < part.of {
-            return Taken::Waits;
+            return ReadOutcome::Waits;
         }
-        let Some(whole) = self.pending.remove(&part.topic) else { return Taken::Lacks };
+        let Some(whole) = self.pending.remove(&part.topic) else { return ReadOutcome::Lacks };
         self.here.insert(part.topic);
         let held = self.held.entry(part.topic).or_default();
         if whole.from.is_none() {
@@ -120,6 +120,6 @@
             }
         }
         (held.epoch, held.version) = (whole.epoch, whole.to);
-        Taken::Now(whole.to)
+        ReadOutcome::Now(whole.to)
     }
 }
--- a/crates/versioned-publisher/src/tests.rs
+++ b/crates/versioned-publisher/src/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
-use crate::admit::Admission;
-use crate::reader::{Reader, Taken};
+use crate::admit::ReconnectQueue;
+use crate::reader::{ReadOutcome, UpdateReader};
 use proptest::prelude::*;
 use std::collections::HashMap;
 
-const TOPICS: [Topic; 2] = [Topic { kind: Kind::Weights, table: 1 }, Topic { kind: Kind::Subset, table: 2 }];
+const TOPICS: [Topic; 2] =
+    [Topic { kind: TopicKind::Weights, table: 1 }, Topic { kind: TopicKind::Subset, table: 2 }];
 
 fn line(server: usize, weight: Option<usize>) -> Change {
     Change { key: Key::Line(format!("s{server}")), value: weight.map(|w| w.to_string().into()) }
@@ -17,10 +18,10 @@
 }
 
 /// All messages for one subscriber, each confirmed at once.
-fn drain(publisher: &mut Publisher, name: &str, stream: u64, reader: &mut Reader) -> Vec<Part> {
+fn drain(publisher: &mut Publisher, name: &str, stream: u64, reader: &mut UpdateReader) -> Vec<UpdatePart> {
     let mut parts = vec![];
     while let Some((number, part)) = publisher.next(Duration::ZERO, name) {
-        assert!(matches!(reader.take(&part), Taken::Now(_) | Taken::Waits), "{part:?}");
+        assert!(matches!(reader.take(&part), ReadOutcome::Now(_) | ReadOutcome::Waits), "{part:?}");
         publisher.confirmed(name, stream, number);
         parts.push(part);
     }
@@ -62,10 +63,10 @@
 /// A subscriber as a test has it: what it holds, its stream, and what is on its way to it.
 #[derive(Default)]
 struct Peer {
-    reader: Reader,
+    reader: UpdateReader,
     stream: Option<u64>,
     forgot: bool,
-    flying: VecDeque<(u64, Part)>,
+    flying: VecDeque<(u64, UpdatePart)>,
     /// The newest epoch and version that it held of each table.
     newest: HashMap<Topic, (u64, Version)>,
 }
@@ -126,15 +127,15 @@
         for _ in 0..count {
             let Some((number, part)) = peer.flying.pop_front() else { return };
             match peer.reader.take(&part) {
-                Taken::Now(version) => {
+                ReadOutcome::Now(version) => {
                     let held = peer.reader.held(part.topic).unwrap();
                     assert_eq!(Some(&held.state), self.states.get(&(held.epoch, part.topic, version)));
                     let newest = peer.newest.entry(part.topic).or_default();
                     assert!(*newest <= (held.epoch, held.version), "versions only rise");
                     *newest = (held.epoch, held.version);
                 }
-                Taken::Waits => {}
-                Taken::Lacks if peer.forgot => {
+                ReadOutcome::Waits => {}
+                ReadOutcome::Lacks if peer.forgot => {
                     let stream = peer.stream.unwrap();
                     self.publisher.lacks(&format!("f{k}"), stream, number, part.topic);
                     continue;
@@ -228,7 +229,7 @@
 fn a_slow_subscriber_gets_the_latest_and_not_a_history_and_costs_no_more() {
     let mut publisher = Publisher::new(1);
     let stream = joined(&mut publisher, "slow");
-    let mut reader = Reader::default();
+    let mut reader = UpdateReader::default();
     publisher.step(TOPICS[0], (0..100).map(|s| line(s, Some(1))).collect());
     drain(&mut publisher, "slow", stream, &mut reader);
     // Five hundred steps while it hears nothing: of ten servers, one of which goes out at the last.
@@ -253,9 +254,9 @@
     let mut publisher = Publisher::new(1);
     publisher.step(TOPICS[0], (0..300).map(|s| line(s, Some(1))).collect());
     let stream = joined(&mut publisher, "f");
-    let mut reader = Reader::default();
+    let mut reader = UpdateReader::default();
     let (number, first) = publisher.next(Duration::ZERO, "f").unwrap();
-    assert_eq!((first.of, reader.take(&first)), (3, Taken::Waits));
+    assert_eq!((first.of, reader.take(&first)), (3, ReadOutcome::Waits));
     publisher.confirmed("f", stream, number);
     publisher.step(TOPICS[0], vec![line(299, None), line(0, Some(9))]);
     assert_eq!(reader.held(TOPICS[0]), None);
@@ -273,10 +274,10 @@
     let mut publisher = Publisher::new(2);
     publisher.step(TOPICS[0], vec![line(2, Some(1))]);
     let first = joined(&mut publisher, "f");
-    let mut reader = Reader::default();
+    let mut reader = UpdateReader::default();
     drain(&mut publisher, "f", first, &mut reader);
     let held = reader.held(TOPICS[0]).cloned();
-    assert_eq!(reader.take(&retained), Taken::Stale);
+    assert_eq!(reader.take(&retained), ReadOutcome::Stale);
     assert_eq!(reader.held(TOPICS[0]).cloned(), held);
     let second = joined(&mut publisher, "f");
     let (number, _) = publisher.next(Duration::ZERO, "f").unwrap();
@@ -291,10 +292,10 @@
     let mut publisher = Publisher::new(1);
     publisher.step(TOPICS[0], (0..300).map(|s| line(s, Some(1))).collect());
     let stream = joined(&mut publisher, "f");
-    let mut reader = Reader::default();
-    let parts: Vec<Part> = (0..3).map(|_| publisher.next(Duration::ZERO, "f").unwrap().1).collect();
-    assert_eq!((reader.take(&parts[0]), reader.take(&parts[2])), (Taken::Waits, Taken::Lacks));
-    assert_eq!(reader.take(&Part { from: Some(7), ..parts[0].clone() }), Taken::Lacks);
+    let mut reader = UpdateReader::default();
+    let parts: Vec<UpdatePart> = (0..3).map(|_| publisher.next(Duration::ZERO, "f").unwrap().1).collect();
+    assert_eq!((reader.take(&parts[0]), reader.take(&parts[2])), (ReadOutcome::Waits, ReadOutcome::Lacks));
+    assert_eq!(reader.take(&UpdatePart { from: Some(7), ..parts[0].clone() }), ReadOutcome::Lacks);
     publisher.lacks("f", stream, 3, TOPICS[0]);
     let mut told = 0;
     for k in 0..20 {
@@ -313,7 +314,7 @@
 #[test]
 fn a_reconnect_storm_is_let_in_at_a_pace_oldest_tables_first_and_within_the_grace() {
     let grace = Duration::from_secs(2);
-    let mut admission = Admission::new(grace);
+    let mut admission = ReconnectQueue::new(grace);
     for k in 0..592u64 {
         let age = (k % 3 > 0).then_some((1, 1000 - k));
         assert!(admission.came(Duration::ZERO, &format!("f{k}"), age));
@@ -341,22 +342,25 @@
 /// and a drain in the old table reaches it before either.
 #[test]
 fn a_bind_comes_after_its_table_and_a_drain_before_both() {
-    let binds = Topic { kind: Kind::Binds, table: 0 };
+    let binds = Topic { kind: TopicKind::Binds, table: 0 };
     let to = |table: u16| Change { key: Key::Bind("q".into()), value: Some(table.to_string().into()) };
     let mut publisher = Publisher::new(1);
     publisher.step(TOPICS[0], (0..20).map(|s| line(s, Some(1))).collect());
     publisher.step(binds, vec![to(1)]);
     let stream = joined(&mut publisher, "f");
     assert!(publisher.subscribe("f", binds, None));
-    let mut reader = Reader::default();
-    let order = |parts: &[Part]| parts.iter().map(|p| p.topic.kind).collect::<Vec<_>>();
+    let mut reader = UpdateReader::default();
+    let order = |parts: &[UpdatePart]| parts.iter().map(|p| p.topic.kind).collect::<Vec<_>>();
     let first = drain(&mut publisher, "f", stream, &mut reader);
-    assert_eq!(order(&first), [Kind::Weights, Kind::Subset, Kind::Binds]);
+    assert_eq!(order(&first), [TopicKind::Weights, TopicKind::Subset, TopicKind::Binds]);
     publisher.step(binds, vec![to(2)]);
     publisher.step(TOPICS[1], (0..300).map(|s| line(s, Some(1))).collect());
     publisher.step(TOPICS[0], vec![line(4, None)]);
     let next = drain(&mut publisher, "f", stream, &mut reader);
-    assert_eq!(order(&next), [Kind::Weights, Kind::Subset, Kind::Subset, Kind::Subset, Kind::Binds]);
+    assert_eq!(
+        order(&next),
+        [TopicKind::Weights, TopicKind::Subset, TopicKind::Subset, TopicKind::Subset, TopicKind::Binds]
+    );
     assert!(next[0].changes[0].takes_out());
     let bound = reader.held(binds).unwrap().state[&Key::Bind("q".into())].clone();
     assert_eq!(&*bound, "2");
