--- /dev/null
+++ b/crates/control-session/src/execution.rs
@@ -0,0 +1,153 @@
+//! Carries out the controller's commands: validation by the guard, changes of the tables, messages to the proxies.
+
+use crate::published_tables::OutgoingMessage;
+use crate::table_message::IndexNames;
+use crate::{Action, ControlSession, IssuedUpdate, CLOCK_LEAD};
+use runloom_controller::{ClassId, Command, Event, ProxyId, TableId};
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// The controller's request to acknowledge the messages of a step.
+#[derive(Debug, Clone, Copy)]
+struct AckRequest {
+    token: u16,
+    /// All proxies get a message, and not only those that a change concerns.
+    all_proxies: bool,
+}
+
+/// What carrying out one step's commands has come to so far.
+#[derive(Debug, Default)]
+struct Execution {
+    actions: Vec<Action>,
+    issued: IssuedUpdate,
+    ack_request: Option<AckRequest>,
+}
+
+/// A step's commands after validation.
+struct AcceptedCommands {
+    commands: Vec<Command>,
+    /// Proxies that rejected commands would have reached.
+    affected_by_rejected: BTreeSet<ProxyId>,
+}
+
+impl ControlSession {
+    /// Carries out the commands of one step.
+    pub(crate) fn execute(&mut self, now: Duration, commands: Vec<Command>) -> (Vec<Action>, IssuedUpdate) {
+        let accepted = self.validate(now, commands);
+        let mut execution = Execution::default();
+        for command in accepted.commands {
+            self.execute_command(now, command, &mut execution);
+        }
+        let recipients = self.required_recipients(execution.ack_request, accepted.affected_by_rejected);
+        self.send_messages(now, &recipients, &mut execution);
+        (execution.actions, execution.issued)
+    }
+
+    /// Has the guard validate the commands. The controller learns of those rejected with the next step.
+    fn validate(&mut self, now: Duration, commands: Vec<Command>) -> AcceptedCommands {
+        if !self.is_guarded || !commands.iter().any(concerns_proxies) {
+            return AcceptedCommands { commands, affected_by_rejected: BTreeSet::new() };
+        }
+        let validated = self.guard.judge(CLOCK_LEAD + now, commands);
+        let rejected = validated.held.into_iter().map(|rejected| Event::CommandRejected {
+            command: rejected.order,
+            published_weight: rejected.weight,
+        });
+        self.pending_events.extend(rejected);
+        AcceptedCommands { commands: validated.passed, affected_by_rejected: validated.concerned }
+    }
+
+    fn execute_command(&mut self, now: Duration, command: Command, execution: &mut Execution) {
+        match command {
+            Command::SetEntry { table, server, weight } => {
+                execution.issued.servers.insert(self.server_name(server).to_string());
+                self.tables.set_entry(table, server, weight);
+            }
+            Command::ClearTable { table } => self.tables.clear(table),
+            Command::EjectServer { server, ejected } => self.tables.set_ejected(server, ejected),
+            Command::AssignTable { proxy, table, class_mask } => self.assign_table(proxy, table, class_mask),
+            Command::SetAdmission { table, class, admission_rate, retry_policy } => {
+                self.tables.set_admission(table, class, admission_rate, retry_policy);
+            }
+            Command::RequestAck { ack_token, all_proxies } => {
+                execution.ack_request = Some(AckRequest { token: ack_token, all_proxies });
+            }
+            Command::CheckHealth { server } => {
+                let address = self.addresses.get(&server).copied();
+                execution.actions.extend(address.map(|address| Action::CheckHealth { server, address }));
+            }
+            Command::SetTimer { after, token } => self.timers.push(Reverse((now + after, token))),
+            Command::LogEjection(report) => {
+                let text = report.log_line(self.server_name(report.server));
+                execution.actions.push(Action::Log { text });
+            }
+            // Endpoint lists arrive here without being asked for, and a planner has no peers.
+            Command::WatchEndpoints { .. } | Command::FetchEndpoints | Command::SendToPeer { .. } => {}
+        }
+    }
+
+    /// Assigns the classes of `class_mask` to a table; a mask of 0 stands for all classes.
+    fn assign_table(&mut self, proxy: ProxyId, table: TableId, class_mask: u64) {
+        let is_assigned = |class: &ClassId| class_mask == 0 || class_mask & (1 << class) != 0;
+        let classes = (0..self.fleet.classes.len()).filter(is_assigned);
+        self.tables.assign(proxy, table, classes);
+    }
+
+    /// The proxies that get a message even if nothing changed for them: the controller waits for the
+    /// acknowledgement of all that its commands concerned, those rejected included.
+    fn required_recipients(
+        &self,
+        ack_request: Option<AckRequest>,
+        affected_by_rejected: BTreeSet<ProxyId>,
+    ) -> BTreeSet<ProxyId> {
+        match ack_request {
+            None => BTreeSet::new(),
+            Some(AckRequest { all_proxies: true, .. }) => self.members.keys().copied().collect(),
+            Some(AckRequest { all_proxies: false, .. }) => affected_by_rejected,
+        }
+    }
+
+    /// Sends one message to each proxy that the changes concern, and to the `required` ones.
+    fn send_messages(&mut self, now: Duration, required: &BTreeSet<ProxyId>, execution: &mut Execution) {
+        let names = IndexNames {
+            server: &|server| self.servers.name(server).map_or("?", String::as_str),
+            address: &|server| address_text(self.addresses.get(&server)),
+            class: &|class| self.fleet.classes.get(class).map_or("?", |class| class.name.as_str()),
+        };
+        for (table, edit) in self.tables.table_changes(&names) {
+            execution.actions.push(Action::UpdateTable { table, edit });
+        }
+        let ejections = self.tables.ejection_changes(&names);
+        if !ejections.is_empty() {
+            execution.actions.push(Action::UpdateEjections { servers: ejections });
+        }
+        let members: Vec<ProxyId> = self.members.keys().copied().collect();
+        let messages = self.tables.take_messages(&members, required, &names);
+        for message in messages {
+            self.send(now, message, execution);
+        }
+        self.max_queued_entries = self.max_queued_entries.max(self.queued_entries());
+    }
+
+    fn send(&mut self, now: Duration, outgoing: OutgoingMessage, execution: &mut Execution) {
+        let OutgoingMessage { proxy, message, entries } = outgoing;
+        let Some(member) = self.members.get_mut(&proxy) else { return };
+        let number = member.send(now, execution.ack_request.map(|request| request.token), entries);
+        self.guard.sent(proxy, number);
+        self.entries_sent += entries as u64;
+        self.messages_sent += 1;
+        execution.issued.messages.push((proxy, number));
+        execution.actions.push(Action::Send { proxy, number, message, entries });
+    }
+}
+
+/// Whether a command changes what proxies hold, which is what the guard validates.
+fn concerns_proxies(command: &Command) -> bool {
+    !matches!(command, Command::CheckHealth { .. } | Command::SetTimer { .. } | Command::LogEjection(_))
+}
+
+fn address_text(address: Option<&SocketAddr>) -> String {
+    address.map(SocketAddr::to_string).unwrap_or_default()
+}
--- a/crates/control-session/src/published_tables.rs
+++ b/crates/control-session/src/published_tables.rs
@@ -1,221 +1,276 @@
-//! The tables as ordered, who is on them, and the messages that carry what changed.
+//! The tables as published, the proxies assigned to them, and the messages that carry the changes.
 
+use crate::table_message::{IndexNames, TableContent};
 use runloom_controller::{ClassId, ProxyId, RetryPolicy, ServerId, TableId};
-use runloom_model::order::{Message, TableEdit};
+use runloom_model::order::{AdmissionLimit, Message, TableEdit};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-type Level = (Option<f64>, RetryPolicy);
+/// In [`runloom_controller::Command::SetAdmission`]: all tables.
+const ALL_TABLES: TableId = TableId::MAX;
 
-/// One table as ordered.
+/// One table as published.
 #[derive(Debug, Clone, Default)]
 pub struct PublishedTable {
-    pub lines: BTreeMap<ServerId, f64>,
-    pub levels: BTreeMap<ClassId, Level>,
+    /// Weight of each server, above 0.
+    pub entries: BTreeMap<ServerId, f64>,
+    /// Admission rate (requests a second, `None` for no limit) and retry policy of each class.
+    pub admission_limits: BTreeMap<ClassId, AdmissionLimit>,
+}
+
+impl PublishedTable {
+    fn to_edit(&self, names: &IndexNames) -> TableEdit {
+        let content = TableContent { entries: &self.entries, admission_limits: &self.admission_limits };
+        content.to_edit(true, names)
+    }
 }
 
 /// What changed of a table since the last messages.
 #[derive(Debug, Default)]
-struct Delta {
-    cleared: bool,
-    lines: BTreeMap<ServerId, f64>,
-    levels: BTreeMap<ClassId, Level>,
+struct TableDelta {
+    is_cleared: bool,
+    /// New weights; 0 removes the entry.
+    entries: BTreeMap<ServerId, f64>,
+    admission_limits: BTreeMap<ClassId, AdmissionLimit>,
 }
 
+impl TableDelta {
+    fn to_edit(&self, names: &IndexNames) -> TableEdit {
+        let content = TableContent { entries: &self.entries, admission_limits: &self.admission_limits };
+        content.to_edit(self.is_cleared, names)
+    }
+}
+
+/// The tables that one proxy is assigned to.
 #[derive(Debug, Default)]
 struct AssignedTables {
-    by_class: BTreeMap<ClassId, TableId>,
-    /// Bound since the last message: classes, and tables that go out whole.
-    fresh: BTreeSet<ClassId>,
-    laid: BTreeSet<TableId>,
+    table_of_class: BTreeMap<ClassId, TableId>,
+    /// Classes assigned since the last message.
+    unsent_classes: BTreeSet<ClassId>,
+    /// Tables assigned since the last message, which are sent completely.
+    unsent_tables: BTreeSet<TableId>,
     /// Tables of this planner that the proxy holds.
-    held: BTreeSet<TableId>,
-    /// No message since it joined: the first takes the place of all that it holds.
-    first: bool,
+    held_tables: BTreeSet<TableId>,
+    /// Nothing was sent since the proxy connected: the first message replaces all that it holds.
+    awaits_first_message: bool,
 }
 
-/// How indices are called outside.
-pub struct Names<'a> {
-    pub server: &'a dyn Fn(ServerId) -> &'a str,
-    pub address: &'a dyn Fn(ServerId) -> String,
-    pub class: &'a dyn Fn(ClassId) -> &'a str,
+impl AssignedTables {
+    fn tables(&self) -> BTreeSet<TableId> {
+        self.table_of_class.values().copied().collect()
+    }
+
+    fn has_unsent_assignment(&self) -> bool {
+        !self.unsent_classes.is_empty()
+    }
+
+    fn record_sent_assignment(&mut self) {
+        self.awaits_first_message = false;
+        self.unsent_classes = BTreeSet::new();
+        self.unsent_tables = BTreeSet::new();
+        self.held_tables = self.tables();
+    }
 }
 
-#[derive(Debug, Default)]
-pub struct PublishedTables {
-    laid: BTreeMap<TableId, PublishedTable>,
-    deltas: BTreeMap<TableId, Delta>,
-    bound: BTreeMap<ProxyId, AssignedTables>,
-    withdrawn: BTreeSet<ServerId>,
-    newly: BTreeMap<ServerId, bool>,
+/// A message for one proxy.
+#[derive(Debug)]
+pub(crate) struct OutgoingMessage {
+    pub proxy: ProxyId,
+    pub message: Rc<Message>,
+    /// Table entries in the message.
+    pub entries: usize,
 }
 
-/// Stands for every table at once, as the orders have it.
-const EVERY: TableId = TableId::MAX;
+/// All tables of a planner, as published.
+#[derive(Debug, Default)]
+pub(crate) struct PublishedTables {
+    tables: BTreeMap<TableId, PublishedTable>,
+    deltas: BTreeMap<TableId, TableDelta>,
+    assignments: BTreeMap<ProxyId, AssignedTables>,
+    ejected: BTreeSet<ServerId>,
+    /// Servers ejected (true) or readmitted (false) since the last messages.
+    ejection_changes: BTreeMap<ServerId, bool>,
+}
 
 impl PublishedTables {
-    pub fn laid(&self) -> &BTreeMap<TableId, PublishedTable> {
-        &self.laid
+    /// The tables by number.
+    pub fn tables(&self) -> &BTreeMap<TableId, PublishedTable> {
+        &self.tables
     }
 
-    pub fn join(&mut self, proxy: ProxyId) {
-        self.bound.insert(proxy, AssignedTables { first: true, ..AssignedTables::default() });
+    /// Adds a proxy that holds nothing of this planner.
+    pub fn connect_proxy(&mut self, proxy: ProxyId) {
+        let assigned = AssignedTables { awaits_first_message: true, ..AssignedTables::default() };
+        self.assignments.insert(proxy, assigned);
     }
 
-    pub fn left(&mut self, proxy: ProxyId) {
-        self.bound.remove(&proxy);
+    /// Removes a proxy.
+    pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
+        self.assignments.remove(&proxy);
     }
 
-    pub fn line(&mut self, table: TableId, server: ServerId, weight: f64) {
-        let laid = self.laid.entry(table).or_default();
-        // What is ordered again as it stands costs nobody a line.
-        if laid.lines.get(&server).copied().unwrap_or(0.0) == weight && !self.deltas.contains_key(&table) {
+    /// Sets a server's weight in a table; 0 removes the entry. Setting the published weight again costs no entry.
+    pub fn set_entry(&mut self, table: TableId, server: ServerId, weight: f64) {
+        let published = self.tables.entry(table).or_default();
+        let published_weight = published.entries.get(&server).copied().unwrap_or(0.0);
+        if published_weight == weight && !self.deltas.contains_key(&table) {
             return;
         }
         if weight > 0.0 {
-            laid.lines.insert(server, weight);
+            published.entries.insert(server, weight);
         } else {
-            laid.lines.remove(&server);
+            published.entries.remove(&server);
         }
-        self.deltas.entry(table).or_default().lines.insert(server, weight);
+        self.deltas.entry(table).or_default().entries.insert(server, weight);
     }
 
+    /// Empties a table.
     pub fn clear(&mut self, table: TableId) {
-        self.laid.insert(table, PublishedTable::default());
-        self.deltas.insert(table, Delta { cleared: true, ..Delta::default() });
+        self.tables.insert(table, PublishedTable::default());
+        self.deltas.insert(table, TableDelta { is_cleared: true, ..TableDelta::default() });
     }
 
-    pub fn level(&mut self, table: TableId, class: ClassId, level: Option<f64>, tries: RetryPolicy) {
+    /// Sets the admission limit of a class in a table, or in all of them.
+    pub fn set_admission(
+        &mut self,
+        table: TableId,
+        class: ClassId,
+        admission_rate: Option<f64>,
+        retry_policy: RetryPolicy,
+    ) {
+        let limit = (admission_rate, retry_policy);
         let tables: Vec<TableId> =
-            if table == EVERY { self.laid.keys().copied().collect() } else { vec![table] };
+            if table == ALL_TABLES { self.tables.keys().copied().collect() } else { vec![table] };
         for table in tables {
-            self.laid.entry(table).or_default().levels.insert(class, (level, tries));
-            self.deltas.entry(table).or_default().levels.insert(class, (level, tries));
+            self.tables.entry(table).or_default().admission_limits.insert(class, limit);
+            self.deltas.entry(table).or_default().admission_limits.insert(class, limit);
         }
     }
 
-    pub fn withdraw(&mut self, server: ServerId, out: bool) {
-        if out {
-            self.withdrawn.insert(server);
+    /// Ejects a server from all tables, or readmits it.
+    pub fn set_ejected(&mut self, server: ServerId, is_ejected: bool) {
+        if is_ejected {
+            self.ejected.insert(server);
         } else {
-            self.withdrawn.remove(&server);
+            self.ejected.remove(&server);
         }
-        self.newly.insert(server, out);
+        self.ejection_changes.insert(server, is_ejected);
     }
 
-    pub fn bind(&mut self, proxy: ProxyId, table: TableId, classes: impl Iterator<Item = ClassId>) {
-        let Some(bound) = self.bound.get_mut(&proxy) else { return };
+    /// Assigns classes of a proxy to a table.
+    pub fn assign(&mut self, proxy: ProxyId, table: TableId, classes: impl Iterator<Item = ClassId>) {
+        let Some(assigned) = self.assignments.get_mut(&proxy) else { return };
         for class in classes {
-            bound.by_class.insert(class, table);
-            bound.fresh.insert(class);
+            assigned.table_of_class.insert(class, table);
+            assigned.unsent_classes.insert(class);
         }
-        bound.laid.insert(table);
+        assigned.unsent_tables.insert(table);
+    }
+
+    /// The tables that changed since the last messages.
+    pub fn table_changes(&self, names: &IndexNames) -> Vec<(TableId, TableEdit)> {
+        self.deltas.iter().map(|(table, delta)| (*table, delta.to_edit(names))).collect()
     }
 
-    /// What changed since the last messages: tables, and servers withdrawn or let in again.
-    pub fn changed(&self, names: &Names) -> (Vec<(TableId, TableEdit)>, BTreeMap<String, bool>) {
-        let changed = self.deltas.iter().map(|(table, delta)| (*table, self.delta(delta, names)));
-        let named = self.newly.iter().map(|(s, out)| ((names.server)(*s).to_string(), *out));
-        (changed.collect(), named.collect())
+    /// The servers ejected (true) or readmitted (false) since the last messages.
+    pub fn ejection_changes(&self, names: &IndexNames) -> BTreeMap<String, bool> {
+        names.ejections(self.ejection_changes.iter().map(|(server, is_ejected)| (server, *is_ejected)))
     }
 
-    /// The messages since the last time: proxy, message, lines; also one without lines to those of `also` whom
-    /// nothing concerns.
+    /// Takes the messages with all changes since the last call.
+    ///
+    /// Proxies of `required` get one even if nothing changed for them.
     pub fn take_messages(
         &mut self,
         members: &[ProxyId],
-        also: &BTreeSet<ProxyId>,
-        names: &Names,
-    ) -> Vec<(ProxyId, Rc<Message>, usize)> {
-        let mut shared: BTreeMap<Vec<TableId>, (Rc<Message>, usize)> = BTreeMap::new();
+        required: &BTreeSet<ProxyId>,
+        names: &IndexNames,
+    ) -> Vec<OutgoingMessage> {
+        let mut shared = BTreeMap::new();
         let mut messages = Vec::new();
         for proxy in members {
-            let Some(bound) = self.bound.get(proxy) else { continue };
-            let on: BTreeSet<TableId> = bound.by_class.values().copied().collect();
-            if !bound.fresh.is_empty() {
-                let message = self.bind_message(bound, &on, names);
-                let lines = message.lines();
-                messages.push((*proxy, Rc::new(message), lines));
-                continue;
-            }
-            let changed: Vec<TableId> = on.iter().copied().filter(|t| self.deltas.contains_key(t)).collect();
-            // Only those bound by this planner follow its withdrawals by message; others by their first.
-            let withdrawals = !self.newly.is_empty() && !on.is_empty();
-            let wanted = also.contains(proxy);
-            if changed.is_empty() && !withdrawals && !wanted {
-                continue;
+            let Some(assigned) = self.assignments.get(proxy) else { continue };
+            let made = if assigned.has_unsent_assignment() {
+                let message = self.assignment_message(assigned, names);
+                let entries = message.lines();
+                Some((Rc::new(message), entries))
+            } else {
+                self.shared_delta_message(assigned, required.contains(proxy), &mut shared, names)
+            };
+            if let Some((message, entries)) = made {
+                messages.push(OutgoingMessage { proxy: *proxy, message, entries });
             }
-            // Proxies on the same changed tables get the same message, made once.
-            let made = shared.entry(changed).or_insert_with_key(|changed| {
-                let message = self.delta_message(changed, withdrawals, names);
-                let lines = message.lines();
-                (Rc::new(message), lines)
-            });
-            messages.push((*proxy, made.0.clone(), made.1));
         }
-        for bound in self.bound.values_mut().filter(|b| !b.fresh.is_empty()) {
-            (bound.first, bound.fresh, bound.laid) = (false, BTreeSet::new(), BTreeSet::new());
-            bound.held = bound.by_class.values().copied().collect();
+        for assigned in self.assignments.values_mut().filter(|assigned| assigned.has_unsent_assignment()) {
+            assigned.record_sent_assignment();
         }
         self.deltas.clear();
-        self.newly.clear();
+        self.ejection_changes.clear();
         messages
     }
 
-    fn delta_message(&self, changed: &[TableId], withdrawals: bool, names: &Names) -> Message {
+    /// The message for a proxy whose assignment did not change, if it needs one. Proxies on the same changed tables
+    /// share one message.
+    fn shared_delta_message(
+        &self,
+        assigned: &AssignedTables,
+        is_required: bool,
+        shared: &mut BTreeMap<Vec<TableId>, (Rc<Message>, usize)>,
+        names: &IndexNames,
+    ) -> Option<(Rc<Message>, usize)> {
+        let mut changed = Vec::from_iter(assigned.tables());
+        changed.retain(|table| self.deltas.contains_key(table));
+        // A proxy without an assignment by this planner learns of ejections by its first message.
+        let has_ejections = !self.ejection_changes.is_empty() && !assigned.table_of_class.is_empty();
+        if changed.is_empty() && !has_ejections && !is_required {
+            return None;
+        }
+        let made = shared.entry(changed).or_insert_with_key(|changed| {
+            let message = self.delta_message(changed, has_ejections, names);
+            let entries = message.lines();
+            (Rc::new(message), entries)
+        });
+        Some(made.clone())
+    }
+
+    fn delta_message(&self, changed: &[TableId], has_ejections: bool, names: &IndexNames) -> Message {
         let mut message = Message::default();
         for table in changed {
-            message.tables.insert(*table, self.delta(&self.deltas[table], names));
+            message.tables.insert(*table, self.deltas[table].to_edit(names));
         }
-        if withdrawals {
-            let named = self.newly.iter().map(|(s, out)| ((names.server)(*s).to_string(), *out));
-            message.withdrawn = named.collect();
+        if has_ejections {
+            message.withdrawn = self.ejection_changes(names);
         }
         message
     }
 
-    fn delta(&self, delta: &Delta, names: &Names) -> TableEdit {
-        edit(delta.cleared, delta.lines.iter(), delta.levels.iter(), names)
-    }
-
-    fn bind_message(&self, bound: &AssignedTables, on: &BTreeSet<TableId>, names: &Names) -> Message {
-        let mut message = Message { whole: bound.first, ..Message::default() };
-        for (class, table) in &bound.by_class {
-            if bound.first || bound.fresh.contains(class) {
+    /// The message for a proxy whose assignment changed.
+    fn assignment_message(&self, assigned: &AssignedTables, names: &IndexNames) -> Message {
+        let is_first = assigned.awaits_first_message;
+        let mut message = Message { whole: is_first, ..Message::default() };
+        for (class, table) in &assigned.table_of_class {
+            if is_first || assigned.unsent_classes.contains(class) {
                 message.binds.insert((names.class)(*class).to_string(), *table);
             }
         }
+        let tables = assigned.tables();
         let empty = PublishedTable::default();
-        for table in on {
-            if bound.first || bound.laid.contains(table) {
-                let laid = self.laid.get(table).unwrap_or(&empty);
-                message.tables.insert(*table, edit(true, laid.lines.iter(), laid.levels.iter(), names));
+        for table in &tables {
+            if is_first || assigned.unsent_tables.contains(table) {
+                let published = self.tables.get(table).unwrap_or(&empty);
+                message.tables.insert(*table, published.to_edit(names));
             } else if let Some(delta) = self.deltas.get(table) {
-                message.tables.insert(*table, self.delta(delta, names));
+                message.tables.insert(*table, delta.to_edit(names));
             }
         }
-        for table in bound.held.difference(on) {
+        for table in assigned.held_tables.difference(&tables) {
             message.tables.insert(*table, TableEdit { gone: true, ..TableEdit::default() });
         }
-        let out: Vec<(ServerId, bool)> = if bound.first {
-            self.withdrawn.iter().map(|s| (*s, true)).collect()
+        message.withdrawn = if is_first {
+            names.ejections(self.ejected.iter().map(|server| (server, true)))
         } else {
-            self.newly.iter().map(|(s, out)| (*s, *out)).collect()
+            self.ejection_changes(names)
         };
-        message.withdrawn = out.into_iter().map(|(s, out)| ((names.server)(s).to_string(), out)).collect();
         message
     }
 }
-
-fn edit<'a>(
-    whole: bool,
-    lines: impl Iterator<Item = (&'a ServerId, &'a f64)>,
-    levels: impl Iterator<Item = (&'a ClassId, &'a Level)>,
-    names: &Names,
-) -> TableEdit {
-    // In a table that goes out whole, a line of weight 0 is one that is not there.
-    let kept = lines.filter(|(_, weight)| !whole || **weight > 0.0);
-    let line = |(s, w): (&ServerId, &f64)| ((names.server)(*s).to_string(), ((names.address)(*s), *w));
-    let level = |(c, l): (&ClassId, &Level)| ((names.class)(*c).to_string(), *l);
-    TableEdit { whole, lines: kept.map(line).collect(), levels: levels.map(level).collect(), gone: false }
-}
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -1,17 +1,20 @@
-//! The driver's calls in the record's words, and back.
+//! The session's calls as entries of a record, and entries as calls of a session.
 
-use crate::{Action, ControlSession};
+use crate::{Action, ControlSession, ServerHint};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
-use runloom_event_log::entry::{self, RecordedEvent};
+use runloom_event_log::entry::{
+    RecordedArrivals, RecordedClassOutcome, RecordedEvent, RecordedOutcome, RecordedServer, SentUpdate,
+};
 use runloom_guard::command_text::command_text;
+use runloom_guard::SafetyGuard;
 use runloom_inventory::{Change, Server};
 use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How probes end, by their number in a record.
-const FOUND: [HealthCheckResult; 6] = [
+/// Results of health checks by their number in a record.
+const HEALTH_CHECK_RESULTS: [HealthCheckResult; 6] = [
     HealthCheckResult::Success,
     HealthCheckResult::ErrorResponse,
     HealthCheckResult::Rejected,
@@ -19,168 +22,241 @@
     HealthCheckResult::ConnectionFailed,
     HealthCheckResult::Inconclusive,
 ];
+/// The number of [`HealthCheckResult::Inconclusive`].
+const INCONCLUSIVE: usize = 5;
 
-fn bits(load: &[f64]) -> Vec<u64> {
-    load.iter().map(|v| v.to_bits()).collect()
-}
-
-fn values(load: &[u64]) -> Vec<f64> {
-    load.iter().map(|b| f64::from_bits(*b)).collect()
-}
-
-pub(crate) fn listed(how: EndpointUpdate, changes: &[(String, Change)]) -> RecordedEvent {
-    let (mut servers, mut gone) = (vec![], vec![]);
+pub(crate) fn endpoint_list(update: EndpointUpdate, changes: &[(String, Change)]) -> RecordedEvent {
+    let mut servers = Vec::new();
+    let mut gone = Vec::new();
     for (name, change) in changes {
         match change {
-            Change::Is(s) => servers.push(entry::RecordedServer {
-                name: name.clone(),
-                address: s.address.to_string(),
-                zone: s.zone.clone(),
-                kind: s.kind.clone(),
-                cell: s.cell,
-                draining: s.draining,
-                weight: s.weight,
-                started: s.started,
-            }),
+            Change::Is(server) => servers.push(record_server(name, server)),
             Change::Gone => gone.push(name.clone()),
         }
     }
-    RecordedEvent::Listed { whole: how != EndpointUpdate::Delta, servers, gone }
-}
-
-pub(crate) fn reported(proxy: String, report: &Report) -> RecordedEvent {
-    let met = |m: &ServerOutcomes| entry::RecordedOutcome {
-        server: m.server.clone(),
-        tries: m.tries,
-        failed: m.failed,
-        took: m.took.as_micros() as u64,
-        in_time: m.in_time,
-        load: bits(&m.load),
-    };
-    let came = |c: &ClassArrivals| entry::RecordedArrivals {
-        class: c.class.clone(),
-        queries: c.queries,
-        unanswered: c.unanswered,
-    };
+    RecordedEvent::Listed { whole: update != EndpointUpdate::Delta, servers, gone }
+}
+
+fn record_server(name: &str, server: &Server) -> RecordedServer {
+    RecordedServer {
+        name: name.to_string(),
+        address: server.address.to_string(),
+        zone: server.zone.clone(),
+        kind: server.kind.clone(),
+        cell: server.cell,
+        draining: server.draining,
+        weight: server.weight,
+        started: server.started,
+    }
+}
+
+pub(crate) fn warm_start(hints: &[ServerHint]) -> RecordedEvent {
+    let bits = |hint: &ServerHint| (hint.name.clone(), hint.speed_factor.to_bits(), hint.suspicion.to_bits());
+    RecordedEvent::Remembered { hints: hints.iter().map(bits).collect() }
+}
+
+pub(crate) fn report(proxy: String, report: &Report) -> RecordedEvent {
     RecordedEvent::Report {
         proxy,
         span: report.span.as_micros() as u64,
-        met: report.met.iter().map(met).collect(),
-        came: report.came.iter().map(came).collect(),
+        met: report.met.iter().map(record_outcome).collect(),
+        came: report.came.iter().map(record_arrivals).collect(),
+    }
+}
+
+fn record_outcome(outcomes: &ServerOutcomes) -> RecordedOutcome {
+    RecordedOutcome {
+        server: outcomes.server.clone(),
+        tries: outcomes.tries,
+        failed: outcomes.failed,
+        took: outcomes.took.as_micros() as u64,
+        in_time: outcomes.in_time,
+        load: load_to_bits(&outcomes.load),
+    }
+}
+
+fn record_arrivals(arrivals: &ClassArrivals) -> RecordedArrivals {
+    RecordedArrivals {
+        class: arrivals.class.clone(),
+        queries: arrivals.queries,
+        unanswered: arrivals.unanswered,
     }
 }
 
 /// A report's outcomes by class, if it has any.
-pub(crate) fn outcomes(proxy: &str, report: &Report) -> Option<RecordedEvent> {
+pub(crate) fn class_outcomes(proxy: &str, report: &Report) -> Option<RecordedEvent> {
     let mut met = Vec::new();
-    for (m, of) in report.met.iter().flat_map(|m| m.classes.iter().map(move |of| (m, of))) {
-        let ClassOutcomes { class, tries, in_time, took } = of.clone();
-        let took = took.into_iter().collect();
-        met.push(entry::RecordedClassOutcome { server: m.server.clone(), class, tries, in_time, took });
+    for outcomes in &report.met {
+        for of_class in &outcomes.classes {
+            met.push(record_class_outcome(&outcomes.server, of_class));
+        }
     }
     (!met.is_empty()).then(|| RecordedEvent::Outcomes { proxy: proxy.to_string(), met })
 }
 
-pub(crate) fn probed(
+fn record_class_outcome(server: &str, outcomes: &ClassOutcomes) -> RecordedClassOutcome {
+    RecordedClassOutcome {
+        server: server.to_string(),
+        class: outcomes.class.clone(),
+        tries: outcomes.tries,
+        in_time: outcomes.in_time,
+        took: outcomes.took.clone().into_iter().collect(),
+    }
+}
+
+pub(crate) fn health_check(
     server: String,
-    found: HealthCheckResult,
-    after: Duration,
+    result: HealthCheckResult,
+    elapsed: Duration,
     load: &[f64],
 ) -> RecordedEvent {
-    let found = FOUND.iter().position(|f| *f == found).unwrap_or(5) as u8;
-    RecordedEvent::Probed { server, found, after: after.as_micros() as u64, load: bits(load) }
-}
-
-/// What a turn came to. Texts that many proxies share are told once.
-pub(crate) fn turned(driver: &ControlSession, deeds: &[Action], refused: u64) -> RecordedEvent {
-    let (mut texts, mut places, mut sent, mut probes, mut log) =
-        (vec![], BTreeMap::new(), vec![], vec![], vec![]);
-    for deed in deeds {
-        match deed {
-            Action::Send { proxy, number, message, lines } => {
-                let text = *places.entry(Rc::as_ptr(message) as usize).or_insert_with(|| {
+    let number = HEALTH_CHECK_RESULTS.iter().position(|known| *known == result).unwrap_or(INCONCLUSIVE);
+    RecordedEvent::Probed {
+        server,
+        found: number as u8,
+        after: elapsed.as_micros() as u64,
+        load: load_to_bits(load),
+    }
+}
+
+/// What a step came to; `rejections` is how many commands the guard rejected in it. A text that several proxies
+/// share is recorded once.
+pub(crate) fn step(session: &ControlSession, actions: &[Action], rejections: usize) -> RecordedEvent {
+    let mut texts = Vec::new();
+    let mut text_of_message = BTreeMap::new();
+    let mut sent = Vec::new();
+    let mut probes = Vec::new();
+    let mut log = Vec::new();
+    for action in actions {
+        match action {
+            Action::Send { proxy, number, message, entries } => {
+                let text = *text_of_message.entry(Rc::as_ptr(message) as usize).or_insert_with(|| {
                     texts.push(message.to_text());
                     texts.len() as u32 - 1
                 });
-                let proxy = driver.proxy_name(*proxy).to_string();
-                sent.push(entry::SentUpdate { proxy, number: *number, text, lines: *lines as u32 });
+                let proxy = session.proxy_name(*proxy).to_string();
+                sent.push(SentUpdate { proxy, number: *number, text, lines: *entries as u32 });
             }
-            Action::Probe { server, .. } => probes.push(driver.server_name(*server).to_string()),
-            // Told by the orders that they come with.
-            Action::Table { .. } | Action::Withdrawn { .. } => {}
+            Action::CheckHealth { server, .. } => probes.push(session.server_name(*server).to_string()),
+            // The messages of the same step carry these.
+            Action::UpdateTable { .. } | Action::UpdateEjections { .. } => {}
             Action::Log { text } => log.push(text.clone()),
         }
     }
-    // The newest refusals, as many as this turn had, each by its reason.
-    let newest = driver.guard().refusals().collect::<Vec<_>>();
-    let from = newest.len().saturating_sub(refused as usize);
-    let refused =
-        newest[from..].iter().map(|r| format!("{} {}", r.reason.word(), command_text(&r.order))).collect();
+    let refused = newest_rejections(session.guard(), rejections);
     RecordedEvent::Turn { took: 0, texts, sent, probes, log, refused }
 }
 
-/// Makes the call that an entry tells of. A turn is not made here; false: the entry names what is not there.
-pub fn call(driver: &mut ControlSession, at: Duration, what: &RecordedEvent) -> bool {
-    match what {
+/// The newest `count` rejections: reason and command of each.
+fn newest_rejections(guard: &SafetyGuard, count: usize) -> Vec<String> {
+    let rejections: Vec<_> = guard.refusals().collect();
+    let first = rejections.len().saturating_sub(count);
+    let newest = rejections[first..].iter();
+    newest
+        .map(|rejection| format!("{} {}", rejection.reason.word(), command_text(&rejection.order)))
+        .collect()
+}
+
+/// Makes the call that an entry records, and returns false if the entry names something unknown. Steps are not
+/// replayed here: the caller makes them.
+pub fn replay_event(session: &mut ControlSession, at: Duration, event: &RecordedEvent) -> bool {
+    match event {
         RecordedEvent::Listed { whole, servers, gone } => {
-            let mut changes: Vec<(String, Change)> = Vec::new();
-            for s in servers {
-                let Ok(address) = s.address.parse() else { return false };
-                let server = Server {
-                    address,
-                    zone: s.zone.clone(),
-                    kind: s.kind.clone(),
-                    cell: s.cell,
-                    draining: s.draining,
-                    weight: s.weight,
-                    started: s.started,
-                };
-                changes.push((s.name.clone(), Change::Is(server)));
-            }
-            changes.extend(gone.iter().map(|name| (name.clone(), Change::Gone)));
-            driver.list(if *whole { EndpointUpdate::Cached } else { EndpointUpdate::Delta }, changes);
+            replay_endpoint_list(session, *whole, servers, gone).is_some()
+        }
+        RecordedEvent::Joined { proxy, zone, rate, fresh } => {
+            session.connect_proxy(proxy, zone, *rate, *fresh);
+            true
+        }
+        RecordedEvent::Left { proxy } => {
+            let proxy = session.proxy(proxy);
+            proxy.map(|proxy| session.disconnect_proxy(proxy)).is_some()
+        }
+        RecordedEvent::Applied { proxy, number } => {
+            let proxy = session.proxy(proxy);
+            proxy.map(|proxy| session.acknowledge(at, proxy, *number)).is_some()
         }
-        RecordedEvent::Joined { proxy, zone, rate, fresh } => _ = driver.joined(proxy, zone, *rate, *fresh),
-        RecordedEvent::Left { proxy } => match driver.proxy(proxy) {
-            Some(proxy) => driver.left(proxy),
-            None => return false,
-        },
-        RecordedEvent::Applied { proxy, number } => match driver.proxy(proxy) {
-            Some(proxy) => driver.applied(at, proxy, *number),
-            None => return false,
-        },
         RecordedEvent::Report { proxy, span, met, came } => {
-            let Some(proxy) = driver.proxy(proxy) else { return false };
-            let met = met.iter().map(|m| ServerOutcomes {
-                server: m.server.clone(),
-                tries: m.tries,
-                failed: m.failed,
-                took: Duration::from_micros(m.took),
-                in_time: m.in_time,
-                load: values(&m.load),
-                classes: vec![],
-            });
-            let came = came.iter().map(|c| ClassArrivals {
-                class: c.class.clone(),
-                queries: c.queries,
-                unanswered: c.unanswered,
-            });
-            let report =
-                Report { span: Duration::from_micros(*span), met: met.collect(), came: came.collect() };
-            driver.report(at, proxy, &report);
+            let report = replay_report(*span, met, came);
+            let proxy = session.proxy(proxy);
+            proxy.map(|proxy| session.handle_report(at, proxy, &report)).is_some()
         }
         RecordedEvent::Remembered { hints } => {
-            let hint = |(name, swift, doubt): &(String, u64, u64)| {
-                (name.clone(), f64::from_bits(*swift), f64::from_bits(*doubt))
-            };
-            driver.remembered(&hints.iter().map(hint).collect::<Vec<_>>());
+            let hints: Vec<ServerHint> = hints.iter().map(replay_hint).collect();
+            session.warm_start(&hints);
+            true
         }
         RecordedEvent::Probed { server, found, after, load } => {
-            let Some(server) = driver.server(server) else { return false };
-            let found = FOUND.get(usize::from(*found)).copied().unwrap_or(HealthCheckResult::Inconclusive);
-            driver.probed(server, found, Duration::from_micros(*after), values(load));
+            let Some(server) = session.server(server) else { return false };
+            let result = HEALTH_CHECK_RESULTS.get(usize::from(*found)).copied();
+            let result = result.unwrap_or(HealthCheckResult::Inconclusive);
+            session.record_health_check(server, result, Duration::from_micros(*after), load_from_bits(load));
+            true
         }
-        _ => {}
+        _ => true,
+    }
+}
+
+/// Replays an endpoint list; `None` if an address in it is malformed.
+fn replay_endpoint_list(
+    session: &mut ControlSession,
+    is_complete: bool,
+    servers: &[RecordedServer],
+    removed: &[String],
+) -> Option<()> {
+    let mut changes = Vec::new();
+    for recorded in servers {
+        changes.push((recorded.name.clone(), Change::Is(replay_server(recorded)?)));
     }
-    true
+    changes.extend(removed.iter().map(|name| (name.clone(), Change::Gone)));
+    let update = if is_complete { EndpointUpdate::Cached } else { EndpointUpdate::Delta };
+    session.update_endpoints(update, changes);
+    Some(())
+}
+
+fn replay_server(recorded: &RecordedServer) -> Option<Server> {
+    Some(Server {
+        address: recorded.address.parse().ok()?,
+        zone: recorded.zone.clone(),
+        kind: recorded.kind.clone(),
+        cell: recorded.cell,
+        draining: recorded.draining,
+        weight: recorded.weight,
+        started: recorded.started,
+    })
+}
+
+/// A recorded report, without the outcomes by class: the controller does not use them.
+fn replay_report(window_us: u64, outcomes: &[RecordedOutcome], arrivals: &[RecordedArrivals]) -> Report {
+    let met = outcomes.iter().map(|recorded| ServerOutcomes {
+        server: recorded.server.clone(),
+        tries: recorded.tries,
+        failed: recorded.failed,
+        took: Duration::from_micros(recorded.took),
+        in_time: recorded.in_time,
+        load: load_from_bits(&recorded.load),
+        classes: vec![],
+    });
+    let came = arrivals.iter().map(|recorded| ClassArrivals {
+        class: recorded.class.clone(),
+        queries: recorded.queries,
+        unanswered: recorded.unanswered,
+    });
+    Report { span: Duration::from_micros(window_us), met: met.collect(), came: came.collect() }
+}
+
+fn replay_hint((name, speed_factor, suspicion): &(String, u64, u64)) -> ServerHint {
+    ServerHint {
+        name: name.clone(),
+        speed_factor: f64::from_bits(*speed_factor),
+        suspicion: f64::from_bits(*suspicion),
+    }
+}
+
+fn load_to_bits(load: &[f64]) -> Vec<u64> {
+    load.iter().map(|value| value.to_bits()).collect()
+}
+
+fn load_from_bits(load: &[u64]) -> Vec<f64> {
+    load.iter().map(|bits| f64::from_bits(*bits)).collect()
 }
--- a/crates/control-session/src/report_aggregator.rs
+++ b/crates/control-session/src/report_aggregator.rs
@@ -1,123 +1,154 @@
-//! Reports add up here by zone and server, and are handed on once a period, so many lines a second at most,
-//! the oldest first: the decisions take a report for the sum over the proxies of a zone.
+//! Sums of the proxies' reports.
+//!
+//! Outcomes are summed by zone and server, arrivals by proxy and class, and the controller gets them once a period,
+//! the oldest first and with a limit on their number: it takes an outcome report for the sum over a zone's proxies.
 
 use runloom_controller::{ClassId, Event, ProxyId, ServerId, ZoneId};
 use runloom_model::order::{ClassArrivals, ServerOutcomes};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+/// Shortest time between two deliveries.
+const MIN_PERIOD: Duration = Duration::from_millis(50);
+
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
-    Met(ZoneId, ServerId),
-    Came(ProxyId, ClassId),
+    Outcomes { zone: ZoneId, server: ServerId },
+    Arrivals { proxy: ProxyId, class: ClassId },
 }
 
+/// Sum of the reports under one key.
 #[derive(Debug, Default)]
 struct Aggregate {
     from: Duration,
     to: Duration,
-    tries: u64,
-    failed: u64,
-    /// Seconds of the good tries together.
-    took: f64,
+    /// Attempts, or requests that arrived.
+    attempts: u64,
+    /// Failed attempts, or unanswered requests.
+    failures: u64,
+    /// Seconds of the successful attempts together.
+    latency_sum: f64,
+    /// The newest load report.
     load: Vec<f64>,
 }
 
+impl Aggregate {
+    fn into_event(self, key: Key) -> Event {
+        let window = self.to.saturating_sub(self.from);
+        match key {
+            Key::Outcomes { zone, server } => Event::OutcomeReport {
+                zone,
+                server,
+                attempts: self.attempts,
+                failures: self.failures,
+                mean_latency: self.mean_latency(),
+                window,
+                load: self.load,
+            },
+            Key::Arrivals { proxy, class } => Event::ArrivalReport {
+                proxy,
+                class,
+                requests: self.attempts,
+                unanswered: self.failures,
+                window,
+            },
+        }
+    }
+
+    fn mean_latency(&self) -> Duration {
+        let successes = self.attempts - self.failures;
+        Duration::from_secs_f64(if successes > 0 { self.latency_sum / successes as f64 } else { 0.0 })
+    }
+}
+
+/// Sums reports and hands them to the controller once a period.
+///
+/// It holds at most one sum for each server and zone, and for each proxy and class.
 #[derive(Debug)]
-pub struct ReportAggregator {
+pub(crate) struct ReportAggregator {
     period: Duration,
-    /// Lines handed on at once, at the most.
-    most: usize,
-    next: Option<Duration>,
-    /// One sum for each key that reports named: servers times zones, and proxies times classes, no more.
-    sums: BTreeMap<Key, Aggregate>,
-    order: VecDeque<Key>,
+    /// Limit on the events of one delivery.
+    max_events: usize,
+    next_delivery: Option<Duration>,
+    aggregates: BTreeMap<Key, Aggregate>,
+    /// Keys in the order of their first report since their last delivery.
+    queue: VecDeque<Key>,
 }
 
 impl ReportAggregator {
-    pub fn new(period: Duration, lines_per_second: f64) -> ReportAggregator {
-        let period = period.max(Duration::from_millis(50));
-        let most = (lines_per_second * period.as_secs_f64()).max(1.0) as usize;
-        ReportAggregator { period, most, next: None, sums: BTreeMap::new(), order: VecDeque::new() }
+    /// `period` is the time between deliveries, `events_per_second` the limit on the events that they hold.
+    pub fn new(period: Duration, events_per_second: f64) -> ReportAggregator {
+        let period = period.max(MIN_PERIOD);
+        ReportAggregator {
+            period,
+            max_events: (events_per_second * period.as_secs_f64()).max(1.0) as usize,
+            next_delivery: None,
+            aggregates: BTreeMap::new(),
+            queue: VecDeque::new(),
+        }
     }
 
-    fn at(&mut self, key: Key, now: Duration, span: Duration) -> &mut Aggregate {
-        self.next.get_or_insert(now + self.period);
-        let sum = self.sums.entry(key).or_insert_with(|| {
-            self.order.push_back(key);
-            Aggregate { from: now.saturating_sub(span), ..Aggregate::default() }
+    /// The sum under `key`, extended by a report of the last `window`.
+    fn aggregate(&mut self, key: Key, now: Duration, window: Duration) -> &mut Aggregate {
+        self.next_delivery.get_or_insert(now + self.period);
+        let from = now.saturating_sub(window);
+        let aggregate = self.aggregates.entry(key).or_insert_with(|| {
+            self.queue.push_back(key);
+            Aggregate { from, ..Aggregate::default() }
         });
-        sum.from = sum.from.min(now.saturating_sub(span));
-        sum.to = now;
-        sum
+        aggregate.from = aggregate.from.min(from);
+        aggregate.to = now;
+        aggregate
     }
 
-    pub fn met(
+    /// Adds a proxy's outcomes at one server.
+    pub fn add_outcomes(
         &mut self,
         now: Duration,
         zone: ZoneId,
         server: ServerId,
-        met: &ServerOutcomes,
-        span: Duration,
+        outcomes: &ServerOutcomes,
+        window: Duration,
     ) {
-        let sum = self.at(Key::Met(zone, server), now, span);
-        let failed = met.failed.min(met.tries);
-        sum.tries += met.tries;
-        sum.failed += failed;
-        sum.took += met.took.as_secs_f64() * (met.tries - failed) as f64;
-        if !met.load.is_empty() {
-            sum.load.clone_from(&met.load);
+        let aggregate = self.aggregate(Key::Outcomes { zone, server }, now, window);
+        let failures = outcomes.failed.min(outcomes.tries);
+        aggregate.attempts += outcomes.tries;
+        aggregate.failures += failures;
+        aggregate.latency_sum += outcomes.took.as_secs_f64() * (outcomes.tries - failures) as f64;
+        if !outcomes.load.is_empty() {
+            aggregate.load.clone_from(&outcomes.load);
         }
     }
 
-    pub fn came(
+    /// Adds the requests of one class that arrived at a proxy.
+    pub fn add_arrivals(
         &mut self,
         now: Duration,
         proxy: ProxyId,
         class: ClassId,
-        came: &ClassArrivals,
-        span: Duration,
+        arrivals: &ClassArrivals,
+        window: Duration,
     ) {
-        let sum = self.at(Key::Came(proxy, class), now, span);
-        sum.tries += came.queries;
-        sum.failed += came.unanswered;
+        let aggregate = self.aggregate(Key::Arrivals { proxy, class }, now, window);
+        aggregate.attempts += arrivals.queries;
+        aggregate.failures += arrivals.unanswered;
     }
 
-    pub fn due(&self) -> Option<Duration> {
-        self.next
+    /// When the next delivery is due; `None` if there is nothing to deliver.
+    pub fn next_delivery(&self) -> Option<Duration> {
+        self.next_delivery
     }
 
-    pub fn hand_on(&mut self, now: Duration, happened: &mut Vec<Event>) {
-        if self.next.is_none_or(|next| now < next) {
+    /// Appends the sums that are due to `events`, the oldest first.
+    pub fn deliver(&mut self, now: Duration, events: &mut Vec<Event>) {
+        if self.next_delivery.is_none_or(|at| now < at) {
             return;
         }
-        for _ in 0..self.most {
-            let Some(key) = self.order.pop_front() else { break };
-            let Some(sum) = self.sums.remove(&key) else { continue };
-            let span = sum.to.saturating_sub(sum.from);
-            happened.push(match key {
-                Key::Met(zone, server) => {
-                    let good = sum.tries - sum.failed;
-                    let took = Duration::from_secs_f64(if good > 0 { sum.took / good as f64 } else { 0.0 });
-                    Event::OutcomeReport {
-                        zone,
-                        server,
-                        attempts: sum.tries,
-                        failures: sum.failed,
-                        mean_latency: took,
-                        window: span,
-                        load: sum.load,
-                    }
-                }
-                Key::Came(proxy, class) => Event::ArrivalReport {
-                    proxy,
-                    class,
-                    requests: sum.tries,
-                    unanswered: sum.failed,
-                    window: span,
-                },
-            });
+        for _ in 0..self.max_events {
+            let Some(key) = self.queue.pop_front() else { break };
+            let Some(aggregate) = self.aggregates.remove(&key) else { continue };
+            events.push(aggregate.into_event(key));
         }
-        self.next = (!self.order.is_empty()).then_some(now + self.period);
+        self.next_delivery = (!self.queue.is_empty()).then_some(now + self.period);
     }
 }
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -1,7 +1,13 @@
-use super::*;
-use runloom_inventory::Server as Listed;
-use runloom_model::order::{ClassArrivals, ServerOutcomes};
+use crate::report_aggregator::ReportAggregator;
+use crate::{Action, ControlSession};
+use runloom_controller::{EndpointUpdate, Event};
+use runloom_inventory::{Change, Server};
+use runloom_model::fleet::Fleet;
+use runloom_model::order::{ClassArrivals, Message, ServerOutcomes};
 use runloom_netconf::tree::Element;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
 
 const FLEET: &str = "<fleet xmlns='urn:runloom:fleet'><zone><name>a</name></zone><class><name>q</name>\
     <payoff>1</payoff><soft-limit-ms>500</soft-limit-ms><outer-limit-ms>900</outer-limit-ms><repeats>safe</repeats>\
@@ -12,8 +18,12 @@
     <report-lines-per-second>2</report-lines-per-second></proxies><list><only-drains-bind>false</only-drains-bind>\
     </list></fleet>";
 
+fn fleet(xml: &str) -> Fleet {
+    Fleet::read(&Element::parse(xml).unwrap()).unwrap()
+}
+
 fn server(port: u16, draining: bool) -> Change {
-    Change::Is(Listed {
+    Change::Is(Server {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         zone: "a".into(),
         kind: String::new(),
@@ -24,17 +34,24 @@
     })
 }
 
-fn driver() -> ControlSession {
-    let fleet = Fleet::read(&Element::parse(FLEET).unwrap()).unwrap();
-    let mut driver = ControlSession::new(fleet, 1, 0);
+/// A session with the servers s1 to s3, on ports 1 to 3.
+fn session() -> ControlSession {
+    let mut session = ControlSession::new(fleet(FLEET), 1, 0);
     let list = (1..4).map(|k| (format!("s{k}"), server(k, false))).collect();
-    driver.list(EndpointUpdate::Cached, list);
-    driver
+    session.update_endpoints(EndpointUpdate::Cached, list);
+    session
+}
+
+fn messages(actions: &[Action]) -> Vec<Rc<Message>> {
+    let message = |action: &Action| match action {
+        Action::Send { message, .. } => Some(message.clone()),
+        _ => None,
+    };
+    actions.iter().filter_map(message).collect()
 }
 
-fn bodies(deeds: &[Action]) -> Vec<String> {
-    let text = |d: &Action| if let Action::Send { message, .. } = d { Some(message.to_text()) } else { None };
-    deeds.iter().filter_map(text).collect()
+fn message_texts(actions: &[Action]) -> Vec<String> {
+    messages(actions).iter().map(|message| message.to_text()).collect()
 }
 
 const fn ms(n: u64) -> Duration {
@@ -42,91 +59,116 @@
 }
 
 #[test]
-fn a_proxy_that_joins_gets_its_tables_whole_in_one_message() {
-    let mut driver = driver();
-    driver.joined("f1", "a", 5.0, false);
-    let (deeds, _) = driver.turn(ms(0));
-    let sent = bodies(&deeds);
+fn a_connecting_proxy_gets_its_complete_tables_in_one_message() {
+    // Given a session with three servers.
+    let mut session = session();
+    // When a proxy connects.
+    session.connect_proxy("f1", "a", 5.0, false);
+    let (actions, _) = session.step(ms(0));
+    // Then one message replaces all that it holds, with all servers and its assignment.
+    let sent = message_texts(&actions);
     assert_eq!(sent.len(), 1);
-    assert!(
-        sent[0].contains("operation=\"replace\"") && sent[0].contains("<bind><class>q</class>"),
-        "{}",
-        sent[0]
-    );
+    assert!(sent[0].contains("operation=\"replace\""), "{}", sent[0]);
+    assert!(sent[0].contains("<bind><class>q</class>"), "{}", sent[0]);
     assert!((1..4).all(|k| sent[0].contains(&format!("127.0.0.1:{k}<"))));
 }
 
 #[test]
-fn a_drain_goes_to_all_at_once_in_one_shared_text() {
-    let mut driver = driver();
-    let proxies = ["f1", "f2"].map(|name| driver.joined(name, "a", 5.0, true));
-    driver.turn(ms(0));
-    proxies.iter().for_each(|p| driver.applied(ms(5), *p, 1));
-    driver.turn(ms(300));
-    driver.list(EndpointUpdate::Delta, vec![("s2".into(), server(2, true))]);
-    let (deeds, ordered) = driver.turn(ms(400));
-    let message =
-        |d: &'_ Action| if let Action::Send { message, .. } = d { Some(message.clone()) } else { None };
-    let shared: Vec<Rc<Message>> = deeds.iter().filter_map(message).collect();
+fn a_drain_reaches_all_proxies_at_once_in_one_shared_message() {
+    // Given two proxies that hold their tables.
+    let mut session = session();
+    let proxies = ["f1", "f2"].map(|name| session.connect_proxy(name, "a", 5.0, true));
+    session.step(ms(0));
+    for proxy in proxies {
+        session.acknowledge(ms(5), proxy, 1);
+    }
+    session.step(ms(300));
+    // When a server drains.
+    session.update_endpoints(EndpointUpdate::Delta, vec![("s2".into(), server(2, true))]);
+    let (actions, issued) = session.step(ms(400));
+    // Then one table changes, and both proxies get the same message.
+    let shared = messages(&actions);
     assert!(Rc::ptr_eq(&shared[0], &shared[1]));
-    let tables: Vec<&Action> = deeds.iter().filter(|d| matches!(d, Action::Table { .. })).collect();
-    assert!(matches!(tables[..], [Action::Table { edit, .. }] if edit.lines["s2"].1 == 0.0), "{tables:?}");
-    let sent = bodies(&deeds);
-    assert!(sent[0].contains("<line nc:operation=\"remove\"><server>s2</server></line>"), "{}", sent[0]);
-    assert!(ordered.servers.contains("s2") && ordered.proxies.len() == 2);
+    let is_table = |action: &&Action| matches!(action, Action::UpdateTable { .. });
+    let tables: Vec<&Action> = actions.iter().filter(is_table).collect();
+    assert!(
+        matches!(tables[..], [Action::UpdateTable { edit, .. }] if edit.lines["s2"].1 == 0.0),
+        "{tables:?}"
+    );
+    let text = shared[0].to_text();
+    assert!(text.contains("<line nc:operation=\"remove\"><server>s2</server></line>"), "{text}");
+    assert!(issued.servers.contains("s2"));
+    assert_eq!(issued.messages.len(), 2);
 }
 
 #[test]
-fn a_second_join_under_the_same_name_is_a_leave_and_a_join() {
-    let mut driver = driver();
-    let first = driver.joined("f1", "a", 5.0, true);
-    driver.turn(ms(0));
-    assert_eq!(driver.members()[&first].waiting(), 1);
-    assert_eq!(driver.joined("f1", "a", 5.0, false), first);
-    let (deeds, _) = driver.turn(ms(10));
-    assert_eq!((driver.members()[&first].waiting(), bodies(&deeds).len()), (1, 1));
+fn connecting_again_under_the_same_name_disconnects_first() {
+    // Given a proxy with one message in flight.
+    let mut session = session();
+    let first = session.connect_proxy("f1", "a", 5.0, true);
+    session.step(ms(0));
+    assert_eq!(session.members()[&first].in_flight_messages(), 1);
+    // When it connects again.
+    let second = session.connect_proxy("f1", "a", 5.0, false);
+    let (actions, _) = session.step(ms(10));
+    // Then it keeps its index, and only the new message is in flight.
+    assert_eq!(second, first);
+    assert_eq!(session.members()[&first].in_flight_messages(), 1);
+    assert_eq!(messages(&actions).len(), 1);
 }
 
 #[test]
-fn a_confirmation_covers_all_before_it_and_none_from_before_a_rejoin() {
-    let mut driver = driver();
-    let proxy = driver.joined("f1", "a", 5.0, true);
-    driver.turn(ms(0));
-    driver.applied(ms(3), proxy, 9);
-    assert_eq!((driver.members()[&proxy].waiting(), driver.lines_waiting()), (0, 0));
-    driver.left(proxy);
-    driver.applied(ms(4), proxy, 1);
-    assert!(driver.members().is_empty());
+fn an_acknowledgement_covers_earlier_messages_and_none_after_a_disconnect() {
+    // Given a proxy with one message in flight.
+    let mut session = session();
+    let proxy = session.connect_proxy("f1", "a", 5.0, true);
+    session.step(ms(0));
+    // When a later number is acknowledged, then nothing is in flight.
+    session.acknowledge(ms(3), proxy, 9);
+    assert_eq!(session.members()[&proxy].in_flight_messages(), 0);
+    assert_eq!(session.queued_entries(), 0);
+    // When an acknowledgement follows the disconnect, then it has no effect.
+    session.disconnect_proxy(proxy);
+    session.acknowledge(ms(4), proxy, 1);
+    assert!(session.members().is_empty());
 }
 
 #[test]
-fn reports_of_a_zone_add_up_and_are_handed_on_by_period_the_oldest_first() {
-    let mut sums = ReportAggregator::new(ms(1000), 2.0);
-    let met = ServerOutcomes { tries: 10, failed: 2, took: ms(100), ..ServerOutcomes::default() };
-    sums.met(ms(1000), 0, 7, &met, ms(1000));
-    sums.met(ms(1500), 0, 7, &met, ms(1000));
-    sums.met(ms(1600), 0, 8, &met, ms(1000));
-    sums.came(ms(1700), 3, 0, &ClassArrivals { queries: 4, ..ClassArrivals::default() }, ms(1000));
-    let mut happened = Vec::new();
-    sums.hand_on(ms(1999), &mut happened);
-    assert!(happened.is_empty());
-    sums.hand_on(ms(2000), &mut happened);
-    assert_eq!(happened.len(), 2);
-    let Event::OutcomeReport { attempts: tries, failures: failed, mean_latency: took, window: span, .. } =
-        &happened[0]
-    else {
-        panic!("{happened:?}")
+fn reports_of_a_zone_are_summed_and_delivered_once_a_period_oldest_first() {
+    // Given a limit of two events a delivery, and reports under three keys.
+    let mut reports = ReportAggregator::new(ms(1000), 2.0);
+    let outcomes = ServerOutcomes { tries: 10, failed: 2, took: ms(100), ..ServerOutcomes::default() };
+    let arrivals = ClassArrivals { queries: 4, ..ClassArrivals::default() };
+    reports.add_outcomes(ms(1000), 0, 7, &outcomes, ms(1000));
+    reports.add_outcomes(ms(1500), 0, 7, &outcomes, ms(1000));
+    reports.add_outcomes(ms(1600), 0, 8, &outcomes, ms(1000));
+    reports.add_arrivals(ms(1700), 3, 0, &arrivals, ms(1000));
+    // When the period has not ended, then nothing is delivered.
+    let mut events = Vec::new();
+    reports.deliver(ms(1999), &mut events);
+    assert!(events.is_empty());
+    // When it has, then the two oldest sums are, and the third is due a period later.
+    reports.deliver(ms(2000), &mut events);
+    assert_eq!(events.len(), 2);
+    let Event::OutcomeReport { attempts, failures, mean_latency, window, .. } = &events[0] else {
+        panic!("{events:?}")
     };
-    assert_eq!((*tries, *failed, took.as_millis(), *span), (20, 4, 100, ms(1500)));
-    assert_eq!(sums.due(), Some(ms(3000)));
+    assert_eq!(*attempts, 20);
+    assert_eq!(*failures, 4);
+    assert_eq!(mean_latency.as_millis(), 100);
+    assert_eq!(*window, ms(1500));
+    assert_eq!(reports.next_delivery(), Some(ms(3000)));
 }
 
 #[test]
-fn new_facts_start_the_decisions_over_and_shares_do_not() {
-    let mut driver = driver();
-    driver.turn(ms(0));
-    let shared = FLEET.replace("<name>a</name>", "<name>a</name><share>0.5</share>");
-    let read = |text: &str| Fleet::read(&Element::parse(text).unwrap()).unwrap();
-    assert!(!driver.refit(read(&shared), 2));
-    assert!(driver.refit(read(&FLEET.replace("<backlog>9000", "<backlog>8000")), 2));
+fn a_changed_configuration_restarts_the_controller_and_changed_shares_do_not() {
+    // Given a session in operation.
+    let mut session = session();
+    session.step(ms(0));
+    // When a zone's share changes, then the controller goes on.
+    let with_share = FLEET.replace("<name>a</name>", "<name>a</name><share>0.5</share>");
+    assert!(!session.reconfigure(fleet(&with_share), 2));
+    // When the channel's limit changes, then it starts over.
+    let with_backlog = FLEET.replace("<backlog>9000", "<backlog>8000");
+    assert!(session.reconfigure(fleet(&with_backlog), 2));
 }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -9,7 +9,9 @@
 use crate::{earliest, wall_ms, wall_text};
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
-use runloom_control_session::{Action, CommandTamper, ControlSession, LEAD};
+use runloom_control_session::{
+    Action, CommandTamper, ControlSession, LearnedServerState, ServerHint, CLOCK_LEAD,
+};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_distribution::{Distributor, Transport};
 use runloom_event_log::{RecordedEvent as Recorded, Recorder, Writer};
@@ -228,11 +230,11 @@
         let mut roster = Inventory::default();
         let known = roster.update(desk.fleet(), desk.listed());
         let record = open_record(place, &mut driver, &desk, seed, epoch)?;
-        driver.list(EndpointUpdate::Cached, known);
+        driver.update_endpoints(EndpointUpdate::Cached, known);
         let hints = hints(&found, &roster);
         if !hints.is_empty() {
             tracing::info!(servers = hints.len(), "what an earlier start learned is taken as hints");
-            driver.remembered(&hints);
+            driver.warm_start(&hints);
         }
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
@@ -309,14 +311,14 @@
 
     pub fn wakes_at(&self) -> Option<Duration> {
         let list = self.list_dirty.then(|| self.list_saved.map_or(Duration::ZERO, |at| at + LIST_EVERY));
-        let cores = [self.driver.wakes_at(), self.front.wakes_at(), self.service.wakes_at()];
+        let cores = [self.driver.next_wakeup(), self.front.wakes_at(), self.service.wakes_at()];
         earliest(cores.into_iter().chain([self.desk.ledger.wakes_at(), list, Some(self.learn_at)]))
     }
 
     pub fn try_out(&mut self, trial: TestHooks) {
         self.dies = trial.dies;
-        self.driver.guarded = !trial.unguarded;
-        self.driver.spoil = trial.spoil;
+        self.driver.is_guarded = !trial.unguarded;
+        self.driver.tamper = trial.spoil;
     }
 
     pub fn driver(&self) -> &ControlSession {
@@ -495,7 +497,12 @@
                     CloseReason::Slow | CloseReason::Idle => HealthCheckResult::Timeout,
                     _ => HealthCheckResult::ConnectionFailed,
                 };
-                self.driver.probed(probe.server, found, turn.now().saturating_sub(probe.sent), vec![]);
+                self.driver.record_health_check(
+                    probe.server,
+                    found,
+                    turn.now().saturating_sub(probe.sent),
+                    vec![],
+                );
             }
             Some(Peer::Reader(_)) | None => {}
         }
@@ -513,7 +520,7 @@
             },
             Err(_) => (HealthCheckResult::ErrorResponse, vec![]),
         };
-        self.driver.probed(probe.server, found, turn.now().saturating_sub(probe.sent), load);
+        self.driver.record_health_check(probe.server, found, turn.now().saturating_sub(probe.sent), load);
         self.peers.remove(&conn);
         turn.cut(conn);
     }
@@ -527,8 +534,8 @@
         self.tell_decisions(now);
         self.patience(turn, now);
         self.admit(turn, now);
-        let (deeds, ordered) = self.driver.turn(now);
-        self.desk.ledger.ordered(&ordered.servers, &ordered.proxies);
+        let (deeds, ordered) = self.driver.step(now);
+        self.desk.ledger.ordered(&ordered.servers, &ordered.messages);
         let sends = deeds.iter().filter(|d| matches!(d, Action::Send { .. })).count();
         deeds.into_iter().for_each(|deed| self.carry(turn, deed));
         self.tell(turn);
@@ -585,7 +592,9 @@
 
     /// Writes down what the driver was told and ordered in this turn.
     fn recorded(&mut self, now: Duration, from: Duration) {
-        let (Some(record), Some(witness)) = (&mut self.record, &mut self.driver.witness) else { return };
+        let (Some(record), Some(witness)) = (&mut self.record, &mut self.driver.recorded_events) else {
+            return;
+        };
         let mut batch = std::mem::take(witness);
         for (_, what) in &mut batch {
             if let Recorded::Turn { took, .. } = what {
@@ -657,7 +666,13 @@
     /// Writes down what the decisions have learned of servers.
     fn learn(&mut self) {
         let servers = self.roster.servers();
-        let learned = self.driver.learned().into_iter().filter_map(|(name, swift, failed, held)| {
+        let learned = self.driver.learned_states().into_iter().filter_map(|state| {
+            let LearnedServerState {
+                name,
+                speed_factor: swift,
+                last_ejected_ms: failed,
+                is_long_ejected: held,
+            } = state;
             let server = servers.get(&name)?;
             let (address, started) = (server.address.to_string(), server.started);
             Some(LearnedServer { name, address, started, swift, failed, held })
@@ -680,23 +695,23 @@
         self.list_dirty |= !changes.is_empty();
         self.seed = self.seed.wrapping_add(1);
         self.refit_noted(now);
-        if self.driver.refit(self.desk.kept_fleet().clone(), self.seed) {
+        if self.driver.reconfigure(self.desk.kept_fleet().clone(), self.seed) {
             tracing::warn!(
                 "new facts: the decisions start over, proxies keep their tables until bound again"
             );
             let all = self.roster.servers().iter().map(|(n, s)| (n.clone(), Change::Is(s.clone())));
-            self.driver.list(EndpointUpdate::Cached, all.collect());
+            self.driver.update_endpoints(EndpointUpdate::Cached, all.collect());
             let fleet = self.desk.kept_fleet();
             self.front.restart(self.front.publisher().epoch() + 1, fleet.grace.drain, longest(fleet));
             if let Err(e) = keep_epoch(&self.shelf, self.front.publisher().epoch()) {
                 tracing::warn!(error = %e, "the epoch could not be written");
             }
             for (proxy, joined) in &self.joined {
-                self.driver.joined(&joined.name, &joined.zone, joined.rate, false);
+                self.driver.connect_proxy(&joined.name, &joined.zone, joined.rate, false);
                 self.desk.ledger.left(*proxy);
             }
         } else if !changes.is_empty() {
-            self.driver.list(EndpointUpdate::Delta, changes);
+            self.driver.update_endpoints(EndpointUpdate::Delta, changes);
         }
         self.desk.ledger.decided(now, &names);
     }
@@ -704,7 +719,7 @@
     fn refit_noted(&mut self, now: Duration) {
         if self.driver.fleet() != self.desk.kept_fleet() {
             let what = Recorded::Refit { fleet: self.desk.fleet_text(), seed: self.seed };
-            if let Some(witness) = &mut self.driver.witness {
+            if let Some(witness) = &mut self.driver.recorded_events {
                 witness.push((now, what));
             }
         }
@@ -715,7 +730,7 @@
         let patience = self.desk.fleet().grace.reply;
         let members = self.driver.members().iter();
         let late: Vec<usize> = members
-            .filter(|(_, m)| m.oldest(now).is_some_and(|age| age >= patience))
+            .filter(|(_, m)| m.oldest_in_flight(now).is_some_and(|age| age >= patience))
             .map(|(p, _)| *p)
             .collect();
         for proxy in late {
@@ -739,13 +754,13 @@
 
     fn carry(&mut self, turn: &mut EventLoop, deed: Action) {
         match deed {
-            Action::Table { table, edit } => self.front.table(table, &edit),
-            Action::Withdrawn { servers } => self.front.withdrawn(&servers),
-            Action::Send { proxy, number, message, lines } => {
+            Action::UpdateTable { table, edit } => self.front.table(table, &edit),
+            Action::UpdateEjections { servers } => self.front.withdrawn(&servers),
+            Action::Send { proxy, number, message, entries: lines } => {
                 tracing::debug!(proxy, number, lines, "ordered");
                 self.front.ordered(proxy, number, &message);
             }
-            Action::Probe { server, address } => {
+            Action::CheckHealth { server, address } => {
                 let out = self.peers.values().filter(|p| matches!(p, Peer::Probe(_))).count();
                 let sent = turn.now();
                 let conn = if out < PROBES_MOST {
@@ -758,9 +773,12 @@
                         let probe = Probe { server, sent, reader: Reader::answers() };
                         self.peers.insert(conn, Peer::Probe(probe));
                     }
-                    None => {
-                        self.driver.probed(server, HealthCheckResult::Inconclusive, Duration::ZERO, vec![])
-                    }
+                    None => self.driver.record_health_check(
+                        server,
+                        HealthCheckResult::Inconclusive,
+                        Duration::ZERO,
+                        vec![],
+                    ),
                 }
             }
             Action::Log { text } => tracing::info!("{text}"),
@@ -770,7 +788,7 @@
     /// Refusals since the last turn, to the log; the same one at most every few seconds.
     fn refusals(&mut self, now: Duration) {
         let guard = self.driver.guard();
-        let since = std::mem::replace(&mut self.refusals_until, LEAD + now);
+        let since = std::mem::replace(&mut self.refusals_until, CLOCK_LEAD + now);
         self.refused.retain(|_, at| now < *at + REFUSED_AGAIN);
         for refusal in guard.refusals().filter(|r| r.at > since) {
             let key = (refusal.reason.word(), refusal.table, refusal.servers.first().copied());
@@ -805,7 +823,7 @@
             let (why, safe) = self.told(refusal);
             let case = refusal.case.as_ref().and_then(|c| serde_json::to_string(c).ok()).unwrap_or_default();
             let one = Element::new(STATE, "refusal")
-                .with_leaf("ago-ms", (LEAD + now).saturating_sub(refusal.at).as_millis())
+                .with_leaf("ago-ms", (CLOCK_LEAD + now).saturating_sub(refusal.at).as_millis())
                 .with_leaf("reason", refusal.reason.word())
                 .with_leaf("rule", refusal.reason.rule())
                 .with_leaf("why", why);
@@ -818,7 +836,7 @@
     fn settle(&mut self) {
         let now = self.desk.now;
         for edit in self.desk.ledger.settle(now) {
-            if let Some(witness) = &mut self.driver.witness {
+            if let Some(witness) = &mut self.driver.recorded_events {
                 witness.push((now, Recorded::Edit { id: edit.id.clone(), who: edit.who.clone() }));
             }
             let after = now.saturating_sub(edit.took.unwrap_or(now)).as_millis();
@@ -890,12 +908,12 @@
             .with_leaf("planner", &self.name)
             .with_leaf("up-ms", now.as_millis())
             .with_leaf("joined", self.joined.len())
-            .with_leaf("lines-waiting", self.driver.lines_waiting());
+            .with_leaf("lines-waiting", self.driver.queued_entries());
         let mut lines = BTreeMap::new();
-        for (table, laid) in self.driver.laid() {
-            laid.lines.iter().for_each(|(s, w)| _ = lines.insert(*s, (*table, *w)));
+        for (table, laid) in self.driver.published_tables() {
+            laid.entries.iter().for_each(|(s, w)| _ = lines.insert(*s, (*table, *w)));
         }
-        for (server, listed) in self.driver.listed() {
+        for (server, listed) in self.driver.endpoint_states() {
             let mut e = Element::new(STATE, "server")
                 .with_leaf("name", self.driver.server_name(*server))
                 .with_leaf("standing", listed);
@@ -914,14 +932,14 @@
                 .with_leaf("zone", &member.zone)
                 .with_leaf("told", told);
             let ages = [
-                ("ordered-ms", ms(member.ordered_at)),
-                ("applied-ms", ms(member.applied_at)),
-                ("report-ms", ms(member.report_at)),
+                ("ordered-ms", ms(member.last_sent_at)),
+                ("applied-ms", ms(member.last_acknowledged_at)),
+                ("report-ms", ms(member.last_report_at)),
             ];
             for (name, age) in ages {
                 e = age.map_or(e.clone(), |age| e.with_leaf(name, age));
             }
-            state = state.with(e.with_leaf("waiting", member.waiting()));
+            state = state.with(e.with_leaf("waiting", member.in_flight_messages()));
         }
         for edit in self.desk.ledger.edits() {
             let after =
@@ -970,9 +988,9 @@
             metrics::counter!("runloom_not_allowed_total").absolute(self.desk.audit.refused);
             metrics::counter!("runloom_proxies_doubted_total").absolute(self.front.doubted);
             metrics::counter!("runloom_reports_unread_total").absolute(self.unread_reports);
-            gauge("runloom_lines_waiting", self.driver.lines_waiting() as f64);
-            gauge("runloom_lines_waiting_most", self.driver.most_waiting as f64);
-            metrics::counter!("runloom_lines_sent_total").absolute(self.driver.lines_sent);
+            gauge("runloom_lines_waiting", self.driver.queued_entries() as f64);
+            gauge("runloom_lines_waiting_most", self.driver.max_queued_entries as f64);
+            metrics::counter!("runloom_lines_sent_total").absolute(self.driver.entries_sent);
             metrics::counter!("runloom_messages_sent_total").absolute(self.driver.messages_sent);
             gauge("runloom_edits_kept_seconds_p99", self.keeping.value_at_quantile(0.99) as f64 / 1e6);
             gauge("runloom_edits_can_be_kept", f64::from(u8::from(self.desk.refuses.is_none())));
@@ -989,7 +1007,7 @@
                 metrics::counter!("runloom_refused_total", "reason" => *reason).absolute(*count);
             }
             let standings =
-                self.driver.listed().values().fold(BTreeMap::new(), |mut m: BTreeMap<_, f64>, s| {
+                self.driver.endpoint_states().values().fold(BTreeMap::new(), |mut m: BTreeMap<_, f64>, s| {
                     *m.entry(*s).or_default() += 1.0;
                     m
                 });
@@ -1040,7 +1058,8 @@
     };
     let recorder = Recorder::open(folder, terms)?;
     let (build, planner, fleet) = (BUILD.to_string(), place.name.clone(), desk.fleet_text());
-    driver.witness = Some(vec![(Duration::ZERO, Recorded::Start { build, planner, seed, epoch, fleet })]);
+    driver.recorded_events =
+        Some(vec![(Duration::ZERO, Recorded::Start { build, planner, seed, epoch, fleet })]);
     Ok(Some(Writer::new(recorder)))
 }
 
@@ -1092,11 +1111,11 @@
 }
 
 /// What an earlier start learned of servers that are listed as they were, as far as it still counts.
-fn hints(found: &RestoredState, roster: &Inventory) -> Vec<(String, f64, f64)> {
+fn hints(found: &RestoredState, roster: &Inventory) -> Vec<ServerHint> {
     let Some(book) = &found.learned else { return vec![] };
     let hint = |(name, server): (&String, &runloom_inventory::Server)| {
         let hint = book.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
-        Some((name.clone(), hint.swift, hint.doubt))
+        Some(ServerHint { name: name.clone(), speed_factor: hint.swift, suspicion: hint.doubt })
     };
     roster.servers().iter().filter_map(hint).collect()
 }
--- a/crates/daemon/src/proxy_sessions.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -164,7 +164,7 @@
                 Some(Peer::Stream(stream)) => &mut stream.proxy,
                 _ => continue,
             };
-            let proxy = self.driver.joined(&name, &zone, rate, fresh);
+            let proxy = self.driver.connect_proxy(&name, &zone, rate, fresh);
             *place = Some(proxy);
             self.front.joined(proxy, newcomer);
             self.desk.ledger.left(proxy);
@@ -201,7 +201,7 @@
         if let Some(proxy) = proxy.filter(|p| self.joined.get(p).is_some_and(|j| j.conn == conn)) {
             tracing::info!(proxy = %name, ?why, "left");
             self.joined.remove(&proxy);
-            self.driver.left(proxy);
+            self.driver.disconnect_proxy(proxy);
             self.front.left(proxy);
             self.desk.ledger.left(proxy);
         }
@@ -210,14 +210,14 @@
     /// An order, and so all before it, is in force at a proxy.
     fn in_force(&mut self, now: Duration, proxy: usize, order: Option<u64>) {
         if let Some(order) = order {
-            self.driver.applied(now, proxy, order);
+            self.driver.acknowledge(now, proxy, order);
             self.desk.ledger.applied(proxy, order);
         }
     }
 
     fn reported(&mut self, turn: &mut EventLoop, conn: ConnectionId, proxy: usize, report: &Report) {
         let now = turn.now();
-        self.driver.report(now, proxy, report);
+        self.driver.handle_report(now, proxy, report);
         let tried = report.met.iter().filter(|m| m.tries > 0).map(|m| m.server.as_str());
         match self.front.reported(now, proxy, report.span, tried) {
             Verdict::Fine => {}
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -1,7 +1,7 @@
 //! The same again: every turn's orders against those recorded.
 
 use crate::{at, fleet, set_out, turned, Unusable};
-use runloom_control_session::recording::call;
+use runloom_control_session::recording::replay_event;
 use runloom_control_session::ControlSession;
 use runloom_event_log::entry::SentUpdate;
 use runloom_event_log::{Entry, RecordedEvent};
@@ -61,7 +61,7 @@
         self.lost |= matches!(entry.what, RecordedEvent::Lost { .. });
         let difference = match &entry.what {
             RecordedEvent::Turn { sent, .. } => {
-                self.driver.turn(at(entry));
+                self.driver.step(at(entry));
                 let ours = turned(&mut self.driver);
                 self.same.turns += 1;
                 self.same.messages += sent.len() as u64;
@@ -71,16 +71,16 @@
                 differs(&entry.what, ours.as_ref())
             }
             RecordedEvent::Refit { fleet: text, seed } => {
-                self.driver.refit(fleet(text)?, *seed);
+                self.driver.reconfigure(fleet(text)?, *seed);
                 None
             }
             RecordedEvent::Lost { entries } => {
                 Some(format!("{entries} entries were lost when the disk was full"))
             }
-            what => (!call(&mut self.driver, at(entry), what))
+            what => (!replay_event(&mut self.driver, at(entry), what))
                 .then(|| format!("{} of {} is not known", what.kind(), what.name())),
         };
-        if let Some(witness) = &mut self.driver.witness {
+        if let Some(witness) = &mut self.driver.recorded_events {
             witness.clear();
         }
         let Some(what) = difference else { return Ok(true) };
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -40,13 +40,13 @@
     };
     let fleet = other.map_or_else(|| fleet(text), |f| Ok(f.clone()))?;
     let mut driver = ControlSession::new(fleet, other_seed.unwrap_or(*seed), *epoch);
-    driver.witness = Some(vec![]);
+    driver.recorded_events = Some(vec![]);
     Ok(driver)
 }
 
 /// What the last call came to, if it was a turn with decisions.
 pub(crate) fn turned(driver: &mut ControlSession) -> Option<RecordedEvent> {
-    let witness = driver.witness.as_mut()?;
+    let witness = driver.recorded_events.as_mut()?;
     let last = std::mem::take(witness).pop()?;
     matches!(last.1, RecordedEvent::Turn { .. }).then_some(last.1)
 }
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -3,7 +3,7 @@
 use crate::estimate::{Estimate, Flow, Service, Shares};
 use crate::force::Force;
 use crate::{at, fleet, set_out, turned, Unusable};
-use runloom_control_session::recording::call;
+use runloom_control_session::recording::replay_event;
 use runloom_control_session::ControlSession;
 use runloom_event_log::entry::{RecordedClassOutcome, SentUpdate};
 use runloom_event_log::{Entry, RecordedEvent};
@@ -87,7 +87,7 @@
 
 impl Side {
     fn turn(&mut self, now: Duration, lags: &BTreeMap<String, Duration>) {
-        self.driver.turn(now);
+        self.driver.step(now);
         let Some(RecordedEvent::Turn { texts, sent, refused, .. }) = turned(&mut self.driver) else { return };
         self.refused += refused.len() as u64;
         for SentUpdate { proxy, number, text, lines } in sent {
@@ -101,12 +101,12 @@
     fn pass(&mut self, to: Duration, lags: &BTreeMap<String, Duration>) {
         loop {
             let confirm = self.due.first_key_value().map(|((at, _), _)| *at);
-            let wake = self.driver.wakes_at();
+            let wake = self.driver.next_wakeup();
             let Some(next) = [confirm, wake].into_iter().flatten().min().filter(|n| *n <= to) else { return };
             if confirm == Some(next) {
                 if let Some(((_, proxy), number)) = self.due.pop_first() {
                     if let Some(index) = self.driver.proxy(&proxy) {
-                        self.driver.applied(next, index, number);
+                        self.driver.acknowledge(next, index, number);
                     }
                     self.force.applied(&proxy, number);
                 }
@@ -144,7 +144,7 @@
             RecordedEvent::Refit { fleet: text, seed } => {
                 self.recorded = fleet(text)?;
                 if self.fixed.is_none() {
-                    self.driver.refit(self.recorded.clone(), *seed);
+                    self.driver.reconfigure(self.recorded.clone(), *seed);
                 }
             }
             what => {
@@ -153,7 +153,7 @@
                 }
                 let retold = self.retold(what).map(|what| Entry { at: entry.at, what });
                 let entry = retold.as_ref().unwrap_or(entry);
-                call(&mut self.driver, at(entry), &entry.what);
+                replay_event(&mut self.driver, at(entry), &entry.what);
                 self.force.happened(entry);
             }
         }
@@ -177,7 +177,7 @@
 
 fn side(entries: &[Entry], setting: &Setting) -> Result<Side, Unusable> {
     let mut driver = set_out(entries, setting.fleet.as_ref(), setting.seed)?;
-    driver.guarded = !setting.unguarded;
+    driver.is_guarded = !setting.unguarded;
     let epoch = if let Some(RecordedEvent::Start { epoch, .. }) = entries.first().map(|e| &e.what) {
         *epoch
     } else {
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -43,16 +43,19 @@
         epoch: 1_000_000,
         fleet: FLEET.into(),
     };
-    driver.witness = Some(vec![(Duration::ZERO, start)]);
-    driver.list(EndpointUpdate::Cached, (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect());
+    driver.recorded_events = Some(vec![(Duration::ZERO, start)]);
+    driver.update_endpoints(
+        EndpointUpdate::Cached,
+        (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect(),
+    );
     let proxies: Vec<usize> = (0..4)
-        .map(|p| driver.joined(&format!("f{p}"), if p % 2 == 0 { "a" } else { "b" }, 10.0, true))
+        .map(|p| driver.connect_proxy(&format!("f{p}"), if p % 2 == 0 { "a" } else { "b" }, 10.0, true))
         .collect();
     let mut day = Vec::new();
     for step in 0..600u64 {
         let now = Duration::from_millis(100 * step);
         if step == 300 {
-            driver.list(EndpointUpdate::Delta, vec![("s5".into(), server(5, true))]);
+            driver.update_endpoints(EndpointUpdate::Delta, vec![("s5".into(), server(5, true))]);
         }
         if step % 10 == 5 {
             for p in &proxies {
@@ -69,16 +72,16 @@
                 });
                 let came = vec![ClassArrivals { class: "q".into(), queries: 24, unanswered: 0 }];
                 let report = Report { span: Duration::from_secs(1), met: met.collect(), came };
-                driver.report(now, *p, &report);
+                driver.handle_report(now, *p, &report);
             }
         }
-        let (deeds, _) = driver.turn(now);
+        let (deeds, _) = driver.step(now);
         for deed in deeds {
             if let Action::Send { proxy, number, .. } = deed {
-                driver.applied(now + Duration::from_millis(20), proxy, number);
+                driver.acknowledge(now + Duration::from_millis(20), proxy, number);
             }
         }
-        let noted = std::mem::take(driver.witness.as_mut().unwrap());
+        let noted = std::mem::take(driver.recorded_events.as_mut().unwrap());
         day.extend(noted.into_iter().map(|(at, what)| Entry { at: at.as_micros() as u64, what }));
     }
     day
@@ -327,22 +330,25 @@
     let mut driver = ControlSession::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
     let (build, planner) = ("test".to_string(), "p".to_string());
     let start = RecordedEvent::Start { build, planner, seed: 7, epoch: 1_000_000, fleet: FLEET.into() };
-    driver.witness = Some(vec![(Duration::ZERO, start)]);
-    driver.list(EndpointUpdate::Cached, (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect());
-    driver.joined("f0", "a", 10.0, true);
+    driver.recorded_events = Some(vec![(Duration::ZERO, start)]);
+    driver.update_endpoints(
+        EndpointUpdate::Cached,
+        (0..SERVERS).map(|k| (format!("s{k}"), server(k, false))).collect(),
+    );
+    driver.connect_proxy("f0", "a", 10.0, true);
     let mut day = Vec::new();
     for k in 0..10_000u64 {
         let now = Duration::from_millis(360 * (k + 1));
         let Change::Is(is) = server(k as usize % 5, false) else { unreachable!() };
         let weight = 1.0 + (k % 4) as f64;
         let change = Change::Is(Server { weight, ..is });
-        driver.list(EndpointUpdate::Delta, vec![(format!("s{}", k % 5), change)]);
-        for deed in driver.turn(now).0 {
+        driver.update_endpoints(EndpointUpdate::Delta, vec![(format!("s{}", k % 5), change)]);
+        for deed in driver.step(now).0 {
             if let Action::Send { proxy, number, .. } = deed {
-                driver.applied(now + Duration::from_millis(5), proxy, number);
+                driver.acknowledge(now + Duration::from_millis(5), proxy, number);
             }
         }
-        let noted = std::mem::take(driver.witness.as_mut().unwrap());
+        let noted = std::mem::take(driver.recorded_events.as_mut().unwrap());
         day.extend(noted.into_iter().map(|(at, what)| Entry { at: at.as_micros() as u64, what }));
     }
     let same = replay(&day, "test").unwrap();
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -391,17 +391,17 @@
     let mut parts = [Duration::ZERO; 3];
     for (place, recorded) in [(0, false), (1, true)] {
         let mut driver = runloom_control_session::ControlSession::new(fleet.clone(), 1, 1_000_000);
-        driver.witness = recorded.then(Vec::new);
-        (0..proxies).for_each(|p| _ = driver.joined(&format!("f{p}"), "z", 4.0, true));
+        driver.recorded_events = recorded.then(Vec::new);
+        (0..proxies).for_each(|p| _ = driver.connect_proxy(&format!("f{p}"), "z", 4.0, true));
         let terms = runloom_event_log::RecorderConfig::default();
         let mut recorder = runloom_event_log::Recorder::open(folder, terms).map_err(|e| e.to_string())?;
         for k in 0..seconds * 2 {
             let now = Duration::from_millis(500 * k);
             let reports: Vec<Report> = (0..proxies).map(|p| report(p, k)).collect();
             let start = Instant::now();
-            reports.iter().enumerate().for_each(|(p, r)| driver.report(now, p, r));
-            driver.turn(now);
-            let noted = driver.witness.as_mut().map(std::mem::take).unwrap_or_default();
+            reports.iter().enumerate().for_each(|(p, r)| driver.handle_report(now, p, r));
+            driver.step(now);
+            let noted = driver.recorded_events.as_mut().map(std::mem::take).unwrap_or_default();
             parts[place] += start.elapsed();
             let start = Instant::now();
             noted.into_iter().for_each(|(at, what)| recorder.push(at, what));
