--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -17,6 +17,8 @@
 //! assert!(matches!(commands[..], [Command::SetTimer { .. }]));
 //! ```
 
+#![warn(missing_docs)]
+
 pub mod admission_control;
 pub mod command;
 pub mod config;
--- /dev/null
+++ b/crates/controller/src/tests/endpoint_list.rs
@@ -0,0 +1,75 @@
+use super::support::*;
+use crate::endpoint::Endpoint;
+use crate::endpoint::HealthState::*;
+use crate::ListedState;
+use crate::{EndpointRecord, EndpointUpdate};
+use std::time::Duration;
+
+#[test]
+fn restarted_process_enters_slow_start() {
+    let mut controller = controller(vec![healthy_endpoint(0)]);
+    controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Ready, Some(NOW))]);
+    assert_eq!(health_states(&controller), [SlowStart]);
+}
+
+#[test]
+fn endpoint_missing_from_a_snapshot_is_removed() {
+    let mut controller = controller(vec![healthy_endpoint(0)]);
+    controller.update_endpoints(EndpointUpdate::Snapshot, &[]);
+    assert_eq!(health_states(&controller), [Unknown]);
+}
+
+fn record(state: ListedState, started: Option<Duration>) -> EndpointRecord {
+    EndpointRecord { server: 0, zone: 0, kind: 0, cell: 0, state, weight: 1.0, started }
+}
+
+#[test]
+fn missing_endpoint_stays_in_service_while_it_answers() {
+    let mut controller = controller_with_doubtful_list(healthy_endpoint(0));
+    controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Removed, None)]);
+    controller.detect_outliers(&mut vec![]);
+    assert_eq!(health_states(&controller)[0], Healthy);
+    controller.endpoints[0] = Endpoint {
+        consecutive_failures: 1.0,
+        last_success: NOW - seconds(3),
+        missing_from_list: true,
+        ..healthy_endpoint(0)
+    };
+    controller.detect_outliers(&mut vec![]);
+    assert_eq!(health_states(&controller)[0], Unknown);
+}
+
+#[test]
+fn endpoint_that_answered_all_along_is_verified() {
+    let mut controller = controller_with_doubtful_list(Endpoint {
+        configured_weight: 0.0,
+        health: Unknown,
+        ..healthy_endpoint(0)
+    });
+    controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Ready, None)]);
+    assert_eq!((health_states(&controller)[0], controller.endpoints[0].unverified), (Healthy, false));
+}
+
+#[test]
+fn draining_endpoint_stays_out_of_service() {
+    let mut controller = controller_with_doubtful_list(healthy_endpoint(0));
+    controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Draining, None)]);
+    controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Removed, None)]);
+    assert_eq!(health_states(&controller)[0], Unknown);
+}
+
+#[test]
+fn unverified_endpoint_is_removed_at_its_first_failure() {
+    let mut controller = controller_with_doubtful_list(Endpoint::default());
+    controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Ready, None)]);
+    controller.endpoints[0].consecutive_failures = 1.0;
+    controller.detect_outliers(&mut vec![]);
+    assert_eq!(health_states(&controller)[0], Unknown);
+}
+
+#[test]
+fn empty_delta_changes_nothing() {
+    let mut controller = controller(vec![healthy_endpoint(0)]);
+    controller.update_endpoints(EndpointUpdate::Delta, &[]);
+    assert_eq!(health_states(&controller), [Healthy]);
+}
--- /dev/null
+++ b/crates/controller/src/tests/publication.rs
@@ -0,0 +1,179 @@
+use super::support::*;
+use crate::endpoint::HealthState::*;
+use crate::endpoint::{Endpoint, TableEntry};
+use crate::flow_control::{InFlightUpdate, UpdateChannel};
+use crate::proxy::Proxy;
+use crate::publication::UpdateWindow;
+use crate::{Command, Event};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+#[test]
+fn previous_tables_are_kept_under_a_stale_list() {
+    let mut controller = controller_with_doubtful_list(healthy_endpoint(0));
+    controller.proxies = vec![Proxy { has_previous_table: true, ..proxy(None) }];
+    (controller.admission.list_is_stale, controller.admission.ticks_with_reports) = (true, 9);
+    let window =
+        UpdateWindow { is_regular: true, is_open: true, first_table_reserve: 0.0, message_cost: 5.0 };
+    controller.assign_tables(&window, &mut vec![]);
+    assert_eq!(controller.proxies[0].assigned, None);
+    controller.endpoints[1].health = Draining;
+    publish_all(&mut controller);
+    assert_eq!(controller.proxies[0].assigned, Some(0));
+}
+
+#[test]
+fn removals_are_published_first() {
+    let gone = Endpoint {
+        health: Draining,
+        published: Some(TableEntry { table: 1, weight: 1.0 }),
+        ..healthy_endpoint(0)
+    };
+    let mut controller = controller(vec![healthy_endpoint(0), gone]);
+    controller.proxies = vec![proxy(Some(0))];
+    let out = Command::SetEntry { table: 1, server: 1, weight: 0.0 };
+    assert!(
+        matches!(&publish_all(&mut controller)[..2], [first, Command::SetEntry { server: 0, .. }] if *first == out)
+    );
+}
+
+#[test]
+fn entry_reaches_only_proxies_of_its_subset() {
+    let mut controller = large_fleet();
+    publish_all(&mut controller);
+    controller.channel = UpdateChannel::default();
+    controller.endpoints[0].health = Draining;
+    controller.publish(false, &mut vec![]);
+    let subset = controller.endpoints[0].subset;
+    let awaited = &controller.channel.in_flight[0].pending_acks;
+    assert!(!awaited.is_empty() && awaited.iter().all(|p| controller.proxies[*p].subset == subset));
+}
+
+#[test]
+fn rejected_commands_are_issued_again() {
+    let mut controller = controller(vec![healthy_endpoint(0), healthy_endpoint(0)]);
+    controller.proxies = vec![proxy(None)];
+    let lost = |command: &Command| {
+        matches!(command, Command::SetEntry { server: 1, .. } | Command::AssignTable { .. })
+    };
+    let first: Vec<Command> = publish_all(&mut controller).into_iter().filter(lost).collect();
+    for command in &first {
+        controller.handle_event(
+            &Event::CommandRejected { command: command.clone(), published_weight: None },
+            &mut vec![],
+        );
+    }
+    let again: Vec<Command> = publish_all(&mut controller).into_iter().filter(lost).collect();
+    assert!(first.len() == 2 && again == first, "{again:?}");
+}
+
+#[test]
+fn connected_proxy_gets_tables_for_all_classes() {
+    let mut controller = controller((0..5).map(|_| healthy_endpoint(0)).collect());
+    (controller.admission.isolated_classes, controller.admission.isolated_share) = (1, 0.5);
+    controller.proxies = vec![proxy(None)];
+    let commands = publish_all(&mut controller);
+    for classes in [0, 1] {
+        assert!(commands
+            .iter()
+            .any(|o| matches!(o, Command::AssignTable { class_mask: c, .. } if *c == classes)));
+    }
+}
+
+#[test]
+fn disconnected_proxy_gets_no_command() {
+    let mut controller = controller(vec![healthy_endpoint(0)]);
+    controller.proxies = vec![Proxy::default()];
+    assert_eq!(publish_all(&mut controller), vec![]);
+}
+
+#[test]
+fn nothing_is_published_into_a_full_channel() {
+    let mut controller = controller(vec![healthy_endpoint(0)]);
+    controller.proxies = vec![proxy(Some(0))];
+    let awaited = BTreeSet::from([0]);
+    controller.channel.in_flight.push_back(InFlightUpdate {
+        ack_token: 9,
+        entries: 1999.0,
+        pending_acks: awaited,
+    });
+    assert_eq!(publish_all(&mut controller), vec![]);
+}
+
+#[test]
+fn limited_messages_go_out_at_even_intervals() {
+    let drain = Endpoint {
+        health: Draining,
+        published: Some(TableEntry { table: 1, weight: 1.0 }),
+        ..healthy_endpoint(0)
+    };
+    let mut controller = controller(vec![healthy_endpoint(0), drain]);
+    controller.config.channel.message_limit = 12.0;
+    controller.proxies = vec![proxy(Some(0))];
+    controller.channel.last_update = NOW - Duration::from_millis(900);
+    assert_eq!(publish_all(&mut controller), vec![]);
+    controller.channel.last_update = NOW - Duration::from_millis(1100);
+    assert_eq!(publish_all(&mut controller)[0], Command::SetEntry { table: 1, server: 1, weight: 0.0 });
+}
+
+#[test]
+fn first_tables_use_exactly_the_room_of_the_channel() {
+    let mut controller = controller(
+        (0..10)
+            .map(|_| Endpoint {
+                published: Some(TableEntry { table: 1, weight: 1.0 }),
+                ..healthy_endpoint(0)
+            })
+            .collect(),
+    );
+    controller.proxies = (0..100).map(|_| proxy(None)).collect();
+    let binds =
+        publish_all(&mut controller).iter().filter(|o| matches!(o, Command::AssignTable { .. })).count();
+    // 1,100 entries, where there is room for 1,500.
+    assert_eq!(binds, 100);
+}
+
+#[test]
+fn first_tables_may_use_part_of_the_reserve() {
+    let assignments = |entries: f64, assigned: Option<u64>| {
+        let mut controller = controller(
+            (0..10)
+                .map(|_| Endpoint {
+                    published: Some(TableEntry { table: 1, weight: 1.0 }),
+                    ..healthy_endpoint(0)
+                })
+                .collect(),
+        );
+        controller.proxies = (0..100).map(|_| proxy(assigned)).collect();
+        let pending_acks = BTreeSet::from([0]);
+        controller.channel.in_flight.push_back(InFlightUpdate { ack_token: 9, entries, pending_acks });
+        publish_all(&mut controller).iter().filter(|o| matches!(o, Command::AssignTable { .. })).count()
+    };
+    // Of 4,000 entries 500 are the messages' overhead; an assignment takes eleven.
+    assert_eq!(assignments(1500.0, None), 1000 / 11);
+    assert_eq!(assignments(2400.0, None), 100 / 11);
+    assert_eq!(assignments(2500.0, None), 0);
+    // Those that only change sides have the table of before meanwhile.
+    assert_eq!(assignments(1500.0, Some(1)), 0);
+}
+
+#[test]
+fn alternating_isolation_keeps_to_the_message_limit() {
+    let mut controller = controller((0..4).map(|_| healthy_endpoint(0)).collect());
+    controller.config.channel.message_limit = 10.0;
+    controller.config.channel.message_window = Some(seconds(10));
+    controller.config.classes = classes(&[(1.0, 1.0), (1.0, 1.0)]);
+    controller.proxies = vec![Proxy { arrival_rates: vec![1.0, 1.0], ..proxy(None) }];
+    (controller.admission.isolated_classes, controller.admission.isolated_share) = (2, 0.3);
+    let mut sides = BTreeSet::new();
+    let messages = (0..40).filter(|k| {
+        controller.now += Duration::from_millis(250);
+        // A small subset that has four endpoints at one evaluation and three at the next.
+        controller.endpoints[3].health = if k % 2 == 0 { Healthy } else { Ejected };
+        let commands = publish_all(&mut controller);
+        sides.extend(controller.proxies[0].assigned);
+        commands.iter().any(|o| matches!(o, Command::RequestAck { .. }))
+    });
+    assert!((3..=10).contains(&messages.count()));
+    assert_eq!(sides, BTreeSet::from([0, 2]), "they do part and join");
+}
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,7 +1,9 @@
 //! The platform's settings as a typed configuration.
 //!
 //! The adapter and the planner on the platform both read their settings here, so that the same decisions go by the
-//! same configuration. [`wire`] holds the settings' own names.
+//! same configuration. The module `wire` holds the settings' own names.
+
+#![warn(missing_docs)]
 
 mod wire;
 
