--- a/crates/control-session/src/execution.rs
+++ b/crates/control-session/src/execution.rs
@@ -50,13 +50,13 @@
         if !self.is_guarded || !commands.iter().any(concerns_proxies) {
             return AcceptedCommands { commands, affected_by_rejected: BTreeSet::new() };
         }
-        let validated = self.guard.judge(CLOCK_LEAD + now, commands);
-        let rejected = validated.held.into_iter().map(|rejected| Event::CommandRejected {
-            command: rejected.order,
-            published_weight: rejected.weight,
+        let validated = self.guard.validate(CLOCK_LEAD + now, commands);
+        let rejected = validated.rejected.into_iter().map(|rejected| Event::CommandRejected {
+            command: rejected.command,
+            published_weight: rejected.published_weight,
         });
         self.pending_events.extend(rejected);
-        AcceptedCommands { commands: validated.passed, affected_by_rejected: validated.concerned }
+        AcceptedCommands { commands: validated.accepted, affected_by_rejected: validated.affected_proxies }
     }
 
     fn execute_command(&mut self, now: Duration, command: Command, execution: &mut Execution) {
@@ -135,7 +135,7 @@
         let OutgoingMessage { proxy, message, entries } = outgoing;
         let Some(member) = self.members.get_mut(&proxy) else { return };
         let number = member.send(now, execution.ack_request.map(|request| request.token), entries);
-        self.guard.sent(proxy, number);
+        self.guard.record_sent(proxy, number);
         self.entries_sent += entries as u64;
         self.messages_sent += 1;
         execution.issued.messages.push((proxy, number));
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -149,11 +149,11 @@
 
 /// The newest `count` rejections: reason and command of each.
 fn newest_rejections(guard: &SafetyGuard, count: usize) -> Vec<String> {
-    let rejections: Vec<_> = guard.refusals().collect();
+    let rejections: Vec<_> = guard.rejections().collect();
     let first = rejections.len().saturating_sub(count);
     let newest = rejections[first..].iter();
     newest
-        .map(|rejection| format!("{} {}", rejection.reason.word(), command_text(&rejection.order)))
+        .map(|rejection| format!("{} {}", rejection.reason.tag(), command_text(&rejection.command)))
         .collect()
 }
 
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -198,7 +198,7 @@
         self.fleet = fleet;
         if let Some((multiple, until)) = self.fleet.raised {
             let until = self.wall_clock.to_controller_time(until).unwrap_or_default();
-            self.guard.raise(multiple, until);
+            self.guard.raise_overload_multiple(multiple, until);
         }
         if is_same_config && is_same_zones {
             return false;
@@ -267,7 +267,7 @@
             record.weight
         };
         self.weights.insert(record.server, weight);
-        self.guard.listed(record.server, record.state, weight, record.started);
+        self.guard.update_endpoint(record.server, record.state, weight, record.started);
     }
 
     /// Passes what an earlier process learned to the controller. It follows the endpoint list that names the
@@ -307,7 +307,7 @@
         self.members.insert(proxy, Member::new(zone));
         self.tables.connect_proxy(proxy);
         let request_rate = if request_rate.is_finite() { request_rate } else { 0.0 };
-        self.guard.joined(proxy, request_rate);
+        self.guard.connect_proxy(proxy, request_rate);
         self.pending_events.push(Event::ProxyConnected {
             proxy,
             zone: self.zones.index(zone.to_string()),
@@ -327,7 +327,7 @@
     fn remove_member(&mut self, proxy: ProxyId) {
         if self.members.remove(&proxy).is_some() {
             self.tables.disconnect_proxy(proxy);
-            self.guard.left(proxy);
+            self.guard.disconnect_proxy(proxy);
             self.pending_events.push(Event::ProxyDisconnected { proxy });
         }
     }
@@ -340,7 +340,7 @@
             self.record(|| RecordedEvent::Applied { proxy: name, number });
         }
         let Some(member) = self.members.get_mut(&proxy) else { return };
-        self.guard.confirmed(proxy, number);
+        self.guard.acknowledge(proxy, number);
         for update in member.acknowledge(now, number) {
             if let Some(ack_token) = update.ack_token {
                 let elapsed = now.saturating_sub(update.sent_at);
@@ -437,7 +437,7 @@
     }
 
     fn rejection_count(&self) -> u64 {
-        self.guard.counts().values().sum()
+        self.guard.rejection_counts().values().sum()
     }
 
     /// Passes the rates in the pending events from index `first` on to the guard.
@@ -449,10 +449,10 @@
                     self.success_rates.insert((*server, *zone), success_rate);
                     let of_server = self.success_rates.range((*server, 0)..=(*server, usize::MAX));
                     let total: f64 = of_server.map(|(_, success_rate)| success_rate).sum();
-                    self.guard.met(CLOCK_LEAD + now, *server, total);
+                    self.guard.record_success_rate(CLOCK_LEAD + now, *server, total);
                 }
                 Event::ArrivalReport { proxy, class, requests, window, .. } => {
-                    self.guard.came(*proxy, *class, rate(*requests, *window));
+                    self.guard.record_arrival_rate(*proxy, *class, rate(*requests, *window));
                 }
                 _ => {}
             }
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -2,7 +2,7 @@
 //! writes what [`Desk::unsaved`] gives to disk before any reply leaves, and takes it back where it can't.
 
 use crate::tls_credentials::CertificateHolder;
-use runloom_guard::edit as guard;
+use runloom_guard::edit_validation::{validate_edit, PoolServer};
 use runloom_identity::access::{decide, Audit, Entry, RequestedAccess, Rule};
 use runloom_identity::id::Id;
 use runloom_inventory::edit_history::{self, EditHistory};
@@ -358,11 +358,13 @@
             |name: &String| !change.gone.contains(name) && !change.put.iter().any(|(_, (n, _))| n == name);
         let after = after.chain(self.listed.iter().filter(|(name, _)| stays(name)));
         let before = self.seen(&self.fleet, self.listed.iter());
-        guard::judge(&before, &self.seen(fleet, after)).map_err(|empties| {
-            let mut takes = empties.takes.iter();
+        validate_edit(&before, &self.seen(fleet, after)).map_err(|empties| {
+            let mut takes = empties.removed_servers.iter();
             let first = takes.next().cloned().unwrap_or_default();
-            let why =
-                format!("no open server would be left: one of {} has to stay", empties.takes.join(", "));
+            let why = format!(
+                "no open server would be left: one of {} has to stay",
+                empties.removed_servers.join(", ")
+            );
             let error = RpcError::application(Tag::OperationFailed, why).app("empties-pool");
             vec![error.at(format!("/fleet/server[name='{first}']")).with("bad-element", "drain")]
         })
@@ -372,12 +374,17 @@
         &self,
         fleet: &Fleet,
         listed: impl Iterator<Item = (&'a String, &'a ListedServer)>,
-    ) -> Vec<guard::Seen> {
+    ) -> Vec<PoolServer> {
         let warm_after = fleet.warm_after.as_millis() as u64;
         let seen = listed.map(|(name, listed)| {
             let server = merged(name, listed, fleet);
             let warm = server.started.is_none_or(|at| at + warm_after <= self.wall);
-            guard::Seen { name: name.clone(), draining: server.draining, warm, weight: server.weight }
+            PoolServer {
+                name: name.clone(),
+                is_draining: server.draining,
+                is_warm: warm,
+                weight: server.weight,
+            }
         });
         seen.collect()
     }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -8,7 +8,7 @@
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_daemon::{run, wall_ms};
 use runloom_event_log::Entry;
-use runloom_guard::case::RejectionCase;
+use runloom_guard::{replay_case, RejectionCase};
 use runloom_identity::access::{Permission, Principal, Rule};
 use runloom_identity::id::Id;
 use runloom_model::fleet::TlsFiles;
@@ -456,23 +456,27 @@
     let place = number.unwrap_or(cases.len()).checked_sub(1);
     let case =
         place.and_then(|p| cases.get(p)).ok_or_else(|| format!("{} refusals are in it", cases.len()))?;
-    println!("refused: {} ({})", case.what, case.reason);
+    println!("refused: {} ({})", case.command, case.reason);
     println!(
         "table {}, {:.1} queries/s on it; a unit of weight is known to take {:.2}",
-        case.table, case.rate, case.can
+        case.table, case.request_rate, case.capacity_per_weight
     );
-    for line in &case.lines {
-        let state = if line.open { "open" } else { "not open" };
-        let age = line.age.map_or("warm".into(), |a| format!("{a:.1} s old"));
+    for line in &case.entries {
+        let state = if line.is_open { "open" } else { "not open" };
+        let age = line.age_seconds.map_or("warm".into(), |a| format!("{a:.1} s old"));
         println!(
             "  server {}: weight {}, {state}, listed at {}, {age}",
-            line.server, line.weight, line.listed
+            line.server, line.weight, line.configured_weight
         );
     }
     let name = |s: usize| format!("server {s}");
-    match case.replay() {
+    match replay_case(case) {
         Some(r) => {
-            println!("judged anew: {}\nsafe: {}", r.sentence(&name, &|p| format!("proxy {p}")), r.safe(&name))
+            println!(
+                "judged anew: {}\nsafe: {}",
+                r.describe(&name, &|p| format!("proxy {p}")),
+                r.suggest_safe_change(&name)
+            )
         }
         None => println!(
             "judged anew on this table alone it would pass: other tables or orders of the batch weighed in"
@@ -585,22 +589,22 @@
     #[test]
     fn refusals_are_found_in_logs_of_both_kinds_and_judged_anew() {
         let mut guard = SafetyGuard::new(GuardTerms {
-            classes: 1,
-            planners: 1.0,
-            cold_from: 0.2,
-            warm_after: Duration::from_secs(9),
-            multiple: 4.0,
-            only_drains_bind: false,
+            class_count: 1,
+            planner_count: 1.0,
+            initial_capacity: 0.2,
+            warm_up: Duration::from_secs(9),
+            overload_multiple: 4.0,
+            only_draining_binds: false,
         });
-        guard.listed(0, ListedState::Ready, 1.0, None);
-        guard.joined(0, 5.0);
+        guard.update_endpoint(0, ListedState::Ready, 1.0, None);
+        guard.connect_proxy(0, 5.0);
         let line = |weight| Command::SetEntry { table: 1, server: 0, weight };
-        guard.judge(
+        guard.validate(
             Duration::ZERO,
             vec![line(1.0), Command::AssignTable { proxy: 0, table: 1, class_mask: 0 }],
         );
-        guard.judge(Duration::ZERO, vec![line(0.0)]);
-        let case = serde_json::to_string(guard.refusals().last().unwrap().case.as_ref().unwrap()).unwrap();
+        guard.validate(Duration::ZERO, vec![line(0.0)]);
+        let case = serde_json::to_string(guard.rejections().last().unwrap().case.as_ref().unwrap()).unwrap();
         let text =
             format!("2026-12-01T00:00:00Z  WARN runloom: refused reason=\"empties-table\" case={case}");
         let json = format!(
@@ -610,6 +614,6 @@
         let found = cases(&format!("another line\n{text}\n{json}\n"));
         assert_eq!(found.len(), 2);
         assert_eq!(found[0], found[1]);
-        assert_eq!(found[0].replay().map(|r| r.reason.word()), Some("empties-table"));
+        assert_eq!(replay_case(&found[0]).map(|r| r.reason.tag()), Some("empties-table"));
     }
 }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -16,7 +16,7 @@
 use runloom_distribution::{Distributor, Transport};
 use runloom_event_log::{RecordedEvent as Recorded, Recorder, Writer};
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
-use runloom_guard::refusal::Rejection;
+use runloom_guard::Rejection;
 use runloom_identity::access::RequestedAccess;
 use runloom_inventory::edit_history::EditHistory;
 use runloom_inventory::{Change, Inventory};
@@ -790,15 +790,15 @@
         let guard = self.driver.guard();
         let since = std::mem::replace(&mut self.refusals_until, CLOCK_LEAD + now);
         self.refused.retain(|_, at| now < *at + REFUSED_AGAIN);
-        for refusal in guard.refusals().filter(|r| r.at > since) {
-            let key = (refusal.reason.word(), refusal.table, refusal.servers.first().copied());
+        for refusal in guard.rejections().filter(|r| r.at > since) {
+            let key = (refusal.reason.tag(), refusal.table, refusal.servers.first().copied());
             if self.refused.contains_key(&key) {
                 continue;
             }
             self.refused.insert(key, now);
             let (why, safe) = self.told(refusal);
             let case = refusal.case.as_ref().and_then(|c| serde_json::to_string(c).ok()).unwrap_or_default();
-            tracing::warn!(reason = refusal.reason.word(), rule = refusal.reason.rule(), why, safe, %case, "refused");
+            tracing::warn!(reason = refusal.reason.tag(), rule = refusal.reason.rule(), why, safe, %case, "refused");
         }
     }
 
@@ -806,25 +806,25 @@
     fn told(&self, refusal: &Rejection) -> (String, String) {
         let server = |s: usize| self.driver.server_name(s).to_string();
         let proxy = |p: usize| self.driver.proxy_name(p).to_string();
-        (refusal.sentence(&server, &proxy), refusal.safe(&server))
+        (refusal.describe(&server, &proxy), refusal.suggest_safe_change(&server))
     }
 
     /// What the guard refused, for the state.
     fn guard_state(&self, now: Duration) -> Element {
         let guard = self.driver.guard();
-        let mut e = Element::new(STATE, "guard").with_leaf("judged", guard.judged);
+        let mut e = Element::new(STATE, "guard").with_leaf("judged", guard.validated_batches);
         if let Some((_, until)) = self.desk.fleet().raised.filter(|(_, until)| *until > self.desk.wall) {
             e = e.with_leaf("raised-until", until);
         }
-        for (reason, count) in guard.counts() {
+        for (reason, count) in guard.rejection_counts() {
             e = e.with(Element::new(STATE, "count").with_leaf("reason", reason).with_leaf("refused", count));
         }
-        for refusal in guard.refusals().collect::<Vec<_>>().into_iter().rev().take(REFUSED_SHOWN) {
+        for refusal in guard.rejections().collect::<Vec<_>>().into_iter().rev().take(REFUSED_SHOWN) {
             let (why, safe) = self.told(refusal);
             let case = refusal.case.as_ref().and_then(|c| serde_json::to_string(c).ok()).unwrap_or_default();
             let one = Element::new(STATE, "refusal")
                 .with_leaf("ago-ms", (CLOCK_LEAD + now).saturating_sub(refusal.at).as_millis())
-                .with_leaf("reason", refusal.reason.word())
+                .with_leaf("reason", refusal.reason.tag())
                 .with_leaf("rule", refusal.reason.rule())
                 .with_leaf("why", why);
             e = e.with(one.with_leaf("safe", safe).with_leaf("case", case));
@@ -1003,7 +1003,7 @@
             }
             gauge("runloom_turn_seconds_p99", turn.lengths.value_at_quantile(0.99) as f64 / 1e6);
             gauge("runloom_turn_seconds_max", turn.lengths.max() as f64 / 1e6);
-            for (reason, count) in self.driver.guard().counts() {
+            for (reason, count) in self.driver.guard().rejection_counts() {
                 metrics::counter!("runloom_refused_total", "reason" => *reason).absolute(*count);
             }
             let standings =
--- /dev/null
+++ b/crates/guard/src/rejection.rs
@@ -0,0 +1,179 @@
+//! Why a command was rejected: as data, and as a sentence.
+
+use crate::rejection_case::RejectionCase;
+use runloom_controller::{Command, ProxyId, ServerId, TableId};
+use std::time::Duration;
+
+/// Proxies and servers that a rejection names.
+const MAX_NAMED: usize = 5;
+
+/// Why a command or an edit was rejected.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RejectionReason {
+    /// Rule 1: a table that proxies use would have no usable server.
+    Empties,
+    /// Rule 1: an admission rate that leaves a class without service.
+    Closes,
+    /// Rule 3: an entry of a server that is draining, removed or was never listed.
+    Drains,
+    /// Rule 4: a raised entry would overload a cold server.
+    Pushes,
+    /// Rule 4: what other servers lose would overload a cold server.
+    Shifts,
+    /// A weight or admission rate that is not a usable number.
+    Malformed,
+    /// Rule 1, of an edit: no open server would be left.
+    EditEmpties,
+}
+
+impl RejectionReason {
+    /// The tag in the log, the state, the counters and `error-app-tag`.
+    pub fn tag(self) -> &'static str {
+        match self {
+            RejectionReason::Empties => "empties-table",
+            RejectionReason::Closes => "closes-class",
+            RejectionReason::Drains => "sends-to-draining",
+            RejectionReason::Pushes => "pushes-cold",
+            RejectionReason::Shifts => "shifts-to-cold",
+            RejectionReason::Malformed => "malformed",
+            RejectionReason::EditEmpties => "empties-pool",
+        }
+    }
+
+    /// The rule's number in `docs/guard.md`; 0 for values that no rule allows.
+    pub fn rule(self) -> u8 {
+        match self {
+            RejectionReason::Empties | RejectionReason::Closes | RejectionReason::EditEmpties => 1,
+            RejectionReason::Drains => 3,
+            RejectionReason::Pushes | RejectionReason::Shifts => 4,
+            RejectionReason::Malformed => 0,
+        }
+    }
+}
+
+/// The load that a rejected command would have put on a cold server, and the load that it may get.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Overload {
+    /// Requests a second; where cold servers are compared with each other, a share of the table.
+    pub load: f64,
+    /// In the same unit.
+    pub limit: f64,
+}
+
+/// A rejected command, and why.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Rejection {
+    /// When, on the controller's clock.
+    pub at: Duration,
+    /// Why.
+    pub reason: RejectionReason,
+    /// The command.
+    pub command: Command,
+    /// The table that it would have changed.
+    pub table: TableId,
+    /// Proxies assigned to the table.
+    pub proxy_count: usize,
+    /// The first few of them.
+    pub first_proxies: Vec<ProxyId>,
+    /// The first few servers that it would have harmed or taken out.
+    pub servers: Vec<ServerId>,
+    /// For rule 4: the load and its limit.
+    pub overload: Option<Overload>,
+    /// All that the decision depended on, for [`crate::replay_case`].
+    pub case: Option<RejectionCase>,
+}
+
+impl Rejection {
+    pub(crate) fn new(
+        reason: RejectionReason,
+        command: &Command,
+        table: TableId,
+        proxies: &[ProxyId],
+        servers: impl Iterator<Item = ServerId>,
+    ) -> Rejection {
+        Rejection {
+            at: Duration::ZERO,
+            reason,
+            command: command.clone(),
+            table,
+            proxy_count: proxies.len(),
+            first_proxies: proxies.iter().take(MAX_NAMED).copied().collect(),
+            servers: servers.take(MAX_NAMED).collect(),
+            overload: None,
+            case: None,
+        }
+    }
+
+    pub(crate) fn with_overload(mut self, overload: Overload) -> Rejection {
+        self.overload = Some(overload);
+        self
+    }
+
+    /// The reason as one sentence; `server_name` and `proxy_name` name indices.
+    pub fn describe(
+        &self,
+        server_name: &dyn Fn(ServerId) -> String,
+        proxy_name: &dyn Fn(ProxyId) -> String,
+    ) -> String {
+        let table = self.table;
+        let proxies = self.describe_proxies(proxy_name);
+        let names: Vec<String> = self.servers.iter().map(|server| server_name(*server)).collect();
+        let servers = names.join(", ");
+        match self.reason {
+            RejectionReason::Empties => {
+                format!("table {table}{proxies} would have no server left without {servers}")
+            }
+            RejectionReason::Closes => {
+                format!("an admission rate in table {table} would admit next to nothing")
+            }
+            RejectionReason::Drains => format!(
+                "{servers} is draining, removed or was never listed, and may not be in table {table}{proxies}"
+            ),
+            RejectionReason::Pushes => {
+                let load = self.describe_overload();
+                format!("{servers} has just started and would be sent {load}, by table {table}{proxies}")
+            }
+            RejectionReason::Shifts => {
+                let load = self.describe_overload();
+                format!("what other servers lose in table {table}{proxies} would go to {servers}: {load}")
+            }
+            RejectionReason::Malformed => {
+                format!("a weight or admission rate in table {table} is not a usable number")
+            }
+            RejectionReason::EditEmpties => format!("no open server would be left without {servers}"),
+        }
+    }
+
+    fn describe_proxies(&self, proxy_name: &dyn Fn(ProxyId) -> String) -> String {
+        let Some(first) = self.first_proxies.first() else { return String::new() };
+        format!(" ({} proxies, {} first)", self.proxy_count, proxy_name(*first))
+    }
+
+    fn describe_overload(&self) -> String {
+        let describe = |overload: Overload| {
+            format!("{:.1} requests/s of {:.1} that it can serve", overload.load, overload.limit)
+        };
+        self.overload.map(describe).unwrap_or_default()
+    }
+
+    /// A change that would have been accepted.
+    pub fn suggest_safe_change(&self, server_name: &dyn Fn(ServerId) -> String) -> String {
+        let first = self.servers.first().map(|server| server_name(*server)).unwrap_or_default();
+        match (self.reason, self.overload) {
+            (RejectionReason::Empties, _) => {
+                format!("keep {first} in table {} until another open server is in it", self.table)
+            }
+            (RejectionReason::EditEmpties, _) => format!("keep {first}, or list another server first"),
+            (RejectionReason::Drains, _) => format!("leave {first} out"),
+            (RejectionReason::Closes, _) => {
+                "an admission rate of at least one request in ten minutes, or no limit".into()
+            }
+            (RejectionReason::Pushes, Some(Overload { load, limit })) => {
+                let factor = (limit / load).clamp(0.0, 1.0);
+                format!("{first} at {factor:.2} of the requested share now, more as it warms up")
+            }
+            (RejectionReason::Shifts, _) => format!("keep the others until {first} is warm"),
+            _ => "a weight from 0 to 1e9".into(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/guard/src/rules.rs
@@ -0,0 +1,58 @@
+//! The rules of `docs/guard.md`, each in a module.
+
+mod closed_server;
+mod cold_overload;
+mod empty_table;
+mod usable_value;
+
+use crate::batch::{Batch, Rejections, StagedBatch};
+use crate::fleet_state::FleetState;
+use crate::rejection::Rejection;
+use crate::tracked_table::Entries;
+use cold_overload::ColdServers;
+use runloom_controller::{Command, TableId};
+use std::time::Duration;
+
+pub(crate) use empty_table::MIN_WEIGHT_SHARE;
+
+/// Checks a command by itself: its values, and whether it sends to a server that is closed.
+pub(crate) fn check_command(state: &FleetState, command: &Command) -> Option<Rejection> {
+    usable_value::check(command).or_else(|| closed_server::check(state, command))
+}
+
+/// Checks the tables as the batch would leave them, and returns the commands that break a rule.
+pub(crate) fn check_batch(
+    state: &FleetState,
+    now: Duration,
+    batch: Batch,
+    staged: &StagedBatch,
+) -> Rejections {
+    let mut rejections = Rejections::new();
+    let cold_servers = ColdServers::find(state, now);
+    for table in staged.touched_tables() {
+        let published = state.entries(table);
+        let check = TableCheck { state, now, batch, staged, table, published: &published };
+        check.empty_table(&mut rejections);
+        check.cold_overload(&cold_servers, &mut rejections);
+    }
+    rejections
+}
+
+/// One table of a batch under check.
+#[derive(Clone, Copy)]
+struct TableCheck<'a> {
+    state: &'a FleetState,
+    now: Duration,
+    batch: Batch<'a>,
+    staged: &'a StagedBatch,
+    table: TableId,
+    /// Its entries before the batch.
+    published: &'a Entries,
+}
+
+impl<'a> TableCheck<'a> {
+    /// The table's entries after the batch.
+    fn next(&self) -> &'a Entries {
+        self.staged.tables.get(&self.table).unwrap_or(self.published)
+    }
+}
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -315,21 +315,21 @@
     use runloom_guard::{GuardConfig, SafetyGuard};
     for (proxies, servers) in [(45usize, 32usize), (150, 107), (592, 544), (2368, 2176)] {
         let terms = GuardConfig {
-            classes: 3,
-            planners: 1.0,
-            cold_from: 0.2,
-            warm_after: Duration::from_secs(15),
-            multiple: 4.0,
-            only_drains_bind: false,
+            class_count: 3,
+            planner_count: 1.0,
+            initial_capacity: 0.2,
+            warm_up: Duration::from_secs(15),
+            overload_multiple: 4.0,
+            only_draining_binds: false,
         };
         let groups = servers.div_ceil(10);
         let now = Duration::from_secs(100);
         let mut guard = SafetyGuard::new(terms);
         for s in 0..servers {
-            guard.listed(s, ListedState::Ready, 1.0, (s % 10 == 9).then_some(now));
+            guard.update_endpoint(s, ListedState::Ready, 1.0, (s % 10 == 9).then_some(now));
         }
         let line = |s: usize, w: f64| Command::SetEntry { table: (s % groups) as u16, server: s, weight: w };
-        (0..proxies).for_each(|p| guard.joined(p, 4.0));
+        (0..proxies).for_each(|p| guard.connect_proxy(p, 4.0));
         let mut first: Vec<Command> =
             (0..servers).map(|s| line(s, if s % 10 == 9 { 0.1 } else { 1.0 })).collect();
         first.extend((0..proxies).map(|p| Command::AssignTable {
@@ -337,7 +337,7 @@
             table: (p % groups) as u16,
             class_mask: 0,
         }));
-        let passed = guard.judge(now, first).passed.len();
+        let passed = guard.validate(now, first).accepted.len();
         if passed != servers + proxies {
             return Err(format!("{passed} of {} first orders passed", servers + proxies));
         }
@@ -345,13 +345,13 @@
         for round in 0..2000u64 {
             let batch = (0..groups).map(|g| line(g, 1.0 + 0.001 * (round % 100) as f64)).collect();
             let start = Instant::now();
-            guard.judge(now, batch);
+            guard.validate(now, batch);
             times.saturating_record(start.elapsed().as_micros() as u64);
             // Proxies confirm, but for one in fifty, who is some batches late.
             for p in 0..proxies {
-                guard.sent(p, round + 1);
+                guard.record_sent(p, round + 1);
                 if p % 50 != 7 || round % 20 == 0 {
-                    guard.confirmed(p, round + 1);
+                    guard.acknowledge(p, round + 1);
                 }
             }
         }
