--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -1,13 +1,14 @@
-//! A planner on the platform: sockets, signals, files and clocks round [`runloom_platform_protocol::Platform`], on the
-//! one loop. Nothing here decides on servers.
+//! The runtime of a planner on the platform: sockets, signals, the bootstrap file and the clock around
+//! [`runloom_platform_protocol::Platform`], on one event loop. It makes no decision about servers.
 
 use crate::{earliest, wall_ms};
 use runloom_controller::HealthCheckResult;
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
-use runloom_platform_protocol::bootstrap::{BootstrapConfig, Told};
+use runloom_platform_protocol::bootstrap::{BootstrapConfig, BootstrapError, EnvironmentDefaults};
 use runloom_platform_protocol::endpoint_list;
 use runloom_platform_protocol::endpoint_watch::EndpointWatch;
 use runloom_platform_protocol::health_check::{self, HealthCheck, HealthCheckOutcome};
+use runloom_platform_protocol::session::SessionCounts;
 use runloom_platform_protocol::{Action, Platform};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,334 +17,426 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The decisions' clock begins an hour before the process: servers that started before it have a place on it,
-/// and an hour is longer than any of them stays cold.
-const BEFORE: Duration = Duration::from_secs(3600);
-/// Descriptors that are no connection of proxies, collectors or strangers: standard streams, the loop's own
-/// three, signals, the listener, the file that is read again, discovery's watch and the next one; and some to
-/// spare.
-const OWN: usize = 24;
-/// Newcomers taken in a turn: many enough for a storm of joins, few against the descriptors that there are.
-const ACCEPTS: usize = 16;
-/// How often it is told what was counted: seldom enough for a log that somebody reads.
-const TOLD_EVERY: Duration = Duration::from_secs(30);
-/// Bytes that may wait for a proxy that does not read: some hundred messages; the platform resets at as many.
-const UNREAD_MOST: usize = 128 << 10;
-
-/// A file that can't be read at SIGHUP may be half written: it is looked at again this often, for so long.
-const REREAD: Duration = Duration::from_millis(250);
-const REREAD_MOST: Duration = Duration::from_secs(10);
-/// The planner before this one may still hold the address: it is tried again this often, for so long. Who is
-/// not ready after thirty seconds has failed.
-const REBIND: Duration = Duration::from_millis(50);
-const REBIND_MOST: Duration = Duration::from_secs(10);
-
-/// The file could not be read at SIGHUP.
-struct Unread {
-    next: Duration,
-    until: Duration,
+/// The core's clock is at this time when the process starts, so that earlier starts of servers have a place on it.
+/// It is longer than any server warms up.
+const CLOCK_OFFSET: Duration = Duration::from_secs(3600);
+/// File descriptors other than those of clients: standard streams, the event loop's three, signals, the listener, the
+/// bootstrap file, two watches, and a reserve.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Connections accepted in one poll iteration: enough when all proxies connect at once, few against the descriptors.
+const MAX_ACCEPTS: usize = 16;
+/// How often the counters are logged.
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(30);
+/// Bytes that may wait for a client that does not read: some hundred updates.
+const MAX_UNSENT_BYTES: usize = 128 << 10;
+
+/// A bootstrap file that cannot be read after SIGHUP may be half written: it is read again this often, for so long.
+const RELOAD_INTERVAL: Duration = Duration::from_millis(250);
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// The preceding process may still hold the address: listening is tried again this often, for so long. The platform
+/// gives a planner thirty seconds to become ready.
+const LISTEN_INTERVAL: Duration = Duration::from_millis(50);
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Why a planner could not start or had to stop.
+#[derive(Debug, thiserror::Error)]
+enum RuntimeError {
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error("EDGE_CONFIG is not set")]
+    NoBootstrapFile,
+    #[error("{}: {source}", .path.display())]
+    ReadBootstrap { path: PathBuf, source: std::io::Error },
+    #[error("{}: {source}", .path.display())]
+    InvalidBootstrap { path: PathBuf, source: BootstrapError },
+    #[error("{address}: {source}")]
+    Listen { address: SocketAddr, source: std::io::Error },
 }
 
-struct Shell {
-    turn: EventLoop,
-    listener: ConnectionId,
-    file: PathBuf,
-    platform: Platform,
-    watching: EndpointWatch,
-    unread: Option<Unread>,
-    probes: BTreeMap<ConnectionId, HealthCheck>,
-    /// Probes that wait for room.
-    asked: VecDeque<(u64, SocketAddr)>,
-    told: Duration,
+/// Whether the runtime goes on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    Running,
+    Stopped,
 }
 
-fn told(name: &str) -> Option<String> {
-    std::env::var(name).ok().filter(|v| !v.is_empty())
+/// A reload of the bootstrap file that is to be tried again.
+struct PendingReload {
+    next_attempt: Duration,
+    deadline: Duration,
 }
 
-fn station(file: &Path) -> Result<BootstrapConfig, String> {
-    let environment =
-        Told { name: told("EDGE_NAME"), listen: told("EDGE_LISTEN"), discovery: told("EDGE_DISCOVERY") };
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    BootstrapConfig::read(&text, environment).map_err(|e| format!("{}: {e}", file.display()))
+/// A health check that waits for a free connection.
+struct QueuedHealthCheck {
+    ticket: u64,
+    address: SocketAddr,
+}
+
+struct PlatformRuntime {
+    event_loop: EventLoop,
+    listener: ConnectionId,
+    bootstrap_path: PathBuf,
+    platform: Platform,
+    watch: EndpointWatch,
+    pending_reload: Option<PendingReload>,
+    health_checks: BTreeMap<ConnectionId, HealthCheck>,
+    queued_health_checks: VecDeque<QueuedHealthCheck>,
+    counters_logged_at: Duration,
 }
 
-/// Runs until a signal ends it.
+/// Runs a planner until a signal ends it.
 pub fn run() -> Result<(), String> {
-    let mut turn = EventLoop::new().map_err(|e| e.to_string())?;
+    run_planner().map_err(|error| error.to_string())
+}
+
+fn run_planner() -> Result<(), RuntimeError> {
+    let mut event_loop = EventLoop::new()?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
-        turn.signal(signal).map_err(|e| e.to_string())?;
+        event_loop.signal(signal)?;
     }
-    let file = PathBuf::from(told("EDGE_CONFIG").ok_or("EDGE_CONFIG is not set")?);
-    let station = station(&file)?;
-    let Some(mut shell) = Shell::start(turn, file, &station)? else { return Ok(()) };
+    let path = PathBuf::from(environment("EDGE_CONFIG").ok_or(RuntimeError::NoBootstrapFile)?);
+    let bootstrap = read_bootstrap(&path)?;
+    let Some(mut runtime) = PlatformRuntime::start(event_loop, path, &bootstrap)? else { return Ok(()) };
+    while runtime.poll()? == Progress::Running {}
+    runtime.log_counters();
+    Ok(())
+}
+
+fn environment(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
+}
+
+fn read_bootstrap(path: &Path) -> Result<BootstrapConfig, RuntimeError> {
+    let defaults = EnvironmentDefaults {
+        name: environment("EDGE_NAME"),
+        listen: environment("EDGE_LISTEN"),
+        discovery: environment("EDGE_DISCOVERY"),
+    };
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| RuntimeError::ReadBootstrap { path: path.into(), source })?;
+    BootstrapConfig::parse(&text, defaults)
+        .map_err(|source| RuntimeError::InvalidBootstrap { path: path.into(), source })
+}
+
+/// A bound listener.
+struct BoundListener {
+    id: ConnectionId,
+    address: SocketAddr,
+}
+
+/// Listens for clients, again for a while as long as the address is in use; `None` if a signal ended that.
+fn listen(event_loop: &mut EventLoop, address: SocketAddr) -> Result<Option<BoundListener>, RuntimeError> {
+    let limits =
+        BufferLimits { unread: MAX_UNSENT_BYTES, connections: usize::MAX, ..BufferLimits::default() };
+    let mut has_warned = false;
     loop {
-        if shell.step().map_err(|e| e.to_string())? {
-            shell.tell_counts();
-            return Ok(());
+        match event_loop.listen(address, Security::Plain, limits) {
+            Ok((id, address)) => return Ok(Some(BoundListener { id, address })),
+            Err(error) if error.kind() == ErrorKind::AddrInUse && event_loop.now() < LISTEN_TIMEOUT => {
+                if !has_warned {
+                    tracing::warn!("{address}: in use, tried again");
+                    has_warned = true;
+                }
+            }
+            Err(source) => return Err(RuntimeError::Listen { address, source }),
+        }
+        let next_attempt = event_loop.now() + LISTEN_INTERVAL;
+        if event_loop.wait(Some(next_attempt))?.iter().any(is_stop_signal) {
+            return Ok(None);
         }
     }
 }
 
-impl Shell {
-    /// `None`: a signal ended it before there was an address to listen on.
-    fn start(mut turn: EventLoop, file: PathBuf, station: &BootstrapConfig) -> Result<Option<Shell>, String> {
-        let room = station.bounds.sockets.saturating_sub(OWN + health_check::AT_ONCE + ACCEPTS);
-        turn.accepts = ACCEPTS;
-        let bounds = BufferLimits { unread: UNREAD_MOST, connections: usize::MAX, ..BufferLimits::default() };
-        let mut told = Duration::ZERO;
-        let (listener, at) = loop {
-            match turn.listen(station.listen, Security::Plain, bounds) {
-                Ok(listener) => break listener,
-                Err(e) if e.kind() == ErrorKind::AddrInUse && turn.now() < REBIND_MOST => {
-                    if turn.now() >= told {
-                        tracing::warn!("{}: in use, tried again", station.listen);
-                        told = REBIND_MOST;
-                    }
-                    let until = turn.now() + REBIND;
-                    let happened = turn.wait(Some(until)).map_err(|e| e.to_string())?;
-                    if happened.iter().any(|h| matches!(h, IoEvent::Signal(SIGTERM | SIGINT))) {
-                        return Ok(None);
-                    }
-                }
-                Err(e) => return Err(format!("{}: {e}", station.listen)),
-            }
-        };
-        let epoch = wall_ms().saturating_sub((turn.now() + BEFORE).as_millis() as u64);
-        let platform = Platform::new(station, epoch, room);
-        tracing::info!(name = station.name, %at, room, "started");
-        let watching = EndpointWatch::new(station.discovery);
-        let (probes, asked) = (BTreeMap::new(), VecDeque::new());
-        Ok(Some(Shell {
-            turn,
-            listener,
-            file,
+fn is_stop_signal(event: &IoEvent) -> bool {
+    matches!(event, IoEvent::Signal(SIGTERM | SIGINT))
+}
+
+impl PlatformRuntime {
+    /// Listens and starts the core; `None` if a signal ended it before the address was free.
+    fn start(
+        mut event_loop: EventLoop,
+        bootstrap_path: PathBuf,
+        bootstrap: &BootstrapConfig,
+    ) -> Result<Option<PlatformRuntime>, RuntimeError> {
+        event_loop.accepts = MAX_ACCEPTS;
+        let Some(listener) = listen(&mut event_loop, bootstrap.listen)? else { return Ok(None) };
+        let reserved = RESERVED_DESCRIPTORS + health_check::MAX_CONCURRENT + MAX_ACCEPTS;
+        let room = bootstrap.limits.sockets.saturating_sub(reserved);
+        let epoch_ms = wall_ms().saturating_sub((event_loop.now() + CLOCK_OFFSET).as_millis() as u64);
+        let platform = Platform::new(bootstrap, epoch_ms, room);
+        tracing::info!(name = bootstrap.name, at = %listener.address, room, "started");
+        Ok(Some(PlatformRuntime {
+            event_loop,
+            listener: listener.id,
+            bootstrap_path,
             platform,
-            watching,
-            unread: None,
-            probes,
-            asked,
-            told: BEFORE,
+            watch: EndpointWatch::new(bootstrap.discovery),
+            pending_reload: None,
+            health_checks: BTreeMap::new(),
+            queued_health_checks: VecDeque::new(),
+            counters_logged_at: CLOCK_OFFSET,
         }))
     }
 
     fn now(&self) -> Duration {
-        self.turn.now() + BEFORE
+        self.event_loop.now() + CLOCK_OFFSET
     }
 
-    /// All that had come by then has been told: whoever is late by this time is late.
-    fn looked(&self) -> Duration {
-        self.turn.looked() + BEFORE
+    /// All input that arrived before this time was handled: a peer is late only by this time.
+    fn read_until(&self) -> Duration {
+        self.event_loop.looked() + CLOCK_OFFSET
     }
 
-    fn tell_counts(&self) {
-        let (streams, newcomers) = self.platform.connected();
-        let servers = self.platform.servers();
-        tracing::info!(streams, newcomers, servers, "counted {:?}", self.platform.counts);
+    /// One iteration: handles timeouts, steps the core, carries out its actions, and waits for events.
+    fn poll(&mut self) -> std::io::Result<Progress> {
+        self.handle_timeouts();
+        for action in self.platform.step(self.now(), self.read_until()) {
+            self.carry_out(action);
+        }
+        self.start_queued_health_checks();
+        self.event_loop.hold_listener(self.listener, self.platform.is_full());
+        let until = self.next_timeout().map(|at| at.saturating_sub(CLOCK_OFFSET));
+        let events = self.event_loop.wait(until)?;
+        // A change of the list counts from the time it is sent: the watch goes before all else.
+        let (watch_events, other_events): (Vec<_>, Vec<_>) =
+            events.into_iter().partition(|event| self.is_of_watch(event));
+        for event in watch_events {
+            self.handle_watch_event(event);
+        }
+        for event in other_events {
+            if self.handle_event(event) == Progress::Stopped {
+                return Ok(Progress::Stopped);
+            }
+        }
+        Ok(Progress::Running)
     }
 
-    /// One turn; true: a signal ends the planner.
-    fn step(&mut self) -> std::io::Result<bool> {
-        self.look_at_file();
-        self.look_at_discovery();
-        self.look_at_probes();
-        if self.now() >= self.told + TOLD_EVERY {
-            self.told = self.now();
-            self.tell_counts();
+    fn handle_timeouts(&mut self) {
+        self.retry_reload();
+        self.maintain_watch();
+        self.end_overdue_health_checks();
+        if self.now() >= self.counters_logged_at + COUNTERS_INTERVAL {
+            self.counters_logged_at = self.now();
+            self.log_counters();
         }
-        let deeds = self.platform.turn(self.now(), self.looked());
-        deeds.into_iter().for_each(|deed| self.carry_out(deed));
-        self.ask();
-        self.turn.hold_listener(self.listener, self.platform.is_full());
-        let probes = self.probes.values().map(|p| p.since + health_check::PATIENCE).min();
-        let unread = self.unread.as_ref().map(|unread| unread.next);
-        let until = earliest([self.platform.wake(), Some(self.watching.wake()), probes, unread]);
-        let happened = self.turn.wait(until.map(|at| at.saturating_sub(BEFORE)))?;
-        // A change of the list counts as told once it is written: it is taken ahead of all else.
-        let of_discovery = |h: &IoEvent| match h {
+    }
+
+    fn next_timeout(&self) -> Option<Duration> {
+        let health_check = self.health_checks.values().map(HealthCheck::deadline).min();
+        let reload = self.pending_reload.as_ref().map(|reload| reload.next_attempt);
+        let watch = Some(self.watch.next_timeout());
+        earliest([self.platform.next_timeout(), watch, health_check, reload])
+    }
+
+    fn log_counters(&self) {
+        let SessionCounts { streams, unidentified } = self.platform.session_counts();
+        let servers = self.platform.server_count();
+        tracing::info!(streams, newcomers = unidentified, servers, "counted {}", self.platform.counters);
+    }
+
+    fn is_of_watch(&self, event: &IoEvent) -> bool {
+        match event {
             IoEvent::Open { conn, .. } | IoEvent::Bytes { conn, .. } | IoEvent::Closed { conn, .. } => {
-                self.watching.has(*conn)
+                self.watch.owns(*conn)
             }
             IoEvent::Signal(_) => false,
-        };
-        let (first, rest): (Vec<_>, Vec<_>) = happened.into_iter().partition(of_discovery);
-        first.into_iter().for_each(|h| self.discovery(h));
-        Ok(rest.into_iter().any(|h| self.rest(h)))
+        }
     }
 
-    /// True: a signal that ends the planner.
-    fn rest(&mut self, happened: IoEvent) -> bool {
+    /// Handles an event of a client, a health check or a signal.
+    fn handle_event(&mut self, event: IoEvent) -> Progress {
         let now = self.now();
-        match happened {
-            IoEvent::Signal(SIGHUP) => self.read_again(),
-            IoEvent::Signal(_) => return true,
-            IoEvent::Open { conn, listener: Some(_), .. } => self.platform.opened(conn, now),
+        match event {
+            IoEvent::Signal(SIGHUP) => self.reload(),
+            IoEvent::Signal(_) => return Progress::Stopped,
+            IoEvent::Open { conn, listener: Some(_), .. } => self.platform.handle_opened(conn, now),
             IoEvent::Open { conn, .. } => {
-                if let Some(probe) = self.probes.get_mut(&conn) {
-                    probe.open = true;
+                if let Some(check) = self.health_checks.get_mut(&conn) {
+                    check.is_connected = true;
                 }
             }
-            IoEvent::Bytes { conn, bytes } => match self.probes.get_mut(&conn) {
-                Some(probe) => {
-                    if let Some(ending) = probe.push(&bytes, self.platform.fields()) {
-                        self.probed(conn, ending);
-                    }
-                }
-                None => self.platform.bytes(conn, &bytes, now),
-            },
-            IoEvent::Closed { conn, .. } => match self.probes.remove(&conn) {
-                Some(mut probe) => match probe.cut() {
-                    Some(ending) => self.ended(probe, ending),
-                    None => self.dial(probe),
-                },
-                None => self.platform.closed(conn),
-            },
+            IoEvent::Bytes { conn, bytes } => self.handle_bytes(conn, &bytes),
+            IoEvent::Closed { conn, .. } => self.handle_closed(conn),
         }
-        false
+        Progress::Running
     }
 
-    fn carry_out(&mut self, deed: Action) {
-        match deed {
-            Action::Write { conn, bytes } => self.turn.write(conn, &bytes),
-            Action::Close { conn } => self.turn.cut(conn),
-            Action::Probe { ticket, to } => self.asked.push_back((ticket, to)),
+    fn handle_bytes(&mut self, conn: ConnectionId, bytes: &[u8]) {
+        let now = self.now();
+        let Some(check) = self.health_checks.get_mut(&conn) else {
+            return self.platform.handle_bytes(conn, bytes, now);
+        };
+        if let Some(outcome) = check.handle_bytes(bytes, self.platform.load_metrics()) {
+            self.finish_health_check(conn, outcome);
+        }
+    }
+
+    fn handle_closed(&mut self, conn: ConnectionId) {
+        let Some(mut check) = self.health_checks.remove(&conn) else {
+            return self.platform.handle_closed(conn);
+        };
+        match check.handle_closed() {
+            Some(outcome) => self.report_health_check(&check, outcome),
+            None => self.dial_health_check(check),
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Write { conn, bytes } => self.event_loop.write(conn, &bytes),
+            Action::Close { conn } => self.event_loop.cut(conn),
+            Action::CheckHealth { ticket, address } => {
+                self.queued_health_checks.push_back(QueuedHealthCheck { ticket, address });
+            }
             Action::Log { text } => tracing::info!("{text}"),
         }
     }
 
-    /// Sends the probes that there is room for.
-    fn ask(&mut self) {
-        while self.probes.len() < health_check::AT_ONCE {
-            let Some((ticket, to)) = self.asked.pop_front() else { return };
-            self.dial(HealthCheck::new(ticket, to, self.now()));
+    fn start_queued_health_checks(&mut self) {
+        while self.health_checks.len() < health_check::MAX_CONCURRENT {
+            let Some(queued) = self.queued_health_checks.pop_front() else { return };
+            self.dial_health_check(HealthCheck::new(queued.ticket, queued.address, self.now()));
         }
     }
 
-    fn dial(&mut self, probe: HealthCheck) {
-        let bounds = BufferLimits { handshake: health_check::PATIENCE * 2, ..BufferLimits::default() };
-        match self.turn.dial(probe.to, &Security::Plain, bounds) {
+    fn dial_health_check(&mut self, check: HealthCheck) {
+        let limits = BufferLimits { handshake: health_check::TIMEOUT * 2, ..BufferLimits::default() };
+        match self.event_loop.dial(check.address, &Security::Plain, limits) {
             Ok(conn) => {
-                // What is written before the connection stands goes out with it.
-                self.turn.write(conn, &health_check::query(probe.to, self.platform.with_load()));
-                self.probes.insert(conn, probe);
+                // What is written before the connection is established is sent with it.
+                let request = health_check::request(check.address, self.platform.wants_load());
+                self.event_loop.write(conn, &request);
+                self.health_checks.insert(conn, check);
             }
-            // No descriptor, or no way at all from here: that says nothing about the server.
-            Err(_) => self.ended(probe, HealthCheckResult::Inconclusive.into()),
+            // No file descriptor or no route from here: that says nothing about the server.
+            Err(_) => self.report_health_check(&check, HealthCheckResult::Inconclusive.into()),
         }
     }
 
-    fn look_at_probes(&mut self) {
-        let looked = self.looked();
-        let late = |p: &HealthCheck| looked >= p.since + health_check::PATIENCE;
-        let late: Vec<(ConnectionId, HealthCheckOutcome)> =
-            self.probes.iter().filter(|(_, p)| late(p)).map(|(conn, p)| (*conn, p.late())).collect();
-        late.into_iter().for_each(|(conn, ending)| self.probed(conn, ending));
+    fn end_overdue_health_checks(&mut self) {
+        let read_until = self.read_until();
+        let overdue = self.health_checks.iter().filter(|(_, check)| read_until >= check.deadline());
+        let overdue: Vec<(ConnectionId, HealthCheckOutcome)> =
+            overdue.map(|(conn, check)| (*conn, check.timeout_outcome())).collect();
+        for (conn, outcome) in overdue {
+            self.finish_health_check(conn, outcome);
+        }
     }
 
-    fn probed(&mut self, conn: ConnectionId, ending: HealthCheckOutcome) {
-        if let Some(probe) = self.probes.remove(&conn) {
-            self.turn.cut(conn);
-            self.ended(probe, ending);
+    fn finish_health_check(&mut self, conn: ConnectionId, outcome: HealthCheckOutcome) {
+        if let Some(check) = self.health_checks.remove(&conn) {
+            self.event_loop.cut(conn);
+            self.report_health_check(&check, outcome);
         }
     }
 
-    fn ended(&mut self, probe: HealthCheck, ending: HealthCheckOutcome) {
-        let after = self.now().saturating_sub(probe.since);
-        if ending.found != HealthCheckResult::Success {
-            tracing::info!(to = %probe.to, found = ?ending.found, ?after, "probed");
+    fn report_health_check(&mut self, check: &HealthCheck, outcome: HealthCheckOutcome) {
+        let elapsed = self.now().saturating_sub(check.started_at);
+        if outcome.result != HealthCheckResult::Success {
+            tracing::info!(to = %check.address, found = ?outcome.result, after = ?elapsed, "probed");
         }
-        self.platform.probed(probe.ticket, ending, after);
+        self.platform.handle_health_check(check.ticket, outcome, elapsed);
     }
 
-    /// Dials where there is no watch, and gives up one that is silent.
-    fn look_at_discovery(&mut self) {
-        let looked = self.looked();
-        if self.platform.is_counted_anew(looked) {
-            tracing::info!(at = %self.watching.at, "the list is counted anew");
-            self.ask_again();
+    /// Closes watches that have expired, and dials where there is none.
+    fn maintain_watch(&mut self) {
+        let read_until = self.read_until();
+        let address = self.watch.address();
+        if self.platform.reset_outdated_revision(read_until) {
+            tracing::info!(at = %address, "the list is counted anew");
+            self.restart_watch();
         }
-        for conn in self.watching.late(looked) {
-            tracing::info!(at = %self.watching.at, "the watch is silent");
-            self.turn.cut(conn);
+        for conn in self.watch.take_expired(read_until) {
+            tracing::info!(at = %address, "the watch is silent");
+            self.event_loop.cut(conn);
         }
         let now = self.now();
-        if self.watching.is_to_dial(now) {
-            let at = self.watching.at;
-            let conn = self.turn.dial(at, &Security::Plain, BufferLimits::default()).ok();
+        if self.watch.should_dial(now) {
+            let conn = self.event_loop.dial(address, &Security::Plain, BufferLimits::default()).ok();
             if let Some(conn) = conn {
-                self.turn.write(conn, &endpoint_list::watch(&at.to_string(), self.platform.revision()));
+                let revision = self.platform.list_revision();
+                let request = endpoint_list::watch_request(&address.to_string(), revision);
+                self.event_loop.write(conn, &request);
             }
-            self.watching.dialled(conn, now);
+            self.watch.handle_dialed(conn, now);
         }
     }
 
-    fn ask_again(&mut self) {
-        if let Some(conn) = self.watching.ask_again(self.now()) {
-            self.turn.cut(conn);
+    fn restart_watch(&mut self) {
+        if let Some(conn) = self.watch.restart(self.now()) {
+            self.event_loop.cut(conn);
         }
     }
 
-    fn discovery(&mut self, happened: IoEvent) {
-        let (now, at) = (self.now(), self.watching.at);
-        match happened {
-            IoEvent::Bytes { conn, bytes } => {
-                let brought = self.watching.bytes(conn, &bytes, now);
-                let read = brought.lines.iter().try_for_each(|line| self.platform.line(line, now));
-                if brought.first {
-                    tracing::info!(%at, "watching");
-                }
-                if brought.unreadable || read.is_err() {
-                    tracing::info!(%at, "the watch can't be read");
-                }
-                if brought.cut {
-                    self.turn.cut(conn);
-                }
-                if read.is_err() {
-                    self.ask_again();
-                }
-            }
+    fn handle_watch_event(&mut self, event: IoEvent) {
+        match event {
+            IoEvent::Bytes { conn, bytes } => self.handle_watch_bytes(conn, &bytes),
             IoEvent::Closed { conn, why } => {
-                tracing::info!(%at, ?why, "the watch has ended");
-                self.watching.closed(conn, now);
+                tracing::info!(at = %self.watch.address(), ?why, "the watch has ended");
+                self.watch.handle_closed(conn, self.now());
             }
             IoEvent::Open { .. } | IoEvent::Signal(_) => {}
         }
     }
 
-    /// Reads the file once more where it could not be read.
-    fn look_at_file(&mut self) {
+    fn handle_watch_bytes(&mut self, conn: ConnectionId, bytes: &[u8]) {
+        let now = self.now();
+        let at = self.watch.address();
+        let output = self.watch.handle_bytes(conn, bytes, now);
+        let mut lines = output.lines.iter();
+        let has_unreadable_line = lines.any(|line| self.platform.handle_list_line(line, now).is_err());
+        if output.is_first {
+            tracing::info!(%at, "watching");
+        }
+        if output.is_unreadable || has_unreadable_line {
+            tracing::info!(%at, "the watch can't be read");
+        }
+        if output.should_close {
+            self.event_loop.cut(conn);
+        }
+        if has_unreadable_line {
+            self.restart_watch();
+        }
+    }
+
+    /// Reads the bootstrap file again after one that could not be read.
+    fn retry_reload(&mut self) {
         let now = self.now();
-        if let Some(unread) = self.unread.take_if(|unread| now >= unread.next) {
-            match station(&self.file) {
-                Ok(station) => self.take(&station),
-                Err(_) if now < unread.until => self.unread = Some(Unread { next: now + REREAD, ..unread }),
-                Err(why) => tracing::warn!("not looked at any more: {why}"),
+        let Some(reload) = self.pending_reload.take_if(|reload| now >= reload.next_attempt) else { return };
+        match read_bootstrap(&self.bootstrap_path) {
+            Ok(bootstrap) => self.apply(&bootstrap),
+            Err(_) if now < reload.deadline => {
+                self.pending_reload = Some(PendingReload { next_attempt: now + RELOAD_INTERVAL, ..reload });
             }
+            Err(why) => tracing::warn!("not looked at any more: {why}"),
         }
     }
 
-    /// Reads the file again. What can't be read is told, and all goes on as it is.
-    fn read_again(&mut self) {
+    /// Reads the bootstrap file again on SIGHUP. One that cannot be read is logged and changes nothing.
+    fn reload(&mut self) {
         let now = self.now();
-        self.unread = None;
-        match station(&self.file) {
-            Ok(station) => self.take(&station),
+        self.pending_reload = None;
+        match read_bootstrap(&self.bootstrap_path) {
+            Ok(bootstrap) => self.apply(&bootstrap),
             Err(why) => {
                 tracing::warn!("kept as it is: {why}");
-                self.unread = Some(Unread { next: now + REREAD, until: now + REREAD_MOST });
+                self.pending_reload = Some(PendingReload {
+                    next_attempt: now + RELOAD_INTERVAL,
+                    deadline: now + RELOAD_TIMEOUT,
+                });
             }
         }
     }
 
-    /// Takes what of a new file counts while the planner runs: where discovery is.
-    fn take(&mut self, station: &BootstrapConfig) {
-        if station.discovery == self.watching.at {
+    /// Applies what of a changed file takes effect while the planner runs: the address of discovery.
+    fn apply(&mut self, bootstrap: &BootstrapConfig) {
+        if bootstrap.discovery == self.watch.address() {
             tracing::info!("read again, nothing new");
             return;
         }
-        tracing::info!(at = %station.discovery, "discovery has moved");
-        if let Some(conn) = self.watching.moved(station.discovery, self.now()) {
-            self.turn.cut(conn);
+        tracing::info!(at = %bootstrap.discovery, "discovery has moved");
+        if let Some(conn) = self.watch.change_address(bootstrap.discovery, self.now()) {
+            self.event_loop.cut(conn);
         }
     }
 }
--- a/crates/daemon/tests/endings.rs
+++ b/crates/daemon/tests/endings.rs
@@ -4,7 +4,7 @@
 mod help;
 
 use help::*;
-use runloom_platform_protocol::framing::write;
+use runloom_platform_protocol::framing::write_frame;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -289,7 +289,7 @@
     let told = second.until_row(2, json!(["s-4", 1.0]));
     assert_eq!(told[0]["rows"].as_array().map(Vec::len), Some(2));
     let mut bytes = Vec::new();
-    write(&mut bytes, br#"{"t":"PING"}"#);
+    write_frame(&mut bytes, br#"{"t":"PING"}"#);
     proxy.stream.write_all(&bytes).unwrap();
     let mut said: Vec<Value> = Vec::new();
     while said.last() != Some(&json!({"t": "PONG"})) {
--- a/crates/daemon/tests/help/mod.rs
+++ b/crates/daemon/tests/help/mod.rs
@@ -3,7 +3,7 @@
 // Each file of tests uses its part.
 #![allow(dead_code)]
 
-use runloom_platform_protocol::framing::{write, Reader, MESSAGE_MOST};
+use runloom_platform_protocol::framing::{write_frame, FrameReader, MAX_MESSAGE_BYTES};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -204,21 +204,21 @@
 
 pub struct Client {
     pub stream: TcpStream,
-    pub reader: Reader,
+    pub reader: FrameReader,
 }
 
 impl Client {
     pub fn open(planner: &Planner, first: &[Value]) -> Client {
         let stream = TcpStream::connect(planner.at).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        let mut client = Client { stream, reader: Reader::new(MESSAGE_MOST) };
+        let mut client = Client { stream, reader: FrameReader::new(MAX_MESSAGE_BYTES) };
         client.say(first);
         client
     }
 
     pub fn say(&mut self, messages: &[Value]) {
         let mut bytes = Vec::new();
-        messages.iter().for_each(|m| write(&mut bytes, m.to_string().as_bytes()));
+        messages.iter().for_each(|m| write_frame(&mut bytes, m.to_string().as_bytes()));
         self.stream.write_all(&bytes).unwrap();
     }
 
--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -3,7 +3,7 @@
 mod help;
 
 use help::*;
-use runloom_platform_protocol::framing::write;
+use runloom_platform_protocol::framing::write_frame;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -112,7 +112,7 @@
     other.until_row(1, json!(["s-1", 1.0]));
     let mut deaf = Client::open(&planner, &[joining(2, true)]);
     let mut pings = Vec::new();
-    (0..4096).for_each(|_| write(&mut pings, br#"{"t":"PING"}"#));
+    (0..4096).for_each(|_| write_frame(&mut pings, br#"{"t":"PING"}"#));
     // The system keeps some megabytes of answers for a connection; a hundred are more than it ever does.
     let sent = (0..1600).take_while(|_| deaf.stream.write_all(&pings).is_ok()).count();
     assert!(sent < 1600, "a hundred megabytes of answers were taken in");
--- a/crates/platform-protocol/src/endpoint_list.rs
+++ b/crates/platform-protocol/src/endpoint_list.rs
@@ -1,287 +1,262 @@
-//! Discovery: one list and watch over HTTP/1.1 as lists of changes, each judged entry by entry.
+//! The endpoint list as discovery gives it: complete lists and changes, validated entry by entry.
+//!
+//! This module is the only one that knows the wire's field names of lists.
 
-use crate::message::Names;
-use runloom_controller::{EndpointRecord, EndpointUpdate, ListedState, ServerId};
+use crate::watch_reader::UnreadableWatch;
+use crate::NameRegistry;
+use runloom_controller::{EndpointRecord, EndpointUpdate, IdMap, ListedState, ServerId};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An empty line comes every two seconds. After the time for one and some more nothing has come that should
-/// have; changes count as told six seconds after they were due, and a new watch still has to be made within
-/// these.
-pub const SILENCE_MOST: Duration = Duration::from_millis(2700);
-/// The agent stands on the planner's own machine: a connection that has not brought its first line after so
-/// long won't. A watch that can't be had is tried again this often.
-pub const FIRST_WAIT: Duration = Duration::from_millis(1200);
-pub const REDIAL: Duration = Duration::from_millis(250);
-/// An agent may lag behind another: what changed counts as told six seconds after it was due. Whose versions
-/// are older than the one held for longer than that does not lag, its versions are counted anew.
-const LAG_MOST: Duration = Duration::from_secs(6);
-/// A line that can't be read is asked for again this often before it is left out.
-const MISSED_MOST: u32 = 3;
-/// A head is a few hundred bytes, a line a hundred for each server: past this it is no list.
-const HEAD_MOST: usize = 8 << 10;
-const LINE_MOST: usize = 1 << 20;
-/// Ids, zones and kinds are short, and there are a handful of zones and kinds: what would fill memory is
-/// spoilt.
-const NAME_MOST: usize = 128;
-const NAMES_MOST: usize = 256;
+/// An agent may lag behind another by this long. Older versions for longer mean that versions were reset.
+const MAX_AGENT_LAG: Duration = Duration::from_secs(6);
+/// An unreadable line is asked for again this often in a row before it is skipped.
+const MAX_LINE_RETRIES: u32 = 3;
+/// The longest id, zone, kind or address, bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Zones, and kinds, that are told apart; further ones count as the first.
+const MAX_DISTINCT_NAMES: usize = 256;
+/// The weight of an entry that gives none.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The path of the watch that goes on from a version.
-pub fn watch(host: &str, since: u64) -> Vec<u8> {
-    let path = format!("/discovery/hosts?follow=1&since={since}");
+/// The bytes of the request that watches the list from a revision on.
+pub fn watch_request(host: &str, since_revision: u64) -> Vec<u8> {
+    let path = format!("/discovery/hosts?follow=1&since={since_revision}");
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-/// A watch that can't be read any further.
+/// Where a list comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unreadable;
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum At {
-    Head,
-    /// The size of the next chunk.
-    Size,
-    /// So much of a chunk is to come.
-    Chunk(usize),
-    /// The line end behind a chunk.
-    Behind,
-    /// An answer without chunks.
-    Plain,
-    Over,
-}
-
-/// One answer of discovery as lines, however its bytes are split.
-#[derive(Debug)]
-pub struct WatchReader {
-    at: At,
-    input: Vec<u8>,
-    line: Vec<u8>,
+pub enum ListSource {
+    /// The bootstrap file: as held before this start.
+    Cache,
+    /// The watch.
+    Watch,
 }
 
-impl Default for WatchReader {
-    fn default() -> Self {
-        WatchReader { at: At::Head, input: Vec::new(), line: Vec::new() }
-    }
+/// What a list or a line of changes says that is new.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ListUpdate {
+    /// How it was obtained.
+    pub update: EndpointUpdate,
+    /// Its records, by server.
+    pub records: Vec<EndpointRecord>,
 }
 
-impl WatchReader {
-    /// The lines that are whole now, empty ones too. Over: the answer has ended.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, Unreadable> {
-        self.input.extend_from_slice(bytes);
-        let mut lines = Vec::new();
-        let mut used = 0;
-        while let Some(step) = self.step(&self.input[used..])? {
-            let (taken, at, data) = step;
-            let data = &self.input[used..][data];
-            for piece in data.split_inclusive(|b| *b == b'\n') {
-                self.line.extend_from_slice(piece);
-                if self.line.last() == Some(&b'\n') {
-                    lines.push(std::mem::take(&mut self.line));
-                }
-            }
-            if self.line.len() > LINE_MOST {
-                return Err(Unreadable);
-            }
-            used += taken;
-            self.at = at;
-        }
-        self.input.drain(..used);
-        Ok(lines)
-    }
-
-    pub fn is_over(&self) -> bool {
-        self.at == At::Over
-    }
-
-    /// One step: bytes taken, what comes next, and which of the bytes belong to the lines.
-    fn step(&self, rest: &[u8]) -> Result<Option<(usize, At, std::ops::Range<usize>)>, Unreadable> {
-        match self.at {
-            At::Head => head(rest),
-            At::Over => Ok(None),
-            _ if rest.is_empty() => Ok(None),
-            At::Size => match httparse::parse_chunk_size(rest).map_err(|_| Unreadable)? {
-                httparse::Status::Partial if rest.len() > 64 => Err(Unreadable),
-                httparse::Status::Partial => Ok(None),
-                httparse::Status::Complete((taken, 0)) => Ok(Some((taken, At::Over, 0..0))),
-                httparse::Status::Complete((_, size)) if size > LINE_MOST as u64 => Err(Unreadable),
-                httparse::Status::Complete((taken, size)) => {
-                    Ok(Some((taken, At::Chunk(size as usize), 0..0)))
-                }
-            },
-            At::Chunk(size) => {
-                let taken = size.min(rest.len());
-                let at = if taken == size { At::Behind } else { At::Chunk(size - taken) };
-                Ok(Some((taken, at, 0..taken)))
-            }
-            At::Behind if rest.len() < 2 => Ok(None),
-            At::Behind if rest.starts_with(b"\r\n") => Ok(Some((2, At::Size, 0..0))),
-            At::Behind => Err(Unreadable),
-            At::Plain => Ok(Some((rest.len(), At::Plain, 0..rest.len()))),
-        }
-    }
+/// A list's own fields.
+struct ListHeader<'a> {
+    revision: u64,
+    is_complete: bool,
+    members: &'a [Value],
 }
 
-fn head(rest: &[u8]) -> Result<Option<(usize, At, std::ops::Range<usize>)>, Unreadable> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut answer = httparse::Response::new(&mut headers);
-    match answer.parse(rest).map_err(|_| Unreadable)? {
-        httparse::Status::Partial if rest.len() > HEAD_MOST => Err(Unreadable),
-        httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(_) if answer.code != Some(200) => Err(Unreadable),
-        httparse::Status::Complete(taken) => {
-            let chunked = answer.headers.iter().any(|h| {
-                h.name.eq_ignore_ascii_case("transfer-encoding") && h.value.eq_ignore_ascii_case(b"chunked")
-            });
-            Ok(Some((taken, if chunked { At::Size } else { At::Plain }, 0..0)))
-        }
+impl ListHeader<'_> {
+    fn parse(list: &Value) -> Option<ListHeader<'_>> {
+        Some(ListHeader {
+            revision: list["revision"].as_u64()?,
+            is_complete: list["complete"].as_bool()?,
+            members: list["members"].as_array()?,
+        })
     }
 }
 
-/// The list as this planner holds it: its version, and where servers listen.
+/// The list as this planner holds it.
 #[derive(Debug, Default)]
 pub struct EndpointList {
+    /// The revision that is held.
     pub revision: u64,
-    pub addresses: BTreeMap<ServerId, SocketAddr>,
-    /// What was last told of each server that is there.
-    last: BTreeMap<ServerId, EndpointRecord>,
     /// Lines and entries that could not be used.
-    pub spoilt: u64,
-    /// Since when nothing but older versions was told.
-    behind: Option<Duration>,
+    pub malformed: u64,
+    addresses: BTreeMap<ServerId, SocketAddr>,
+    /// The last record of each server that is listed.
+    records: BTreeMap<ServerId, EndpointRecord>,
+    /// Since when only older revisions have been received.
+    outdated_since: Option<Duration>,
     /// Lines in a row that could not be read.
-    missed: u32,
+    unreadable_lines: u32,
+    /// The controller's time zero in Unix time, milliseconds.
+    epoch_ms: u64,
 }
 
 impl EndpointList {
-    /// What a list or a line of changes tells; `None` where it tells nothing new. `epoch` is the decisions'
-    /// zero in Unix time, milliseconds: servers' starts lie before the planner's own.
-    pub fn take(
+    /// An empty list. `epoch_ms` is the controller's time zero in Unix time, milliseconds; it lies before this start,
+    /// as the starts of servers do.
+    pub fn new(epoch_ms: u64) -> EndpointList {
+        EndpointList { epoch_ms, ..EndpointList::default() }
+    }
+
+    /// Where a server listens.
+    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
+        self.addresses.get(&server).copied()
+    }
+
+    /// Applies a list or a line of changes; `None` where it says nothing new.
+    pub fn apply(
         &mut self,
         list: &Value,
-        remembered: bool,
-        names: &mut Names,
-        epoch: u64,
+        source: ListSource,
+        names: &mut NameRegistry,
         now: Duration,
-    ) -> Result<Option<(EndpointUpdate, Vec<EndpointRecord>)>, Unreadable> {
-        let (Some(revision), Some(whole), Some(members)) =
-            (list["revision"].as_u64(), list["complete"].as_bool(), list["members"].as_array())
-        else {
-            return Err(Unreadable);
-        };
-        // An older version, as an agent that lags may send it, would bring back what is gone or drains.
-        if revision < self.revision {
-            self.behind.get_or_insert(now);
+    ) -> Result<Option<ListUpdate>, UnreadableWatch> {
+        let header = ListHeader::parse(list).ok_or(UnreadableWatch)?;
+        // An older revision, as a lagging agent may send it, would bring back servers that drain or are gone.
+        if header.revision < self.revision {
+            self.outdated_since.get_or_insert(now);
             return Ok(None);
         }
-        (self.behind, self.missed) = (None, 0);
-        if revision == self.revision && !whole && !remembered {
+        self.outdated_since = None;
+        self.unreadable_lines = 0;
+        let is_repeated = header.revision == self.revision;
+        if is_repeated && !header.is_complete && source == ListSource::Watch {
             return Ok(None);
         }
-        self.revision = revision;
-        // Of doubled entries the last holds.
-        let mut entries: BTreeMap<ServerId, EndpointRecord> = BTreeMap::new();
-        for member in members {
-            match self.entry(member, names, epoch) {
-                Ok(Some(entry)) => _ = entries.insert(entry.server, entry),
+        self.revision = header.revision;
+        let records = self.parse_members(&header, names);
+        self.store_records(&records, header.is_complete);
+        let update = match source {
+            ListSource::Cache => EndpointUpdate::Cached,
+            ListSource::Watch if header.is_complete => EndpointUpdate::Snapshot,
+            ListSource::Watch => EndpointUpdate::Delta,
+        };
+        Ok(Some(ListUpdate { update, records: records.into_values().collect() }))
+    }
+
+    /// The records of a list. Of several entries of one server the last holds.
+    fn parse_members(
+        &mut self,
+        header: &ListHeader,
+        names: &mut NameRegistry,
+    ) -> BTreeMap<ServerId, EndpointRecord> {
+        let mut records: BTreeMap<ServerId, EndpointRecord> = BTreeMap::new();
+        for member in header.members {
+            match self.parse_member(member, names) {
+                Ok(Some(record)) => _ = records.insert(record.server, record),
                 Ok(None) => {}
-                Err(Unreadable) => {
-                    self.spoilt += 1;
-                    // Of whom a whole list speaks, it does not say that he is gone.
-                    let known = member["id"].as_str().and_then(|id| names.servers.get(id));
-                    if let Some(entry) = known.and_then(|s| self.last.get(&s)).filter(|_| whole) {
-                        entries.entry(entry.server).or_insert_with(|| entry.clone());
+                Err(UnreadableWatch) => {
+                    self.malformed += 1;
+                    // A complete list that mentions a server, however badly, does not say that it is gone.
+                    let known = self.known_record(member, names).filter(|_| header.is_complete);
+                    if let Some(record) = known {
+                        records.entry(record.server).or_insert_with(|| record.clone());
                     }
                 }
             }
         }
-        if whole {
-            self.last.clear();
+        records
+    }
+
+    fn known_record(&self, member: &Value, names: &NameRegistry) -> Option<&EndpointRecord> {
+        let server = names.servers.get(member["id"].as_str()?)?;
+        self.records.get(&server)
+    }
+
+    fn store_records(&mut self, records: &BTreeMap<ServerId, EndpointRecord>, is_complete: bool) {
+        if is_complete {
+            self.records.clear();
         }
-        self.last.extend(entries.iter().map(|(server, entry)| (*server, entry.clone())));
-        self.last.retain(|_, entry| entry.state != ListedState::Removed);
-        let how = match (remembered, whole) {
-            (true, _) => EndpointUpdate::Cached,
-            (_, true) => EndpointUpdate::Snapshot,
-            (_, false) => EndpointUpdate::Delta,
-        };
-        Ok(Some((how, entries.into_values().collect())))
+        self.records.extend(records.iter().map(|(server, record)| (*server, record.clone())));
+        self.records.retain(|_, record| record.state != ListedState::Removed);
     }
 
-    /// A line could not be read: an error while it may yet come whole.
-    pub fn miss(&mut self) -> Result<(), Unreadable> {
-        self.spoilt += 1;
-        self.missed += 1;
-        if self.missed > MISSED_MOST {
-            Ok(())
-        } else {
-            Err(Unreadable)
+    /// Notes a line that could not be read: an error while it is to be asked for again.
+    pub fn note_unreadable_line(&mut self) -> Result<(), UnreadableWatch> {
+        self.malformed += 1;
+        self.unreadable_lines += 1;
+        if self.unreadable_lines > MAX_LINE_RETRIES {
+            return Ok(());
         }
+        Err(UnreadableWatch)
     }
 
-    /// Its index may be another's from now on.
+    /// Forgets a server whose index may be assigned again.
     pub fn release(&mut self, server: ServerId) {
         self.addresses.remove(&server);
-        self.last.remove(&server);
+        self.records.remove(&server);
     }
 
-    /// Whether older versions have been told for longer than an agent may lag: any version counts from then.
-    pub fn is_counted_anew(&mut self, looked: Duration) -> bool {
-        let anew = self.behind.is_some_and(|since| looked >= since + LAG_MOST);
-        if anew {
-            (self.behind, self.revision) = (None, 0);
+    /// Accepts any revision from now on if only older ones have been received for longer than an agent may lag;
+    /// returns whether it did.
+    #[must_use]
+    pub fn reset_outdated_revision(&mut self, read_until: Duration) -> bool {
+        let is_reset = self.next_timeout().is_some_and(|timeout| read_until >= timeout);
+        if is_reset {
+            self.outdated_since = None;
+            self.revision = 0;
         }
-        anew
+        is_reset
     }
 
-    pub fn wake(&self) -> Option<Duration> {
-        self.behind.map(|since| since + LAG_MOST)
+    /// When the revision may be reset.
+    pub fn next_timeout(&self) -> Option<Duration> {
+        self.outdated_since.map(|since| since + MAX_AGENT_LAG)
     }
 
-    /// One entry; `None`: the end of a server that is not known here.
-    fn entry(
+    /// The record of one entry; `None` for the removal of a server that is not known.
+    fn parse_member(
         &mut self,
         member: &Value,
-        names: &mut Names,
-        epoch: u64,
-    ) -> Result<Option<EndpointRecord>, Unreadable> {
-        let text = |key: &str| member[key].as_str().filter(|t| !t.is_empty() && t.len() <= NAME_MOST);
-        let id = text("id").ok_or(Unreadable)?;
-        let mode = match member["phase"].as_str() {
+        names: &mut NameRegistry,
+    ) -> Result<Option<EndpointRecord>, UnreadableWatch> {
+        let id = text_field(member, "id").ok_or(UnreadableWatch)?;
+        let state = match member["phase"].as_str() {
             Some("SERVING") => ListedState::Ready,
             Some("DRAINING") => ListedState::Draining,
             Some("DELETED") => ListedState::Removed,
-            _ => return Err(Unreadable),
+            _ => return Err(UnreadableWatch),
         };
-        if mode == ListedState::Removed && names.servers.get(id).is_none() {
+        if state == ListedState::Removed && names.servers.get(id).is_none() {
             return Ok(None);
         }
         let server = names.servers.index(id.to_string());
-        // An address may change from one list to the next; without one, the server can't be probed.
-        match text("host_port").and_then(|a| a.parse().ok()) {
-            Some(address) => _ = self.addresses.insert(server, address),
-            None if mode == ListedState::Removed => {}
-            None => _ = self.addresses.remove(&server),
-        }
-        let up_since = member["up_since_ms"].as_f64().filter(|ms| *ms > 0.0);
+        self.update_address(server, state, member);
+        let weight = member["size"].as_f64().filter(|weight| weight.is_finite() && *weight > 0.0);
         Ok(Some(EndpointRecord {
             server,
-            zone: index(&mut names.zones, text("locality")),
-            kind: index(&mut names.kinds, text("flavor")),
+            zone: bounded_index(&mut names.zones, text_field(member, "locality")),
+            kind: bounded_index(&mut names.kinds, text_field(member, "flavor")),
             cell: member["cell"].as_u64().unwrap_or(0),
-            state: mode,
-            weight: member["size"].as_f64().filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0),
-            // Before the decisions' zero is long ago.
-            started: up_since
-                .map(|ms| ms - epoch as f64)
-                .and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok())
-                .filter(|at| !at.is_zero()),
+            state,
+            weight: weight.unwrap_or(DEFAULT_WEIGHT),
+            started: self.start_time(member),
         }))
     }
+
+    /// An address may change between lists; without one, a listed server cannot be checked.
+    fn update_address(&mut self, server: ServerId, state: ListedState, member: &Value) {
+        match text_field(member, "host_port").and_then(|address| address.parse().ok()) {
+            Some(address) => _ = self.addresses.insert(server, address),
+            None if state == ListedState::Removed => {}
+            None => _ = self.addresses.remove(&server),
+        }
+    }
+
+    /// When a server started, on the controller's clock; `None` for a start before its zero.
+    fn start_time(&self, member: &Value) -> Option<Duration> {
+        let unix_ms = member["up_since_ms"].as_f64().filter(|ms| *ms > 0.0)?;
+        let started = Duration::try_from_secs_f64((unix_ms - self.epoch_ms as f64) / 1000.0).ok()?;
+        Some(started).filter(|started| !started.is_zero())
+    }
+
+    #[cfg(test)]
+    pub(crate) fn address_count(&self) -> usize {
+        self.addresses.len()
+    }
+}
+
+fn text_field<'a>(member: &'a Value, field: &str) -> Option<&'a str> {
+    member[field].as_str().filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES)
 }
 
-fn index(ids: &mut runloom_controller::IdMap<String>, name: Option<&str>) -> usize {
+fn bounded_index(ids: &mut IdMap<String>, name: Option<&str>) -> usize {
     let name = name.unwrap_or_default();
-    ids.get(name).unwrap_or_else(|| if ids.iter().count() < NAMES_MOST { ids.index(name.into()) } else { 0 })
+    if let Some(index) = ids.get(name) {
+        return index;
+    }
+    if ids.iter().count() < MAX_DISTINCT_NAMES {
+        ids.index(name.into())
+    } else {
+        0
+    }
 }
--- a/crates/platform-protocol/src/framing.rs
+++ b/crates/platform-protocol/src/framing.rs
@@ -1,95 +1,112 @@
-//! Messages on a connection: a length of four bytes, the least first, and so many bytes of one JSON object.
+//! Framing: a length of four bytes, little-endian, and as many bytes of one JSON object.
 
 use serde::de::IgnoredAny;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// The protocol's own bound of a message.
-pub const MESSAGE_MOST: usize = 1 << 20;
-/// A first message is a joining or a sign of life, a hundred bytes or so. Who announces more before it has
-/// joined is none of the platform's, and is not to fill memory that hundreds of them would add up to.
-pub const FIRST_MOST: usize = 4 << 10;
-/// The shortest object there is.
-const MESSAGE_LEAST: usize = 2;
-const HEAD: usize = 4;
-/// Room that is kept for the next bytes; what a long message took beyond it is given back.
-const KEPT: usize = 4 << 10;
+/// The protocol's limit of a message, bytes.
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// The limit until a connection has identified itself, bytes: its first message is small, and hundreds of unidentified
+/// connections must not fill the memory.
+pub const MAX_FIRST_MESSAGE_BYTES: usize = 4 << 10;
+/// The shortest JSON object, bytes.
+const MIN_MESSAGE_BYTES: usize = 2;
+/// Bytes of the length prefix.
+const LENGTH_BYTES: usize = 4;
+/// Buffer capacity that is kept between messages, bytes; a long message's memory beyond it is released.
+const RETAINED_CAPACITY: usize = 4 << 10;
 
-/// Why a connection can't be read any further.
+/// Why a connection cannot be read any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unreadable {
-    /// A length that can't be.
-    Length,
-    /// Not a JSON object.
-    Body,
+pub enum FrameError {
+    /// The length is below the shortest message or above the limit.
+    InvalidLength,
+    /// The body is not a JSON object.
+    InvalidBody,
 }
 
-/// Reads messages out of bytes, however they are split.
+impl fmt::Display for FrameError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            FrameError::InvalidLength => "the length of a frame is out of range",
+            FrameError::InvalidBody => "the body of a frame is not a JSON object",
+        })
+    }
+}
+
+impl std::error::Error for FrameError {}
+
+/// Splits a byte stream into messages, wherever the stream is cut.
 #[derive(Debug)]
-pub struct Reader {
+pub struct FrameReader {
     input: Vec<u8>,
-    from: usize,
-    most: usize,
+    consumed: usize,
+    max_bytes: usize,
 }
 
-impl Reader {
-    pub fn new(most: usize) -> Reader {
-        Reader { input: Vec::new(), from: 0, most }
+impl FrameReader {
+    /// A reader of messages up to `max_bytes`.
+    pub fn new(max_bytes: usize) -> FrameReader {
+        FrameReader { input: Vec::new(), consumed: 0, max_bytes }
     }
 
-    /// Takes messages up to so many bytes from now on.
-    pub fn allow(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the limit of the messages to come.
+    pub fn set_max_bytes(&mut self, max_bytes: usize) {
+        self.max_bytes = max_bytes;
     }
 
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Bytes of a message that is not whole yet.
-    pub fn held(&self) -> usize {
-        self.input.len() - self.from
+    /// Bytes received that no returned message accounts for.
+    pub fn buffered(&self) -> usize {
+        self.input.len() - self.consumed
     }
 
-    /// The next whole message; `None`: it is not here yet.
-    pub fn next_message(&mut self) -> Result<Option<Value>, Unreadable> {
-        let rest = &self.input[self.from..];
-        let Some(head) = rest.first_chunk::<HEAD>() else {
-            self.tidy();
+    /// The next complete message; `None` while it is incomplete.
+    pub fn next_message(&mut self) -> Result<Option<Value>, FrameError> {
+        let rest = &self.input[self.consumed..];
+        let Some(prefix) = rest.first_chunk::<LENGTH_BYTES>() else {
+            self.compact();
             return Ok(None);
         };
-        let length = u32::from_le_bytes(*head) as usize;
-        if !(MESSAGE_LEAST..=self.most).contains(&length) {
-            return Err(Unreadable::Length);
+        let length = u32::from_le_bytes(*prefix) as usize;
+        if !(MIN_MESSAGE_BYTES..=self.max_bytes).contains(&length) {
+            return Err(FrameError::InvalidLength);
         }
-        let Some(body) = rest.get(HEAD..HEAD + length) else {
-            self.tidy();
+        let Some(body) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
+            self.compact();
             return Ok(None);
         };
-        let message = object(body);
-        self.from += HEAD + length;
-        message.map(Some).ok_or(Unreadable::Body)
+        let message = parse_object(body);
+        self.consumed += LENGTH_BYTES + length;
+        message.map(Some).ok_or(FrameError::InvalidBody)
     }
 
-    fn tidy(&mut self) {
-        self.input.drain(..self.from);
-        self.from = 0;
-        if self.input.len() < KEPT && self.input.capacity() > KEPT {
-            self.input.shrink_to(KEPT);
+    fn compact(&mut self) {
+        self.input.drain(..self.consumed);
+        self.consumed = 0;
+        if self.input.len() < RETAINED_CAPACITY && self.input.capacity() > RETAINED_CAPACITY {
+            self.input.shrink_to(RETAINED_CAPACITY);
         }
     }
 }
 
-/// A message's body. A figure past what a number can hold is a field out of range, and not the end of the
-/// connection: such a message comes as an object without fields, which the next judge takes for spoilt.
-fn object(body: &[u8]) -> Option<Value> {
+/// Parses a message's body.
+///
+/// A number beyond the range of `f64` makes one field invalid and must not end the connection: such a message is
+/// returned as an object without fields, which [`crate::message::parse`] rejects as malformed.
+fn parse_object(body: &[u8]) -> Option<Value> {
     let text = std::str::from_utf8(body).ok()?;
-    let too_large = || serde_json::from_str::<BTreeMap<String, IgnoredAny>>(text).map(|_| json!({}));
-    serde_json::from_str(text).or_else(|_| too_large()).ok().filter(Value::is_object)
+    let without_numbers = || serde_json::from_str::<BTreeMap<String, IgnoredAny>>(text).map(|_| json!({}));
+    serde_json::from_str(text).or_else(|_| without_numbers()).ok().filter(Value::is_object)
 }
 
-/// Appends a message to what is to be written.
-pub fn write(out: &mut Vec<u8>, body: &[u8]) {
+/// Appends a frame with this body to `out`.
+pub fn write_frame(out: &mut Vec<u8>, body: &[u8]) {
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(body);
 }
--- a/crates/platform-protocol/src/health_check.rs
+++ b/crates/platform-protocol/src/health_check.rs
@@ -1,116 +1,142 @@
-//! One probe of a server: what is asked, and what its answer says.
+//! One health check of a server over HTTP/1.1: its request, its response, and its outcome.
 
-use crate::message::load;
+use crate::message::parse_load_report;
 use runloom_controller::HealthCheckResult;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A probe is cheap for a server that is well, and answered within some milliseconds; proxies wait for a
-/// server far longer. Two of these fit between a planner's probes of one server.
-pub const PATIENCE: Duration = Duration::from_millis(600);
-/// Probes at a time: each takes a descriptor, for as long as its patience when a zone is silent.
-pub const AT_ONCE: usize = 16;
-/// Connections that a probe may take. New connections are reset now and then by servers and ways that are
-/// well, some in a thousand: one tells nothing, and a server that is dead refuses the next one as well, at
-/// once.
-const TRIES: usize = 2;
-/// An answer is a head and one small report.
-const ANSWER_MOST: usize = 8 << 10;
+/// A health check without an outcome fails after this long.
+pub const TIMEOUT: Duration = Duration::from_millis(600);
+/// Health checks at a time; each takes a file descriptor.
+pub const MAX_CONCURRENT: usize = 16;
+/// Connections that one health check may open: healthy servers reset some new connections in a thousand.
+const MAX_CONNECTION_ATTEMPTS: usize = 2;
+/// A response is a head and one small report; bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 10;
+/// Headers of a response that are parsed.
+const MAX_HEADERS: usize = 32;
 
-/// The query, for health alone or for a load report with it.
-pub fn query(to: SocketAddr, load: bool) -> Vec<u8> {
-    let path = if load { "/metrics/load" } else { "/alive" };
-    format!("GET {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\n\r\n").into_bytes()
+/// The bytes of the request; with `wants_load` the response carries a load report.
+pub fn request(address: SocketAddr, wants_load: bool) -> Vec<u8> {
+    let path = if wants_load { "/metrics/load" } else { "/alive" };
+    format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n").into_bytes()
 }
 
-/// What a probe came to.
+/// How a health check ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthCheckOutcome {
-    pub found: HealthCheckResult,
+    /// What came of it.
+    pub result: HealthCheckResult,
+    /// The load report, in the order of the configured metrics; empty for none.
     pub load: Vec<f64>,
 }
 
 impl From<HealthCheckResult> for HealthCheckOutcome {
-    fn from(found: HealthCheckResult) -> HealthCheckOutcome {
-        HealthCheckOutcome { found, load: vec![] }
+    fn from(result: HealthCheckResult) -> HealthCheckOutcome {
+        HealthCheckOutcome { result, load: vec![] }
     }
 }
 
-/// An answer as it comes in.
+/// A response as it arrives.
 #[derive(Debug, Default)]
 pub struct HealthCheckResponse {
     input: Vec<u8>,
 }
 
 impl HealthCheckResponse {
-    /// Takes bytes; `Some`: the answer is whole, or is none.
-    pub fn push(&mut self, bytes: &[u8], fields: &[String]) -> Option<HealthCheckOutcome> {
+    /// Appends received bytes; returns the outcome once the response is complete or cannot be one.
+    pub fn push(&mut self, bytes: &[u8], load_metrics: &[String]) -> Option<HealthCheckOutcome> {
         self.input.extend_from_slice(bytes);
-        let mut headers = [httparse::EMPTY_HEADER; 32];
-        let mut answer = httparse::Response::new(&mut headers);
-        let from = match answer.parse(&self.input) {
-            Ok(httparse::Status::Complete(from)) => from,
-            Ok(httparse::Status::Partial) if self.input.len() <= ANSWER_MOST => return None,
-            // Something answers there, but not as a server does.
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        let body_start = match response.parse(&self.input) {
+            Ok(httparse::Status::Complete(body_start)) => body_start,
+            Ok(httparse::Status::Partial) if self.input.len() <= MAX_RESPONSE_BYTES => return None,
+            // Something listens there that does not speak HTTP.
             _ => return Some(HealthCheckResult::ErrorResponse.into()),
         };
-        match answer.code {
+        match response.code {
             Some(200) => {}
-            // It turns work away: it drains, or is asked too much at once.
+            // The server is draining or overloaded.
             Some(503) => return Some(HealthCheckResult::Rejected.into()),
             _ => return Some(HealthCheckResult::ErrorResponse.into()),
         }
-        let length = answer.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-        let length = length.and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse().ok());
-        let Some(length) = length.filter(|l: &usize| *l > 0) else {
+        let Some(length) = content_length(response.headers).filter(|length| *length > 0) else {
             return Some(HealthCheckResult::Success.into());
         };
-        if length > ANSWER_MOST {
+        if length > MAX_RESPONSE_BYTES {
             return Some(HealthCheckResult::ErrorResponse.into());
         }
-        let body = self.input.get(from..from + length)?;
-        let report = serde_json::from_slice::<Value>(body).ok();
-        let load = report.as_ref().and_then(Value::as_object).and_then(|report| load(report, fields));
-        Some(HealthCheckOutcome { found: HealthCheckResult::Success, load: load.unwrap_or_default() })
+        let body = self.input.get(body_start..body_start + length)?;
+        let load = parse_body(body, load_metrics).unwrap_or_default();
+        Some(HealthCheckOutcome { result: HealthCheckResult::Success, load })
     }
 }
 
-/// A probe on its way.
+fn content_length(headers: &[httparse::Header]) -> Option<usize> {
+    let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"))?;
+    std::str::from_utf8(header.value).ok()?.trim().parse().ok()
+}
+
+fn parse_body(body: &[u8], load_metrics: &[String]) -> Option<Vec<f64>> {
+    let report: Value = serde_json::from_slice(body).ok()?;
+    parse_load_report(report.as_object()?, load_metrics)
+}
+
+/// A health check in progress.
 #[derive(Debug)]
 pub struct HealthCheck {
+    /// The ticket of [`crate::Action::CheckHealth`].
     pub ticket: u64,
-    pub to: SocketAddr,
-    pub since: Duration,
-    /// Its connection stands.
-    pub open: bool,
-    answer: HealthCheckResponse,
-    tries: usize,
+    /// Where the server listens.
+    pub address: SocketAddr,
+    /// When it was started.
+    pub started_at: Duration,
+    /// Whether its connection is established.
+    pub is_connected: bool,
+    response: HealthCheckResponse,
+    connection_attempts: usize,
 }
 
 impl HealthCheck {
-    pub fn new(ticket: u64, to: SocketAddr, since: Duration) -> HealthCheck {
-        HealthCheck { ticket, to, since, open: false, answer: HealthCheckResponse::default(), tries: 1 }
+    /// A health check whose first connection is about to be opened.
+    pub fn new(ticket: u64, address: SocketAddr, started_at: Duration) -> HealthCheck {
+        HealthCheck {
+            ticket,
+            address,
+            started_at,
+            is_connected: false,
+            response: HealthCheckResponse::default(),
+            connection_attempts: 1,
+        }
     }
 
-    pub fn push(&mut self, bytes: &[u8], fields: &[String]) -> Option<HealthCheckOutcome> {
-        self.answer.push(bytes, fields)
+    /// Takes received bytes; returns the outcome if they settle it.
+    pub fn handle_bytes(&mut self, bytes: &[u8], load_metrics: &[String]) -> Option<HealthCheckOutcome> {
+        self.response.push(bytes, load_metrics)
     }
 
-    /// The connection could not be made, or ended before the answer was whole. `None`: it is to be dialled
-    /// once more.
-    pub fn cut(&mut self) -> Option<HealthCheckOutcome> {
-        // Guards against a server withdrawn, for its probation and its ramp, for one connection that was
-        // reset, be it amid an answer.
-        if self.tries < TRIES {
-            (self.tries, self.open, self.answer) = (self.tries + 1, false, HealthCheckResponse::default());
-            return None;
+    /// Takes the end of the connection before an outcome; `None` if another connection is to be opened.
+    #[must_use]
+    pub fn handle_closed(&mut self) -> Option<HealthCheckOutcome> {
+        if self.connection_attempts >= MAX_CONNECTION_ATTEMPTS {
+            return Some(HealthCheckResult::ConnectionFailed.into());
         }
-        Some(HealthCheckResult::ConnectionFailed.into())
+        self.connection_attempts += 1;
+        self.is_connected = false;
+        self.response = HealthCheckResponse::default();
+        None
+    }
+
+    /// When it fails without a response.
+    pub fn deadline(&self) -> Duration {
+        self.started_at + TIMEOUT
     }
 
-    /// Its patience is over: silence, or no connection at all.
-    pub fn late(&self) -> HealthCheckOutcome {
-        if self.open { HealthCheckResult::Timeout } else { HealthCheckResult::ConnectionFailed }.into()
+    /// The outcome of a check that has no response at its deadline.
+    pub fn timeout_outcome(&self) -> HealthCheckOutcome {
+        if self.is_connected { HealthCheckResult::Timeout } else { HealthCheckResult::ConnectionFailed }
+            .into()
     }
 }
--- a/crates/platform-protocol/src/message.rs
+++ b/crates/platform-protocol/src/message.rs
@@ -1,54 +1,61 @@
-//! What the platform says on a connection, typed. Every field is judged here: a message of which one is
-//! missing, mistyped or out of range, or names what does not exist, never reaches the decisions.
+//! Messages from proxies and collectors, typed.
+//!
+//! Every field is validated here: a message with a field that is missing, mistyped, out of range or names something
+//! unknown never reaches the controller. This module is the only one that knows the wire's field names of these
+//! messages.
 
+use crate::NameRegistry;
 use runloom_controller::IdMap;
 use runloom_controller::{Event, ProxyId, ZoneId};
 use serde_json::{Map, Value};
+use std::fmt;
 use std::time::Duration;
 
-/// A span of an hour is past anything that is reported here; what says more is spoilt.
-const SPAN_MOST_MS: f64 = 3.6e6;
-/// A million tries or queries in one message are past what any proxy or zone does between two reports.
-const COUNT_MOST: u64 = 1_000_000;
-/// The same for a load report's values and for paces.
-const VALUE_MOST: f64 = 1e9;
-/// Marks are numbers below this.
-const MARKS: u64 = 1 << 16;
-
-/// The names behind the indices.
-#[derive(Debug, Clone, Default)]
-pub struct Names {
-    pub zones: IdMap<String>,
-    pub kinds: IdMap<String>,
-    pub classes: IdMap<String>,
-    pub servers: IdMap<String>,
-    /// The values of a load report, in the order in which they are handed on.
-    pub fields: Vec<String>,
-    /// Proxies are numbered from 0 to one less than this.
-    pub proxies: usize,
-}
+/// The longest duration that a message may report, milliseconds: one hour.
+const MAX_DURATION_MS: f64 = 3.6e6;
+/// The most attempts or requests that one report may count.
+const MAX_REPORTED_COUNT: u64 = 1_000_000;
+/// The largest value of a load report, and the highest request rate per second.
+const MAX_METRIC_VALUE: f64 = 1e9;
+/// Acknowledgement tokens are below this.
+const ACK_TOKEN_LIMIT: u64 = 1 << 16;
 
+/// A valid message from a proxy or a collector.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Asks for a sign of life.
+    /// Asks whether this side is alive.
     Ping,
-    /// A zone's reports come here.
-    Collector { zone: ZoneId },
-    /// A joining, a report or the answer to a mark, as the decisions are told of it.
-    Told(Event),
+    /// The connection carries the reports of a zone.
+    RegisterCollector {
+        /// The zone.
+        zone: ZoneId,
+    },
+    /// A proxy's connecting, a report or an acknowledgement, as the controller takes it.
+    Event(Event),
 }
 
-/// What is wrong with a message.
+/// Why a message cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MalformedMessage {
-    /// No kind that is sent to a planner.
-    Kind,
-    /// This field is missing, mistyped or out of range, or names what does not exist.
-    Field(&'static str),
+    /// Its type is none that is sent to a planner.
+    UnknownType,
+    /// This field is missing, mistyped or out of range, or names something unknown.
+    InvalidField(&'static str),
+}
+
+impl fmt::Display for MalformedMessage {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            MalformedMessage::UnknownType => formatter.write_str("unknown message type"),
+            MalformedMessage::InvalidField(field) => write!(formatter, "invalid field {field:?}"),
+        }
+    }
 }
 
-/// The other name of each value of a load report: servers call them otherwise than the settings do.
-const LOAD_NAMES: &[(&str, &str)] = &[
+impl std::error::Error for MalformedMessage {}
+
+/// Metrics of a load report that servers call by another name than the settings: (settings, server).
+const LOAD_METRIC_ALIASES: &[(&str, &str)] = &[
     ("rif", "inflight"),
     ("q", "queue"),
     ("busy", "util"),
@@ -57,103 +64,128 @@
     ("fail_rate", "eps"),
 ];
 
-/// A load report's values in the settings' order; one that is not there reads as NaN, one that is no figure
-/// makes the whole report unusable.
-pub fn load(report: &Map<String, Value>, fields: &[String]) -> Option<Vec<f64>> {
-    let value = |name: &String| {
-        let other = LOAD_NAMES.iter().find(|(ours, _)| ours == name).map_or("", |(_, other)| other);
-        match report.get(name).or_else(|| report.get(other)) {
+/// A load report's values in the order of `metrics`; a missing one is NaN. `None` where a value is no number in range.
+pub fn parse_load_report(report: &Map<String, Value>, metrics: &[String]) -> Option<Vec<f64>> {
+    let value_of = |metric: &String| {
+        let alias =
+            LOAD_METRIC_ALIASES.iter().find(|(name, _)| name == metric).map_or("", |(_, alias)| alias);
+        match report.get(metric).or_else(|| report.get(alias)) {
             None | Some(Value::Null) => Some(f64::NAN),
-            Some(value) => value.as_f64().filter(|v| (0.0..=VALUE_MOST).contains(v)),
+            Some(value) => value.as_f64().filter(|value| (0.0..=MAX_METRIC_VALUE).contains(value)),
         }
     };
-    fields.iter().map(value).collect()
+    metrics.iter().map(value_of).collect()
+}
+
+/// Parses a message of a connection.
+pub fn parse(message: &Value, names: &NameRegistry) -> Result<Message, MalformedMessage> {
+    let fields = Fields { message, names };
+    match message["t"].as_str() {
+        Some("PING") => Ok(Message::Ping),
+        Some("SOURCE") => Ok(Message::RegisterCollector { zone: fields.zone()? }),
+        Some("SUBSCRIBE") => fields.proxy_connected().map(Message::Event),
+        Some("LOAD") => fields.outcome_report().map(Message::Event),
+        Some("RATE") => fields.arrival_report().map(Message::Event),
+        Some("ACK") => fields.update_acknowledged().map(Message::Event),
+        _ => Err(MalformedMessage::UnknownType),
+    }
 }
 
-struct Fields<'a>(&'a Value);
+/// A message's fields under their names on the wire.
+struct Fields<'a> {
+    message: &'a Value,
+    names: &'a NameRegistry,
+}
 
 impl Fields<'_> {
-    fn number(&self, name: &'static str, most: f64) -> Result<f64, MalformedMessage> {
-        let value = self.0[name].as_f64().filter(|v| (0.0..=most).contains(v));
-        value.ok_or(MalformedMessage::Field(name))
+    fn proxy_connected(&self) -> Result<Event, MalformedMessage> {
+        Ok(Event::ProxyConnected {
+            has_no_table: self.boolean("new")?,
+            request_rate: self.number("rps", MAX_METRIC_VALUE)?,
+            proxy: self.proxy()?,
+            zone: self.zone()?,
+        })
     }
 
-    fn whole(&self, name: &'static str, below: u64) -> Result<u64, MalformedMessage> {
-        self.0[name].as_u64().filter(|v| *v < below).ok_or(MalformedMessage::Field(name))
+    fn outcome_report(&self) -> Result<Event, MalformedMessage> {
+        let attempts = self.integer("count", MAX_REPORTED_COUNT)?;
+        Ok(Event::OutcomeReport {
+            attempts,
+            // More failures than attempts: one of the two is corrupt, and nothing tells which.
+            failures: self.integer("fail", attempts + 1)?,
+            mean_latency: self.duration("mean")?,
+            window: self.window()?,
+            load: self.load_report()?,
+            server: self.index("target", &self.names.servers)?,
+            zone: self.zone()?,
+        })
     }
 
-    fn span(&self, name: &'static str) -> Result<Duration, MalformedMessage> {
-        self.number(name, SPAN_MOST_MS).map(|ms| Duration::from_secs_f64(ms / 1000.0))
+    fn arrival_report(&self) -> Result<Event, MalformedMessage> {
+        Ok(Event::ArrivalReport {
+            class: self.index("lane", &self.names.classes)?,
+            requests: self.integer("count", MAX_REPORTED_COUNT)?,
+            unanswered: self.integer("fail", MAX_REPORTED_COUNT)?,
+            proxy: self.proxy()?,
+            window: self.window()?,
+        })
     }
 
-    /// A span that something was counted over; in none nothing can come.
-    fn over(&self) -> Result<Duration, MalformedMessage> {
-        self.span("over").and_then(|s| if s.is_zero() { Err(MalformedMessage::Field("over")) } else { Ok(s) })
+    fn update_acknowledged(&self) -> Result<Event, MalformedMessage> {
+        Ok(Event::UpdateAcknowledged {
+            ack_token: self.integer("seq", ACK_TOKEN_LIMIT)? as u16,
+            elapsed: self.duration("ms")?,
+            proxy: self.proxy()?,
+        })
     }
 
-    fn named(&self, name: &'static str, ids: &IdMap<String>) -> Result<usize, MalformedMessage> {
-        self.0[name].as_str().and_then(|id| ids.get(id)).ok_or(MalformedMessage::Field(name))
+    fn proxy(&self) -> Result<ProxyId, MalformedMessage> {
+        self.integer("id", self.names.proxy_limit as u64).map(|id| id as ProxyId)
     }
 
-    fn load(&self, fields: &[String]) -> Result<Vec<f64>, MalformedMessage> {
-        match &self.0["util"] {
-            Value::Null => Ok(vec![]),
-            Value::Object(report) => load(report, fields).ok_or(MalformedMessage::Field("util")),
-            _ => Err(MalformedMessage::Field("util")),
-        }
+    fn zone(&self) -> Result<ZoneId, MalformedMessage> {
+        self.index("site", &self.names.zones)
     }
-}
 
-/// Judges a message, field by field.
-pub fn read(message: &Value, names: &Names) -> Result<Message, MalformedMessage> {
-    let fields = Fields(message);
-    let proxy = || fields.whole("id", names.proxies as u64).map(|id| id as ProxyId);
-    let zone = || fields.named("site", &names.zones);
-    match message["t"].as_str() {
-        Some("PING") => Ok(Message::Ping),
-        Some("SOURCE") => Ok(Message::Collector { zone: zone()? }),
-        Some("SUBSCRIBE") => {
-            let fresh = message["new"].as_bool().ok_or(MalformedMessage::Field("new"))?;
-            let rate = fields.number("rps", VALUE_MOST)?;
-            Ok(Message::Told(Event::ProxyConnected {
-                proxy: proxy()?,
-                zone: zone()?,
-                request_rate: rate,
-                has_no_table: fresh,
-            }))
-        }
-        Some("LOAD") => {
-            let tries = fields.whole("count", COUNT_MOST)?;
-            // More failed than were made: one of the two is spoilt, and nobody can tell which.
-            let failed = fields.whole("fail", tries + 1)?;
-            let (took, span, load) = (fields.span("mean")?, fields.over()?, fields.load(&names.fields)?);
-            let server = fields.named("target", &names.servers)?;
-            Ok(Message::Told(Event::OutcomeReport {
-                zone: zone()?,
-                server,
-                attempts: tries,
-                failures: failed,
-                mean_latency: took,
-                window: span,
-                load,
-            }))
+    /// The time that a report covers; nothing can be counted in an empty one.
+    fn window(&self) -> Result<Duration, MalformedMessage> {
+        let window = self.duration("over")?;
+        if window.is_zero() {
+            return Err(MalformedMessage::InvalidField("over"));
         }
-        Some("RATE") => {
-            let class = fields.named("lane", &names.classes)?;
-            let (queries, unanswered) =
-                (fields.whole("count", COUNT_MOST)?, fields.whole("fail", COUNT_MOST)?);
-            Ok(Message::Told(Event::ArrivalReport {
-                proxy: proxy()?,
-                class,
-                requests: queries,
-                unanswered,
-                window: fields.over()?,
-            }))
-        }
-        Some("ACK") => {
-            let (mark, after) = (fields.whole("seq", MARKS)? as u16, fields.span("ms")?);
-            Ok(Message::Told(Event::UpdateAcknowledged { proxy: proxy()?, ack_token: mark, elapsed: after }))
+        Ok(window)
+    }
+
+    fn load_report(&self) -> Result<Vec<f64>, MalformedMessage> {
+        let invalid = MalformedMessage::InvalidField("util");
+        match &self.message["util"] {
+            Value::Null => Ok(vec![]),
+            Value::Object(report) => parse_load_report(report, &self.names.load_metrics).ok_or(invalid),
+            _ => Err(invalid),
         }
-        _ => Err(MalformedMessage::Kind),
+    }
+
+    fn boolean(&self, field: &'static str) -> Result<bool, MalformedMessage> {
+        self.message[field].as_bool().ok_or(MalformedMessage::InvalidField(field))
+    }
+
+    fn number(&self, field: &'static str, max: f64) -> Result<f64, MalformedMessage> {
+        let value = self.message[field].as_f64().filter(|value| (0.0..=max).contains(value));
+        value.ok_or(MalformedMessage::InvalidField(field))
+    }
+
+    fn integer(&self, field: &'static str, limit: u64) -> Result<u64, MalformedMessage> {
+        let value = self.message[field].as_u64().filter(|value| *value < limit);
+        value.ok_or(MalformedMessage::InvalidField(field))
+    }
+
+    /// A duration that the wire gives in milliseconds.
+    fn duration(&self, field: &'static str) -> Result<Duration, MalformedMessage> {
+        self.number(field, MAX_DURATION_MS).map(|ms| Duration::from_secs_f64(ms / 1000.0))
+    }
+
+    fn index(&self, field: &'static str, ids: &IdMap<String>) -> Result<usize, MalformedMessage> {
+        let name = self.message[field].as_str();
+        name.and_then(|name| ids.get(name)).ok_or(MalformedMessage::InvalidField(field))
     }
 }
--- a/crates/platform-protocol/src/table_sync.rs
+++ b/crates/platform-protocol/src/table_sync.rs
@@ -1,372 +1,291 @@
-//! What each proxy was told: the tables as they were ordered, which of them each proxy is on, and one message
-//! a proxy and turn, in parts. Nothing is decided here, and nothing merged or held back.
+//! Tables as published, the tables that each proxy is assigned to, and the updates that follow from commands.
+//!
+//! Each step gives at most one update for a proxy. Nothing is merged or held back here.
 
-use crate::framing;
-use crate::message::Names;
-use runloom_controller::{ClassId, Command, ProxyId, RetryPolicy, ServerId, TableId};
-use serde::Serialize;
+use crate::update_message::{push_admission, AdmissionSettings, UpdateEncoder, UpdatePart};
+use crate::NameRegistry;
+use runloom_controller::{ClassId, Command, ProxyId, ServerId, TableId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The protocol's bound of parts in one message.
-const PARTS_MOST: usize = 64;
-/// Lines in one part: with the longest names that discovery may give, 128 bytes, and a weight beside each,
-/// some 600 KiB of the 1 MiB that a part may have.
-const ROWS_MOST: usize = 4096;
-/// Marks without an answer that are remembered on a stream. A planner sends a few messages a second, and an
-/// answer takes a second or two; past this the oldest will not be answered any more.
-const MARKS_MOST: usize = 256;
-/// Classes are a bit each.
-const CLASSES_MOST: usize = 64;
+/// Pending acknowledgements that are remembered for a stream. A planner sends a few updates a second and is answered
+/// within a second or two, so the oldest beyond this will not be acknowledged any more.
+const MAX_PENDING_ACKS: usize = 256;
 
-type Level = (Option<f64>, RetryPolicy);
+/// Updates of one step: the parts for each proxy concerned, in the order of the commands.
+pub type ProxyUpdates = BTreeMap<ProxyId, Vec<UpdatePart>>;
 
-/// A table as it was ordered.
+/// A table as published.
 #[derive(Debug, Clone, Default)]
-struct Laid {
-    lines: BTreeMap<ServerId, f64>,
-    levels: BTreeMap<ClassId, Level>,
+struct Table {
+    weights: BTreeMap<ServerId, f64>,
+    admission: BTreeMap<ClassId, AdmissionSettings>,
 }
 
-/// One part of a message: classes by bits, and what it changes for them.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct UpdatePart {
-    pub classes: u64,
-    pub replace: bool,
-    pub rows: Vec<(ServerId, f64)>,
-    pub level: Option<Level>,
-    pub drop: Vec<ServerId>,
-    pub undrop: Vec<ServerId>,
-    pub mark: Option<u16>,
+/// An update that was sent and not acknowledged.
+#[derive(Debug)]
+struct PendingAck {
+    token: u16,
+    sent_at: Duration,
 }
 
-#[derive(Serialize, Default)]
-struct ConfigMessage<'a> {
-    t: &'static str,
-    #[serde(rename = "for", skip_serializing_if = "Option::is_none")]
-    classes: Option<Vec<&'a str>>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    replace: Option<bool>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    rows: Option<Vec<(&'a str, f64)>>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    gate: Option<f64>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    again: Option<u8>,
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    drop: Vec<&'a str>,
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    undrop: Vec<&'a str>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    stamp: Option<u16>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    part: Option<bool>,
-}
-
-/// What one stream was told.
+/// The state of one proxy's stream.
 #[derive(Debug, Default)]
 struct Stream {
-    /// The table of each class, once it is bound.
-    on: Vec<Option<TableId>>,
-    /// Marks that it owes an answer to, the oldest first, and when each went out.
-    marks: VecDeque<(u16, Duration)>,
-    /// When anything last came from it.
-    heard: Duration,
-    /// When it joined, until it answers for the first time.
-    waits: Option<Duration>,
+    /// The table of each class, once assigned.
+    assigned_tables: Vec<Option<TableId>>,
+    /// Updates without an acknowledgement, the oldest first.
+    pending_acks: VecDeque<PendingAck>,
+    /// When anything was last received.
+    last_received: Duration,
+    /// When it connected; `None` after its first acknowledgement.
+    awaiting_table_since: Option<Duration>,
 }
 
-/// The tables, the streams, and what servers are shut out.
+impl Stream {
+    /// The classes for which it is assigned to a table, one bit each.
+    fn classes_on(&self, table: TableId) -> u64 {
+        let on_table = self.assigned_tables.iter().enumerate().filter(|(_, t)| **t == Some(table));
+        on_table.fold(0, |class_mask, (class, _)| class_mask | 1 << class)
+    }
+
+    /// Whether an acknowledgement is overdue and nothing else was received since it was due.
+    ///
+    /// Silence alone is no sign: a proxy without requests has nothing to report.
+    fn is_unresponsive(&self, read_until: Duration, timeout: Duration) -> bool {
+        self.pending_acks.front().is_some_and(|pending| read_until >= pending.sent_at + timeout)
+            && read_until >= self.last_received + timeout
+    }
+
+    fn push_pending_ack(&mut self, token: u16, sent_at: Duration) {
+        self.pending_acks.push_back(PendingAck { token, sent_at });
+        if self.pending_acks.len() > MAX_PENDING_ACKS {
+            self.pending_acks.pop_front();
+        }
+    }
+}
+
+/// The published tables, the connected streams, and the servers that were ejected.
 #[derive(Debug, Default)]
 pub struct TableSync {
-    tables: BTreeMap<TableId, Laid>,
-    /// Servers shut out, and those let in again since the start.
-    out: BTreeMap<ServerId, bool>,
+    tables: BTreeMap<TableId, Table>,
+    /// Servers ejected (`true`) or readmitted (`false`) since the start.
+    ejections: BTreeMap<ServerId, bool>,
     streams: BTreeMap<ProxyId, Stream>,
-    classes: usize,
-    /// How "all" is written as a level.
-    open_level: f64,
+    encoder: UpdateEncoder,
 }
 
 impl TableSync {
-    pub fn new(classes: usize, open_level: f64) -> TableSync {
-        TableSync { classes: classes.min(CLASSES_MOST), open_level, ..TableSync::default() }
-    }
-
-    fn all(&self) -> u64 {
-        if self.classes >= CLASSES_MOST {
-            u64::MAX
-        } else {
-            (1 << self.classes) - 1
-        }
+    /// No tables and no streams. `unlimited_rate` is how the wire writes "admit all".
+    pub fn new(class_count: usize, unlimited_rate: f64) -> TableSync {
+        TableSync { encoder: UpdateEncoder::new(class_count, unlimited_rate), ..TableSync::default() }
     }
 
-    /// A proxy joined: it is on none of these tables yet.
-    pub fn join(&mut self, proxy: ProxyId, now: Duration) {
-        let on = vec![None; self.classes];
-        self.streams.insert(proxy, Stream { on, marks: VecDeque::new(), heard: now, waits: Some(now) });
+    /// Adds the stream of a proxy, which is not assigned to any table yet.
+    pub fn connect(&mut self, proxy: ProxyId, now: Duration) {
+        let stream = Stream {
+            assigned_tables: vec![None; self.encoder.class_count()],
+            pending_acks: VecDeque::new(),
+            last_received: now,
+            awaiting_table_since: Some(now),
+        };
+        self.streams.insert(proxy, stream);
     }
 
-    /// How long a proxy waited for its table, once: from its joining to its first answer, which is now.
-    pub fn waited(&mut self, proxy: ProxyId, now: Duration) -> Option<Duration> {
-        let since = self.streams.get_mut(&proxy)?.waits.take()?;
-        Some(now.saturating_sub(since))
+    /// Removes the stream of a proxy.
+    pub fn disconnect(&mut self, proxy: ProxyId) {
+        self.streams.remove(&proxy);
     }
 
-    /// Something came from a proxy.
-    pub fn heard(&mut self, proxy: ProxyId, now: Duration) {
+    /// Notes that something was received from a proxy.
+    pub fn note_received(&mut self, proxy: ProxyId, now: Duration) {
         if let Some(stream) = self.streams.get_mut(&proxy) {
-            stream.heard = now;
+            stream.last_received = now;
         }
     }
 
-    /// The streams that have owed an answer for so long, and brought nothing else since it was due. Quiet
-    /// alone is no sign: a proxy without queries has nothing to say.
-    pub fn mute(&self, now: Duration, patience: Duration) -> Vec<ProxyId> {
-        let mute = |s: &Stream| {
-            s.marks.front().is_some_and(|(_, at)| now >= *at + patience) && now >= s.heard + patience
-        };
-        self.streams.iter().filter(|(_, s)| mute(s)).map(|(proxy, _)| *proxy).collect()
+    /// The time from a proxy's connecting to its first acknowledgement, which is now; `None` from then on.
+    pub fn take_table_wait(&mut self, proxy: ProxyId, now: Duration) -> Option<Duration> {
+        let since = self.streams.get_mut(&proxy)?.awaiting_table_since.take()?;
+        Some(now.saturating_sub(since))
     }
 
-    pub fn leave(&mut self, proxy: ProxyId) {
-        self.streams.remove(&proxy);
+    /// Proxies whose acknowledgement is overdue by `timeout`, all that arrived by `read_until` being read.
+    pub fn unresponsive(&self, read_until: Duration, timeout: Duration) -> Vec<ProxyId> {
+        let unresponsive =
+            self.streams.iter().filter(|(_, stream)| stream.is_unresponsive(read_until, timeout));
+        unresponsive.map(|(proxy, _)| *proxy).collect()
     }
 
-    /// Whether this mark is one that the stream owes an answer to. What was sent before it counts as
-    /// answered.
-    pub fn answered(&mut self, proxy: ProxyId, mark: u16) -> bool {
+    /// Takes an acknowledgement, which covers all updates before it; returns whether it was pending.
+    #[must_use]
+    pub fn acknowledge(&mut self, proxy: ProxyId, ack_token: u16) -> bool {
         let Some(stream) = self.streams.get_mut(&proxy) else { return false };
-        let Some(place) = stream.marks.iter().position(|(m, _)| *m == mark) else { return false };
-        stream.marks.drain(..=place);
+        let position = stream.pending_acks.iter().position(|pending| pending.token == ack_token);
+        let Some(position) = position else { return false };
+        stream.pending_acks.drain(..=position);
         true
     }
 
-    /// Whether no table has a line of this server.
-    pub fn is_clear_of(&self, server: ServerId) -> bool {
-        self.tables.values().all(|t| !t.lines.contains_key(&server))
+    /// Whether any table has an entry of this server.
+    pub fn has_entry_of(&self, server: ServerId) -> bool {
+        self.tables.values().any(|table| table.weights.contains_key(&server))
     }
 
-    /// Its index may be another's from now on.
+    /// Forgets a server whose index may be assigned again.
     pub fn release(&mut self, server: ServerId) {
-        self.out.remove(&server);
-        self.tables.values_mut().for_each(|t| _ = t.lines.remove(&server));
+        self.ejections.remove(&server);
+        self.tables.values_mut().for_each(|table| _ = table.weights.remove(&server));
     }
 
-    /// The orders of one turn as one message for each proxy concerned, its parts in the orders' sequence.
-    pub fn lay(&mut self, orders: &[Command], now: Duration) -> BTreeMap<ProxyId, Vec<UpdatePart>> {
-        let mut messages = BTreeMap::new();
-        let mut mark = None;
-        for order in orders {
-            match order {
-                Command::SetEntry { table, server, weight } if weight.is_finite() && *weight >= 0.0 => {
-                    self.line(&mut messages, *table, *server, *weight)
-                }
-                Command::ClearTable { table } => self.clear(&mut messages, *table),
-                Command::EjectServer { server, ejected: out } => self.shut(&mut messages, *server, *out),
-                Command::AssignTable { proxy, table, class_mask: classes } => {
-                    self.bind(&mut messages, *proxy, *table, *classes)
-                }
-                Command::SetAdmission { table, class, admission_rate: level, retry_policy: tries }
-                    if level.is_none_or(|l| l.is_finite() && l >= 0.0) =>
-                {
-                    self.level(&mut messages, *table, *class, (*level, *tries))
-                }
-                Command::RequestAck { ack_token: number, all_proxies: everyone } => {
-                    mark = Some((*number, *everyone))
-                }
-                _ => {}
-            }
+    /// Applies the commands of one step and returns the updates that they make.
+    pub fn apply(&mut self, commands: &[Command], now: Duration) -> ProxyUpdates {
+        let mut updates = ProxyUpdates::new();
+        for command in commands {
+            self.apply_command(&mut updates, command);
         }
-        if let Some((mark, everyone)) = mark {
-            self.mark(&mut messages, mark, everyone, now);
+        let ack_request = commands.iter().rev().find_map(|command| match command {
+            Command::RequestAck { ack_token, all_proxies } => Some((*ack_token, *all_proxies)),
+            _ => None,
+        });
+        if let Some((ack_token, all_proxies)) = ack_request {
+            self.request_ack(&mut updates, ack_token, all_proxies, now);
         }
-        messages
+        updates
     }
 
-    /// The proxies on a table, with the classes that they are on it for.
-    fn on(&self, table: TableId) -> Vec<(ProxyId, u64)> {
-        let bits = |on: &[Option<TableId>]| {
-            let here = on.iter().enumerate().filter(|(_, t)| **t == Some(table));
-            here.fold(0, |bits, (class, _)| bits | 1 << class)
-        };
-        let streams = self.streams.iter().map(|(proxy, stream)| (*proxy, bits(&stream.on)));
-        streams.filter(|(_, classes)| *classes != 0).collect()
+    fn apply_command(&mut self, updates: &mut ProxyUpdates, command: &Command) {
+        match *command {
+            Command::SetEntry { table, server, weight } if weight.is_finite() && weight >= 0.0 => {
+                self.set_entry(updates, table, server, weight);
+            }
+            Command::ClearTable { table } => self.clear_table(updates, table),
+            Command::EjectServer { server, ejected } => self.eject_server(updates, server, ejected),
+            Command::AssignTable { proxy, table, class_mask } => {
+                self.assign_table(updates, proxy, table, class_mask);
+            }
+            Command::SetAdmission { table, class, admission_rate, retry_policy }
+                if admission_rate.is_none_or(|rate| rate.is_finite() && rate >= 0.0) =>
+            {
+                let admission = AdmissionSettings { admission_rate, retry_policy };
+                self.set_admission(updates, table, class, admission);
+            }
+            _ => {}
+        }
     }
 
-    fn line(
-        &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
-        table: TableId,
-        server: ServerId,
-        weight: f64,
-    ) {
-        let lines = &mut self.tables.entry(table).or_default().lines;
+    /// The proxies assigned to a table, and the classes for which they are.
+    fn assigned_proxies(&self, table: TableId) -> Vec<(ProxyId, u64)> {
+        let proxies = self.streams.iter().map(|(proxy, stream)| (*proxy, stream.classes_on(table)));
+        proxies.filter(|(_, class_mask)| *class_mask != 0).collect()
+    }
+
+    fn set_entry(&mut self, updates: &mut ProxyUpdates, table: TableId, server: ServerId, weight: f64) {
+        let weights = &mut self.tables.entry(table).or_default().weights;
         if weight > 0.0 {
-            lines.insert(server, weight);
+            weights.insert(server, weight);
         } else {
-            lines.remove(&server);
+            weights.remove(&server);
         }
-        for (proxy, classes) in self.on(table) {
-            let parts: &mut Vec<UpdatePart> = messages.entry(proxy).or_default();
-            // Lines and levels of the same classes don't touch each other.
-            match parts.last_mut().filter(|p| p.classes == classes) {
-                Some(part) => part.rows.push((server, weight)),
-                None => {
-                    parts.push(UpdatePart { classes, rows: vec![(server, weight)], ..UpdatePart::default() })
-                }
+        for (proxy, class_mask) in self.assigned_proxies(table) {
+            let parts = updates.entry(proxy).or_default();
+            // Entries and admission settings of the same classes can share a part.
+            match parts.last_mut().filter(|part| part.class_mask == class_mask) {
+                Some(part) => part.entries.push((server, weight)),
+                None => parts.push(UpdatePart {
+                    class_mask,
+                    entries: vec![(server, weight)],
+                    ..UpdatePart::default()
+                }),
             }
         }
     }
 
-    fn clear(&mut self, messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>, table: TableId) {
+    fn clear_table(&mut self, updates: &mut ProxyUpdates, table: TableId) {
         self.tables.remove(&table);
-        for (proxy, classes) in self.on(table) {
-            messages.entry(proxy).or_default().push(UpdatePart {
-                classes,
-                replace: true,
-                ..UpdatePart::default()
-            });
+        for (proxy, class_mask) in self.assigned_proxies(table) {
+            let part = UpdatePart { class_mask, replaces_table: true, ..UpdatePart::default() };
+            updates.entry(proxy).or_default().push(part);
         }
     }
 
-    fn shut(&mut self, messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>, server: ServerId, out: bool) {
-        self.out.insert(server, out);
-        let (drop, undrop) = if out { (vec![server], vec![]) } else { (vec![], vec![server]) };
+    fn eject_server(&mut self, updates: &mut ProxyUpdates, server: ServerId, ejected: bool) {
+        self.ejections.insert(server, ejected);
+        let part = if ejected {
+            UpdatePart { ejected: vec![server], ..UpdatePart::default() }
+        } else {
+            UpdatePart { readmitted: vec![server], ..UpdatePart::default() }
+        };
         for proxy in self.streams.keys() {
-            let part = UpdatePart { drop: drop.clone(), undrop: undrop.clone(), ..UpdatePart::default() };
-            messages.entry(*proxy).or_default().push(part);
+            updates.entry(*proxy).or_default().push(part.clone());
         }
     }
 
-    fn bind(
-        &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
-        proxy: ProxyId,
-        table: TableId,
-        classes: u64,
-    ) {
-        let classes = if classes == 0 { self.all() } else { classes & self.all() };
-        let Some(stream) = self.streams.get_mut(&proxy).filter(|_| classes != 0) else { return };
-        let bound = (0..self.classes).filter(|class| classes >> class & 1 == 1);
-        bound.for_each(|class| stream.on[class] = Some(table));
-        let laid = self.tables.entry(table).or_default();
-        let rows: Vec<(ServerId, f64)> = laid.lines.iter().map(|(s, w)| (*s, *w)).collect();
-        // A proxy brings what an earlier stream shut out: what is owed to it is what this planner last said
-        // of each.
-        let (out, back): (Vec<_>, Vec<_>) = self.out.iter().partition(|(_, out)| **out);
-        let drop = out.into_iter().map(|(s, _)| *s).filter(|s| laid.lines.contains_key(s)).collect();
-        let undrop = back.into_iter().map(|(s, _)| *s).collect();
-        let parts = messages.entry(proxy).or_default();
-        parts.push(UpdatePart { classes, replace: true, rows, drop, undrop, ..UpdatePart::default() });
-        // The whole table made proxies forget the levels.
-        let levels = laid.levels.iter().filter(|(class, _)| classes >> **class & 1 == 1);
-        levels.for_each(|(class, level)| add_level(parts, 1 << class, *level));
+    fn assign_table(&mut self, updates: &mut ProxyUpdates, proxy: ProxyId, table: TableId, class_mask: u64) {
+        let all_classes = self.encoder.all_classes();
+        let class_mask = if class_mask == 0 { all_classes } else { class_mask & all_classes };
+        let Some(stream) = self.streams.get_mut(&proxy).filter(|_| class_mask != 0) else { return };
+        for class in self.encoder.classes_in(class_mask) {
+            stream.assigned_tables[class] = Some(table);
+        }
+        let table = self.tables.entry(table).or_default();
+        // A proxy keeps ejections across streams: it needs the newest state of each server.
+        let ejected = self
+            .ejections
+            .iter()
+            .filter(|(server, is_ejected)| **is_ejected && table.weights.contains_key(server));
+        let readmitted = self.ejections.iter().filter(|(_, is_ejected)| !**is_ejected);
+        let parts = updates.entry(proxy).or_default();
+        parts.push(UpdatePart {
+            class_mask,
+            replaces_table: true,
+            entries: table.weights.iter().map(|(server, weight)| (*server, *weight)).collect(),
+            ejected: ejected.map(|(server, _)| *server).collect(),
+            readmitted: readmitted.map(|(server, _)| *server).collect(),
+            ..UpdatePart::default()
+        });
+        // A proxy forgets its admission settings when its table is replaced.
+        for (class, admission) in table.admission.iter().filter(|(class, _)| class_mask >> **class & 1 == 1) {
+            push_admission(parts, 1 << class, *admission);
+        }
     }
 
-    fn level(
+    fn set_admission(
         &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
+        updates: &mut ProxyUpdates,
         table: TableId,
         class: ClassId,
-        level: Level,
+        admission: AdmissionSettings,
     ) {
-        if class >= self.classes {
+        if class >= self.encoder.class_count() {
             return;
         }
-        self.tables.entry(table).or_default().levels.insert(class, level);
-        for (proxy, classes) in self.on(table) {
-            if classes >> class & 1 == 1 {
-                add_level(messages.entry(proxy).or_default(), 1 << class, level);
+        self.tables.entry(table).or_default().admission.insert(class, admission);
+        for (proxy, class_mask) in self.assigned_proxies(table) {
+            if class_mask >> class & 1 == 1 {
+                push_admission(updates.entry(proxy).or_default(), 1 << class, admission);
             }
         }
     }
 
-    fn mark(
-        &mut self,
-        messages: &mut BTreeMap<ProxyId, Vec<UpdatePart>>,
-        mark: u16,
-        everyone: bool,
-        now: Duration,
-    ) {
-        if everyone {
-            self.streams.keys().for_each(|proxy| _ = messages.entry(*proxy).or_default());
+    /// Asks the proxies that get an update, or all of them, to acknowledge it.
+    fn request_ack(&mut self, updates: &mut ProxyUpdates, ack_token: u16, all_proxies: bool, now: Duration) {
+        if all_proxies {
+            self.streams.keys().for_each(|proxy| _ = updates.entry(*proxy).or_default());
         }
-        for (proxy, parts) in messages.iter_mut() {
+        for (proxy, parts) in updates.iter_mut() {
             match parts.last_mut() {
-                Some(part) => part.mark = Some(mark),
-                None => parts.push(UpdatePart { mark: Some(mark), ..UpdatePart::default() }),
+                Some(part) => part.ack_token = Some(ack_token),
+                None => parts.push(UpdatePart { ack_token: Some(ack_token), ..UpdatePart::default() }),
             }
             if let Some(stream) = self.streams.get_mut(proxy) {
-                stream.marks.push_back((mark, now));
-                if stream.marks.len() > MARKS_MOST {
-                    stream.marks.pop_front();
-                }
+                stream.push_pending_ack(ack_token, now);
             }
         }
     }
 
-    /// The bytes of a message. A server whose name is not known any more is left out, as is what goes past
-    /// the parts that a message may have: a planner's orders come nowhere near either.
-    pub fn write(&self, parts: &[UpdatePart], names: &Names) -> Vec<u8> {
-        let mut out = Vec::new();
-        let pieces: Vec<UpdateChunk> = parts.iter().flat_map(pieces).take(PARTS_MOST).collect();
-        for (k, piece) in pieces.iter().enumerate() {
-            let written = self.written(piece, k + 1 < pieces.len(), names);
-            // Strings and finite numbers always have a form.
-            framing::write(&mut out, &serde_json::to_vec(&written).unwrap_or_default());
-        }
-        out
-    }
-
-    fn written<'a>(&self, piece: &UpdateChunk, more: bool, names: &'a Names) -> ConfigMessage<'a> {
-        let UpdateChunk { part, rows, first, last } = *piece;
-        let server = |s: &ServerId| names.servers.name(*s).map(String::as_str);
-        let level = part.level.filter(|_| last);
-        let whole = part.classes == 0 || part.classes == self.all();
-        let classes = (0..self.classes).filter(|class| part.classes >> class & 1 == 1);
-        let classes = classes.filter_map(|class| names.classes.name(class).map(String::as_str));
-        let named = rows.iter().filter_map(|(s, w)| Some((server(s)?, *w)));
-        let on_last = |servers: &[ServerId]| servers.iter().filter(|_| last).filter_map(server).collect();
-        ConfigMessage {
-            t: "CONFIG",
-            classes: (!whole).then(|| classes.collect()),
-            replace: (part.replace && first).then_some(true),
-            rows: (part.replace || !rows.is_empty()).then(|| named.collect()),
-            gate: level.map(|(level, _)| level.unwrap_or(self.open_level)),
-            again: level.map(|(_, tries)| tries as u8),
-            drop: on_last(&part.drop),
-            undrop: on_last(&part.undrop),
-            stamp: part.mark.filter(|_| last),
-            part: more.then_some(true),
-        }
-    }
-}
-
-/// What of a part goes into one: its lines in pieces, where there are too many; the whole table's word with
-/// the first, all else with the last.
-struct UpdateChunk<'a> {
-    part: &'a UpdatePart,
-    rows: &'a [(ServerId, f64)],
-    first: bool,
-    last: bool,
-}
-
-fn pieces(part: &UpdatePart) -> impl Iterator<Item = UpdateChunk<'_>> {
-    let count = part.rows.len().div_ceil(ROWS_MOST).max(1);
-    (0..count).map(move |k| {
-        let rows = &part.rows[k * ROWS_MOST..part.rows.len().min((k + 1) * ROWS_MOST)];
-        UpdateChunk { part, rows, first: k == 0, last: k + 1 == count }
-    })
-}
-
-/// Adds a level for some classes: with the same level's part where that has nothing else, or a part of its
-/// own.
-fn add_level(parts: &mut Vec<UpdatePart>, classes: u64, level: Level) {
-    let bare =
-        |p: &&mut UpdatePart| !p.replace && p.rows.is_empty() && p.drop.is_empty() && p.undrop.is_empty();
-    match parts.last_mut().filter(|p| p.level == Some(level)).filter(bare) {
-        Some(part) => part.classes |= classes,
-        None => parts.push(UpdatePart { classes, level: Some(level), ..UpdatePart::default() }),
+    /// The frames of an update.
+    pub fn encode(&self, parts: &[UpdatePart], names: &NameRegistry) -> Vec<u8> {
+        self.encoder.encode(parts, names)
     }
 }
--- /dev/null
+++ b/crates/platform-protocol/src/tests/health_check.rs
@@ -0,0 +1,48 @@
+//! Responses to health checks and lost connections.
+
+use super::*;
+
+#[test]
+fn each_response_gives_its_result() {
+    let fields = ["q".to_string(), "lat_ms".to_string()];
+    let outcome_of = |text: &str| HealthCheckResponse::default().push(text.as_bytes(), &fields);
+    let result_of = |text: &str| outcome_of(text).map(|outcome| outcome.result);
+    let body = r#"{"queue":2,"latency_ms":61}"#;
+    let complete = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    assert_eq!(
+        outcome_of(&complete),
+        Some(HealthCheckOutcome { result: HealthCheckResult::Success, load: vec![2.0, 61.0] })
+    );
+    assert_eq!(outcome_of(&complete[..complete.len() - 1]), None);
+    assert_eq!(result_of("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), Some(HealthCheckResult::Success));
+    assert_eq!(result_of("HTTP/1.1 503 No\r\n\r\n"), Some(HealthCheckResult::Rejected));
+    assert_eq!(result_of("HTTP/1.1 500 No\r\n\r\n"), Some(HealthCheckResult::ErrorResponse));
+    assert_eq!(result_of("220 mail ready\r\n"), Some(HealthCheckResult::ErrorResponse));
+    assert_eq!(
+        result_of(&format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(9000))),
+        Some(HealthCheckResult::ErrorResponse)
+    );
+}
+
+#[test]
+fn a_health_check_fails_after_its_second_lost_connection() {
+    let fields = ["q".to_string()];
+    let mut check = HealthCheck::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
+    assert_eq!(check.timeout_outcome().result, HealthCheckResult::ConnectionFailed);
+    check.is_connected = true;
+    assert_eq!(check.timeout_outcome().result, HealthCheckResult::Timeout);
+    assert_eq!((check.handle_closed(), check.is_connected), (None, false));
+    assert_eq!(
+        check.handle_closed().map(|outcome| outcome.result),
+        Some(HealthCheckResult::ConnectionFailed)
+    );
+    // Nothing received on the first connection is part of the response on the second.
+    let mut interrupted = HealthCheck::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
+    assert_eq!(interrupted.handle_bytes(b"HTTP/1.1 2", &fields), None);
+    assert_eq!((interrupted.handle_closed(), interrupted.is_connected), (None, false));
+    assert_eq!(interrupted.handle_bytes(b"HTTP/1.1 200 OK\r\nContent-Le", &fields), None);
+    assert_eq!(
+        interrupted.handle_closed().map(|outcome| outcome.result),
+        Some(HealthCheckResult::ConnectionFailed)
+    );
+}
--- /dev/null
+++ b/crates/platform-protocol/src/tests/untrusted_input.rs
@@ -0,0 +1,196 @@
+//! Settings, lists and messages of which any part may be missing or invalid.
+
+use super::*;
+
+/// All settings that the controller reads, with values of an ordinary deployment.
+fn full_settings() -> Value {
+    let class = |name: &str, aim: f64, limit: f64, credit: f64, repeat: &str| {
+        json!({"name": name, "aimS": aim, "hardLimitS": limit, "credit": credit, "lateWorth": 0.1,
+            "repeat": repeat, "group": "all", "windowS": 5.0})
+    };
+    json!({"balancers": 2, "selfIndex": 0, "tickS": 0.002, "registryMode": "automatic", "weightSource": "rough",
+        "classes": [class("lookup", 0.5, 2.0, 1.0, "repeatable"), class("order", 0.7, 2.5, 3.0, "once")],
+        "familyInfo": {"backlog": 4000.0, "channelRate": 2000.0, "overhead": 4.0, "proxies": 20,
+            "levelKind": "rps", "reloadsMax": 12, "messagesOverS": 10.0, "transitS": 0.3, "lateMostS": 0.9,
+            "unservedMaxS": 2.5, "choice": "pair", "localFirst": true, "ranges": 0, "retryDefault": 1,
+            "homeOnly": [false, true], "classWrites": [false, true], "hearsPerS": 60.0, "periodS": 1.0},
+        "limits": {"probing": true, "peers": false},
+        "rules": {"drainGraceS": 2.0, "coldFrom": 0.3, "warmAfterS": 5.0, "fallMultiple": 4.0, "fallS": 2.0},
+        "stats": {"fields": ["rif", "busy", "lat_ms"], "how": "answers"}, "zones": ["a", "b"], "myZone": "a"})
+}
+
+/// The JSON pointers of all values inside.
+fn value_paths(value: &Value, at: String, found: &mut Vec<String>) {
+    found.push(at.clone());
+    match value {
+        Value::Object(map) => map.iter().for_each(|(key, v)| value_paths(v, format!("{at}/{key}"), found)),
+        Value::Array(list) => {
+            list.iter().enumerate().for_each(|(k, v)| value_paths(v, format!("{at}/{k}"), found))
+        }
+        _ => {}
+    }
+}
+
+/// Values that a deployment would not have, including the ends of every range.
+fn unusual_value() -> impl Strategy<Value = Value> {
+    let ends = [0.0, -0.0, -1.0, 1e-9, 0.5, 63.0, 64.0, 65.0, 1e6, 1e19, 1e300, -1e300, f64::MIN_POSITIVE];
+    let lists = vec![json!([]), json!({}), json!([null, -1]), json!(vec![json!({"name": "x"}); 70])];
+    prop_oneof![
+        3 => prop::sample::select(ends.to_vec()).prop_map(|n| json!(n)),
+        1 => prop::sample::select(lists),
+        1 => any_json(),
+        1 => Just(json!("pace")),
+    ]
+}
+
+/// Runs a short scenario and returns the number of tables sent: lists with drains and new servers, connections,
+/// reports, health checks, some acknowledgements.
+fn run_scenario(settings: Value) -> usize {
+    let mut bootstrap = bootstrap();
+    bootstrap.settings = settings;
+    let mut platform = Platform::new(&bootstrap, EPOCH, 100);
+    let mut tables = 0;
+    for k in 0u64..40 {
+        let now = START + ms(400 * k);
+        match k {
+            2..=6 => {
+                platform.handle_opened(k as ConnectionId, now);
+                platform.handle_bytes(k as ConnectionId, &framed(&[connect_message(k)]), now);
+            }
+            9 => platform.handle_closed(3),
+            12 => platform
+                .handle_list_line(
+                    &list(44, false, &[member("s-1", "DRAINING"), member("s-9", "SERVING")]),
+                    now,
+                )
+                .unwrap(),
+            15 => platform
+                .handle_list_line(&list(45, true, &[member("s-2", "SERVING"), member("s-9", "SERVING")]), now)
+                .unwrap(),
+            1 => {
+                platform.handle_opened(100, now);
+                platform.handle_bytes(100, &framed(&[json!({"t": "SOURCE", "site": "a"})]), now);
+            }
+            _ => {
+                let report = |target: &str, fail: u64| {
+                    json!({"t": "LOAD", "site": "a", "target": target, "count": 30, "fail": fail, "mean": 900.0,
+                        "over": 1000.0, "util": {"inflight": 3, "util": 0.9, "latency_ms": 80.0}})
+                };
+                let usage = json!({"t": "RATE", "id": 2, "lane": "lookup", "count": 50, "fail": 4,
+                    "over": 1000.0});
+                platform.handle_bytes(
+                    100,
+                    &framed(&[report("s-1", 5), report("s-2", k.min(30)), usage]),
+                    now,
+                );
+            }
+        }
+        for action in platform.step_at(now) {
+            match action {
+                Action::CheckHealth { ticket, .. } => {
+                    let found = [
+                        HealthCheckResult::Success,
+                        HealthCheckResult::Timeout,
+                        HealthCheckResult::ConnectionFailed,
+                    ][ticket as usize % 3];
+                    platform.handle_health_check(ticket, found.into(), ms(3));
+                }
+                Action::Write { conn, bytes } => {
+                    for update in unframed(&bytes) {
+                        tables += usize::from(update["replace"] == json!(true));
+                        let ack = json!({"t": "ACK", "id": conn, "seq": update["stamp"], "ms": 5.0});
+                        if update["stamp"].is_u64() && conn != 4 {
+                            platform.handle_bytes(conn, &framed(&[ack]), now);
+                        }
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+    tables
+}
+
+#[test]
+fn a_scenario_under_ordinary_settings_gives_each_proxy_a_table() {
+    assert!(run_scenario(full_settings()) >= 5);
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(400))]
+
+    /// One or two values of the settings are arbitrary.
+    #[test]
+    fn arbitrary_settings_never_panic(changes in prop::collection::vec((any::<prop::sample::Index>(), unusual_value()), 1..3)) {
+        let mut settings = full_settings();
+        for (index, value) in changes {
+            let mut found = Vec::new();
+            value_paths(&settings, String::new(), &mut found);
+            let place = &found[index.index(found.len())];
+            *settings.pointer_mut(place).unwrap() = value;
+        }
+        run_scenario(settings);
+    }
+}
+
+#[test]
+fn a_number_beyond_range_makes_its_message_malformed_and_keeps_the_connection() {
+    let mut platform = platform();
+    connect(&mut platform, 1, 7, START);
+    let mut bytes = Vec::new();
+    // One field must not end the stream.
+    write_frame(&mut bytes, br#"{"t":"RATE","id":7,"lane":"lookup","count":1e999,"fail":0,"over":9.0}"#);
+    bytes.extend(framed(&[
+        json!({"t": "RATE", "id": 7, "lane": "lookup", "count": 1, "fail": 0, "over": 9.0}),
+    ]));
+    platform.handle_bytes(1, &bytes, START);
+    assert!(matches!(platform.events[..], [Event::ArrivalReport { proxy: 7, requests: 1, .. }]));
+    assert_eq!((platform.counters.malformed, platform.counters.rejected), (1, 0));
+    // A body that is no JSON object still ends it, with such a number inside or not.
+    for body in [&b"{\"t\":1e999,}"[..], b"{\"t\":\"\xff\"}", b"[1e999]"] {
+        let mut reader = FrameReader::new(MAX_MESSAGE_BYTES);
+        let mut bytes = Vec::new();
+        write_frame(&mut bytes, body);
+        reader.push(&bytes);
+        assert_eq!(reader.next_message(), Err(FrameError::InvalidBody));
+    }
+}
+
+#[test]
+fn an_unreadable_list_line_is_retried_and_then_skipped() {
+    let mut platform = platform();
+    for _ in 0..3 {
+        assert!(platform.handle_list_line(b"{\"revision\": 41, \"compl", START).is_err());
+    }
+    // After the last retry the line is skipped.
+    platform.handle_list_line(b"{\"revision\": 41, \"compl", START).unwrap();
+    platform.handle_list_line(&list(42, false, &[member("s-2", "DRAINING")]), START).unwrap();
+    assert_eq!((platform.list_revision(), platform.list.malformed), (42, 4));
+    // The next unreadable line is retried again.
+    assert!(platform.handle_list_line(b"nothing", START).is_err());
+}
+
+#[test]
+fn a_malformed_entry_of_a_complete_list_leaves_its_server_unchanged() {
+    let mut platform = platform();
+    let malformed = json!({"id": "s-2", "host_port": "127.0.0.1:9", "phase": 3});
+    let unknown = json!({"id": "s-8", "phase": "ASLEEP"});
+    platform.handle_list_line(&list(41, false, &[member("s-3", "DRAINING")]), START).unwrap();
+    let complete = [member("s-1", "SERVING"), malformed, json!({"id": "s-3"}), unknown];
+    platform.handle_list_line(&list(42, true, &complete), START).unwrap();
+    let Some(Event::EndpointsListed { update, records }) = platform.list_events.last() else {
+        panic!("no list")
+    };
+    let states: Vec<ListedState> = records.iter().map(|record| record.state).collect();
+    // One malformed field must not remove healthy servers from all tables at once.
+    assert_eq!(
+        (*update, states),
+        (EndpointUpdate::Snapshot, vec![ListedState::Ready, ListedState::Ready, ListedState::Draining])
+    );
+    assert_eq!(platform.list.malformed, 3);
+    // A server that a complete list leaves out is gone, and a malformed entry does not restore it.
+    platform.handle_list_line(&list(43, true, &[member("s-1", "SERVING")]), START).unwrap();
+    platform.handle_list_line(&list(44, true, &complete), START).unwrap();
+    let Some(Event::EndpointsListed { records, .. }) = platform.list_events.last() else { panic!("no list") };
+    assert_eq!(records.len(), 1);
+}
--- /dev/null
+++ b/crates/platform-protocol/src/watch_reader.rs
@@ -0,0 +1,156 @@
+//! Reads a response of discovery (HTTP/1.1, chunked or not) as lines.
+
+use std::fmt;
+use std::ops::Range;
+
+/// A response head is a few hundred bytes.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// A line takes some hundred bytes for each server.
+const MAX_LINE_BYTES: usize = 1 << 20;
+/// A chunk's size and its extensions.
+const MAX_CHUNK_HEADER_BYTES: usize = 64;
+/// Headers of a response that are parsed.
+const MAX_HEADERS: usize = 32;
+const LINE_END: &[u8] = b"\r\n";
+
+/// A watch, or a line of it, that cannot be read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct UnreadableWatch;
+
+impl fmt::Display for UnreadableWatch {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("the endpoint watch cannot be read")
+    }
+}
+
+impl std::error::Error for UnreadableWatch {}
+
+/// What comes next in the response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum State {
+    Head,
+    ChunkSize,
+    /// So many bytes of a chunk are to come.
+    ChunkData(usize),
+    /// The line end behind a chunk.
+    ChunkEnd,
+    /// A body without chunks.
+    PlainBody,
+    Complete,
+}
+
+/// What one parsing step takes from the input.
+struct Progress {
+    /// Bytes consumed.
+    consumed: usize,
+    /// What comes next.
+    next: State,
+    /// Which of the bytes belong to lines.
+    data: Range<usize>,
+}
+
+impl Progress {
+    fn without_data(consumed: usize, next: State) -> Progress {
+        Progress { consumed, next, data: 0..0 }
+    }
+}
+
+/// Splits one response into lines, wherever its bytes are cut.
+#[derive(Debug)]
+pub struct WatchReader {
+    state: State,
+    input: Vec<u8>,
+    line: Vec<u8>,
+}
+
+impl Default for WatchReader {
+    fn default() -> Self {
+        WatchReader { state: State::Head, input: Vec::new(), line: Vec::new() }
+    }
+}
+
+impl WatchReader {
+    /// Appends received bytes and returns the lines that they complete, empty ones too.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, UnreadableWatch> {
+        self.input.extend_from_slice(bytes);
+        let mut lines = Vec::new();
+        let mut consumed = 0;
+        while let Some(progress) = self.parse(&self.input[consumed..])? {
+            for segment in self.input[consumed..][progress.data].split_inclusive(|byte| *byte == b'\n') {
+                self.line.extend_from_slice(segment);
+                if self.line.last() == Some(&b'\n') {
+                    lines.push(std::mem::take(&mut self.line));
+                }
+            }
+            if self.line.len() > MAX_LINE_BYTES {
+                return Err(UnreadableWatch);
+            }
+            consumed += progress.consumed;
+            self.state = progress.next;
+        }
+        self.input.drain(..consumed);
+        Ok(lines)
+    }
+
+    /// Whether the response has ended.
+    pub fn is_complete(&self) -> bool {
+        self.state == State::Complete
+    }
+
+    /// One parsing step; `None` where more bytes are needed.
+    fn parse(&self, rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
+        match self.state {
+            State::Head => parse_head(rest),
+            State::Complete => Ok(None),
+            _ if rest.is_empty() => Ok(None),
+            State::ChunkSize => parse_chunk_size(rest),
+            State::ChunkData(size) => {
+                let consumed = size.min(rest.len());
+                let next = if consumed == size { State::ChunkEnd } else { State::ChunkData(size - consumed) };
+                Ok(Some(Progress { consumed, next, data: 0..consumed }))
+            }
+            State::ChunkEnd if rest.len() < LINE_END.len() => Ok(None),
+            State::ChunkEnd if rest.starts_with(LINE_END) => {
+                Ok(Some(Progress::without_data(LINE_END.len(), State::ChunkSize)))
+            }
+            State::ChunkEnd => Err(UnreadableWatch),
+            State::PlainBody => {
+                Ok(Some(Progress { consumed: rest.len(), next: State::PlainBody, data: 0..rest.len() }))
+            }
+        }
+    }
+}
+
+fn parse_head(rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    match response.parse(rest).map_err(|_| UnreadableWatch)? {
+        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => Err(UnreadableWatch),
+        httparse::Status::Partial => Ok(None),
+        httparse::Status::Complete(_) if response.code != Some(200) => Err(UnreadableWatch),
+        httparse::Status::Complete(consumed) => {
+            let next = if is_chunked(response.headers) { State::ChunkSize } else { State::PlainBody };
+            Ok(Some(Progress::without_data(consumed, next)))
+        }
+    }
+}
+
+fn is_chunked(headers: &[httparse::Header]) -> bool {
+    headers.iter().any(|header| {
+        header.name.eq_ignore_ascii_case("transfer-encoding") && header.value.eq_ignore_ascii_case(b"chunked")
+    })
+}
+
+fn parse_chunk_size(rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
+    match httparse::parse_chunk_size(rest).map_err(|_| UnreadableWatch)? {
+        httparse::Status::Partial if rest.len() > MAX_CHUNK_HEADER_BYTES => Err(UnreadableWatch),
+        httparse::Status::Partial => Ok(None),
+        httparse::Status::Complete((consumed, 0)) => {
+            Ok(Some(Progress::without_data(consumed, State::Complete)))
+        }
+        httparse::Status::Complete((_, size)) if size > MAX_LINE_BYTES as u64 => Err(UnreadableWatch),
+        httparse::Status::Complete((consumed, size)) => {
+            Ok(Some(Progress::without_data(consumed, State::ChunkData(size as usize))))
+        }
+    }
+}
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -1,10 +1,10 @@
-//! The platform core's bytes for a scripted session, as they were before the code was renamed: joins, tables,
-//! acknowledgements, a reload of the list, reports, probes, silence and input that makes no sense.
+//! Snapshot of the platform core's bytes for a scripted session: connecting proxies, tables, acknowledgements, a
+//! complete list, reports, health checks, silence and malformed input.
 //!
-//! `UPDATE_SNAPSHOTS=1` writes the snapshot anew.
+//! `UPDATE_SNAPSHOTS=1` rewrites the snapshot.
 
 use runloom_controller::HealthCheckResult;
-use runloom_platform_protocol::bootstrap::{BootstrapConfig, Told};
+use runloom_platform_protocol::bootstrap::{BootstrapConfig, EnvironmentDefaults};
 use runloom_platform_protocol::health_check::HealthCheckOutcome;
 use runloom_platform_protocol::{Action, Platform};
 use serde_json::{json, Value};
@@ -44,11 +44,14 @@
     let known = json!({"revision": 40, "complete": true, "members": members});
     let text = json!({"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f",
         "limits": {"sockets": 256, "memory_mb": 32}, "known": known, "settings": settings(level_kind)});
-    Platform::new(&BootstrapConfig::read(&text.to_string(), Told::default()).unwrap(), EPOCH_MS, 100)
+    Platform::new(
+        &BootstrapConfig::parse(&text.to_string(), EnvironmentDefaults::default()).unwrap(),
+        EPOCH_MS,
+        100,
+    )
 }
 
-/// A message behind its length, four bytes with the least first: made here by hand, so that a fault in the core's
-/// own writer shows.
+/// A frame, made here by hand so that a fault in the core's own writer shows.
 fn framed(message: &Value) -> Vec<u8> {
     let body = message.to_string().into_bytes();
     let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
@@ -76,72 +79,76 @@
 
 fn drive(platform: &mut Platform, step: u64, now: Duration) {
     match step {
-        1 => platform.opened(COLLECTOR, now),
-        2 => platform.bytes(COLLECTOR, &framed(&json!({"t": "SOURCE", "site": "a"})), now),
+        1 => platform.handle_opened(COLLECTOR, now),
+        2 => platform.handle_bytes(COLLECTOR, &framed(&json!({"t": "SOURCE", "site": "a"})), now),
         4..=11 => {
             let conn = step as usize;
-            platform.opened(conn, now);
-            let joining =
+            platform.handle_opened(conn, now);
+            let connect =
                 json!({"t": "SUBSCRIBE", "id": step, "site": "a", "rps": 20.0, "new": step % 2 == 0});
-            platform.bytes(conn, &framed(&joining), now);
+            platform.handle_bytes(conn, &framed(&connect), now);
         }
-        // Spoilt input: not JSON, a field out of range, an unknown kind, an order from nowhere.
-        20 => platform.opened(50, now),
-        21 => platform.bytes(50, b"\0\0\0\x04nope", now),
-        22 => platform.bytes(5, &framed(&json!({"t": "RATE", "id": 5, "lane": "none", "count": -1})), now),
-        23 => platform.bytes(6, &framed(&json!({"t": "ACK", "id": 6, "seq": 70_000, "ms": 1.0})), now),
-        24 => platform.bytes(7, &framed(&json!({"t": "PING"})), now),
+        // Malformed input: not JSON, a field out of range, an unknown class, a token out of range.
+        20 => platform.handle_opened(50, now),
+        21 => platform.handle_bytes(50, b"\0\0\0\x04nope", now),
+        22 => platform.handle_bytes(
+            5,
+            &framed(&json!({"t": "RATE", "id": 5, "lane": "none", "count": -1})),
+            now,
+        ),
+        23 => platform.handle_bytes(6, &framed(&json!({"t": "ACK", "id": 6, "seq": 70_000, "ms": 1.0})), now),
+        24 => platform.handle_bytes(7, &framed(&json!({"t": "PING"})), now),
         30 => platform
-            .line(&list(41, false, &[member(3, "DRAINING", 0), member(9, "SERVING", 0)]), now)
+            .handle_list_line(&list(41, false, &[member(3, "DRAINING", 0), member(9, "SERVING", 0)]), now)
             .unwrap(),
-        31 => platform.line(b"", now).unwrap(),
-        32 => _ = platform.line(b"{\"revision\": oops", now),
-        // A reload: the whole list under another version, without one of its servers.
+        31 => platform.handle_list_line(b"", now).unwrap(),
+        32 => _ = platform.handle_list_line(b"{\"revision\": oops", now),
+        // The complete list under another revision, without one of its servers.
         60 => {
             let members: Vec<Value> =
                 [0, 1, 2, 4, 5, 6, 9].iter().map(|id| member(*id, "SERVING", 0)).collect();
-            platform.line(&list(45, true, &members), now).unwrap();
+            platform.handle_list_line(&list(45, true, &members), now).unwrap();
         }
-        70 => platform.closed(6),
-        // A proxy comes again while its old stream still stands.
+        70 => platform.handle_closed(6),
+        // A proxy connects again while its old stream is still open.
         74 => {
-            platform.opened(60, now);
-            let joining = json!({"t": "SUBSCRIBE", "id": 7, "site": "b", "rps": 5.0, "new": false});
-            platform.bytes(60, &framed(&joining), now);
+            platform.handle_opened(60, now);
+            let connect = json!({"t": "SUBSCRIBE", "id": 7, "site": "b", "rps": 5.0, "new": false});
+            platform.handle_bytes(60, &framed(&connect), now);
         }
         300 => {
             let restarted = EPOCH_MS + START_MS + 70_000;
-            platform.line(&list(46, false, &[member(3, "SERVING", restarted)]), now).unwrap();
+            platform.handle_list_line(&list(46, false, &[member(3, "SERVING", restarted)]), now).unwrap();
         }
         _ => {}
     }
     if step > 12 && step % 4 == 0 {
-        (0..8).for_each(|id| platform.bytes(COLLECTOR, &framed(&report(id, step)), now));
+        (0..8).for_each(|id| platform.handle_bytes(COLLECTOR, &framed(&report(id, step)), now));
         let load = if (200..260).contains(&step) { 150 } else { 30 };
         for proxy in [4, 5, 8, 9] {
             let rate = json!({"t": "RATE", "id": proxy, "lane": CLASSES[(step / 4 % 2) as usize],
                 "count": load, "fail": 1, "over": 1000.0});
-            platform.bytes(proxy, &framed(&rate), now);
+            platform.handle_bytes(proxy, &framed(&rate), now);
         }
     }
 }
 
-/// Ends probes and acknowledges messages, but for the proxy that falls silent.
-fn answer(platform: &mut Platform, deeds: &[Action], step: u64, now: Duration) {
-    for deed in deeds {
-        match deed {
-            Action::Probe { ticket, .. } => {
-                let endings = [
+/// Ends health checks and acknowledges updates, but for the proxy that falls silent.
+fn answer(platform: &mut Platform, actions: &[Action], step: u64, now: Duration) {
+    for action in actions {
+        match action {
+            Action::CheckHealth { ticket, .. } => {
+                let results = [
                     HealthCheckResult::Success,
                     HealthCheckResult::Success,
                     HealthCheckResult::Timeout,
                     HealthCheckResult::ConnectionFailed,
                     HealthCheckResult::ErrorResponse,
                 ];
-                let found = endings[*ticket as usize % endings.len()];
-                platform.probed(
+                let result = results[*ticket as usize % results.len()];
+                platform.handle_health_check(
                     *ticket,
-                    HealthCheckOutcome { found, load: vec![0.3, 40.0] },
+                    HealthCheckOutcome { result, load: vec![0.3, 40.0] },
                     Duration::from_millis(3),
                 );
             }
@@ -149,7 +156,7 @@
                 let proxy = if *conn == 60 { 7 } else { *conn };
                 for message in unframed(bytes).into_iter().filter(|message| message["stamp"].is_u64()) {
                     let ack = json!({"t": "ACK", "id": proxy, "seq": message["stamp"], "ms": 5.0});
-                    platform.bytes(*conn, &framed(&ack), now);
+                    platform.handle_bytes(*conn, &framed(&ack), now);
                 }
             }
             _ => {}
@@ -163,25 +170,25 @@
     for step in 0..STEPS {
         let now = Duration::from_millis(START_MS + step * STEP_MS);
         drive(&mut platform, step, now);
-        let deeds = platform.turn(now, now);
-        for deed in &deeds {
-            match deed {
+        let actions = platform.step(now, now);
+        for action in &actions {
+            match action {
                 Action::Write { conn, bytes } => {
                     writeln!(seen, "{step} write {conn} {}", bytes.escape_ascii())
                 }
                 Action::Close { conn } => writeln!(seen, "{step} close {conn}"),
-                Action::Probe { ticket, to } => writeln!(seen, "{step} probe {ticket} {to}"),
+                Action::CheckHealth { ticket, address } => writeln!(seen, "{step} probe {ticket} {address}"),
                 Action::Log { text } => writeln!(seen, "{step} log {text}"),
             }
             .unwrap();
         }
-        answer(&mut platform, &deeds, step, now);
+        answer(&mut platform, &actions, step, now);
     }
     seen
 }
 
 #[test]
-fn bytes_of_the_scripted_session_are_as_they_were() {
+fn bytes_of_the_scripted_session_match_the_snapshot() {
     let seen = session("none") + &session("rps");
     if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
         std::fs::write(SNAPSHOT, &seen).unwrap();
