--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -15,10 +15,13 @@
 use runloom_netconf::service::{Access, Change, EditLookup, Host, Limits, Service, CAPABILITIES};
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
-use runloom_proxy::published;
-use runloom_proxy::query::{AttemptOutcome, Refusal, Step};
-use runloom_proxy::tables::{HeldTables, SelectionMethod};
-use runloom_proxy::{Proxy, ProxyConfig, RequestId};
+use runloom_proxy::balancer::SelectionMethod;
+use runloom_proxy::circuit_breaker::CircuitBreakerConfig;
+use runloom_proxy::published_tables;
+use runloom_proxy::route_tables::TableError;
+use runloom_proxy::{
+    AttemptOutcome, Proxy, ProxyConfig, RejectionReason, RequestAction, RequestId, RouteTables,
+};
 use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader as Published};
 use runloom_versioned_publisher::{Topic, UpdatePart, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,13 +54,13 @@
 /// The datastore that a planner edits: checked and taken whole.
 struct Store {
     data: Arc<Element>,
-    held: Option<HeldTables>,
+    held: Option<RouteTables>,
     about: Element,
     edits: u64,
 }
 
-fn held_of(data: &Element) -> Result<HeldTables, String> {
-    data.child("tables").map_or_else(|| Ok(HeldTables::default()), HeldTables::read)
+fn held_of(data: &Element) -> Result<RouteTables, TableError> {
+    data.child("tables").map_or_else(|| Ok(RouteTables::default()), RouteTables::read)
 }
 
 impl Host for Store {
@@ -70,12 +73,14 @@
     }
 
     fn check(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
-        let error = |why| vec![RpcError::application(Tag::InvalidValue, why).at("/tables")];
+        let error =
+            |why: TableError| vec![RpcError::application(Tag::InvalidValue, why.to_string()).at("/tables")];
         held_of(wanted).map(|_| ()).map_err(error)
     }
 
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        let error = |why| vec![RpcError::application(Tag::InvalidValue, why).at("/tables")];
+        let error =
+            |why: TableError| vec![RpcError::application(Tag::InvalidValue, why.to_string()).at("/tables")];
         self.held = Some(held_of(change.wanted).map_err(error)?);
         self.data = change.wanted.clone();
         self.edits += 1;
@@ -195,9 +200,11 @@
         let (listener, at) = turn.listen(stand.listen, Security::Plain, bounds)?;
         let schema = Schema::root(derive(PROXY_XSD, &["tables"]).map_err(Failed::Schema)?);
         let manner = ProxyConfig {
-            pick: SelectionMethod::named(&stand.pick),
-            shun_after: stand.shun_after,
-            shun_for: stand.shun_for,
+            selection: SelectionMethod::from_settings(&stand.pick),
+            circuit_breaker: CircuitBreakerConfig {
+                failure_limit: stand.shun_after,
+                open_duration: stand.shun_for,
+            },
         };
         let proxy = Proxy::new(manner, stand.classes.clone(), &stand.standing, seed);
         let data = Arc::new(Element::new("", "data"));
@@ -278,8 +285,10 @@
     /// A query that came and ended well without a socket, for planners measured at size.
     pub fn meets(&mut self, now: Duration, class: usize, work: Duration) {
         self.next_query += 1;
-        if let Step::Send { .. } = self.proxy.arrived(now.saturating_sub(work), self.next_query, class) {
-            self.proxy.ended(now, self.next_query, AttemptOutcome::Answered { load: vec![1.0] });
+        if let RequestAction::Send { .. } =
+            self.proxy.request_arrived(now.saturating_sub(work), self.next_query, class)
+        {
+            self.proxy.attempt_ended(now, self.next_query, AttemptOutcome::Success { load: vec![1.0] });
         }
     }
 
@@ -364,7 +373,7 @@
             self.stream = Some(Stream { conn, planner, way, holder: who, certificate, anew_at });
             self.streams += 1;
             // What was met while nobody listened is old by now.
-            self.proxy.report(Duration::ZERO);
+            self.proxy.take_report(Duration::ZERO);
             self.reported = turn.now();
             self.write_stream(turn);
         } else if let Some(upstream) = self.upstreams.get_mut(&conn) {
@@ -402,7 +411,7 @@
             false => vec![],
         };
         *of = planner.to_string();
-        let fresh = !self.proxy.held().ordered;
+        let fresh = !self.proxy.tables().is_from_planner();
         let hello = Hello { zone: self.stand.zone.clone(), rate: self.rate, fresh };
         let client = Client::new(now, planner, &self.stand.name, &hello, wish, holds);
         Some(Way::Publishes(Box::new(client)))
@@ -460,7 +469,7 @@
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.close = query.close;
         }
-        let class = query.path.split('/').nth(1).and_then(|name| self.proxy.class(name));
+        let class = query.path.split('/').nth(1).and_then(|name| self.proxy.class_index(name));
         let Some(class) = class else {
             return self.answer(turn, conn, &write_answer(404, &[], b"no such class\n"));
         };
@@ -468,8 +477,8 @@
         let id = self.next_query;
         query.headers.push(("runloom-proxy".into(), self.stand.name.clone()));
         let text = write_query(&query);
-        match self.proxy.arrived(now, id, class) {
-            Step::Send { address, until, .. } => {
+        match self.proxy.request_arrived(now, id, class) {
+            RequestAction::Send { address, deadline: until, .. } => {
                 if let Some(caller) = self.callers.get_mut(&conn) {
                     caller.query = Some(id);
                 }
@@ -477,8 +486,8 @@
                 self.out.insert(id, Out { caller: conn, text, upstream: 0, until });
                 self.try_at(turn, id, address);
             }
-            Step::Refuse { why, after } => self.refuse(turn, conn, why, after),
-            Step::Answer => {}
+            RequestAction::Reject { reason: why, retry_after: after } => self.refuse(turn, conn, why, after),
+            RequestAction::Respond => {}
         }
     }
 
@@ -503,7 +512,7 @@
                         conn
                     }
                     // No socket to be had: nothing was written.
-                    Err(_) => return self.ended(turn, id, AttemptOutcome::NoConnection),
+                    Err(_) => return self.ended(turn, id, AttemptOutcome::ConnectionFailed),
                 }
             }
         };
@@ -542,10 +551,10 @@
                 let load = answer.numbers("runloom-load");
                 let how = match answer.code {
                     503 if answer.header("runloom-turned-away").is_some() => {
-                        AttemptOutcome::TurnedAway { load }
+                        AttemptOutcome::Rejected { load }
                     }
-                    500..=599 => AttemptOutcome::Error { load },
-                    _ => AttemptOutcome::Answered { load },
+                    500..=599 => AttemptOutcome::ErrorResponse { load },
+                    _ => AttemptOutcome::Success { load },
                 };
                 let text = write_answer(answer.code, &answer.headers, &answer.body);
                 self.ended_with(turn, id, how, Some(text));
@@ -553,7 +562,7 @@
             Err(_) => {
                 turn.cut(conn);
                 self.drop_upstream(conn);
-                self.ended(turn, id, AttemptOutcome::BrokenAfter);
+                self.ended(turn, id, AttemptOutcome::ClosedAfterWrite);
             }
         }
     }
@@ -577,15 +586,15 @@
         how: AttemptOutcome,
         text: Option<Vec<u8>>,
     ) {
-        let Some(step) = self.proxy.ended(turn.now(), id, how) else { return };
+        let Some(step) = self.proxy.attempt_ended(turn.now(), id, how) else { return };
         match step {
-            Step::Send { address, .. } => self.try_at(turn, id, address),
-            Step::Answer => {
+            RequestAction::Send { address, .. } => self.try_at(turn, id, address),
+            RequestAction::Respond => {
                 if let Some(caller) = self.over(id) {
                     self.answer(turn, caller, &text.unwrap_or_default());
                 }
             }
-            Step::Refuse { why, after } => {
+            RequestAction::Reject { reason: why, retry_after: after } => {
                 let Some(caller) = self.over(id) else { return };
                 match text {
                     // A server's own word of failure goes to the client as it is.
@@ -603,13 +612,19 @@
         Some(out.caller)
     }
 
-    fn refuse(&mut self, turn: &mut EventLoop, caller: ConnectionId, why: Refusal, after: Option<Duration>) {
-        let mut headers = vec![("runloom-refused".to_string(), why.word().to_string())];
+    fn refuse(
+        &mut self,
+        turn: &mut EventLoop,
+        caller: ConnectionId,
+        why: RejectionReason,
+        after: Option<Duration>,
+    ) {
+        let mut headers = vec![("runloom-refused".to_string(), why.header_value().to_string())];
         if let Some(after) = after {
             headers.push(("retry-after".into(), format!("{}", after.as_secs_f64().ceil() as u64)));
             headers.push(("retry-after-ms".into(), after.as_millis().to_string()));
         }
-        let code = if why == Refusal::Late { 504 } else { 503 };
+        let code = if why == RejectionReason::DeadlineExceeded { 504 } else { 503 };
         self.answer(turn, caller, &write_answer(code, &headers, b""));
     }
 
@@ -639,7 +654,7 @@
                 self.ended(
                     turn,
                     id,
-                    if open { AttemptOutcome::BrokenAfter } else { AttemptOutcome::NoConnection },
+                    if open { AttemptOutcome::ClosedAfterWrite } else { AttemptOutcome::ConnectionFailed },
                 );
             }
         } else if self.dialling == Some(conn) {
@@ -671,7 +686,7 @@
     fn give_up(&mut self, turn: &mut EventLoop, id: RequestId) {
         let upstream = self.out.get(&id).map(|o| o.upstream);
         self.over(id);
-        self.proxy.given_up(turn.now(), id);
+        self.proxy.cancel_request(turn.now(), id);
         if let Some(conn) = upstream.filter(|c| self.upstreams.get(c).is_some_and(|u| u.query == Some(id))) {
             // Its answer would be taken for the next query's.
             turn.cut(conn);
@@ -741,7 +756,7 @@
                 .with_leaf("name", &self.stand.name)
                 .with_leaf("zone", &self.stand.zone)
                 .with_leaf("rate", format!("{:.3}", self.rate))
-                .with_leaf("fresh", !self.proxy.held().ordered);
+                .with_leaf("fresh", !self.proxy.tables().is_from_planner());
         }
         let Some(Way::Edits { session, id }) = self.stream.as_mut().map(|s| &mut s.way) else { return };
         let answer = self.service.handle(turn.now(), *id, &rpc, &mut self.store);
@@ -750,7 +765,7 @@
             let lines =
                 rpc.operation().child("config").and_then(|c| c.child("tables")).map_or(0, count_lines);
             self.taken.push((lines, None));
-            self.proxy.hold(held);
+            self.proxy.replace_tables(held);
         }
     }
 
@@ -783,14 +798,14 @@
         match reader.take(part) {
             ReadOutcome::Waits => true,
             ReadOutcome::Lacks | ReadOutcome::Stale => false,
-            ReadOutcome::Now(version) => match published::taken(reader, part.topic) {
+            ReadOutcome::Now(version) => match published_tables::tables_after_update(reader, part.topic) {
                 Ok(held) => {
                     self.taken.push((part.changes.len(), Some((part.topic, version))));
-                    held.into_iter().for_each(|held| self.proxy.hold(held));
+                    held.into_iter().for_each(|held| self.proxy.replace_tables(held));
                     true
                 }
                 Err(unusable) => {
-                    let (name, why) = (&self.stand.name, &unusable.reason);
+                    let (name, why) = (&self.stand.name, unusable.error.to_string());
                     tracing::warn!(forwarder = %name, table = ?unusable.topic, why, "a table cannot be used");
                     reader.forget(unusable.topic);
                     false
@@ -817,7 +832,7 @@
             let caller = self.out.get(&id).map(|o| o.caller);
             self.give_up(turn, id);
             if let Some(caller) = caller {
-                self.refuse(turn, caller, Refusal::Late, None);
+                self.refuse(turn, caller, RejectionReason::DeadlineExceeded, None);
             }
         }
         let stalled =
@@ -868,7 +883,7 @@
         }
         let span = now.saturating_sub(self.reported).max(Duration::from_millis(1));
         self.reported = now;
-        let report = self.proxy.report(span);
+        let report = self.proxy.take_report(span);
         let came: u64 = report.came.iter().map(|c| c.queries).sum();
         let pace = came as f64 / span.as_secs_f64();
         let part = (span.as_secs_f64() / 10.0).min(1.0);
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -5,8 +5,8 @@
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, Operation};
 use runloom_netconf::tree::Element;
-use runloom_proxy::published;
-use runloom_proxy::tables::HeldTables;
+use runloom_proxy::published_tables;
+use runloom_proxy::RouteTables;
 use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
 use std::sync::Arc;
 
@@ -42,7 +42,7 @@
     schema: Schema,
     data: Arc<Element>,
     reader: UpdateReader,
-    held: HeldTables,
+    held: RouteTables,
     joined: bool,
     flying: VecDeque<Outgoing>,
 }
@@ -51,7 +51,7 @@
     fn new(way: Transport) -> Peer {
         let schema = Schema::root(derive(PROXY_XSD, &["tables"]).unwrap());
         let data = Arc::new(Element::new("", "data"));
-        let (reader, held, flying) = (UpdateReader::default(), HeldTables::default(), VecDeque::new());
+        let (reader, held, flying) = (UpdateReader::default(), RouteTables::default(), VecDeque::new());
         Peer { way, schema, data, reader, held, joined: false, flying }
     }
 
@@ -65,7 +65,7 @@
                 assert!(faults.is_empty(), "{faults:?} in {text}");
                 self.data = data;
                 let tables = self.data.child("tables");
-                self.held = tables.map_or_else(HeldTables::default, |t| HeldTables::read(t).unwrap());
+                self.held = tables.map_or_else(RouteTables::default, |t| RouteTables::read(t).unwrap());
                 (number, None)
             }
             Outgoing::Part { number, mut part } => {
@@ -74,7 +74,9 @@
                 }
                 match self.reader.take(&part) {
                     ReadOutcome::Now(_) => {
-                        if let Some(held) = published::taken(&mut self.reader, part.topic).unwrap() {
+                        if let Some(held) =
+                            published_tables::tables_after_update(&mut self.reader, part.topic).unwrap()
+                        {
                             self.held = held;
                         }
                         (number, None)
@@ -87,7 +89,7 @@
     }
 
     fn view(&self, class: &str) -> Vec<(String, u64)> {
-        let lines = self.held.lines(class).into_iter();
+        let lines = self.held.entries(class).into_iter();
         let mut view: Vec<_> = lines.map(|l| (l.server, l.weight as u64)).collect();
         view.sort();
         view
@@ -476,8 +478,8 @@
             }
         };
         level(&mut front, &mut peer);
-        assert_eq!(peer.held.level("q"), Some((Some(2.5), RetryPolicy::Never)));
-        assert_eq!(peer.held.level("r"), Some((None, RetryPolicy::Twice)));
+        assert_eq!(peer.held.admission_limit("q"), Some((Some(2.5), RetryPolicy::Never)));
+        assert_eq!(peer.held.admission_limit("r"), Some((None, RetryPolicy::Twice)));
         assert_eq!(peer.view("q"), [("s0".to_string(), 1)]);
     }
 }
--- /dev/null
+++ b/crates/proxy/src/endpoint_statistics.rs
@@ -0,0 +1,111 @@
+//! What this proxy knows of one endpoint, and what it counts between two reports.
+
+use crate::circuit_breaker::CircuitBreaker;
+use runloom_model::fleet::Class;
+use runloom_model::order::{halved, ClassOutcomes, LatencyBuckets, ServerOutcomes};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// An endpoint, as this proxy alone sees it.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct Endpoint {
+    pub(crate) circuit_breaker: CircuitBreaker,
+    /// This proxy's attempts in flight.
+    pub(crate) in_flight: u32,
+    pub(crate) statistics: EndpointStatistics,
+}
+
+impl Endpoint {
+    /// Nothing is in flight, and nothing is left to report.
+    pub(crate) fn is_idle(&self) -> bool {
+        self.in_flight == 0 && self.statistics.attempts == 0
+    }
+}
+
+/// An attempt that ended, as it is counted.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct AttemptRecord<'a> {
+    pub(crate) class: usize,
+    pub(crate) is_success: bool,
+    /// It succeeded within the latency objective of its class.
+    pub(crate) within_objective: bool,
+    pub(crate) latency: Duration,
+    pub(crate) load: &'a [f64],
+}
+
+/// Attempts at one endpoint since the last report.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct EndpointStatistics {
+    attempts: u64,
+    failures: u64,
+    within_objective: u64,
+    /// Sum over the successful attempts.
+    total_latency: Duration,
+    /// The newest load report.
+    load: Vec<f64>,
+    classes: BTreeMap<usize, ClassStatistics>,
+}
+
+/// Attempts of one class at one endpoint since the last report.
+#[derive(Debug, Clone, Default)]
+struct ClassStatistics {
+    attempts: u64,
+    within_objective: u64,
+    /// Latencies of the successful attempts.
+    latencies: LatencyBuckets,
+}
+
+impl EndpointStatistics {
+    pub(crate) fn record(&mut self, attempt: &AttemptRecord) {
+        self.attempts += 1;
+        self.within_objective += u64::from(attempt.within_objective);
+        if attempt.is_success {
+            self.total_latency += attempt.latency;
+        } else {
+            self.failures += 1;
+        }
+        if !attempt.load.is_empty() {
+            self.load = attempt.load.to_vec();
+        }
+        self.classes.entry(attempt.class).or_default().record(attempt);
+    }
+
+    /// Returns the counts for a report, if there are any, and starts over.
+    pub(crate) fn take_report(&mut self, server: &str, classes: &[Class]) -> Option<ServerOutcomes> {
+        if self.attempts == 0 {
+            return None;
+        }
+        let counted = std::mem::take(self);
+        let successes = (counted.attempts - counted.failures).max(1) as u32;
+        let class_outcomes =
+            counted.classes.into_iter().map(|(class, counts)| counts.into_report(&classes[class].name));
+        Some(ServerOutcomes {
+            server: server.to_string(),
+            tries: counted.attempts,
+            failed: counted.failures,
+            took: counted.total_latency / successes,
+            in_time: counted.within_objective,
+            load: counted.load,
+            classes: class_outcomes.collect(),
+        })
+    }
+}
+
+impl ClassStatistics {
+    fn record(&mut self, attempt: &AttemptRecord) {
+        self.attempts += 1;
+        self.within_objective += u64::from(attempt.within_objective);
+        if attempt.is_success {
+            *self.latencies.entry(halved(attempt.latency)).or_default() += 1;
+        }
+    }
+
+    fn into_report(self, class: &str) -> ClassOutcomes {
+        ClassOutcomes {
+            class: class.to_string(),
+            tries: self.attempts,
+            in_time: self.within_objective,
+            took: self.latencies,
+        }
+    }
+}
--- a/crates/proxy/src/tests.rs
+++ b/crates/proxy/src/tests.rs
@@ -1,18 +1,40 @@
+use super::balancer::SelectionMethod;
+use super::circuit_breaker::CircuitBreakerConfig;
 use super::*;
+use runloom_model::fleet::{Class, Repeats};
+use runloom_netconf::tree::Element;
 use statrs::distribution::{ChiSquared, ContinuousCDF};
+use std::time::Duration;
+
+const ZERO: Duration = Duration::ZERO;
+/// Index of the only class.
+const CLASS: usize = 0;
+/// Random choices may deviate from the weights by what happens once in a thousand runs.
+const SIGNIFICANCE: f64 = 0.001;
 
 fn class(repeats: Repeats) -> Class {
-    let (soft_limit, outer_limit) = (Duration::from_millis(500), Duration::from_secs(1));
-    Class { name: "q".into(), payoff: 1.0, soft_limit, outer_limit, repeats }
+    Class {
+        name: "q".into(),
+        payoff: 1.0,
+        soft_limit: Duration::from_millis(500),
+        outer_limit: Duration::from_secs(1),
+        repeats,
+    }
 }
 
-fn proxy(pick: SelectionMethod, repeats: Repeats, level: &str, weights: &[f64]) -> Proxy {
-    let manner = ProxyConfig { pick, shun_after: 3, shun_for: Duration::from_secs(5) };
-    let mut proxy = Proxy::new(manner, vec![class(repeats)], &[], 7);
-    let line = |(k, w): (usize, &f64)| {
+/// A proxy whose table 1 has servers `s0`, `s1`, ... of these weights.
+fn proxy(selection: SelectionMethod, repeats: Repeats, level: &str, weights: &[f64]) -> Proxy {
+    let circuit_breaker = CircuitBreakerConfig { failure_limit: 3, open_duration: Duration::from_secs(5) };
+    let mut proxy = Proxy::new(ProxyConfig { selection, circuit_breaker }, vec![class(repeats)], &[], 7);
+    proxy.replace_tables(tables(level, weights));
+    proxy
+}
+
+fn tables(level: &str, weights: &[f64]) -> RouteTables {
+    let line = |(index, weight): (usize, &f64)| {
+        let port = index + 1;
         format!(
-            "<line><server>s{k}</server><address>127.0.0.1:{}</address><weight>{w}</weight></line>",
-            k + 1
+            "<line><server>s{index}</server><address>127.0.0.1:{port}</address><weight>{weight}</weight></line>"
         )
     };
     let lines: String = weights.iter().enumerate().map(line).collect();
@@ -20,177 +42,211 @@
         "<tables xmlns='urn:runloom:proxy'><table><id>1</id>{lines}{level}</table><bind><class>q</class>\
          <table>1</table></bind></tables>"
     );
-    proxy.hold(HeldTables::read(&Element::parse(&text).unwrap()).unwrap());
-    proxy
+    RouteTables::read(&Element::parse(&text).unwrap()).unwrap()
 }
 
-use runloom_netconf::tree::Element;
-
-const ZERO: Duration = Duration::ZERO;
+fn level(pace: &str, further_tries: &str) -> String {
+    format!("<level><class>q</class>{pace}<further-tries>{further_tries}</further-tries></level>")
+}
 
-fn server(step: &Step) -> &str {
-    match step {
-        Step::Send { server, .. } => server,
+fn selected_server(action: &RequestAction) -> &str {
+    match action {
+        RequestAction::Send { server, .. } => server,
         other => panic!("{other:?}"),
     }
 }
 
-fn good() -> AttemptOutcome {
-    AttemptOutcome::Answered { load: vec![] }
+fn success() -> AttemptOutcome {
+    AttemptOutcome::Success { load: vec![] }
 }
 
-fn level(pace: &str, tries: &str) -> String {
-    format!("<level><class>q</class>{pace}<further-tries>{tries}</further-tries></level>")
-}
-
-/// 100,000 picks against the weights: chi-squared, at one in a thousand.
 #[test]
-fn picks_agree_with_the_table_within_sampling_error() {
+fn selection_follows_the_weights_within_sampling_error() {
+    const REQUESTS: u32 = 100_000;
     let weights = [1.0, 2.0, 3.0, 0.5, 3.5];
-    for pick in [SelectionMethod::Chance, SelectionMethod::LessBusy, SelectionMethod::Turns] {
-        let (mut proxy, mut counts) = (proxy(pick, Repeats::Safe, "", &weights), [0.0; 5]);
-        for id in 0..100_000 {
-            let step = proxy.arrived(ZERO, id, 0);
-            counts[server(&step)[1..].parse::<usize>().unwrap()] += 1.0;
-            proxy.ended(ZERO, id, good());
+    let total_weight: f64 = weights.iter().sum();
+    for method in
+        [SelectionMethod::WeightedRandom, SelectionMethod::LeastRequestsOfTwo, SelectionMethod::RoundRobin]
+    {
+        let mut proxy = proxy(method, Repeats::Safe, "", &weights);
+        let mut counts = [0.0; 5];
+
+        for id in 0..u64::from(REQUESTS) {
+            let action = proxy.request_arrived(ZERO, id, CLASS);
+            counts[selected_server(&action)[1..].parse::<usize>().unwrap()] += 1.0;
+            proxy.attempt_ended(ZERO, id, success());
         }
-        let all: f64 = weights.iter().sum();
-        let chi: f64 =
-            counts.iter().zip(weights).map(|(n, w)| (n - 1e5 * w / all).powi(2) / (1e5 * w / all)).sum();
-        let p = 1.0 - ChiSquared::new(4.0).unwrap().cdf(chi);
-        assert!(p > 0.001, "{pick:?}: chi-squared {chi}, p {p}, {counts:?}");
+
+        let deviation = |(count, weight): (&f64, f64)| {
+            let expected = f64::from(REQUESTS) * weight / total_weight;
+            (count - expected).powi(2) / expected
+        };
+        let chi_squared: f64 = counts.iter().zip(weights).map(deviation).sum();
+        let p = 1.0 - ChiSquared::new(4.0).unwrap().cdf(chi_squared);
+        assert!(p > SIGNIFICANCE, "{method:?}: chi-squared {chi_squared}, p {p}, {counts:?}");
     }
 }
 
 #[test]
-fn of_two_drawn_the_less_busy_is_picked() {
-    let mut proxy = proxy(SelectionMethod::LessBusy, Repeats::Safe, "", &[1.0, 1.0]);
-    let mut out = [0u32; 2];
+fn of_two_drawn_the_one_with_fewer_requests_is_selected() {
+    let mut proxy = proxy(SelectionMethod::LeastRequestsOfTwo, Repeats::Safe, "", &[1.0, 1.0]);
+
+    let mut in_flight = [0u32; 2];
     for id in 0..1000 {
-        out[usize::from(server(&proxy.arrived(ZERO, id, 0)) == "s1")] += 1;
+        let action = proxy.request_arrived(ZERO, id, CLASS);
+        in_flight[usize::from(selected_server(&action) == "s1")] += 1;
     }
-    // With one draw the two would be some 30 apart; the less busy keeps them within a few.
-    assert!(out[0].abs_diff(out[1]) <= 12, "{out:?}");
+
+    // With one draw the two would be some 30 apart.
+    assert!(in_flight[0].abs_diff(in_flight[1]) <= 12, "{in_flight:?}");
 }
 
 #[test]
-fn three_failures_in_a_row_shun_and_a_good_one_ends_the_row() {
-    let mut proxy = proxy(SelectionMethod::Turns, Repeats::Never, &level("", "none"), &[1.0, 1e-9]);
-    let fail = |proxy: &mut Proxy, id, how| {
-        assert_eq!(server(&proxy.arrived(ZERO, id, 0)), "s0");
-        proxy.ended(ZERO, id, how);
+fn three_failures_in_a_row_open_the_circuit_breaker_and_a_success_ends_the_row() {
+    let mut proxy = proxy(SelectionMethod::RoundRobin, Repeats::Never, &level("", "none"), &[1.0, 1e-9]);
+    let attempt = |proxy: &mut Proxy, id, outcome| {
+        assert_eq!(selected_server(&proxy.request_arrived(ZERO, id, CLASS)), "s0");
+        proxy.attempt_ended(ZERO, id, outcome);
     };
-    fail(&mut proxy, 1, AttemptOutcome::BrokenAfter);
-    fail(&mut proxy, 2, AttemptOutcome::BrokenAfter);
-    fail(&mut proxy, 3, good());
-    (4..7).for_each(|id| fail(&mut proxy, id, AttemptOutcome::BrokenAfter));
-    assert_eq!(server(&proxy.arrived(Duration::from_secs(4), 7, 0)), "s1");
-    assert_eq!(server(&proxy.arrived(Duration::from_secs(6), 8, 0)), "s0");
+
+    attempt(&mut proxy, 1, AttemptOutcome::ClosedAfterWrite);
+    attempt(&mut proxy, 2, AttemptOutcome::ClosedAfterWrite);
+    attempt(&mut proxy, 3, success());
+    for id in 4..7 {
+        attempt(&mut proxy, id, AttemptOutcome::ClosedAfterWrite);
+    }
+
+    assert_eq!(selected_server(&proxy.request_arrived(Duration::from_secs(4), 7, CLASS)), "s1");
+    assert_eq!(selected_server(&proxy.request_arrived(Duration::from_secs(6), 8, CLASS)), "s0");
 }
 
 #[test]
-fn where_all_are_shunned_one_is_picked_all_the_same() {
-    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Never, &level("", "none"), &[1.0]);
+fn circuit_breakers_are_disregarded_where_all_are_open() {
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Never, &level("", "none"), &[1.0]);
     for id in 0..4 {
-        assert_eq!(server(&proxy.arrived(ZERO, id, 0)), "s0");
-        proxy.ended(ZERO, id, AttemptOutcome::BrokenAfter);
+        assert_eq!(selected_server(&proxy.request_arrived(ZERO, id, CLASS)), "s0");
+        proxy.attempt_ended(ZERO, id, AttemptOutcome::ClosedAfterWrite);
     }
 }
 
 #[test]
-fn a_further_try_needs_proof_and_goes_elsewhere() {
-    for (how, again) in [
-        (AttemptOutcome::NoConnection, true),
-        (AttemptOutcome::BrokenBefore, true),
-        (AttemptOutcome::TurnedAway { load: vec![] }, true),
-        (AttemptOutcome::BrokenAfter, false),
-        (AttemptOutcome::Error { load: vec![] }, false),
-        (AttemptOutcome::Late, false),
+fn a_retry_needs_proof_and_goes_to_another_server() {
+    for (outcome, is_retried) in [
+        (AttemptOutcome::ConnectionFailed, true),
+        (AttemptOutcome::ClosedBeforeWrite, true),
+        (AttemptOutcome::Rejected { load: vec![] }, true),
+        (AttemptOutcome::ClosedAfterWrite, false),
+        (AttemptOutcome::ErrorResponse { load: vec![] }, false),
+        (AttemptOutcome::DeadlineExceeded, false),
     ] {
-        let mut proxy = proxy(SelectionMethod::Chance, Repeats::Never, &level("", "unrun"), &[1.0, 1.0]);
-        let first = server(&proxy.arrived(ZERO, 1, 0)).to_string();
-        let next = proxy.ended(ZERO, 1, how.clone()).unwrap();
+        let mut proxy =
+            proxy(SelectionMethod::WeightedRandom, Repeats::Never, &level("", "unrun"), &[1.0, 1.0]);
+        let first = selected_server(&proxy.request_arrived(ZERO, 1, CLASS)).to_string();
+
+        let next = proxy.attempt_ended(ZERO, 1, outcome.clone()).unwrap();
+
         match next {
-            Step::Send { server, .. } => assert!(again && server != first, "{how:?}"),
-            other => assert!(!again, "{how:?} {other:?}"),
+            RequestAction::Send { server, .. } => assert!(is_retried && server != first, "{outcome:?}"),
+            other => assert!(!is_retried, "{outcome:?} {other:?}"),
         }
-        assert_eq!(proxy.counts.further, u64::from(again));
+        assert_eq!(proxy.counts().retries, u64::from(is_retried));
     }
 }
 
 #[test]
-fn what_may_have_run_is_tried_again_only_where_that_is_safe_and_ordered() {
-    for (repeats, tries, count) in [
+fn a_request_that_may_have_executed_is_retried_only_where_safe_and_allowed() {
+    for (repeats, further_tries, retries) in [
         (Repeats::Safe, "two", 2),
         (Repeats::Safe, "one", 1),
         (Repeats::Safe, "unrun", 0),
         (Repeats::Keyed, "two", 0),
         (Repeats::Never, "two", 0),
     ] {
-        let mut proxy = proxy(SelectionMethod::Chance, repeats, &level("", tries), &[1.0, 1.0, 1.0]);
-        proxy.arrived(ZERO, 1, 0);
-        while let Some(Step::Send { .. }) = proxy.ended(ZERO, 1, AttemptOutcome::BrokenAfter) {}
-        assert_eq!(proxy.counts.further, count, "{repeats:?} {tries}");
+        let limit = level("", further_tries);
+        let mut proxy = proxy(SelectionMethod::WeightedRandom, repeats, &limit, &[1.0, 1.0, 1.0]);
+        proxy.request_arrived(ZERO, 1, CLASS);
+
+        while let Some(RequestAction::Send { .. }) =
+            proxy.attempt_ended(ZERO, 1, AttemptOutcome::ClosedAfterWrite)
+        {}
+
+        assert_eq!(proxy.counts().retries, retries, "{repeats:?} {further_tries}");
     }
-    // A proof that comes after a try that may have run proves nothing of that one.
-    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Never, &level("", "two"), &[1.0, 1.0, 1.0]);
-    proxy.arrived(ZERO, 1, 0);
-    assert!(matches!(proxy.ended(ZERO, 1, AttemptOutcome::NoConnection), Some(Step::Send { .. })));
-    assert!(matches!(proxy.ended(ZERO, 1, AttemptOutcome::BrokenAfter), Some(Step::Refuse { .. })));
+    // A proof that comes after an attempt that may have executed says nothing of that one.
+    let limit = level("", "two");
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Never, &limit, &[1.0, 1.0, 1.0]);
+    proxy.request_arrived(ZERO, 1, CLASS);
+    let after_proof = proxy.attempt_ended(ZERO, 1, AttemptOutcome::ConnectionFailed);
+    assert!(matches!(after_proof, Some(RequestAction::Send { .. })));
+    let after_write = proxy.attempt_ended(ZERO, 1, AttemptOutcome::ClosedAfterWrite);
+    assert!(matches!(after_write, Some(RequestAction::Reject { .. })));
 }
 
 #[test]
-fn a_table_that_changes_under_a_query_changes_none_of_its_proofs() {
-    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Safe, &level("", "none"), &[1.0, 1.0]);
-    proxy.arrived(ZERO, 1, 0);
-    let other = super::tests::proxy(SelectionMethod::Chance, Repeats::Safe, &level("", "two"), &[1.0, 1.0]);
-    proxy.hold(other.held().clone());
-    assert!(matches!(proxy.ended(ZERO, 1, AttemptOutcome::BrokenAfter), Some(Step::Refuse { .. })));
+fn the_retry_policy_of_a_request_in_flight_stays_when_tables_change() {
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Safe, &level("", "none"), &[1.0, 1.0]);
+    proxy.request_arrived(ZERO, 1, CLASS);
+
+    proxy.replace_tables(tables(&level("", "two"), &[1.0, 1.0]));
+
+    let next = proxy.attempt_ended(ZERO, 1, AttemptOutcome::ClosedAfterWrite);
+    assert!(matches!(next, Some(RequestAction::Reject { .. })));
 }
 
 #[test]
-fn a_level_lets_in_its_pace_and_says_when_to_come_back() {
-    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Safe, &level("<pace>10</pace>", "none"), &[1.0]);
-    let mut let_in = 0;
-    for k in 0..1000u64 {
-        match proxy.arrived(Duration::from_millis(10 * k), k, 0) {
-            Step::Send { .. } => let_in += 1,
-            Step::Refuse { why: Refusal::Level, after: Some(after) } => {
+fn requests_are_admitted_at_the_admission_rate_and_others_learn_when_to_come_back() {
+    let limit = level("<pace>10</pace>", "none");
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Safe, &limit, &[1.0]);
+
+    let mut admitted = 0;
+    for id in 0..1000u64 {
+        let now = Duration::from_millis(10 * id);
+        match proxy.request_arrived(now, id, CLASS) {
+            RequestAction::Send { .. } => admitted += 1,
+            RequestAction::Reject { reason: RejectionReason::AdmissionRate, retry_after: Some(after) } => {
                 assert!(after <= Duration::from_millis(101))
             }
             other => panic!("{other:?}"),
         }
-        proxy.given_up(Duration::from_millis(10 * k), k);
+        proxy.cancel_request(now, id);
     }
-    assert!((95..=110).contains(&let_in), "{let_in}");
+
+    assert!((95..=110).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn without_a_line_a_query_is_refused_at_once() {
-    let mut proxy = proxy(SelectionMethod::LessBusy, Repeats::Safe, "", &[]);
-    assert!(matches!(proxy.arrived(ZERO, 1, 0), Step::Refuse { why: Refusal::NoLine, .. }));
-    assert_eq!((proxy.out(), proxy.counts.no_line), (0, 1));
+fn a_request_without_an_endpoint_is_rejected_at_once() {
+    let mut proxy = proxy(SelectionMethod::LeastRequestsOfTwo, Repeats::Safe, "", &[]);
+
+    let action = proxy.request_arrived(ZERO, 1, CLASS);
+
+    assert!(matches!(action, RequestAction::Reject { reason: RejectionReason::NoEndpoint, .. }));
+    assert_eq!((proxy.requests_in_flight(), proxy.counts().no_endpoint), (0, 1));
 }
 
 #[test]
-fn a_query_that_was_given_up_on_ends_once_and_counts_as_failed() {
-    let mut proxy = proxy(SelectionMethod::Chance, Repeats::Safe, "", &[1.0, 1.0]);
-    proxy.arrived(ZERO, 1, 0);
-    proxy.given_up(Duration::from_secs(1), 1);
-    assert_eq!(proxy.ended(Duration::from_secs(1), 1, good()), None);
-    let report = proxy.report(Duration::from_secs(1));
+fn a_cancelled_request_ends_once_and_counts_as_failed() {
+    let one_second = Duration::from_secs(1);
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Safe, "", &[1.0, 1.0]);
+    proxy.request_arrived(ZERO, 1, CLASS);
+
+    proxy.cancel_request(one_second, 1);
+
+    assert_eq!(proxy.attempt_ended(one_second, 1, success()), None);
+    let report = proxy.take_report(one_second);
     assert_eq!((report.met[0].tries, report.met[0].failed, report.came[0].unanswered), (1, 1, 1));
-    assert!(proxy.report(Duration::from_secs(1)).met.is_empty());
+    assert!(proxy.take_report(one_second).met.is_empty());
 }
 
 #[test]
-fn tables_that_cannot_be_used_are_refused_whole() {
-    for (line, why) in [
+fn one_unusable_entry_makes_the_tables_unusable() {
+    for (line, cause) in [
         ("<server>a</server><address>x</address><weight>1</weight>", "address"),
         ("<server>a</server><address>127.0.0.1:1</address><weight>0</weight>", "weight"),
         ("<server>a</server><address>127.0.0.1:1</address><weight>NaN</weight>", "weight"),
     ] {
         let text = format!("<tables><table><id>1</id><line>{line}</line></table></tables>");
-        assert!(HeldTables::read(&Element::parse(&text).unwrap()).unwrap_err().contains(why));
+        let error = RouteTables::read(&Element::parse(&text).unwrap()).unwrap_err();
+        assert!(error.to_string().contains(cause), "{error}");
     }
 }
--- a/crates/replay/src/force.rs
+++ b/crates/replay/src/force.rs
@@ -7,7 +7,7 @@
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, Operation};
 use runloom_netconf::tree::Element;
-use runloom_proxy::tables::HeldTables;
+use runloom_proxy::RouteTables;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 struct Place {
     joined: Duration,
     data: Arc<Element>,
-    held: HeldTables,
+    held: RouteTables,
     flying: VecDeque<(u64, String, u32)>,
     /// Classes without a line, since when.
     bare: BTreeMap<String, Duration>,
@@ -82,8 +82,8 @@
     }
 
     /// What every proxy holds.
-    pub fn held(&self, proxy: &str) -> Option<&HeldTables> {
-        self.places.get(proxy).map(|p| &p.held).filter(|h| h.ordered)
+    pub fn held(&self, proxy: &str) -> Option<&RouteTables> {
+        self.places.get(proxy).map(|p| &p.held).filter(|h| h.is_from_planner())
     }
 
     /// Takes in what is not the planner's doing: joins, leaves, lists.
@@ -96,7 +96,7 @@
                 // What it holds from before is not known here; it keeps what the record saw it take.
                 let old = self.places.remove(proxy);
                 let (data, held) =
-                    old.map_or((place.data.clone(), HeldTables::default()), |o| (o.data, o.held));
+                    old.map_or((place.data.clone(), RouteTables::default()), |o| (o.data, o.held));
                 self.places.insert(proxy.clone(), Place { data, held, ..place });
             }
             RecordedEvent::Left { proxy } => {
@@ -167,7 +167,7 @@
         let mut load = 0.0;
         for (proxy, place) in &self.places {
             for class in &self.fleet.classes {
-                let lines = place.held.lines(&class.name);
+                let lines = place.held.entries(&class.name);
                 let all: f64 = lines.iter().map(|l| l.weight).sum();
                 let own = lines.iter().find(|l| l.server == server).map_or(0.0, |l| l.weight / all);
                 if own > 0.0 {
@@ -183,9 +183,9 @@
     pub fn parts(&self) -> BTreeMap<String, f64> {
         let mut parts: BTreeMap<String, f64> = BTreeMap::new();
         let mut tables = 0.0;
-        for place in self.places.values().filter(|p| p.held.ordered) {
+        for place in self.places.values().filter(|p| p.held.is_from_planner()) {
             for class in &self.fleet.classes {
-                let lines = place.held.lines(&class.name);
+                let lines = place.held.entries(&class.name);
                 let all: f64 = lines.iter().map(|l| l.weight).sum();
                 tables += if lines.is_empty() { 0.0 } else { 1.0 };
                 lines.iter().for_each(|l| *parts.entry(l.server.clone()).or_default() += l.weight / all);
@@ -227,7 +227,7 @@
                 place.data = data;
             }
         }
-        if let Some(Ok(held)) = place.data.child("tables").map(HeldTables::read) {
+        if let Some(Ok(held)) = place.data.child("tables").map(RouteTables::read) {
             place.held = held;
         }
     }
@@ -244,9 +244,11 @@
             started.as_ref().is_none_or(|at| age(at) >= self.fleet.warm_after.as_millis() as u64)
         };
         let any_warm = self.open.values().any(warm);
-        for (name, place) in self.places.iter_mut().filter(|(_, p)| p.joined <= now && p.held.ordered) {
+        for (name, place) in
+            self.places.iter_mut().filter(|(_, p)| p.joined <= now && p.held.is_from_planner())
+        {
             for class in &self.fleet.classes {
-                let lines = place.held.lines(&class.name);
+                let lines = place.held.entries(&class.name);
                 let open = lines.iter().any(|l| !self.closed.contains_key(&l.server));
                 if open || !any_warm {
                     place.bare.remove(&class.name);
@@ -256,7 +258,7 @@
                         self.broken.insert(format!("rule 1: {name} had no server for {}", class.name));
                     }
                 }
-                let late = |l: &&runloom_proxy::tables::TableEntry| {
+                let late = |l: &&runloom_proxy::route_tables::TableEntry| {
                     let since = self.closed.get(&l.server).copied();
                     since.is_some_and(|at| now > at.max(place.joined) + self.fleet.grace.drain)
                 };
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -282,7 +282,7 @@
                     let came = came.iter().filter(|c| c.class == *name).map(|c| c.queries as f64).sum();
                     let mut gates = self.gates.entry((proxy.clone(), class)).or_default().iter_mut();
                     let mut pass = |side: &Side| {
-                        let level = side.force.held(proxy).and_then(|h| h.level(name)).and_then(|l| l.0);
+                        let level = side.force.held(proxy).and_then(|h| h.admission_limit(name)).and_then(|l| l.0);
                         gates.next().map_or(came, |g| g.lets_in(level, came, seconds))
                     };
                     let flow = Flow { came, was: pass(was), would: pass(would) };
@@ -319,7 +319,7 @@
     let all: f64 = came.values().sum();
     let mut shares = Shares::new();
     for (class, queries) in came {
-        let lines = held.lines(class);
+        let lines = held.entries(class);
         let sum: f64 = lines.iter().map(|l| l.weight).sum();
         for line in lines {
             *shares.entry(line.server).or_insert(0.0) += line.weight / sum * queries / all.max(1.0);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -203,7 +203,7 @@
     println!("service {:.3}  p50 {} ms  p99 {} ms", o.service, o.took_p50 / 1000, o.took_p99 / 1000);
     println!(
         "further tries {}  over a level {}  without a line {}",
-        o.further, o.counts.over_level, o.counts.no_line
+        o.further, o.counts.over_admission_rate, o.counts.no_endpoint
     );
     println!("refused or failed, by cause: {:?}", o.refused);
     println!("messages {}  lines {}  lines waiting at the most {}", o.messages, o.lines, o.lines_waiting);
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -18,7 +18,7 @@
 use runloom_identity::access::{Permission, Principal, Rule};
 use runloom_model::fleet::{Class, ListedServer, Repeats, TlsFiles};
 use runloom_model::forwarder::{ProxySettings, TableDelivery};
-use runloom_proxy::Counts;
+use runloom_proxy::ProxyCounts;
 use runloom_versioned_publisher::{Topic, TopicKind, Version};
 use socket2::{Domain, Socket, Type};
 use std::collections::{BTreeMap, BTreeSet};
@@ -139,7 +139,7 @@
     pub messages: u64,
     pub edits: Vec<Outcome>,
     pub refused: BTreeMap<String, u64>,
-    pub counts: Counts,
+    pub counts: ProxyCounts,
     pub fell: usize,
     pub took_p50: u32,
     pub took_p99: u32,
@@ -784,7 +784,7 @@
     fn settle_in(&mut self) -> Result<(), String> {
         let begin = self.turn.now();
         let end = begin + Duration::from_secs(60);
-        let ordered = |h: &Held| h.forwarder.proxy().held().ordered;
+        let ordered = |h: &Held| h.forwarder.proxy().tables().is_from_planner();
         while !self.forwarders.iter().all(ordered) {
             self.renew()?;
             if self.turn.now() > end {
@@ -925,8 +925,8 @@
             }
         }
         for (f, held) in self.forwarders.iter().enumerate() {
-            let tables = held.forwarder.proxy().held();
-            let bare = (0..CLASSES.len()).filter(|c| tables.lines(CLASSES[*c].0).is_empty()).collect();
+            let tables = held.forwarder.proxy().tables();
+            let bare = (0..CLASSES.len()).filter(|c| tables.entries(CLASSES[*c].0).is_empty()).collect();
             let joined = held.joined.map(|j| j.0);
             self.evidence.looks.push(Observation { at: now, forwarder: f, joined, bare });
         }
@@ -968,14 +968,14 @@
             backlog: backlog(&self.day),
             messages: 0,
         };
-        let mut counts = Counts::default();
+        let mut counts = ProxyCounts::default();
         for held in &self.forwarders {
-            let c = held.forwarder.proxy().counts;
-            counts.came += c.came;
-            counts.handled += c.handled;
-            counts.further += c.further;
-            counts.over_level += c.over_level;
-            counts.no_line += c.no_line;
+            let c = held.forwarder.proxy().counts();
+            counts.arrived += c.arrived;
+            counts.succeeded += c.succeeded;
+            counts.retries += c.retries;
+            counts.over_admission_rate += c.over_admission_rate;
+            counts.no_endpoint += c.no_endpoint;
             counts.failed += c.failed;
         }
         let tally = &mut self.clients.tally;
@@ -991,7 +991,7 @@
             service: tally.payoff_got / tally.payoff_asked.max(1e-9),
             doubled: evidence.doubled,
             broken: broken(evidence, &limits),
-            further: counts.further,
+            further: counts.retries,
             lines: self.lines,
             messages: evidence.messages.values().map(|m| m.len() as u64).sum(),
             edits,
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -216,7 +216,7 @@
     }
 
     fn servers(&self) -> Vec<String> {
-        self.forwarder.proxy().held().lines("q").into_iter().map(|l| l.server).collect()
+        self.forwarder.proxy().tables().entries("q").into_iter().map(|l| l.server).collect()
     }
 
     fn lists(&self, servers: &[&str]) -> bool {
@@ -249,9 +249,9 @@
             "spiffe://valle.example/planner",
         ] {
             let mut proxy = Proxy::new(&desk, front, trusting(papers.clone(), other));
-            let before = format!("{:?}", proxy.forwarder.proxy().held());
+            let before = format!("{:?}", proxy.forwarder.proxy().tables());
             proxy.run(Duration::from_millis(700));
-            assert_eq!(format!("{:?}", proxy.forwarder.proxy().held()), before, "{front:?} {other}");
+            assert_eq!(format!("{:?}", proxy.forwarder.proxy().tables()), before, "{front:?} {other}");
             assert!(!proxy.forwarder.is_joined());
         }
         let mut proxy = Proxy::new(&desk, front, trusting(papers, OWN));
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -261,7 +261,7 @@
     let mut day = day(1, 2);
     day.troubles = vec![trouble(2, "drain", 1, 3)];
     let outcome = play("last", day);
-    assert!(outcome.counts.no_line > 10, "{outcome:?}");
+    assert!(outcome.counts.no_endpoint > 10, "{outcome:?}");
 }
 
 /// What planners recorded apart, one of them over a kill and a restart, replays to the same orders, also in another
@@ -315,7 +315,7 @@
     let refused: f64 =
         outcome.metrics.iter().filter(|(k, _)| k.starts_with("runloom_refused")).map(|(_, v)| v).sum();
     assert_eq!(
-        (outcome.broken.as_slice(), outcome.doubled, outcome.counts.no_line),
+        (outcome.broken.as_slice(), outcome.doubled, outcome.counts.no_endpoint),
         (&[][..], 0, 0),
         "{outcome:?}"
     );
