--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -36,7 +36,7 @@
     /// Dials a planner, and waits until the session stands.
     pub fn open(to: SocketAddr, terms: &TlsPolicy, patience: Duration) -> Result<Client, Failed> {
         let mut turn = EventLoop::new()?;
-        let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
+        let security = Security::TlsClient(terms.starts.clone(), server_name(PLANNER));
         let conn = turn.dial(to, &security, BufferLimits::default())?;
         let session = Session::new(Role::Client, &[], SessionBounds::default());
         let (notices, terms) = (VecDeque::new(), terms.clone());
@@ -76,7 +76,7 @@
                             found = found.or_else(|| wanted(&heard));
                         }
                     }
-                    IoEvent::Closed { why, .. } if found.is_none() => {
+                    IoEvent::Closed { reason: why, .. } if found.is_none() => {
                         return Err(Failed::Ended(format!("{why:?}")))
                     }
                     _ => {}
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -199,24 +199,26 @@
         desk.rules.clone_from(&place.papers.rules);
         shelf.set_aside("accepted.xml")?;
         shelf.set_aside("roster.xml")?;
-        let staff = BufferLimits { idle: Some(STAFF_IDLE), connections: 64, ..BufferLimits::default() };
-        let (edits, edits_at) = turn.listen(place.edits, Security::Answers(terms.answers.clone()), staff)?;
+        let staff =
+            BufferLimits { idle_timeout: Some(STAFF_IDLE), max_connections: 64, ..BufferLimits::default() };
+        let (edits, edits_at) =
+            turn.listen(place.edits, Security::TlsServer(terms.answers.clone()), staff)?;
         // A proxy reports every period; one that is silent for several is gone without a word.
         let silence = (desk.fleet().report * 4).max(Duration::from_secs(3));
         // RFC 8071: who called home is the server; this side starts TLS.
-        let security = Security::Starts(terms.starts.clone(), server_name(PROXY));
-        let proxies = BufferLimits { idle: Some(silence), ..BufferLimits::default() };
+        let security = Security::TlsClient(terms.starts.clone(), server_name(PROXY));
+        let proxies = BufferLimits { idle_timeout: Some(silence), ..BufferLimits::default() };
         let (home, home_at) = turn.listen(place.home, security.clone(), proxies)?;
         let pubsub = place.pubsub.map(|at| {
             // Its own silence is reckoned by the protocol; what waits to be read is a window of parts.
-            let bounds = BufferLimits { unread: 4 << 20, ..BufferLimits::default() };
-            turn.listen(at, Security::Answers(terms.answers.clone()), bounds)
+            let bounds = BufferLimits { max_unsent_bytes: 4 << 20, ..BufferLimits::default() };
+            turn.listen(at, Security::TlsServer(terms.answers.clone()), bounds)
         });
         let pubsub = pubsub.transpose()?;
         let metrics = place.metrics.map(|at| {
             let bounds = BufferLimits {
-                idle: Some(Duration::from_secs(10)),
-                connections: 16,
+                idle_timeout: Some(Duration::from_secs(10)),
+                max_connections: 16,
                 ..BufferLimits::default()
             };
             turn.listen(at, Security::Plain, bounds)
@@ -329,7 +331,7 @@
             IoEvent::Signal(_) => self.stopping = true,
             IoEvent::Open { conn, listener, certificate } => self.opened(turn, conn, listener, certificate),
             IoEvent::Bytes { conn, bytes } => self.bytes(turn, conn, &bytes),
-            IoEvent::Closed { conn, why } => self.closed(turn, conn, why),
+            IoEvent::Closed { conn, reason } => self.closed(turn, conn, reason),
         }
     }
 
@@ -983,8 +985,8 @@
             ] {
                 gauge(name, times.value_at_quantile(quantile) as f64 / 1e6);
             }
-            gauge("runloom_turn_seconds_p99", turn.lengths.value_at_quantile(0.99) as f64 / 1e6);
-            gauge("runloom_turn_seconds_max", turn.lengths.max() as f64 / 1e6);
+            gauge("runloom_turn_seconds_p99", turn.iteration_micros.value_at_quantile(0.99) as f64 / 1e6);
+            gauge("runloom_turn_seconds_max", turn.iteration_micros.max() as f64 / 1e6);
             for (reason, count) in self.driver.guard().counts() {
                 metrics::counter!("runloom_refused_total", "reason" => *reason).absolute(*count);
             }
--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -126,8 +126,11 @@
 
 /// Listens for clients, again for a while as long as the address is in use; `None` if a signal ended that.
 fn listen(event_loop: &mut EventLoop, address: SocketAddr) -> Result<Option<BoundListener>, RuntimeError> {
-    let limits =
-        BufferLimits { unread: MAX_UNSENT_BYTES, connections: usize::MAX, ..BufferLimits::default() };
+    let limits = BufferLimits {
+        max_unsent_bytes: MAX_UNSENT_BYTES,
+        max_connections: usize::MAX,
+        ..BufferLimits::default()
+    };
     let mut has_warned = false;
     loop {
         match event_loop.listen(address, Security::Plain, limits) {
@@ -158,7 +161,7 @@
         bootstrap_path: PathBuf,
         bootstrap: &BootstrapConfig,
     ) -> Result<Option<PlatformRuntime>, RuntimeError> {
-        event_loop.accepts = MAX_ACCEPTS;
+        event_loop.max_accepts = MAX_ACCEPTS;
         let Some(listener) = listen(&mut event_loop, bootstrap.listen)? else { return Ok(None) };
         let reserved = RESERVED_DESCRIPTORS + health_check::MAX_CONCURRENT + MAX_ACCEPTS;
         let room = bootstrap.limits.sockets.saturating_sub(reserved);
@@ -184,7 +187,7 @@
 
     /// All input that arrived before this time was handled: a peer is late only by this time.
     fn read_until(&self) -> Duration {
-        self.event_loop.looked() + CLOCK_OFFSET
+        self.event_loop.read_until() + CLOCK_OFFSET
     }
 
     /// One iteration: handles timeouts, steps the core, carries out its actions, and waits for events.
@@ -194,7 +197,7 @@
             self.carry_out(action);
         }
         self.start_queued_health_checks();
-        self.event_loop.hold_listener(self.listener, self.platform.is_full());
+        self.event_loop.pause_accepting(self.listener, self.platform.is_full());
         let until = self.next_timeout().map(|at| at.saturating_sub(CLOCK_OFFSET));
         let events = self.event_loop.wait(until)?;
         // A change of the list counts from the time it is sent: the watch goes before all else.
@@ -300,7 +303,7 @@
     }
 
     fn dial_health_check(&mut self, check: HealthCheck) {
-        let limits = BufferLimits { handshake: health_check::TIMEOUT * 2, ..BufferLimits::default() };
+        let limits = BufferLimits { handshake_timeout: health_check::TIMEOUT * 2, ..BufferLimits::default() };
         match self.event_loop.dial(check.address, &Security::Plain, limits) {
             Ok(conn) => {
                 // What is written before the connection is established is sent with it.
@@ -371,7 +374,7 @@
     fn handle_watch_event(&mut self, event: IoEvent) {
         match event {
             IoEvent::Bytes { conn, bytes } => self.handle_watch_bytes(conn, &bytes),
-            IoEvent::Closed { conn, why } => {
+            IoEvent::Closed { conn, reason: why } => {
                 tracing::info!(at = %self.watch.address(), ?why, "the watch has ended");
                 self.watch.handle_closed(conn, self.now());
             }
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -190,8 +190,11 @@
         seed: u64,
     ) -> Result<(ProxyRuntime, SocketAddr), Failed> {
         let terms = TlsPolicy::load(&stand.papers)?;
-        let bounds =
-            BufferLimits { idle: Some(Duration::from_secs(60)), unread: 4 << 20, ..BufferLimits::default() };
+        let bounds = BufferLimits {
+            idle_timeout: Some(Duration::from_secs(60)),
+            max_unsent_bytes: 4 << 20,
+            ..BufferLimits::default()
+        };
         let (listener, at) = turn.listen(stand.listen, Security::Plain, bounds)?;
         let schema = Schema::root(derive(PROXY_XSD, &["tables"]).map_err(Failed::Schema)?);
         let manner = ProxyConfig {
@@ -212,9 +215,9 @@
             service: Service::new(schema, Limits::default()),
             security: match stand.front {
                 // RFC 8071: it dials, and is the server all the same.
-                TableDelivery::Edits => Security::Answers(terms.answers.clone()),
+                TableDelivery::Edits => Security::TlsServer(terms.answers.clone()),
                 TableDelivery::Weights | TableDelivery::Subsets => {
-                    Security::Starts(terms.starts.clone(), server_name(PLANNER))
+                    Security::TlsClient(terms.starts.clone(), server_name(PLANNER))
                 }
             },
             stand,
@@ -323,7 +326,7 @@
             IoEvent::Signal(_) => self.stopping = true,
             IoEvent::Open { conn, listener, certificate } => self.opened(turn, conn, listener, certificate),
             IoEvent::Bytes { conn, bytes } => self.bytes(turn, conn, &bytes),
-            IoEvent::Closed { conn, why } => self.closed(turn, conn, why),
+            IoEvent::Closed { conn, reason } => self.closed(turn, conn, reason),
         }
     }
 
@@ -489,8 +492,8 @@
             Some(conn) => conn,
             None => {
                 let bounds = BufferLimits {
-                    idle: Some(Duration::from_secs(15)),
-                    handshake: CONNECT,
+                    idle_timeout: Some(Duration::from_secs(15)),
+                    handshake_timeout: CONNECT,
                     ..BufferLimits::default()
                 };
                 match turn.dial(address, &Security::Plain, bounds) {
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,293 +1,352 @@
-//! One connection: its socket, its TLS state, and what waits to be written.
+//! One connection: its socket, its TLS state, its output buffer and its deadlines.
 
-use crate::{BufferLimits, CloseReason};
-use polling::Event;
-use rustls::pki_types::ServerName;
-use rustls::{ClientConfig, ClientConnection, Connection as TlsConnection, ServerConfig, ServerConnection};
+use crate::{BufferLimits, CloseReason, ConnectionId};
+use polling::{Event, PollMode, Poller};
+use rustls::Connection as TlsConnection;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
-use std::sync::Arc;
+use std::os::fd::AsFd;
 use std::time::Duration;
 
-/// How a connection is secured, told apart from who dialled: with Call Home (RFC 8071) the side that accepts
-/// the TCP connection starts TLS.
-#[derive(Clone)]
-pub enum Security {
-    Plain,
-    /// This side takes the other's hello.
-    Answers(Arc<ServerConfig>),
-    /// This side says hello, and expects the other to be called so.
-    Starts(Arc<ClientConfig>, ServerName<'static>),
+/// Bytes read from a plain socket at a time.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+
+/// How a connection came about.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Origin {
+    Accepted { listener: ConnectionId },
+    Dialed,
 }
 
-impl Security {
-    pub(crate) fn start(&self) -> io::Result<Option<TlsConnection>> {
-        let bounded = |mut connection: TlsConnection| {
-            // What waits is kept, and bounded, outside of the library.
-            connection.set_buffer_limit(Some(TLS_BUFFER));
-            Some(connection)
-        };
-        Ok(match self {
-            Security::Plain => None,
-            Security::Answers(terms) => {
-                bounded(ServerConnection::new(terms.clone()).map_err(io::Error::other)?.into())
-            }
-            Security::Starts(terms, name) => {
-                let connection = ClientConnection::new(terms.clone(), name.clone());
-                bounded(connection.map_err(io::Error::other)?.into())
-            }
-        })
-    }
+/// How far a connection is established.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum State {
+    /// The TCP connection is being established.
+    Connecting,
+    /// The TLS handshake is in progress.
+    Handshaking,
+    /// Data can be exchanged.
+    Open,
 }
 
-/// Four records of TLS: enough to keep the socket busy.
-const TLS_BUFFER: usize = 64 << 10;
+/// What a connection is polled for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct Interest {
+    readable: bool,
+    writable: bool,
+}
+
+/// A connection was established.
+pub(crate) struct Opened {
+    /// The peer's certificate (DER), if it presented one.
+    pub(crate) certificate: Option<Vec<u8>>,
+}
 
 /// What reading and writing brought.
 #[derive(Default)]
-pub struct Outcome {
-    /// It stands now; the peer's certificate, if there is one.
-    pub opened: Option<Option<Vec<u8>>>,
-    pub bytes: Vec<u8>,
-    pub ended: Option<CloseReason>,
+pub(crate) struct Outcome {
+    pub(crate) opened: Option<Opened>,
+    pub(crate) bytes: Vec<u8>,
+    pub(crate) closed: Option<CloseReason>,
 }
 
-pub struct Connection {
+pub(crate) struct Connection {
     stream: TcpStream,
     tls: Option<TlsConnection>,
-    bounds: BufferLimits,
-    pub listener: Option<usize>,
-    connecting: bool,
-    open: bool,
-    pub held: bool,
-    /// The other side has ended it, and that was told.
-    pub ended: bool,
-    out: Vec<u8>,
+    limits: BufferLimits,
+    origin: Origin,
+    state: State,
+    is_read_paused: bool,
+    /// The peer has closed its half, and that was reported.
+    is_half_closed: bool,
+    output: Vec<u8>,
+    /// Bytes of `output` that are written.
     written: usize,
-    finish_by: Option<Duration>,
-    goodbye: bool,
-    since: Duration,
-    read_at: Duration,
-    pub interest: Option<(bool, bool)>,
+    /// Set once it is being finished: when it is closed at the latest.
+    finish_deadline: Option<Duration>,
+    /// This side has closed its half.
+    is_shut_down: bool,
+    opened_at: Duration,
+    last_read_at: Duration,
+    interest: Option<Interest>,
 }
 
 impl Connection {
-    pub fn new(
+    pub(crate) fn new(
         stream: TcpStream,
         tls: Option<TlsConnection>,
-        bounds: BufferLimits,
-        listener: Option<usize>,
-        connecting: bool,
+        limits: BufferLimits,
+        origin: Origin,
         now: Duration,
     ) -> Connection {
-        let open = tls.is_none() && !connecting;
+        let state = match origin {
+            Origin::Dialed => State::Connecting,
+            Origin::Accepted { .. } => State::after_connecting(tls.is_some()),
+        };
         Connection {
             stream,
             tls,
-            bounds,
-            listener,
-            connecting,
-            open,
-            held: false,
-            ended: false,
-            out: Vec::new(),
+            limits,
+            origin,
+            state,
+            is_read_paused: false,
+            is_half_closed: false,
+            output: Vec::new(),
             written: 0,
-            finish_by: None,
-            goodbye: false,
-            since: now,
-            read_at: now,
+            finish_deadline: None,
+            is_shut_down: false,
+            opened_at: now,
+            last_read_at: now,
             interest: None,
         }
     }
 
-    pub fn socket(&self) -> &TcpStream {
+    pub(crate) fn socket(&self) -> &TcpStream {
         &self.stream
     }
 
-    pub fn is_plain(&self) -> bool {
+    /// The listener that accepted it.
+    pub(crate) fn listener(&self) -> Option<ConnectionId> {
+        match self.origin {
+            Origin::Accepted { listener } => Some(listener),
+            Origin::Dialed => None,
+        }
+    }
+
+    pub(crate) fn is_plain(&self) -> bool {
         self.tls.is_none()
     }
 
-    /// Connected, and TLS is not agreed yet: the costly part of a connection.
-    pub fn is_shaking_hands(&self) -> bool {
-        !self.connecting && !self.open && self.tls.is_some()
+    /// Whether the TLS handshake is in progress, the costly part of a connection.
+    pub(crate) fn is_handshaking(&self) -> bool {
+        self.state == State::Handshaking
+    }
+
+    pub(crate) fn is_finishing(&self) -> bool {
+        self.finish_deadline.is_some()
+    }
+
+    pub(crate) fn is_half_closed(&self) -> bool {
+        self.is_half_closed
+    }
+
+    /// Notes that the peer has closed its half; what was written still goes out.
+    pub(crate) fn set_half_closed(&mut self) {
+        self.is_half_closed = true;
     }
 
-    pub fn waiting(&self) -> usize {
-        self.out.len() - self.written
+    pub(crate) fn pause_reading(&mut self, is_paused: bool) {
+        self.is_read_paused = is_paused;
     }
 
-    pub fn is_finishing(&self) -> bool {
-        self.finish_by.is_some()
+    /// Bytes that wait to be written.
+    pub(crate) fn unsent_bytes(&self) -> usize {
+        self.output.len() - self.written
     }
 
-    /// Takes bytes to be written; false: they are more than may wait.
-    pub fn queue(&mut self, bytes: &[u8]) -> bool {
-        if self.waiting() + bytes.len() > self.bounds.unread {
+    /// Queues bytes to be written; `false` if that exceeds the limit.
+    #[must_use]
+    pub(crate) fn queue(&mut self, bytes: &[u8]) -> bool {
+        if self.unsent_bytes() + bytes.len() > self.limits.max_unsent_bytes {
             return false;
         }
-        if self.written > 0 && self.written >= self.out.len() / 2 {
-            self.out.drain(..self.written);
+        if self.written > 0 && self.written >= self.output.len() / 2 {
+            self.output.drain(..self.written);
             self.written = 0;
         }
-        self.out.extend_from_slice(bytes);
+        self.output.extend_from_slice(bytes);
         true
     }
 
-    pub fn finish(&mut self, by: Duration) {
-        self.finish_by.get_or_insert(by);
+    /// Closes it once everything is written, or at the deadline.
+    pub(crate) fn finish(&mut self, deadline: Duration) {
+        self.finish_deadline.get_or_insert(deadline);
+    }
+
+    fn wants_read(&self) -> bool {
+        !self.is_read_paused && self.state != State::Connecting && !self.is_half_closed
     }
 
-    pub fn wants_read(&self) -> bool {
-        !self.held && !self.connecting && !self.ended
+    fn wants_write(&self) -> bool {
+        self.state == State::Connecting
+            || self.tls.as_ref().is_some_and(|tls| tls.wants_write())
+            || (self.state == State::Open && self.unsent_bytes() > 0)
     }
 
-    pub fn wants_write(&self) -> bool {
-        self.connecting
-            || self.tls.as_ref().is_some_and(|t| t.wants_write())
-            || (self.open && self.waiting() > 0)
+    /// Registers what it waits for with the poller, if that has changed.
+    pub(crate) fn update_interest(&mut self, poller: &Poller, id: ConnectionId) -> io::Result<()> {
+        let interest = Interest { readable: self.wants_read(), writable: self.wants_write() };
+        if self.interest == Some(interest) {
+            return Ok(());
+        }
+        self.interest = Some(interest);
+        let event = Event::new(id, interest.readable, interest.writable);
+        poller.modify_with_mode(self.stream.as_fd(), event, PollMode::Level)
     }
 
-    /// Overdue: why it ends.
-    pub fn late(&self, now: Duration) -> Option<CloseReason> {
-        if self.finish_by.is_some_and(|by| now >= by) {
+    /// Why it is to be closed at this time, if a deadline has passed.
+    pub(crate) fn overdue_reason(&self, read_until: Duration) -> Option<CloseReason> {
+        if self.finish_deadline.is_some_and(|deadline| read_until >= deadline) {
             return Some(CloseReason::Finished);
         }
-        if !self.open {
-            return (now >= self.since + self.bounds.handshake).then_some(CloseReason::Slow);
+        if self.state != State::Open {
+            let deadline = self.opened_at + self.limits.handshake_timeout;
+            return (read_until >= deadline).then_some(CloseReason::Slow);
         }
-        let idle = self.bounds.idle.is_some_and(|idle| !self.held && now >= self.read_at + idle);
-        idle.then_some(CloseReason::Idle)
+        let idle_timeout = self.limits.idle_timeout.filter(|_| !self.is_read_paused)?;
+        (read_until >= self.last_read_at + idle_timeout).then_some(CloseReason::Idle)
     }
 
-    pub fn ready(&mut self, event: &Event, now: Duration) -> Outcome {
+    /// Reads and writes what the socket is ready for.
+    pub(crate) fn handle_ready(&mut self, event: &Event, now: Duration) -> Outcome {
         let mut outcome = Outcome::default();
-        if self.connecting {
-            if !event.writable && !event.readable {
-                return outcome;
-            }
-            match (self.stream.take_error(), self.stream.peer_addr()) {
-                (Ok(None), Ok(_)) => self.connecting = false,
-                (Ok(None), Err(_)) => return outcome,
-                _ => {
-                    outcome.ended = Some(CloseReason::Refused);
-                    return outcome;
-                }
+        if self.state == State::Connecting {
+            if event.writable || event.readable {
+                self.finish_connecting(&mut outcome);
             }
-            if self.tls.is_none() {
-                self.open = true;
-                outcome.opened = Some(None);
+            if self.state == State::Connecting {
+                return outcome;
             }
         }
-        if event.readable && !self.held && !self.ended {
+        if event.readable && !self.is_read_paused && !self.is_half_closed {
             self.read(now, &mut outcome);
         }
-        if outcome.ended.is_none() {
-            outcome.ended = self.flush().err();
+        if outcome.closed.is_none() {
+            outcome.closed = self.flush().err();
         }
-        self.look_open(&mut outcome);
+        self.finish_handshake(&mut outcome);
         outcome
     }
 
-    fn look_open(&mut self, outcome: &mut Outcome) {
-        let Some(tls) = self.tls.as_ref().filter(|t| !self.open && !t.is_handshaking()) else { return };
-        self.open = true;
-        let certificate = tls.peer_certificates().and_then(|c| c.first()).map(|c| c.as_ref().to_vec());
-        outcome.opened = Some(certificate);
-        // What was queued before the handshake ended.
-        if let (None, Err(why)) = (outcome.ended, self.flush()) {
-            outcome.ended = Some(why);
+    fn finish_connecting(&mut self, outcome: &mut Outcome) {
+        match (self.stream.take_error(), self.stream.peer_addr()) {
+            (Ok(None), Ok(_)) => self.state = State::after_connecting(self.tls.is_some()),
+            (Ok(None), Err(_)) => {}
+            _ => outcome.closed = Some(CloseReason::Refused),
+        }
+        if self.state == State::Open {
+            outcome.opened = Some(Opened { certificate: None });
         }
     }
 
-    /// Reads a share of what is there.
-    pub fn read(&mut self, now: Duration, outcome: &mut Outcome) {
-        let mut buffer = [0u8; 16 << 10];
-        // A share a turn; what is left keeps the socket ready.
-        while outcome.bytes.len() < self.bounds.share && outcome.ended.is_none() {
-            let read = match &mut self.tls {
+    fn finish_handshake(&mut self, outcome: &mut Outcome) {
+        let Some(tls) = self.tls.as_ref().filter(|tls| self.state != State::Open && !tls.is_handshaking())
+        else {
+            return;
+        };
+        self.state = State::Open;
+        let certificate = tls.peer_certificates().and_then(|chain| chain.first());
+        let certificate = certificate.map(|certificate| certificate.as_ref().to_vec());
+        outcome.opened = Some(Opened { certificate });
+        // Sends what was queued during the handshake.
+        let flushed = self.flush();
+        outcome.closed = outcome.closed.or(flushed.err());
+    }
+
+    /// Reads until the socket is empty or the iteration's share is reached; what is left keeps the socket ready.
+    pub(crate) fn read(&mut self, now: Duration, outcome: &mut Outcome) {
+        let mut buffer = [0u8; READ_BUFFER_BYTES];
+        while outcome.bytes.len() < self.limits.read_bytes_per_poll && outcome.closed.is_none() {
+            let result = match &mut self.tls {
                 None => self.stream.read(&mut buffer),
                 Some(tls) => tls.read_tls(&mut self.stream),
             };
-            match read {
+            match result {
                 Ok(0) => {
-                    outcome.ended = Some(if self.open { CloseReason::Ended } else { CloseReason::Broken })
+                    let is_open = self.state == State::Open;
+                    outcome.closed = Some(if is_open { CloseReason::Ended } else { CloseReason::Broken });
                 }
-                Ok(n) => {
-                    self.read_at = now;
+                Ok(count) => {
+                    self.last_read_at = now;
                     match &mut self.tls {
-                        None => outcome.bytes.extend_from_slice(&buffer[..n]),
+                        None => outcome.bytes.extend_from_slice(&buffer[..count]),
                         Some(_) => self.decrypt(outcome),
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => outcome.ended = Some(CloseReason::Broken),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => outcome.closed = Some(CloseReason::Broken),
             }
         }
         if self.is_finishing() {
-            // Nobody here listens any more.
+            // The caller has finished it and expects no more input.
             outcome.bytes.clear();
-            outcome.ended = outcome.ended.map(|_| CloseReason::Finished);
+            outcome.closed = outcome.closed.map(|_| CloseReason::Finished);
         }
     }
 
     fn decrypt(&mut self, outcome: &mut Outcome) {
         let Some(tls) = &mut self.tls else { return };
-        let state = match tls.process_new_packets() {
-            Ok(state) => state,
-            Err(_) => {
-                // The alert tells the other side why.
-                let _ = tls.write_tls(&mut self.stream);
-                outcome.ended = Some(if self.open { CloseReason::Broken } else { CloseReason::Untrusted });
-                return;
-            }
+        let Ok(state) = tls.process_new_packets() else {
+            // The alert tells the peer why.
+            let _ = tls.write_tls(&mut self.stream);
+            let is_open = self.state == State::Open;
+            outcome.closed = Some(if is_open { CloseReason::Broken } else { CloseReason::Untrusted });
+            return;
         };
-        let from = outcome.bytes.len();
-        outcome.bytes.resize(from + state.plaintext_bytes_to_read(), 0);
-        if tls.reader().read_exact(&mut outcome.bytes[from..]).is_err() {
-            outcome.bytes.truncate(from);
+        let start = outcome.bytes.len();
+        outcome.bytes.resize(start + state.plaintext_bytes_to_read(), 0);
+        if tls.reader().read_exact(&mut outcome.bytes[start..]).is_err() {
+            outcome.bytes.truncate(start);
         }
         if state.peer_has_closed() {
-            outcome.ended = Some(CloseReason::Ended);
+            outcome.closed = Some(CloseReason::Ended);
         }
     }
 
     /// Writes what the socket takes.
-    pub fn flush(&mut self) -> Result<(), CloseReason> {
-        if self.connecting {
+    pub(crate) fn flush(&mut self) -> Result<(), CloseReason> {
+        if self.state == State::Connecting {
             return Ok(());
         }
         loop {
-            let waiting = self.waiting();
-            let wrote = match &mut self.tls {
-                None if waiting == 0 => break,
-                None => self.stream.write(&self.out[self.written..]).map(|n| self.written += n),
+            let has_output = self.unsent_bytes() > 0;
+            let output = &self.output[self.written..];
+            let result = match &mut self.tls {
+                None if has_output => self.stream.write(output).map(|count| self.written += count),
                 Some(tls) if tls.wants_write() => tls.write_tls(&mut self.stream).map(|_| ()),
-                Some(tls) if waiting > 0 && !tls.is_handshaking() => {
-                    tls.writer().write(&self.out[self.written..]).map(|n| self.written += n)
+                Some(tls) if has_output && !tls.is_handshaking() => {
+                    tls.writer().write(output).map(|count| self.written += count)
                 }
-                Some(_) => break,
+                _ => break,
             };
-            match wrote {
+            match result {
                 Ok(()) => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return Err(CloseReason::Broken),
             }
         }
-        if self.written == self.out.len() {
-            self.out.clear();
+        if self.unsent_bytes() == 0 {
+            self.output.clear();
             self.written = 0;
         }
-        if self.is_finishing() && !self.goodbye && self.waiting() == 0 {
-            self.goodbye = true;
-            if let Some(tls) = &mut self.tls {
-                tls.send_close_notify();
-                let _ = tls.write_tls(&mut self.stream);
-            }
-            let _ = self.stream.shutdown(Shutdown::Write);
+        if self.is_finishing() && self.unsent_bytes() == 0 {
+            self.shut_down();
         }
         Ok(())
     }
+
+    /// Closes this side's half, once.
+    fn shut_down(&mut self) {
+        if self.is_shut_down {
+            return;
+        }
+        self.is_shut_down = true;
+        if let Some(tls) = &mut self.tls {
+            tls.send_close_notify();
+            let _ = tls.write_tls(&mut self.stream);
+        }
+        let _ = self.stream.shutdown(Shutdown::Write);
+    }
+}
+
+impl State {
+    fn after_connecting(has_tls: bool) -> State {
+        if has_tls {
+            State::Handshaking
+        } else {
+            State::Open
+        }
+    }
 }
--- /dev/null
+++ b/crates/event-loop/src/limits.rs
@@ -0,0 +1,38 @@
+//! Limits of connections and listeners.
+
+use std::time::Duration;
+
+/// Four of the largest messages.
+const DEFAULT_MAX_UNSENT_BYTES: usize = 8 << 20;
+/// Any ordinary message, and little against the length of an iteration.
+const DEFAULT_READ_BYTES_PER_POLL: usize = 64 << 10;
+/// Three round trips over a bad network.
+const DEFAULT_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+const DEFAULT_MAX_CONNECTIONS: usize = 2048;
+
+/// Limits of a connection, or of a listener and each connection that it accepts.
+#[derive(Debug, Clone, Copy)]
+pub struct BufferLimits {
+    /// Bytes that may wait to be written; more closes the connection.
+    pub max_unsent_bytes: usize,
+    /// Bytes after which reading a connection stops until the next iteration.
+    pub read_bytes_per_poll: usize,
+    /// A connection on which nothing is read for this long is closed; `None`: never.
+    pub idle_timeout: Option<Duration>,
+    /// Time for connecting and the TLS handshake together.
+    pub handshake_timeout: Duration,
+    /// Connections of one listener at a time.
+    pub max_connections: usize,
+}
+
+impl Default for BufferLimits {
+    fn default() -> Self {
+        BufferLimits {
+            max_unsent_bytes: DEFAULT_MAX_UNSENT_BYTES,
+            read_bytes_per_poll: DEFAULT_READ_BYTES_PER_POLL,
+            idle_timeout: None,
+            handshake_timeout: DEFAULT_HANDSHAKE_TIMEOUT,
+            max_connections: DEFAULT_MAX_CONNECTIONS,
+        }
+    }
+}
--- /dev/null
+++ b/crates/event-loop/src/listener.rs
@@ -0,0 +1,171 @@
+//! Listeners: accepting connections, pausing, and backing off where file descriptors run out.
+
+use crate::connection::{Connection, Origin};
+use crate::event_loop::{new_socket, EventLoop};
+use crate::{BufferLimits, ConnectionId, IoEvent, Security};
+use polling::{Event, PollMode};
+use std::io;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
+
+/// Connections that may wait in the system's queue: all proxies at once after a restart, and some.
+const LISTEN_BACKLOG: i32 = 1024;
+/// How long a listener accepts nobody after file descriptors have run out. The waiting connections keep it ready, and
+/// trying again at once would keep the loop busy.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// No file descriptor or memory for one more connection: ENOMEM, ENFILE, EMFILE, ENOBUFS.
+const RESOURCE_ERRORS: [i32; 4] = [12, 23, 24, 105];
+
+/// A listening socket.
+pub(crate) struct Listener {
+    socket: TcpListener,
+    security: Security,
+    limits: BufferLimits,
+    /// Its connections that are not closed.
+    connection_count: usize,
+    /// Set once it accepts nobody any more.
+    is_closed: bool,
+    /// Nobody is accepted for now; connections wait in the system's queue.
+    is_paused: bool,
+    /// Nobody is accepted until then, since there was no file descriptor.
+    backoff_until: Option<Duration>,
+}
+
+impl Listener {
+    fn is_accepting(&self) -> bool {
+        !self.is_closed && !self.is_paused && self.backoff_until.is_none()
+    }
+
+    pub(crate) fn note_connection_closed(&mut self) {
+        self.connection_count -= 1;
+    }
+
+    /// Prepares an accepted socket.
+    fn open(&self, stream: TcpStream, id: ConnectionId, now: Duration) -> io::Result<Connection> {
+        stream.set_nonblocking(true)?;
+        stream.set_nodelay(true)?;
+        let tls = self.security.start()?;
+        Ok(Connection::new(stream, tls, self.limits, Origin::Accepted { listener: id }, now))
+    }
+}
+
+impl EventLoop {
+    /// Listens. Returns the listener's number and its address, whose port is a free one if port 0 was asked for.
+    pub fn listen(
+        &mut self,
+        address: SocketAddr,
+        security: Security,
+        limits: BufferLimits,
+    ) -> io::Result<(ConnectionId, SocketAddr)> {
+        let socket = new_socket(address)?;
+        socket.set_reuse_address(true)?;
+        socket.bind(&address.into())?;
+        socket.listen(LISTEN_BACKLOG)?;
+        let socket = TcpListener::from(socket);
+        let id = self.next_id();
+        let bound_address = socket.local_addr()?;
+        // SAFETY: the listener is deleted from the poller before it is closed, in `close_listener`, in
+        // `close_listeners`, or when both are dropped.
+        unsafe { self.poller.add_with_mode(&socket, Event::readable(id), PollMode::Level)? };
+        let listener = Listener {
+            socket,
+            security,
+            limits,
+            connection_count: 0,
+            is_closed: false,
+            is_paused: false,
+            backoff_until: None,
+        };
+        self.listeners.insert(id, listener);
+        Ok((id, bound_address))
+    }
+
+    /// Pauses or resumes accepting; while paused, connections wait in the system's queue.
+    pub fn pause_accepting(&mut self, id: ConnectionId, is_paused: bool) {
+        let listener = self.listeners.get_mut(&id);
+        if let Some(listener) = listener.filter(|listener| listener.is_paused != is_paused) {
+            listener.is_paused = is_paused;
+            self.update_listener_interest(id);
+        }
+    }
+
+    /// Closes one listener; its connections stay.
+    pub fn close_listener(&mut self, id: ConnectionId) {
+        if let Some(listener) = self.listeners.remove(&id).filter(|listener| !listener.is_closed) {
+            let _ = self.poller.delete(&listener.socket);
+        }
+    }
+
+    /// Stops accepting on all listeners; their connections stay.
+    pub fn close_listeners(&mut self) {
+        for listener in self.listeners.values_mut().filter(|listener| !listener.is_closed) {
+            listener.is_closed = true;
+            let _ = self.poller.delete(&listener.socket);
+        }
+    }
+
+    /// Polls a listener for connections, or no longer.
+    fn update_listener_interest(&self, id: ConnectionId) {
+        if let Some(listener) = self.listeners.get(&id).filter(|listener| !listener.is_closed) {
+            let event = if listener.is_accepting() { Event::readable(id) } else { Event::none(id) };
+            let _ = self.poller.modify_with_mode(&listener.socket, event, PollMode::Level);
+        }
+    }
+
+    /// Accepts again on listeners whose backoff is over; returns when the next one is.
+    pub(crate) fn end_accept_backoffs(&mut self, now: Duration) -> Option<Duration> {
+        let is_over =
+            |listener: &Listener| listener.backoff_until.is_some_and(|backoff_until| now >= backoff_until);
+        let ready: Vec<ConnectionId> =
+            self.listeners.iter().filter(|(_, listener)| is_over(listener)).map(|(id, _)| *id).collect();
+        for id in ready {
+            self.listeners.entry(id).and_modify(|listener| listener.backoff_until = None);
+            self.update_listener_interest(id);
+        }
+        self.listeners.values().filter_map(|listener| listener.backoff_until).min()
+    }
+
+    /// Accepts the connections that wait, up to the limit of an iteration.
+    pub(crate) fn accept(&mut self, id: ConnectionId) {
+        for _ in 0..self.max_accepts {
+            let now = self.now();
+            let listener = self.listeners.get_mut(&id).filter(|listener| listener.is_accepting());
+            let Some(listener) = listener else { return };
+            let stream = match listener.socket.accept() {
+                Ok((stream, _)) => stream,
+                Err(error) if RESOURCE_ERRORS.contains(&error.raw_os_error().unwrap_or(0)) => {
+                    listener.backoff_until = Some(now + ACCEPT_BACKOFF);
+                    self.update_listener_interest(id);
+                    return;
+                }
+                // Nobody waits any more; other errors are tried again in the next iteration.
+                Err(_) => return,
+            };
+            if listener.connection_count >= listener.limits.max_connections {
+                self.rejected_connections += 1;
+                continue;
+            }
+            let Ok(connection) = listener.open(stream, id, now) else { continue };
+            listener.connection_count += 1;
+            self.add_accepted(connection, id);
+        }
+    }
+
+    fn add_accepted(&mut self, connection: Connection, listener: ConnectionId) {
+        let conn = self.next_id();
+        let is_plain = connection.is_plain();
+        // SAFETY: the socket is deleted from the poller in `remove`, before it is closed.
+        let added =
+            unsafe { self.poller.add_with_mode(connection.socket(), Event::readable(conn), PollMode::Level) };
+        self.connections.insert(conn, connection);
+        if added.is_err() {
+            self.remove(conn);
+        } else if is_plain {
+            let event = IoEvent::Open { conn, listener: Some(listener), certificate: None };
+            self.pending_events.push(event);
+        } else {
+            // The TLS client has bytes to write at once.
+            self.flush(conn);
+        }
+    }
+}
--- a/crates/event-loop/src/tests.rs
+++ b/crates/event-loop/src/tests.rs
@@ -1,9 +1,15 @@
-use super::*;
+//! The loop over real sockets on the loopback interface.
+
+use crate::event_loop::DEFAULT_MAX_HANDSHAKES;
+use crate::*;
 use rcgen::{BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, KeyPair};
 use rustls::pki_types::{PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
-use std::io::Write;
-use std::net::TcpStream;
+use socket2::{Domain, Socket, Type};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
 
 const ANY: &str = "127.0.0.1:0";
 
@@ -11,20 +17,43 @@
     ANY.parse().unwrap()
 }
 
-/// Turns until something is told that `wanted` picks; a minute is far beyond what any of this takes.
-fn until<T>(turn: &mut EventLoop, mut wanted: impl FnMut(&mut EventLoop, &IoEvent) -> Option<T>) -> T {
+/// Iterates until `wanted` picks something from an event; a minute is far beyond what any of this takes.
+fn until<T>(event_loop: &mut EventLoop, mut wanted: impl FnMut(&mut EventLoop, &IoEvent) -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(60);
     while Instant::now() < end {
-        for h in turn.wait(None).unwrap() {
-            if let Some(found) = wanted(turn, &h) {
+        for event in event_loop.wait(None).unwrap() {
+            if let Some(found) = wanted(event_loop, &event) {
                 return found;
             }
         }
     }
-    panic!("nothing came");
+    panic!("no such event");
+}
+
+/// Picks the connection that was established.
+fn opened(_: &mut EventLoop, event: &IoEvent) -> Option<ConnectionId> {
+    match event {
+        IoEvent::Open { conn, .. } => Some(*conn),
+        _ => None,
+    }
 }
 
-fn issue() -> (Security, Security, Security) {
+/// Picks why a connection ended.
+fn closed(_: &mut EventLoop, event: &IoEvent) -> Option<CloseReason> {
+    match event {
+        IoEvent::Closed { reason, .. } => Some(*reason),
+        _ => None,
+    }
+}
+
+/// A TLS server and two clients of one authority.
+struct TlsPeers {
+    server: Security,
+    client: Security,
+    client_without_certificate: Security,
+}
+
+fn tls_peers() -> TlsPeers {
     let ca_key = KeyPair::generate().unwrap();
     let mut ca = CertificateParams::new(vec![]).unwrap();
     ca.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -40,271 +69,277 @@
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier =
         rustls::server::WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone());
-    let answers = ServerConfig::builder_with_provider(provider.clone())
+    let server = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
         .unwrap()
         .with_client_cert_verifier(verifier.build().unwrap())
         .with_single_cert(vec![leaf.der().clone()], private())
         .unwrap();
-    let start = |roots: Arc<RootCertStore>| {
+    let client_builder = |roots: Arc<RootCertStore>| {
         ClientConfig::builder_with_provider(provider.clone())
             .with_safe_default_protocol_versions()
             .unwrap()
             .with_root_certificates(roots)
     };
     let name = ServerName::try_from("peer.test").unwrap();
-    let trusted = start(roots.clone()).with_client_auth_cert(vec![leaf.der().clone()], private()).unwrap();
-    let nameless = start(roots).with_no_client_auth();
-    let starts = |terms| Security::Starts(Arc::new(terms), name.clone());
-    (Security::Answers(Arc::new(answers)), starts(trusted), starts(nameless))
+    let trusted =
+        client_builder(roots.clone()).with_client_auth_cert(vec![leaf.der().clone()], private()).unwrap();
+    let anonymous = client_builder(roots).with_no_client_auth();
+    let client = |config| Security::TlsClient(Arc::new(config), name.clone());
+    TlsPeers {
+        server: Security::TlsServer(Arc::new(server)),
+        client: client(trusted),
+        client_without_certificate: client(anonymous),
+    }
 }
 
 #[test]
-fn bytes_pass_both_ways_under_tls_with_certificates_on_both_sides() {
-    let (answers, starts, _) = issue();
-    let mut turn = EventLoop::new().unwrap();
-    let (_, at) = turn.listen(any(), answers, BufferLimits::default()).unwrap();
-    let near = turn.dial(at, &starts, BufferLimits::default()).unwrap();
-    // Written before the handshake is over, and larger than any buffer on the way.
+fn bytes_pass_both_ways_over_tls_with_client_certificates() {
+    let TlsPeers { server, client, .. } = tls_peers();
+    let mut event_loop = EventLoop::new().unwrap();
+    let (_, at) = event_loop.listen(any(), server, BufferLimits::default()).unwrap();
+    let near = event_loop.dial(at, &client, BufferLimits::default()).unwrap();
+    // Written before the handshake has ended, and larger than any buffer between the two.
     let long: Vec<u8> = (0..3_000_000u32).map(|k| k as u8).collect();
-    turn.write(near, &long);
-    let mut got = Vec::new();
-    until(&mut turn, |turn, h| match h {
+    event_loop.write(near, &long);
+    let mut received = Vec::new();
+    until(&mut event_loop, |event_loop, event| match event {
         IoEvent::Open { certificate, .. } => certificate.is_none().then(|| panic!("no certificate")),
         IoEvent::Bytes { conn, bytes } if *conn != near => {
-            got.extend_from_slice(bytes);
-            if got.len() == long.len() {
-                turn.write(*conn, b"thanks");
+            received.extend_from_slice(bytes);
+            if received.len() == long.len() {
+                event_loop.write(*conn, b"thanks");
             }
             None
         }
         IoEvent::Bytes { bytes, .. } => (bytes == b"thanks").then_some(()),
         _ => None,
     });
-    assert!(got == long);
+    assert!(received == long);
 }
 
 #[test]
-fn who_has_no_certificate_or_speaks_no_tls_is_untrusted() {
-    let (answers, _, nameless) = issue();
-    let mut turn = EventLoop::new().unwrap();
-    let (_, at) = turn.listen(any(), answers, BufferLimits::default()).unwrap();
-    let near = turn.dial(at, &nameless, BufferLimits::default()).unwrap();
-    let why = until(&mut turn, |_, h| match h {
-        IoEvent::Closed { conn, why } if *conn != near => Some(*why),
+fn a_peer_without_certificate_or_tls_is_untrusted() {
+    let TlsPeers { server, client_without_certificate, .. } = tls_peers();
+    let mut event_loop = EventLoop::new().unwrap();
+    let (_, at) = event_loop.listen(any(), server, BufferLimits::default()).unwrap();
+    let near = event_loop.dial(at, &client_without_certificate, BufferLimits::default()).unwrap();
+    let reason = until(&mut event_loop, |_, event| match event {
+        IoEvent::Closed { conn, reason } if *conn != near => Some(*reason),
         _ => None,
     });
-    assert_eq!(why, CloseReason::Untrusted);
+    assert_eq!(reason, CloseReason::Untrusted);
     let mut plain = TcpStream::connect(at).unwrap();
     plain.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    let closed = |_: &mut EventLoop, h: &IoEvent| match h {
-        IoEvent::Closed { why: CloseReason::Untrusted, conn } if *conn != near => Some(()),
+    let closed = |_: &mut EventLoop, event: &IoEvent| match event {
+        IoEvent::Closed { reason: CloseReason::Untrusted, conn } if *conn != near => Some(()),
         _ => None,
     };
-    until(&mut turn, closed);
+    until(&mut event_loop, closed);
 }
 
 #[test]
-fn a_peer_that_says_nothing_or_reads_nothing_loses_its_connection() {
-    let mut turn = EventLoop::new().unwrap();
-    let bounds =
-        BufferLimits { idle: Some(Duration::from_millis(50)), unread: 1 << 20, ..BufferLimits::default() };
-    let (_, at) = turn.listen(any(), Security::Plain, bounds).unwrap();
-    let _silent = TcpStream::connect(at).unwrap();
-    let closed = |_: &mut EventLoop, h: &IoEvent| match h {
-        IoEvent::Closed { why, .. } => Some(*why),
-        _ => None,
+fn a_peer_that_sends_nothing_or_reads_nothing_is_disconnected() {
+    let mut event_loop = EventLoop::new().unwrap();
+    let limits = BufferLimits {
+        idle_timeout: Some(Duration::from_millis(50)),
+        max_unsent_bytes: 1 << 20,
+        ..BufferLimits::default()
     };
-    assert_eq!(until(&mut turn, closed), CloseReason::Idle);
+    let (_, at) = event_loop.listen(any(), Security::Plain, limits).unwrap();
+    let _silent = TcpStream::connect(at).unwrap();
+    assert_eq!(until(&mut event_loop, closed), CloseReason::Idle);
 
-    let bounds = BufferLimits { idle: None, ..bounds };
-    let (_, at) = turn.listen(any(), Security::Plain, bounds).unwrap();
-    let _deaf = TcpStream::connect(at).unwrap();
-    let conn = until(&mut turn, |_, h| if let IoEvent::Open { conn, .. } = h { Some(*conn) } else { None });
-    while turn.is_open(conn) {
-        turn.write(conn, &[7; 100_000]);
-        assert!(turn.waiting(conn) <= 1 << 20);
+    let limits = BufferLimits { idle_timeout: None, ..limits };
+    let (_, at) = event_loop.listen(any(), Security::Plain, limits).unwrap();
+    let _unresponsive = TcpStream::connect(at).unwrap();
+    let conn = until(&mut event_loop, opened);
+    while event_loop.is_open(conn) {
+        event_loop.write(conn, &[7; 100_000]);
+        assert!(event_loop.waiting(conn) <= 1 << 20);
     }
-    assert_eq!(until(&mut turn, closed), CloseReason::Unread);
+    assert_eq!(until(&mut event_loop, closed), CloseReason::Unread);
 }
 
 #[test]
-fn a_handshake_that_stalls_ends_and_a_refused_connection_is_told() {
-    let (answers, starts, _) = issue();
-    let mut turn = EventLoop::new().unwrap();
-    let bounds = BufferLimits { handshake: Duration::from_millis(50), ..BufferLimits::default() };
-    let (_, at) = turn.listen(any(), answers, bounds).unwrap();
+fn a_stalled_handshake_and_a_refused_connection_are_closed() {
+    let TlsPeers { server, client, .. } = tls_peers();
+    let mut event_loop = EventLoop::new().unwrap();
+    let limits = BufferLimits { handshake_timeout: Duration::from_millis(50), ..BufferLimits::default() };
+    let (_, at) = event_loop.listen(any(), server, limits).unwrap();
     let _stalled = TcpStream::connect(at).unwrap();
-    let closed =
-        |_: &mut EventLoop, h: &IoEvent| if let IoEvent::Closed { why, .. } = h { Some(*why) } else { None };
-    assert_eq!(until(&mut turn, closed), CloseReason::Slow);
-    // Bound and not listening: it refuses, and nobody else is given it meanwhile.
-    let deaf = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    deaf.bind(&any().into()).unwrap();
-    let deaf_at = deaf.local_addr().unwrap().as_socket().unwrap();
-    turn.dial(deaf_at, &starts, BufferLimits::default()).unwrap();
-    assert_eq!(until(&mut turn, closed), CloseReason::Refused);
+    assert_eq!(until(&mut event_loop, closed), CloseReason::Slow);
+    // Bound and not listening: it refuses connections, and no other process can get the port.
+    let refusing = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    refusing.bind(&any().into()).unwrap();
+    let refusing_address = refusing.local_addr().unwrap().as_socket().unwrap();
+    event_loop.dial(refusing_address, &client, BufferLimits::default()).unwrap();
+    assert_eq!(until(&mut event_loop, closed), CloseReason::Refused);
 }
 
 #[test]
 fn a_finished_connection_delivers_what_was_written() {
-    let mut turn = EventLoop::new().unwrap();
-    let (_, at) = turn.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
+    let mut event_loop = EventLoop::new().unwrap();
+    let (_, at) = event_loop.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     peer.write_all(b"unread by the other side").unwrap();
-    let conn = until(&mut turn, |_, h| if let IoEvent::Open { conn, .. } = h { Some(*conn) } else { None });
-    turn.write(conn, &[1; 200_000]);
-    turn.finish(conn);
+    let conn = until(&mut event_loop, opened);
+    event_loop.write(conn, &[1; 200_000]);
+    event_loop.finish(conn);
     let reader = std::thread::spawn(move || {
         let mut all = Vec::new();
         peer.read_to_end(&mut all).map(|_| all.len())
     });
-    until(&mut turn, |_, h| matches!(h, IoEvent::Closed { why: CloseReason::Finished, .. }).then_some(()));
+    until(&mut event_loop, |_, event| {
+        matches!(event, IoEvent::Closed { reason: CloseReason::Finished, .. }).then_some(())
+    });
     assert_eq!(reader.join().unwrap().unwrap(), 200_000);
 }
 
 #[test]
-fn a_listener_takes_no_more_than_it_may_and_a_held_connection_is_not_read() {
-    let mut turn = EventLoop::new().unwrap();
-    let bounds = BufferLimits { connections: 1, ..BufferLimits::default() };
-    let (_, at) = turn.listen(any(), Security::Plain, bounds).unwrap();
+fn a_listener_keeps_its_limit_and_a_paused_connection_is_not_read() {
+    let mut event_loop = EventLoop::new().unwrap();
+    let limits = BufferLimits { max_connections: 1, ..BufferLimits::default() };
+    let (_, at) = event_loop.listen(any(), Security::Plain, limits).unwrap();
     let mut first = TcpStream::connect(at).unwrap();
-    let conn = until(&mut turn, |_, h| if let IoEvent::Open { conn, .. } = h { Some(*conn) } else { None });
+    let conn = until(&mut event_loop, opened);
     let mut second = TcpStream::connect(at).unwrap();
-    while turn.turned_away == 0 {
-        turn.wait(None).unwrap();
+    while event_loop.rejected_connections == 0 {
+        event_loop.wait(None).unwrap();
     }
     assert!(matches!(second.read(&mut [0; 8]), Ok(0) | Err(_)));
-    turn.hold(conn, true);
+    event_loop.hold(conn, true);
     first.write_all(b"x").unwrap();
-    let bytes = |h: &IoEvent| matches!(h, IoEvent::Bytes { .. });
+    let bytes = |event: &IoEvent| matches!(event, IoEvent::Bytes { .. });
     for _ in 0..3 {
-        assert!(!turn.wait(Some(turn.now() + Duration::from_millis(5))).unwrap().iter().any(bytes));
+        assert!(!event_loop
+            .wait(Some(event_loop.now() + Duration::from_millis(5)))
+            .unwrap()
+            .iter()
+            .any(bytes));
     }
-    turn.hold(conn, false);
-    until(&mut turn, |_, h| bytes(h).then_some(()));
+    event_loop.hold(conn, false);
+    until(&mut event_loop, |_, event| bytes(event).then_some(()));
 }
 
-/// Hundreds that dial at once must not make one turn as long as all their handshakes: a turn goes on with some, and
-/// all get there.
+/// Hundreds of peers that connect at once must not make one iteration as long as all their handshakes.
 #[test]
-fn a_storm_of_handshakes_is_spread_over_turns() {
-    let (mut turn, (answers, starts, _)) = (EventLoop::new().unwrap(), issue());
-    let (_, at) = turn.listen(any(), answers, BufferLimits::default()).unwrap();
-    let count = 5 * HANDSHAKES_MOST;
-    let dialled: Vec<ConnectionId> =
-        (0..count).map(|_| turn.dial(at, &starts, BufferLimits::default()).unwrap()).collect();
+fn many_handshakes_are_spread_over_iterations() {
+    let TlsPeers { server, client, .. } = tls_peers();
+    let mut event_loop = EventLoop::new().unwrap();
+    let (_, at) = event_loop.listen(any(), server, BufferLimits::default()).unwrap();
+    let count = 5 * DEFAULT_MAX_HANDSHAKES;
+    let dialed: Vec<ConnectionId> =
+        (0..count).map(|_| event_loop.dial(at, &client, BufferLimits::default()).unwrap()).collect();
     let (mut open, end) = (0, Instant::now() + Duration::from_secs(60));
-    while open < 2 * dialled.len() && Instant::now() < end {
-        let opened = turn.wait(None).unwrap();
-        let opened = opened.iter().filter(|h| matches!(h, IoEvent::Open { .. })).count();
-        assert!(opened <= HANDSHAKES_MOST, "{opened} handshakes in one turn");
+    while open < 2 * dialed.len() && Instant::now() < end {
+        let opened = event_loop.wait(None).unwrap();
+        let opened = opened.iter().filter(|event| matches!(event, IoEvent::Open { .. })).count();
+        assert!(opened <= DEFAULT_MAX_HANDSHAKES, "{opened} handshakes in one iteration");
         open += opened;
     }
     assert_eq!(open, 2 * count, "both sides of each");
 }
 
 #[test]
-fn who_closes_its_own_half_gets_what_is_written_in_the_turn_of_its_end() {
-    let mut turn = EventLoop::new().unwrap();
-    let (_, at) = turn.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
+fn a_half_closed_peer_gets_what_is_written_in_the_iteration_of_its_close() {
+    let mut event_loop = EventLoop::new().unwrap();
+    let (_, at) = event_loop.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     peer.write_all(b"well?").unwrap();
     peer.shutdown(std::net::Shutdown::Write).unwrap();
-    // The whole turn is taken in before anything is written, as by a shell whose core answers then.
-    let mut asked = Vec::new();
-    let ended = until(&mut turn, |_, h| match h {
+    // All events are handled before anything is written, as a runtime does.
+    let mut request = Vec::new();
+    let ended = until(&mut event_loop, |_, event| match event {
         IoEvent::Bytes { bytes, .. } => {
-            asked.extend_from_slice(bytes);
+            request.extend_from_slice(bytes);
             None
         }
-        IoEvent::Closed { conn, why } => Some((*conn, *why)),
+        IoEvent::Closed { conn, reason } => Some((*conn, *reason)),
         _ => None,
     });
-    assert_eq!((asked.as_slice(), ended.1), (&b"well?"[..], CloseReason::Ended));
-    turn.write(ended.0, b"well.");
-    let answer = std::thread::spawn(move || {
-        let mut answer = Vec::new();
-        peer.read_to_end(&mut answer).map(|_| answer)
+    assert_eq!((request.as_slice(), ended.1), (&b"well?"[..], CloseReason::Ended));
+    event_loop.write(ended.0, b"well.");
+    let response = std::thread::spawn(move || {
+        let mut response = Vec::new();
+        peer.read_to_end(&mut response).map(|_| response)
     });
-    // It is told once, and nothing of it is left.
-    while turn.is_open(ended.0) {
-        assert_eq!(turn.wait(Some(turn.now())).unwrap(), vec![]);
+    // Its end is returned once, and nothing follows.
+    while event_loop.is_open(ended.0) {
+        assert_eq!(event_loop.wait(Some(event_loop.now())).unwrap(), vec![]);
     }
-    assert_eq!(answer.join().unwrap().unwrap(), b"well.");
+    assert_eq!(response.join().unwrap().unwrap(), b"well.");
 }
 
 #[test]
-fn what_a_peer_sent_before_it_broke_is_told_before_its_end() {
-    let mut turn = EventLoop::new().unwrap();
-    let (_, at) = turn.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
+fn bytes_sent_before_a_connection_broke_are_returned_before_its_end() {
+    let mut event_loop = EventLoop::new().unwrap();
+    let (_, at) = event_loop.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
-    let conn = until(&mut turn, |_, h| match h {
-        IoEvent::Open { conn, .. } => Some(*conn),
-        _ => None,
-    });
+    let conn = until(&mut event_loop, opened);
     peer.write_all(b"last words").unwrap();
     drop(peer);
-    // What is written now is answered by a reset, and the next write finds that out before anything is read.
-    while turn.is_open(conn) {
-        turn.write(conn, b"orders");
+    // The first write is answered by a reset, which the next write finds before anything is read.
+    while event_loop.is_open(conn) {
+        event_loop.write(conn, b"orders");
     }
-    let mut told = Vec::new();
-    until(&mut turn, |_, h| {
-        told.push(h.clone());
-        matches!(h, IoEvent::Closed { .. }).then_some(())
+    let mut events = Vec::new();
+    until(&mut event_loop, |_, event| {
+        events.push(event.clone());
+        matches!(event, IoEvent::Closed { .. }).then_some(())
     });
     let bytes = IoEvent::Bytes { conn, bytes: b"last words".to_vec() };
-    assert_eq!(told, vec![bytes, IoEvent::Closed { conn, why: CloseReason::Broken }]);
+    assert_eq!(events, vec![bytes, IoEvent::Closed { conn, reason: CloseReason::Broken }]);
 }
 
-/// In a process of its own, where few descriptors are left; plays nothing when it is called by itself.
+/// Runs itself in a process with few file descriptors.
 #[test]
-fn a_listener_without_descriptors_rests() {
-    let Ok(at) = std::env::var("RUNLOOM_TURN_SHORT") else {
-        return in_a_process_of_few_descriptors();
+fn a_listener_without_descriptors_backs_off() {
+    let Ok(at) = std::env::var("RUNLOOM_FEW_DESCRIPTORS") else {
+        return run_with_few_descriptors();
     };
-    let mut turn = EventLoop::new().unwrap();
-    let (_, at) = turn.listen(at.parse().unwrap(), Security::Plain, BufferLimits::default()).unwrap();
+    let mut event_loop = EventLoop::new().unwrap();
+    let (_, at) = event_loop.listen(at.parse().unwrap(), Security::Plain, BufferLimits::default()).unwrap();
     println!("listens at {at}");
-    let (mut taken, mut all, mut idle) = (Vec::new(), 0, 0);
-    // Some rests long nobody goes, and more wait than can be taken.
+    let (mut accepted, mut total, mut idle) = (Vec::new(), 0, 0);
+    // For some backoffs nothing is closed, and more connections wait than can be accepted.
     let full = Duration::from_millis(500);
-    while all < 64 {
-        let happened = turn.wait(None).unwrap();
-        idle += usize::from(happened.is_empty());
-        taken.extend(happened.iter().filter_map(|h| match h {
+    while total < 64 {
+        let events = event_loop.wait(None).unwrap();
+        idle += usize::from(events.is_empty());
+        accepted.extend(events.iter().filter_map(|event| match event {
             IoEvent::Open { conn, .. } => Some(*conn),
             _ => None,
         }));
-        if turn.now() > full {
-            all += taken.len();
-            taken.drain(..).for_each(|conn| turn.cut(conn));
+        if event_loop.now() > full {
+            total += accepted.len();
+            accepted.drain(..).for_each(|conn| event_loop.cut(conn));
         }
     }
-    // A rest lasts fifty milliseconds: a loop that never rests is idle thousands of times meanwhile.
-    let most = turn.now().as_millis() / 20 + 20;
-    assert!((idle as u128) < most, "{idle} idle turns in {:?}", turn.now());
-    println!("took {all}");
+    // A backoff lasts fifty milliseconds: a loop without one would iterate thousands of times.
+    let max_idle = event_loop.now().as_millis() / 20 + 20;
+    assert!((idle as u128) < max_idle, "{idle} idle iterations in {:?}", event_loop.now());
+    println!("took {total}");
 }
 
-fn in_a_process_of_few_descriptors() {
+fn run_with_few_descriptors() {
     use std::io::{BufRead, BufReader};
     use std::process::{Command, Stdio};
     let itself = std::env::current_exe().unwrap();
-    let script = "ulimit -n 32; exec \"$0\" --exact tests::a_listener_without_descriptors_rests --nocapture";
+    let script =
+        "ulimit -n 32; exec \"$0\" --exact tests::a_listener_without_descriptors_backs_off --nocapture";
     let mut child = Command::new("/bin/sh")
         .args(["-c", script])
         .arg(itself)
-        .env("RUNLOOM_TURN_SHORT", ANY)
+        .env("RUNLOOM_FEW_DESCRIPTORS", ANY)
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(child.stdout.take().unwrap()).lines().map(Result::unwrap);
     let at = lines.find_map(|l| Some(l.split("listens at ").nth(1)?.to_string())).expect("it listens");
     let peers: Vec<TcpStream> = (0..64).map(|_| TcpStream::connect(&at).unwrap()).collect();
-    let said: Vec<String> = lines.collect();
-    assert!(child.wait().unwrap().success(), "{said:?}");
-    assert!(said.iter().any(|l| l.contains("took 64")), "{said:?}");
+    let output: Vec<String> = lines.collect();
+    assert!(child.wait().unwrap().success(), "{output:?}");
+    assert!(output.iter().any(|l| l.contains("took 64")), "{output:?}");
     drop(peers);
 }
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -299,6 +299,6 @@
     turn.listen(
         at,
         Security::Plain,
-        BufferLimits { idle: Some(Duration::from_secs(60)), ..BufferLimits::default() },
+        BufferLimits { idle_timeout: Some(Duration::from_secs(60)), ..BufferLimits::default() },
     )
 }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -283,7 +283,7 @@
         let issuer = Issuer::new(&folder.join("papers"))?;
         let mut turn = EventLoop::new().map_err(told)?;
         // It plays all proxies at once, each of which would have a loop of its own.
-        turn.handshakes = usize::MAX;
+        turn.max_handshakes = usize::MAX;
         let mut servers = Servers::new(day.work, day.cores, day.warm);
         for k in 0..day.servers {
             servers.add(&mut turn, &format!("z{}", k % day.zones), false).map_err(told)?;
@@ -878,7 +878,7 @@
         } else if self.clients.owns(conn) {
             match happened {
                 IoEvent::Bytes { conn, bytes } => self.clients.bytes(&mut self.turn, conn, &bytes),
-                IoEvent::Closed { conn, why } if why != CloseReason::Finished => {
+                IoEvent::Closed { conn, reason } if reason != CloseReason::Finished => {
                     self.clients.closed(&mut self.turn, conn)
                 }
                 _ => {}
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -56,7 +56,7 @@
 fn joins(desk: &Desk, papers: &TlsFiles, name: &str) -> bool {
     let Ok(terms) = TlsPolicy::load(papers) else { return false };
     let mut turn = EventLoop::new().unwrap();
-    let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
+    let security = Security::TlsClient(terms.starts.clone(), server_name(PLANNER));
     let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
     let hello = Hello { zone: "a".into(), rate: 1.0, fresh: true };
     let mut client = Subscription::new(turn.now(), "p", name, &hello, Wish::Weights, vec![]);
