--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -30,8 +30,8 @@
     let mut gone = Vec::new();
     for (name, change) in changes {
         match change {
-            Change::Is(server) => servers.push(record_server(name, server)),
-            Change::Gone => gone.push(name.clone()),
+            Change::Updated(server) => servers.push(record_server(name, server)),
+            Change::Removed => gone.push(name.clone()),
         }
     }
     RecordedEvent::Listed { whole: update != EndpointUpdate::Delta, servers, gone }
@@ -44,9 +44,9 @@
         zone: server.zone.clone(),
         kind: server.kind.clone(),
         cell: server.cell,
-        draining: server.draining,
+        draining: server.is_draining,
         weight: server.weight,
-        started: server.started,
+        started: server.started_ms,
     }
 }
 
@@ -206,9 +206,9 @@
 ) -> Option<()> {
     let mut changes = Vec::new();
     for recorded in servers {
-        changes.push((recorded.name.clone(), Change::Is(replay_server(recorded)?)));
+        changes.push((recorded.name.clone(), Change::Updated(replay_server(recorded)?)));
     }
-    changes.extend(removed.iter().map(|name| (name.clone(), Change::Gone)));
+    changes.extend(removed.iter().map(|name| (name.clone(), Change::Removed)));
     let update = if is_complete { EndpointUpdate::Cached } else { EndpointUpdate::Delta };
     session.update_endpoints(update, changes);
     Some(())
@@ -220,9 +220,9 @@
         zone: recorded.zone.clone(),
         kind: recorded.kind.clone(),
         cell: recorded.cell,
-        draining: recorded.draining,
+        is_draining: recorded.draining,
         weight: recorded.weight,
-        started: recorded.started,
+        started_ms: recorded.started,
     })
 }
 
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -220,8 +220,8 @@
         for (name, change) in changes {
             let server = self.servers.index(name);
             let record = match change {
-                Change::Is(listed) => self.endpoint_record(server, listed),
-                Change::Gone => self.removal_record(server),
+                Change::Updated(listed) => self.endpoint_record(server, listed),
+                Change::Removed => self.removal_record(server),
             };
             records.push(record);
         }
@@ -233,16 +233,16 @@
 
     fn endpoint_record(&mut self, server: ServerId, listed: Server) -> EndpointRecord {
         self.addresses.insert(server, listed.address);
-        self.endpoint_states.insert(server, if listed.draining { "draining" } else { "ready" });
+        self.endpoint_states.insert(server, if listed.is_draining { "draining" } else { "ready" });
         EndpointRecord {
             server,
             zone: self.zones.index(listed.zone),
             kind: self.kinds.index(listed.kind),
             cell: listed.cell,
-            state: if listed.draining { ListedState::Draining } else { ListedState::Ready },
+            state: if listed.is_draining { ListedState::Draining } else { ListedState::Ready },
             weight: listed.weight,
             // A start before the controller's clock began is long ago.
-            started: listed.started.and_then(|at| self.wall_clock.to_controller_time(at)),
+            started: listed.started_ms.and_then(|at| self.wall_clock.to_controller_time(at)),
         }
     }
 
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -22,15 +22,15 @@
     Fleet::read(&Element::parse(xml).unwrap()).unwrap()
 }
 
-fn server(port: u16, draining: bool) -> Change {
-    Change::Is(Server {
+fn server(port: u16, is_draining: bool) -> Change {
+    Change::Updated(Server {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         zone: "a".into(),
         kind: String::new(),
         cell: 0,
-        draining,
+        is_draining,
         weight: 1.0,
-        started: None,
+        started_ms: None,
     })
 }
 
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -6,7 +6,7 @@
 use runloom_identity::access::{decide, Audit, Entry, RequestedAccess, Rule};
 use runloom_identity::id::Id;
 use runloom_inventory::edit_history::{self, EditHistory};
-use runloom_inventory::merged;
+use runloom_inventory::merge_overrides;
 use runloom_model::fleet::{misfit, Fleet, InvalidSettings, ListedServer};
 use runloom_model::schema::{derive, SchemaValidator};
 use runloom_model::{Schema, FLEET, FLEET_XSD, YANG};
@@ -71,7 +71,8 @@
 }
 
 fn noted(e: &edit_history::Edit) -> AcceptedEdit {
-    AcceptedEdit { id: e.id.clone(), who: e.who.clone(), digest: e.digest.clone(), accepted: e.accepted }
+    let edit = e.stored.clone();
+    AcceptedEdit { id: edit.id, who: edit.author, digest: edit.digest, accepted: edit.accepted_ms }
 }
 
 fn same(a: &Element, b: &Element, name: &str) -> bool {
@@ -216,7 +217,7 @@
         let ids = std::mem::take(&mut self.fresh_ids);
         let patch = StatePatch {
             pieces: (!same).then(|| pieces(new.iter().map(place))),
-            noted: self.ledger.edits().filter(|e| ids.contains(&e.id)).map(noted).collect(),
+            noted: self.ledger.edits().filter(|e| ids.contains(&e.stored.id)).map(noted).collect(),
             before: (before(&self.before) != before(&self.saved.2)).then(|| before(&self.before)),
         };
         self.sent = Some(((self.data.clone(), self.fleet.clone(), self.before.clone()), ids));
@@ -228,7 +229,7 @@
     pub fn saved(&mut self) {
         if let Some((point, ids)) = self.sent.take() {
             self.list_changed |= point.1 != self.saved.1 || !ids.is_empty();
-            self.ledger.kept(&ids, self.now);
+            self.ledger.record_stored(&ids, self.now);
             self.saved = point;
         }
         self.refuses = None;
@@ -243,8 +244,8 @@
         data.children.extend(roster);
         (self.data, self.fleet, self.before) = (Arc::new(data), self.saved.1.clone(), self.saved.2.clone());
         let sent = self.sent.take().map(|(_, ids)| ids).unwrap_or_default();
-        self.ledger.forget(&sent);
-        self.ledger.forget(&std::mem::take(&mut self.fresh_ids));
+        self.ledger.remove(&sent);
+        self.ledger.remove(&std::mem::take(&mut self.fresh_ids));
         (self.dirty, self.list_changed, self.refuses) = (false, true, Some(why));
     }
 
@@ -377,11 +378,11 @@
     ) -> Vec<PoolServer> {
         let warm_after = fleet.warm_after.as_millis() as u64;
         let seen = listed.map(|(name, listed)| {
-            let server = merged(name, listed, fleet);
-            let warm = server.started.is_none_or(|at| at + warm_after <= self.wall);
+            let server = merge_overrides(name, listed, fleet);
+            let warm = server.started_ms.is_none_or(|at| at + warm_after <= self.wall);
             PoolServer {
                 name: name.clone(),
-                is_draining: server.draining,
+                is_draining: server.is_draining,
                 is_warm: warm,
                 weight: server.weight,
             }
@@ -453,10 +454,10 @@
 
     fn known(&self, edit_id: &str, content: &str) -> EditLookup {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
-        match self.ledger.known(edit_id, &digest) {
+        match self.ledger.lookup(edit_id, &digest) {
             edit_history::EditLookup::New => EditLookup::New,
-            edit_history::EditLookup::Same => EditLookup::Same,
-            edit_history::EditLookup::Other => EditLookup::Other,
+            edit_history::EditLookup::Repeated => EditLookup::Same,
+            edit_history::EditLookup::Conflicting => EditLookup::Other,
         }
     }
 
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -18,7 +18,7 @@
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_guard::Rejection;
 use runloom_identity::access::RequestedAccess;
-use runloom_inventory::edit_history::EditHistory;
+use runloom_inventory::edit_history::{EditHistory, StoredEdit};
 use runloom_inventory::{Change, Inventory};
 use runloom_model::fleet::{Fleet, PlannerSettings};
 use runloom_model::{FLEET, STATE, YANG};
@@ -314,7 +314,7 @@
     pub fn wakes_at(&self) -> Option<Duration> {
         let list = self.list_dirty.then(|| self.list_saved.map_or(Duration::ZERO, |at| at + LIST_EVERY));
         let cores = [self.driver.next_wakeup(), self.front.wakes_at(), self.service.wakes_at()];
-        earliest(cores.into_iter().chain([self.desk.ledger.wakes_at(), list, Some(self.learn_at)]))
+        earliest(cores.into_iter().chain([self.desk.ledger.next_wakeup(), list, Some(self.learn_at)]))
     }
 
     pub fn try_out(&mut self, trial: TestHooks) {
@@ -537,7 +537,7 @@
         self.patience(turn, now);
         self.admit(turn, now);
         let (deeds, ordered) = self.driver.step(now);
-        self.desk.ledger.ordered(&ordered.servers, &ordered.messages);
+        self.desk.ledger.record_published(&ordered.servers, &ordered.messages);
         let sends = deeds.iter().filter(|d| matches!(d, Action::Send { .. })).count();
         deeds.into_iter().for_each(|deed| self.carry(turn, deed));
         self.tell(turn);
@@ -676,7 +676,7 @@
                 is_long_ejected: held,
             } = state;
             let server = servers.get(&name)?;
-            let (address, started) = (server.address.to_string(), server.started);
+            let (address, started) = (server.address.to_string(), server.started_ms);
             Some(LearnedServer { name, address, started, swift, failed, held })
         });
         let book = LearnedServers { written: self.desk.wall, servers: learned.collect() };
@@ -689,7 +689,7 @@
     fn tell_decisions(&mut self, now: Duration) {
         if !std::mem::take(&mut self.desk.list_changed) {
             // An edit that changes nothing is decided all the same.
-            self.desk.ledger.decided(now, &BTreeSet::new());
+            self.desk.ledger.record_decided(now, &BTreeSet::new());
             return;
         }
         let changes = self.roster.update(self.desk.kept_fleet(), self.desk.listed());
@@ -701,7 +701,7 @@
             tracing::warn!(
                 "new facts: the decisions start over, proxies keep their tables until bound again"
             );
-            let all = self.roster.servers().iter().map(|(n, s)| (n.clone(), Change::Is(s.clone())));
+            let all = self.roster.servers().iter().map(|(n, s)| (n.clone(), Change::Updated(s.clone())));
             self.driver.update_endpoints(EndpointUpdate::Cached, all.collect());
             let fleet = self.desk.kept_fleet();
             self.front.restart(self.front.publisher().epoch() + 1, fleet.grace.drain, longest(fleet));
@@ -710,12 +710,12 @@
             }
             for (proxy, joined) in &self.joined {
                 self.driver.connect_proxy(&joined.name, &joined.zone, joined.rate, false);
-                self.desk.ledger.left(*proxy);
+                self.desk.ledger.disconnect_proxy(*proxy);
             }
         } else if !changes.is_empty() {
             self.driver.update_endpoints(EndpointUpdate::Delta, changes);
         }
-        self.desk.ledger.decided(now, &names);
+        self.desk.ledger.record_decided(now, &names);
     }
 
     fn refit_noted(&mut self, now: Duration) {
@@ -837,16 +837,19 @@
     /// Edits that came in force, told to those who subscribed.
     fn settle(&mut self) {
         let now = self.desk.now;
-        for edit in self.desk.ledger.settle(now) {
+        for edit in self.desk.ledger.take_completed(now) {
             if let Some(witness) = &mut self.driver.recorded_events {
-                witness.push((now, Recorded::Edit { id: edit.id.clone(), who: edit.who.clone() }));
+                witness.push((
+                    now,
+                    Recorded::Edit { id: edit.stored.id.clone(), who: edit.stored.author.clone() },
+                ));
             }
-            let after = now.saturating_sub(edit.took.unwrap_or(now)).as_millis();
-            tracing::info!(edit = %edit.id, who = %edit.who, at = edit.at(), of = edit.of, after_ms = after as u64, "in force");
+            let after = now.saturating_sub(edit.stored_at.unwrap_or(now)).as_millis();
+            tracing::info!(edit = %edit.stored.id, who = %edit.stored.author, at = edit.acknowledged_count(), of = edit.proxy_count, after_ms = after as u64, "in force");
             let event = Element::new(STATE, "edit-in-force")
-                .with_leaf("id", &edit.id)
-                .with_leaf("at", edit.at())
-                .with_leaf("of", edit.of)
+                .with_leaf("id", &edit.stored.id)
+                .with_leaf("at", edit.acknowledged_count())
+                .with_leaf("of", edit.proxy_count)
                 .with_leaf("after-ms", after);
             let told = self.service.subscribers(&event);
             for peer in self.peers.values_mut() {
@@ -944,18 +947,21 @@
             state = state.with(e.with_leaf("waiting", member.in_flight_messages()));
         }
         for edit in self.desk.ledger.edits() {
-            let after =
-                |at: Option<Duration>| at.map(|at| at.saturating_sub(edit.took.unwrap_or(at)).as_millis());
+            let after = |at: Option<Duration>| {
+                at.map(|at| at.saturating_sub(edit.stored_at.unwrap_or(at)).as_millis())
+            };
             let mut e = Element::new(STATE, "edit")
-                .with_leaf("id", &edit.id)
-                .with_leaf("who", &edit.who)
-                .with_leaf("accepted", edit.accepted)
+                .with_leaf("id", &edit.stored.id)
+                .with_leaf("who", &edit.stored.author)
+                .with_leaf("accepted", edit.stored.accepted_ms)
                 .with_leaf("state", edit.state());
-            for (name, after) in [("decided-ms", after(edit.decided)), ("in-force-ms", after(edit.in_force))]
+            for (name, after) in
+                [("decided-ms", after(edit.decided_at)), ("in-force-ms", after(edit.in_force_at))]
             {
                 e = after.map_or(e.clone(), |after| e.with_leaf(name, after));
             }
-            state = state.with(e.with_leaf("at", edit.at()).with_leaf("of", edit.of));
+            state =
+                state.with(e.with_leaf("at", edit.acknowledged_count()).with_leaf("of", edit.proxy_count));
         }
         state.with(self.guard_state(now))
     }
@@ -1089,7 +1095,12 @@
             "fleet",
             Element::parse(&text).map_err(|e| Failed::Data(format!("the fleet as kept: {}", e.reason)))?,
         );
-        ledger = EditHistory::of(accepted.noted.into_iter().map(|n| (n.id, n.who, n.digest, n.accepted)));
+        ledger = EditHistory::restore(accepted.noted.into_iter().map(|n| StoredEdit {
+            id: n.id,
+            author: n.who,
+            digest: n.digest,
+            accepted_ms: n.accepted,
+        }));
     } else if let Some(accepted) = shelf.read("accepted.xml")? {
         if let Some(fleet) = accepted.child("before").unwrap_or(&accepted).child("fleet") {
             put("fleet", fleet.clone());
@@ -1097,10 +1108,15 @@
         let text = |e: &Element, name: &str| e.text_of(name).unwrap_or_default().to_string();
         let edit = |e: &Arc<Element>| {
             let at = text(e, "accepted").parse().unwrap_or(0);
-            (text(e, "id"), text(e, "who"), text(e, "digest"), at)
+            StoredEdit {
+                id: text(e, "id"),
+                author: text(e, "who"),
+                digest: text(e, "digest"),
+                accepted_ms: at,
+            }
         };
         let edits = accepted.child("ledger").map(|l| l.named("edit").map(edit).collect::<Vec<_>>());
-        ledger = EditHistory::of(edits.unwrap_or_default().into_iter());
+        ledger = EditHistory::restore(edits.unwrap_or_default().into_iter());
     }
     let roster = match &found.roster {
         Some(text) => Element::parse(text).ok(),
@@ -1116,7 +1132,7 @@
 fn hints(found: &RestoredState, roster: &Inventory) -> Vec<ServerHint> {
     let Some(book) = &found.learned else { return vec![] };
     let hint = |(name, server): (&String, &runloom_inventory::Server)| {
-        let hint = book.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
+        let hint = book.hint(wall_ms(), name, &server.address.to_string(), server.started_ms)?;
         Some(ServerHint { name: name.clone(), speed_factor: hint.swift, suspicion: hint.doubt })
     };
     roster.servers().iter().filter_map(hint).collect()
--- a/crates/daemon/src/proxy_sessions.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -167,7 +167,7 @@
             let proxy = self.driver.connect_proxy(&name, &zone, rate, fresh);
             *place = Some(proxy);
             self.front.joined(proxy, newcomer);
-            self.desk.ledger.left(proxy);
+            self.desk.ledger.disconnect_proxy(proxy);
             tracing::info!(proxy = %name, zone = %zone, rate, fresh, published = way == Transport::Parts, "joined");
             let joined = Joined { conn, name, zone, rate, way };
             if let Some(old) = self.joined.insert(proxy, joined).filter(|old| old.conn != conn) {
@@ -203,7 +203,7 @@
             self.joined.remove(&proxy);
             self.driver.disconnect_proxy(proxy);
             self.front.left(proxy);
-            self.desk.ledger.left(proxy);
+            self.desk.ledger.disconnect_proxy(proxy);
         }
     }
 
@@ -211,7 +211,7 @@
     fn in_force(&mut self, now: Duration, proxy: usize, order: Option<u64>) {
         if let Some(order) = order {
             self.driver.acknowledge(now, proxy, order);
-            self.desk.ledger.applied(proxy, order);
+            self.desk.ledger.acknowledge(proxy, order);
         }
     }
 
--- a/crates/inventory/src/edit_history.rs
+++ b/crates/inventory/src/edit_history.rs
@@ -1,194 +1,217 @@
-//! The ledger of edits. An edit is new, the same again, or another under a used id. It is accepted, then
-//! decided (the decisions were told), then in force at so many of the proxies that it concerns.
+//! The history of operators' edits: accepted, decided (the controller knows), and in force at the proxies.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Edits kept: an hour of one edit each four seconds. A client that repeats an older one edits anew.
-pub const KEPT_MOST: usize = 1024;
-/// Weights go out once a second, with room in the channel; what was not ordered in that time is in force as
-/// it is, since the decisions saw nothing to change.
-pub const BEAT: Duration = Duration::from_millis(1250);
+/// Edits that are kept, an hour of one each four seconds. An older one that is sent again counts as new.
+pub const MAX_EDITS: usize = 1024;
+/// Updates are published once a second, with time for the channel. What the controller has not published of a
+/// decided edit by then needs no change.
+pub const PUBLICATION_TIMEOUT: Duration = Duration::from_millis(1250);
 
-/// How an id stands.
+/// What is known of an edit's id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EditLookup {
+    /// It was not used.
     New,
-    Same,
-    Other,
+    /// The same edit had it.
+    Repeated,
+    /// Another edit had it.
+    Conflicting,
 }
 
-/// One accepted edit. Times are spans since the planner's start, but `accepted`.
+/// An edit as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Edit {
+pub struct StoredEdit {
+    /// Its id.
     pub id: String,
-    pub who: String,
-    /// By which the same edit is known again.
+    /// Who made it.
+    pub author: String,
+    /// Digest of its content.
     pub digest: String,
-    /// Milliseconds since 1970.
-    pub accepted: u64,
-    pub took: Option<Duration>,
-    pub decided: Option<Duration>,
-    pub in_force: Option<Duration>,
-    /// Servers whose lines it may change; those not yet ordered about.
-    open: BTreeSet<String>,
-    /// Proxies that it was ordered to, and the marks that they have yet to confirm.
-    awaited: BTreeMap<usize, u64>,
-    pub of: usize,
+    /// When it was accepted, in milliseconds since 1970.
+    pub accepted_ms: u64,
+}
+
+/// An accepted edit. Times but [`StoredEdit::accepted_ms`] count from the process's start.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Edit {
+    /// What is stored of it.
+    pub stored: StoredEdit,
+    /// When it was on disk.
+    pub stored_at: Option<Duration>,
+    /// When the controller learned of it.
+    pub decided_at: Option<Duration>,
+    /// When all proxies concerned had applied it.
+    pub in_force_at: Option<Duration>,
+    /// Proxies that an update with it was sent to.
+    pub proxy_count: usize,
+    /// Servers whose entries it may change and that no update was about yet.
+    unpublished_servers: BTreeSet<String>,
+    /// Proxies that have not acknowledged their update, with its number.
+    pending_acks: BTreeMap<usize, u64>,
 }
 
 impl Edit {
-    pub fn at(&self) -> usize {
-        self.of.saturating_sub(self.awaited.len())
+    fn new(stored: StoredEdit, stored_at: Option<Duration>) -> Edit {
+        Edit {
+            stored,
+            stored_at,
+            decided_at: None,
+            in_force_at: None,
+            proxy_count: 0,
+            unpublished_servers: BTreeSet::new(),
+            pending_acks: BTreeMap::new(),
+        }
     }
 
+    /// Proxies that have applied it, of [`Edit::proxy_count`].
+    pub fn acknowledged_count(&self) -> usize {
+        self.proxy_count.saturating_sub(self.pending_acks.len())
+    }
+
+    /// Its state as operators see it: `accepted`, `decided` or `in-force`.
     pub fn state(&self) -> &'static str {
-        match (self.decided, self.in_force) {
+        match (self.decided_at, self.in_force_at) {
             (_, Some(_)) => "in-force",
             (Some(_), None) => "decided",
             (None, None) => "accepted",
         }
     }
+
+    fn record_published(&mut self, servers: &BTreeSet<String>, messages: &[(usize, u64)]) {
+        if self.unpublished_servers.is_disjoint(servers) {
+            return;
+        }
+        self.unpublished_servers.retain(|server| !servers.contains(server));
+        for (proxy, number) in messages {
+            if self.pending_acks.insert(*proxy, *number).is_none() {
+                self.proxy_count += 1;
+            }
+        }
+    }
+
+    /// Whether all that it changes is applied.
+    fn is_complete(&self, now: Duration) -> bool {
+        let is_published = self.unpublished_servers.is_empty()
+            || self.decided_at.is_some_and(|at| now >= at + PUBLICATION_TIMEOUT);
+        self.pending_acks.is_empty() && is_published
+    }
 }
 
+/// The newest edits, oldest first.
 #[derive(Debug, Clone, Default)]
 pub struct EditHistory {
     edits: VecDeque<Edit>,
-    made: u64,
+    accepted_count: u64,
 }
 
 impl EditHistory {
+    /// The history as an earlier process stored it: its edits are part of the first endpoint list, and where they
+    /// are in force is not known.
+    pub fn restore(stored: impl Iterator<Item = StoredEdit>) -> EditHistory {
+        let edits: VecDeque<Edit> = stored.map(|stored| Edit::new(stored, Some(Duration::ZERO))).collect();
+        EditHistory { accepted_count: edits.len() as u64, edits }
+    }
+
+    /// The edits, oldest first.
     pub fn edits(&self) -> impl Iterator<Item = &Edit> {
         self.edits.iter()
     }
 
-    /// How an id stands; without a digest, any edit of that id is the same.
-    pub fn known(&self, id: &str, digest: &str) -> EditLookup {
-        match self.edits.iter().rfind(|e| e.id == id) {
+    /// Looks an id up. With an empty digest, any edit of that id counts as the same.
+    pub fn lookup(&self, id: &str, digest: &str) -> EditLookup {
+        match self.edits.iter().rfind(|edit| edit.stored.id == id) {
             None => EditLookup::New,
-            Some(e) if digest.is_empty() || e.digest == digest => EditLookup::Same,
-            Some(_) => EditLookup::Other,
+            Some(edit) if digest.is_empty() || edit.stored.digest == digest => EditLookup::Repeated,
+            Some(_) => EditLookup::Conflicting,
         }
     }
 
-    /// Notes an accepted edit; an id is made for one that came without.
-    pub fn accept(&mut self, id: Option<&str>, who: &str, digest: &str, at: u64) -> String {
-        self.made += 1;
-        let id = id.map_or_else(|| format!("e{at}-{}", self.made), str::to_string);
-        if self.edits.len() >= KEPT_MOST {
+    /// Adds an accepted edit and returns its id, which is made up if it has none.
+    pub fn accept(&mut self, id: Option<&str>, author: &str, digest: &str, accepted_ms: u64) -> String {
+        self.accepted_count += 1;
+        let id = id.map_or_else(|| format!("e{accepted_ms}-{}", self.accepted_count), str::to_string);
+        if self.edits.len() >= MAX_EDITS {
             self.edits.pop_front();
         }
-        self.edits.push_back(Edit {
+        let stored = StoredEdit {
             id: id.clone(),
-            who: who.to_string(),
+            author: author.to_string(),
             digest: digest.to_string(),
-            accepted: at,
-            // Once it is on disk.
-            took: None,
-            decided: None,
-            in_force: None,
-            open: BTreeSet::new(),
-            awaited: BTreeMap::new(),
-            of: 0,
-        });
+            accepted_ms,
+        };
+        self.edits.push_back(Edit::new(stored, None));
         id
     }
 
-    /// Edits are on disk: the decisions may be told.
-    pub fn kept(&mut self, ids: &[String], now: Duration) {
-        for edit in self.edits.iter_mut().rev().filter(|e| e.took.is_none() && ids.contains(&e.id)) {
-            edit.took = Some(now);
+    /// Edits are on disk: the controller may learn of them.
+    pub fn record_stored(&mut self, ids: &[String], now: Duration) {
+        let is_newly_stored = |edit: &&mut Edit| edit.stored_at.is_none() && ids.contains(&edit.stored.id);
+        for edit in self.edits.iter_mut().rev().filter(is_newly_stored) {
+            edit.stored_at = Some(now);
         }
     }
 
-    /// Takes back the newest edits of these ids: they could not be kept on disk, and nobody was told.
-    pub fn forget(&mut self, ids: &[String]) {
-        self.edits.retain(|e| !ids.contains(&e.id));
+    /// Removes edits that could not be stored and that nobody was told of.
+    pub fn remove(&mut self, ids: &[String]) {
+        self.edits.retain(|edit| !ids.contains(&edit.stored.id));
     }
 
-    /// The decisions were told of what all accepted edits changed: these servers.
-    pub fn decided(&mut self, now: Duration, servers: &BTreeSet<String>) {
-        for edit in self.edits.iter_mut().filter(|e| e.decided.is_none() && e.took.is_some()) {
-            edit.decided = Some(now);
-            edit.open.clone_from(servers);
+    /// The controller learned of all stored edits, which changed these servers.
+    pub fn record_decided(&mut self, now: Duration, servers: &BTreeSet<String>) {
+        let is_undecided = |edit: &&mut Edit| edit.decided_at.is_none() && edit.stored_at.is_some();
+        for edit in self.edits.iter_mut().filter(is_undecided) {
+            edit.decided_at = Some(now);
+            edit.unpublished_servers.clone_from(servers);
         }
     }
 
-    /// Orders went out: about these servers, to these proxies, each with a number of its message.
-    pub fn ordered(&mut self, servers: &BTreeSet<String>, proxies: &[(usize, u64)]) {
-        for edit in self.waiting() {
-            if edit.open.is_disjoint(servers) {
-                continue;
-            }
-            edit.open.retain(|s| !servers.contains(s));
-            for (proxy, message) in proxies {
-                if edit.awaited.insert(*proxy, *message).is_none() {
-                    edit.of += 1;
-                }
-            }
+    /// Updates about these servers went out, as messages: proxy and number of each.
+    pub fn record_published(&mut self, servers: &BTreeSet<String>, messages: &[(usize, u64)]) {
+        for edit in self.pending_edits() {
+            edit.record_published(servers, messages);
         }
     }
 
-    /// A proxy confirmed a message and all before it.
-    pub fn applied(&mut self, proxy: usize, message: u64) {
-        for edit in self.waiting() {
-            if edit.awaited.get(&proxy).is_some_and(|awaited| *awaited <= message) {
-                edit.awaited.remove(&proxy);
+    /// A proxy acknowledged message `number` and all before it.
+    pub fn acknowledge(&mut self, proxy: usize, number: u64) {
+        for edit in self.pending_edits() {
+            if edit.pending_acks.get(&proxy).is_some_and(|pending| *pending <= number) {
+                edit.pending_acks.remove(&proxy);
             }
         }
     }
 
-    /// A proxy is not joined any more: nothing is in force there by this planner.
-    pub fn left(&mut self, proxy: usize) {
-        for edit in self.waiting() {
-            if edit.awaited.remove(&proxy).is_some() {
-                edit.of -= 1;
+    /// A proxy disconnected: nothing is in force there by this planner.
+    pub fn disconnect_proxy(&mut self, proxy: usize) {
+        for edit in self.pending_edits() {
+            if edit.pending_acks.remove(&proxy).is_some() {
+                edit.proxy_count -= 1;
             }
         }
     }
 
-    /// Edits that have come in force by now.
-    pub fn settle(&mut self, now: Duration) -> Vec<Edit> {
-        let mut settled = Vec::new();
-        for edit in self.waiting() {
-            let rested = edit.decided.is_some_and(|at| now >= at + BEAT);
-            if edit.awaited.is_empty() && (rested || edit.open.is_empty()) {
-                edit.in_force = Some(now);
-                edit.open.clear();
-                settled.push(edit.clone());
-            }
+    /// Marks the edits that are in force now, and returns them.
+    pub fn take_completed(&mut self, now: Duration) -> Vec<Edit> {
+        let mut completed = Vec::new();
+        for edit in self.pending_edits().filter(|edit| edit.is_complete(now)) {
+            edit.in_force_at = Some(now);
+            edit.unpublished_servers.clear();
+            completed.push(edit.clone());
         }
-        settled
-    }
-
-    /// When [`EditHistory::settle`] has something to do without any event.
-    pub fn wakes_at(&self) -> Option<Duration> {
-        let waiting = self.edits.iter().filter(|e| e.in_force.is_none() && !e.open.is_empty());
-        waiting.filter_map(|e| e.decided.map(|at| at + BEAT)).min()
-    }
-
-    fn waiting(&mut self) -> impl Iterator<Item = &mut Edit> {
-        // Edits settle nearly in order: those that wait are among the last.
-        self.edits.iter_mut().rev().filter(|e| e.decided.is_some() && e.in_force.is_none())
-    }
-
-    /// From the file, as id, who, digest, and when each was accepted: edits of before this start are accepted, and
-    /// where they are in force is not known.
-    pub fn of(kept: impl Iterator<Item = (String, String, String, u64)>) -> EditHistory {
-        let edit = |(id, who, digest, accepted)| Edit {
-            id,
-            who,
-            digest,
-            accepted,
-            // Told to the decisions with the first list, like all that the file holds.
-            took: Some(Duration::ZERO),
-            decided: None,
-            in_force: None,
-            open: BTreeSet::new(),
-            awaited: BTreeMap::new(),
-            of: 0,
-        };
-        let edits: VecDeque<Edit> = kept.map(edit).collect();
-        EditHistory { made: edits.len() as u64, edits }
+        completed
+    }
+
+    /// When [`EditHistory::take_completed`] is to be called though nothing happened.
+    pub fn next_wakeup(&self) -> Option<Duration> {
+        let is_waiting = |edit: &&Edit| edit.in_force_at.is_none() && !edit.unpublished_servers.is_empty();
+        let waiting = self.edits.iter().filter(is_waiting);
+        waiting.filter_map(|edit| edit.decided_at.map(|at| at + PUBLICATION_TIMEOUT)).min()
+    }
+
+    /// Edits that are decided and not in force, newest first.
+    fn pending_edits(&mut self) -> impl Iterator<Item = &mut Edit> {
+        self.edits.iter_mut().rev().filter(|edit| edit.decided_at.is_some() && edit.in_force_at.is_none())
     }
 }
--- a/crates/inventory/src/tests.rs
+++ b/crates/inventory/src/tests.rs
@@ -1,13 +1,17 @@
-use super::edit_history::{EditHistory, EditLookup, BEAT};
-use super::*;
+use crate::edit_history::{EditHistory, EditLookup, MAX_EDITS, PUBLICATION_TIMEOUT};
+use crate::{Change, Inventory};
+use runloom_model::fleet::{Fleet, ListedServer};
 use runloom_netconf::tree::Element;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-fn fleet(shares: &str, words: &str) -> Fleet {
+const ZONE: &str = "<zone><name>a</name></zone>";
+
+/// A fleet with these zones and overrides of servers.
+fn fleet(shares: &str, overrides: &str) -> Fleet {
     let text = format!(
         "<fleet xmlns='urn:runloom:fleet'>{shares}<class><name>q</name><payoff>1</payoff>\
-         <soft-limit-ms>500</soft-limit-ms><outer-limit-ms>900</outer-limit-ms><repeats>safe</repeats></class>{words}\
+         <soft-limit-ms>500</soft-limit-ms><outer-limit-ms>900</outer-limit-ms><repeats>safe</repeats></class>{overrides}\
          <grace><drain-ms>2000</drain-ms><bare-ms>2000</bare-ms><reply-ms>2000</reply-ms></grace><channel>\
          <lines-per-second>9000</lines-per-second><backlog>9000</backlog><overhead>4</overhead></channel><cold>\
          <from>0.2</from><warm-after-ms>9000</warm-after-ms></cold><proxies><count>2</count><planners>1</planners>\
@@ -18,6 +22,7 @@
     Fleet::read(&Element::parse(&text).unwrap()).unwrap()
 }
 
+/// Listed servers of weight 1 in zone a.
 fn listed(names: &[&str]) -> BTreeMap<String, ListedServer> {
     let one = |name: &&str| {
         let text =
@@ -27,77 +32,89 @@
     names.iter().map(one).collect()
 }
 
-const ZONE: &str = "<zone><name>a</name></zone>";
-
 #[test]
-fn a_zones_share_and_an_operators_weight_make_the_listed_weight() {
-    let mut roster = Inventory::default();
-    roster.update(&fleet(ZONE, ""), &listed(&["s1", "s2"]));
-    let words = "<server><name>s2</name><weight>3</weight></server>";
-    let changed =
-        roster.update(&fleet("<zone><name>a</name><share>0.5</share></zone>", words), &listed(&["s1", "s2"]));
-    let weight = |c: &(String, Change)| match &c.1 {
-        Change::Is(server) => server.weight,
-        Change::Gone => 0.0,
+fn a_zones_share_and_an_operators_weight_make_the_weight() {
+    // Given two servers.
+    let mut inventory = Inventory::default();
+    let servers = listed(&["s1", "s2"]);
+    inventory.update(&fleet(ZONE, ""), &servers);
+    // When their zone gets half its share and one of them a weight.
+    let zone = "<zone><name>a</name><share>0.5</share></zone>";
+    let overrides = "<server><name>s2</name><weight>3</weight></server>";
+    let changes = inventory.update(&fleet(zone, overrides), &servers);
+    // Then both are multiplied.
+    let weight = |(_, change): &(String, Change)| match change {
+        Change::Updated(server) => server.weight,
+        Change::Removed => 0.0,
     };
-    assert_eq!(changed.iter().map(weight).collect::<Vec<_>>(), [0.5, 1.5]);
+    assert_eq!(changes.iter().map(weight).collect::<Vec<_>>(), [0.5, 1.5]);
 }
 
 #[test]
-fn an_undrain_does_not_bring_back_what_is_gone() {
-    let mut roster = Inventory::default();
-    roster
-        .update(&fleet(ZONE, "<server><name>s1</name><drain>true</drain></server>"), &listed(&["s1", "s2"]));
-    let gone = roster.update(&fleet(ZONE, ""), &listed(&["s2"]));
-    assert_eq!(gone, [("s1".to_string(), Change::Gone)]);
-    assert_eq!(roster.update(&fleet(ZONE, ""), &listed(&["s2"])), []);
+fn the_end_of_a_drain_does_not_bring_back_a_removed_server() {
+    // Given a server that an operator drains.
+    let mut inventory = Inventory::default();
+    let drained = fleet(ZONE, "<server><name>s1</name><drain>true</drain></server>");
+    inventory.update(&drained, &listed(&["s1", "s2"]));
+    // When it is removed and the drain ends, then it is removed once.
+    let changes = inventory.update(&fleet(ZONE, ""), &listed(&["s2"]));
+    assert_eq!(changes, [("s1".to_string(), Change::Removed)]);
+    assert_eq!(inventory.update(&fleet(ZONE, ""), &listed(&["s2"])), []);
 }
 
 #[test]
-fn an_id_is_new_the_same_or_anothers() {
-    let mut ledger = EditHistory::default();
-    ledger.accept(Some("a"), "staff", "d1", 5);
-    assert_eq!(
-        ["d1", "d2", ""].map(|d| ledger.known("a", d)),
-        [EditLookup::Same, EditLookup::Other, EditLookup::Same]
-    );
-    let noted = |e: &edit_history::Edit| (e.id.clone(), e.who.clone(), e.digest.clone(), e.accepted);
-    let kept = EditHistory::of(ledger.edits().map(noted));
-    assert_eq!((kept.known("a", "d1"), kept.known("b", "d1")), (EditLookup::Same, EditLookup::New));
+fn an_id_is_new_repeated_or_conflicting() {
+    let mut history = EditHistory::default();
+    history.accept(Some("a"), "staff", "d1", 5);
+    assert_eq!(history.lookup("a", "d1"), EditLookup::Repeated);
+    assert_eq!(history.lookup("a", "d2"), EditLookup::Conflicting);
+    assert_eq!(history.lookup("a", ""), EditLookup::Repeated);
+    // The same after a restart.
+    let restored = EditHistory::restore(history.edits().map(|edit| edit.stored.clone()));
+    assert_eq!(restored.lookup("a", "d1"), EditLookup::Repeated);
+    assert_eq!(restored.lookup("b", "d1"), EditLookup::New);
 }
 
 #[test]
-fn an_edit_is_in_force_once_all_that_were_ordered_have_confirmed() {
-    let mut ledger = EditHistory::default();
+fn an_edit_is_in_force_once_all_its_proxies_have_acknowledged() {
+    // Given an edit that is not on disk: the controller does not learn of it.
+    let mut history = EditHistory::default();
     let servers: BTreeSet<String> = ["s1".to_string()].into();
-    let id = ledger.accept(Some("a"), "staff", "d", 5);
-    // Not on disk yet: the decisions are not told.
-    ledger.decided(Duration::from_millis(9), &servers);
-    assert_eq!(ledger.edits().next().unwrap().state(), "accepted");
-    ledger.kept(&[id], Duration::from_millis(9));
-    ledger.decided(Duration::from_millis(10), &servers);
-    ledger.ordered(&servers, &[(0, 7), (1, 7)]);
-    ledger.applied(0, 7);
-    ledger.applied(1, 6);
-    assert_eq!(ledger.settle(Duration::from_secs(9)).len(), 0);
-    ledger.left(1);
-    let settled = ledger.settle(Duration::from_secs(9));
-    assert_eq!((settled[0].at(), settled[0].of, settled[0].state()), (1, 1, "in-force"));
+    let id = history.accept(Some("a"), "staff", "d", 5);
+    history.record_decided(Duration::from_millis(9), &servers);
+    assert_eq!(history.edits().next().unwrap().state(), "accepted");
+    // When it is stored, decided and published to two proxies, of which one acknowledges an older message.
+    history.record_stored(&[id], Duration::from_millis(9));
+    history.record_decided(Duration::from_millis(10), &servers);
+    history.record_published(&servers, &[(0, 7), (1, 7)]);
+    history.acknowledge(0, 7);
+    history.acknowledge(1, 6);
+    // Then it is not in force.
+    assert_eq!(history.take_completed(Duration::from_secs(9)).len(), 0);
+    // When that proxy disconnects, then it is in force at the other one.
+    history.disconnect_proxy(1);
+    let completed = history.take_completed(Duration::from_secs(9));
+    assert_eq!(completed[0].acknowledged_count(), 1);
+    assert_eq!(completed[0].proxy_count, 1);
+    assert_eq!(completed[0].state(), "in-force");
 }
 
 #[test]
-fn an_edit_that_changes_no_line_is_in_force_after_a_beat() {
-    let mut ledger = EditHistory::default();
-    let id = ledger.accept(None, "staff", "d", 5);
-    ledger.kept(&[id], Duration::ZERO);
-    ledger.decided(Duration::ZERO, &["s1".to_string()].into());
-    assert_eq!(ledger.settle(BEAT / 2).len(), 0);
-    assert_eq!(ledger.settle(BEAT).len(), 1);
+fn an_edit_that_changes_no_entry_is_in_force_after_the_publication_timeout() {
+    let mut history = EditHistory::default();
+    let id = history.accept(None, "staff", "d", 5);
+    history.record_stored(&[id], Duration::ZERO);
+    history.record_decided(Duration::ZERO, &["s1".to_string()].into());
+    assert_eq!(history.take_completed(PUBLICATION_TIMEOUT / 2).len(), 0);
+    assert_eq!(history.take_completed(PUBLICATION_TIMEOUT).len(), 1);
 }
 
 #[test]
-fn a_full_ledger_forgets_the_oldest() {
-    let mut ledger = EditHistory::default();
-    (0..=edit_history::KEPT_MOST).for_each(|k| _ = ledger.accept(Some(&k.to_string()), "staff", "d", 5));
-    assert_eq!((ledger.known("0", "d"), ledger.known("1", "d")), (EditLookup::New, EditLookup::Same));
+fn a_full_history_drops_the_oldest_edit() {
+    let mut history = EditHistory::default();
+    for k in 0..=MAX_EDITS {
+        history.accept(Some(&k.to_string()), "staff", "d", 5);
+    }
+    assert_eq!(history.lookup("0", "d"), EditLookup::New);
+    assert_eq!(history.lookup("1", "d"), EditLookup::Repeated);
 }
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -21,14 +21,14 @@
 const SERVERS: usize = 6;
 
 fn server(k: usize, draining: bool) -> Change {
-    Change::Is(Server {
+    Change::Updated(Server {
         address: ([127, 0, 0, 1], 9000 + k as u16).into(),
         zone: if k % 2 == 0 { "a" } else { "b" }.into(),
         kind: "std".into(),
         cell: 0,
-        draining,
+        is_draining: draining,
         weight: 1.0,
-        started: None,
+        started_ms: None,
     })
 }
 
@@ -339,9 +339,9 @@
     let mut day = Vec::new();
     for k in 0..10_000u64 {
         let now = Duration::from_millis(360 * (k + 1));
-        let Change::Is(is) = server(k as usize % 5, false) else { unreachable!() };
+        let Change::Updated(is) = server(k as usize % 5, false) else { unreachable!() };
         let weight = 1.0 + (k % 4) as f64;
-        let change = Change::Is(Server { weight, ..is });
+        let change = Change::Updated(Server { weight, ..is });
         driver.update_endpoints(EndpointUpdate::Delta, vec![(format!("s{}", k % 5), change)]);
         for deed in driver.step(now).0 {
             if let Action::Send { proxy, number, .. } = deed {
