--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -13,7 +13,7 @@
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, StatePatch};
+use runloom_store::{list_chunks, AcceptedEdit, AcceptedState, EntrySource, StatePatch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -72,7 +72,7 @@
 
 fn noted(e: &edit_history::Edit) -> AcceptedEdit {
     let edit = e.stored.clone();
-    AcceptedEdit { id: edit.id, who: edit.author, digest: edit.digest, accepted: edit.accepted_ms }
+    AcceptedEdit { id: edit.id, author: edit.author, digest: edit.digest, accepted_ms: edit.accepted_ms }
 }
 
 fn same(a: &Element, b: &Element, name: &str) -> bool {
@@ -197,7 +197,7 @@
     pub fn accepted(&self) -> AcceptedState {
         let entries = fleet_of(&self.data).iter().map(|e| e.to_text()).collect();
         let before = self.before.as_ref().map(|b| fleet_of(b).iter().map(|e| e.to_text()).collect());
-        AcceptedState { entries, before, noted: self.ledger.edits().map(noted).collect() }
+        AcceptedState { entries, rollback_entries: before, edits: self.ledger.edits().map(noted).collect() }
     }
 
     /// What must be on disk before anybody is told that it was accepted: one batch at a time.
@@ -209,16 +209,19 @@
         let places: BTreeMap<*const Element, u32> =
             old.iter().enumerate().map(|(k, e)| (Arc::as_ptr(e), k as u32)).collect();
         let new = fleet_of(&self.data);
-        let place = |e: &Arc<Element>| places.get(&Arc::as_ptr(e)).copied().ok_or_else(|| e.to_text());
+        let place = |e: &Arc<Element>| {
+            let at = places.get(&Arc::as_ptr(e)).copied();
+            at.map_or_else(|| EntrySource::New(e.to_text()), EntrySource::Existing)
+        };
         let same = old.len() == new.len() && old.iter().zip(new).all(|(a, b)| Arc::ptr_eq(a, b));
         let before = |b: &Option<Arc<Element>>| {
             b.as_ref().map(|b| fleet_of(b).iter().map(|e| e.to_text()).collect::<Vec<_>>())
         };
         let ids = std::mem::take(&mut self.fresh_ids);
         let patch = StatePatch {
-            pieces: (!same).then(|| pieces(new.iter().map(place))),
-            noted: self.ledger.edits().filter(|e| ids.contains(&e.stored.id)).map(noted).collect(),
-            before: (before(&self.before) != before(&self.saved.2)).then(|| before(&self.before)),
+            chunks: (!same).then(|| list_chunks(new.iter().map(place))),
+            edits: self.ledger.edits().filter(|e| ids.contains(&e.stored.id)).map(noted).collect(),
+            rollback_entries: (before(&self.before) != before(&self.saved.2)).then(|| before(&self.before)),
         };
         self.sent = Some(((self.data.clone(), self.fleet.clone(), self.before.clone()), ids));
         self.dirty = false;
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -3,10 +3,7 @@
 
 use crate::planner_runtime::Failed;
 use runloom_event_loop::Waker;
-use runloom_store::accepted::{AcceptedState, StatePatch};
-use runloom_store::disk::{Folder, Lock};
-use runloom_store::learned::LearnedServers;
-use runloom_store::{Layout, Store};
+use runloom_store::{AcceptedState, Folder, FolderLock, Layout, LearnedServers, StatePatch, Store};
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender, TryRecvError};
 use std::thread::JoinHandle;
@@ -14,9 +11,10 @@
 
 /// A snapshot after so many bytes of patches: some thousands of edits, read back in milliseconds.
 const JOURNAL_MOST: usize = 1 << 20;
-pub const EDITS: Layout = Layout { name: "edits", version: 1, upgrades: &[], journal_most: JOURNAL_MOST };
-pub const ROSTER: Layout = Layout { name: "roster", version: 1, upgrades: &[], journal_most: 0 };
-pub const LEARNED: Layout = Layout { name: "learned", version: 1, upgrades: &[], journal_most: 0 };
+pub const EDITS: Layout =
+    Layout { name: "edits", version: 1, upgrades: &[], max_journal_bytes: JOURNAL_MOST };
+pub const ROSTER: Layout = Layout { name: "roster", version: 1, upgrades: &[], max_journal_bytes: 0 };
+pub const LEARNED: Layout = Layout { name: "learned", version: 1, upgrades: &[], max_journal_bytes: 0 };
 /// Things that may wait for the thread: one batch, a list, what was learned, and one over.
 const WAITING_MOST: usize = 4;
 
@@ -41,7 +39,7 @@
     to: Option<SyncSender<Task>>,
     from: Receiver<PersistenceResult>,
     thread: Option<JoinHandle<()>>,
-    _lock: Lock,
+    _lock: FolderLock,
 }
 
 /// What was kept by an earlier start.
@@ -68,9 +66,11 @@
 
 /// All that edits came to, out of a snapshot and what came since.
 pub fn accepted(opened: &runloom_store::OpenedState) -> Result<Option<AcceptedState>, String> {
-    let mut accepted = opened.state.as_deref().map(AcceptedState::read).transpose()?;
+    let mut accepted =
+        opened.state.as_deref().map(AcceptedState::decode).transpose().map_err(|e| e.to_string())?;
     for entry in &opened.entries {
-        accepted.get_or_insert_default().take(StatePatch::read(entry)?)?;
+        let patch = StatePatch::decode(entry).map_err(|e| e.to_string())?;
+        accepted.get_or_insert_default().apply(patch).map_err(|e| e.to_string())?;
     }
     Ok(accepted)
 }
@@ -83,7 +83,7 @@
         waker: Waker,
         first: impl FnOnce(&mut RestoredState) -> Result<AcceptedState, Failed>,
     ) -> Result<(PersistenceWorker, RestoredState), Failed> {
-        let lock = Lock::take(folder)?;
+        let lock = FolderLock::acquire(folder)?;
         let (edits, was) = opened(folder, EDITS)?;
         let (roster, list) = opened(folder, ROSTER)?;
         let (learned, book) = opened(folder, LEARNED)?;
@@ -91,10 +91,10 @@
             RestoredState { accepted: accepted(&was).map_err(Failed::Data)?, ..RestoredState::default() };
         found.roster = list.state.and_then(|text| String::from_utf8(text).ok());
         // What was learned is a hint: one that cannot be read is none.
-        found.learned = book.state.and_then(|bytes| LearnedServers::read(&bytes).ok());
+        found.learned = book.state.and_then(|bytes| LearnedServers::decode(&bytes).ok());
         let accepted = first(&mut found)?;
         let mut shelves = Shelves { edits, accepted, roster, learned };
-        shelves.edits.snapshot(&shelves.accepted.write()).map_err(|e| Failed::Data(e.to_string()))?;
+        shelves.edits.snapshot(&shelves.accepted.encode()).map_err(|e| Failed::Data(e.to_string()))?;
         let (to, tasks) = std::sync::mpsc::sync_channel(WAITING_MOST);
         let (done, from) = std::sync::mpsc::sync_channel(WAITING_MOST);
         let work = move || {
@@ -169,7 +169,7 @@
                 kept.err().map(|e| PersistenceResult::Lost("the list", e.to_string()))
             }
             Task::Learned(book) => {
-                let kept = self.learned.snapshot(&book.write());
+                let kept = self.learned.snapshot(&book.encode());
                 kept.err().map(|e| PersistenceResult::Lost("what was learned", e.to_string()))
             }
         }
@@ -177,16 +177,16 @@
 
     /// After a write that failed, all that was accepted is written anew; also where the journal has grown long.
     fn sound(&mut self) -> Result<(), String> {
-        if self.edits.wants_snapshot() {
-            self.edits.snapshot(&self.accepted.write()).map_err(|e| e.to_string())?;
+        if self.edits.needs_snapshot() {
+            self.edits.snapshot(&self.accepted.encode()).map_err(|e| e.to_string())?;
         }
         Ok(())
     }
 
     fn edit(&mut self, patch: StatePatch) -> Result<(), String> {
         self.sound()?;
-        self.edits.append(&[patch.write()]).map_err(|e| e.to_string())?;
+        self.edits.append(&[patch.encode()]).map_err(|e| e.to_string())?;
         // A patch is made of the list that was kept last: it fits.
-        self.accepted.take(patch)
+        self.accepted.apply(patch).map_err(|e| e.to_string())
     }
 }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -9,9 +9,7 @@
 use crate::{earliest, wall_ms, wall_text};
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
-use runloom_control_session::{
-    Action, CommandTamper, ControlSession, LearnedServerState, ServerHint, CLOCK_LEAD,
-};
+use runloom_control_session::{Action, CommandTamper, ControlSession, ServerHint, CLOCK_LEAD};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_distribution::{Distributor, Transport};
 use runloom_event_log::{RecordedEvent as Recorded, Recorder, Writer};
@@ -25,7 +23,7 @@
 use runloom_netconf::service::{Limits, Service, CAPABILITIES};
 use runloom_netconf::session::{Role, Session, SessionError, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
-use runloom_store::learned::{LearnedServer, LearnedServers};
+use runloom_store::{LearnedServer, LearnedServers};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
@@ -669,18 +667,18 @@
     fn learn(&mut self) {
         let servers = self.roster.servers();
         let learned = self.driver.learned_states().into_iter().filter_map(|state| {
-            let LearnedServerState {
-                name,
-                speed_factor: swift,
-                last_ejected_ms: failed,
-                is_long_ejected: held,
-            } = state;
-            let server = servers.get(&name)?;
-            let (address, started) = (server.address.to_string(), server.started_ms);
-            Some(LearnedServer { name, address, started, swift, failed, held })
+            let server = servers.get(&state.name)?;
+            Some(LearnedServer {
+                name: state.name,
+                address: server.address.to_string(),
+                started_ms: server.started_ms,
+                speed_factor: state.speed_factor,
+                last_ejected_ms: state.last_ejected_ms,
+                is_long_ejected: state.is_long_ejected,
+            })
         });
-        let book = LearnedServers { written: self.desk.wall, servers: learned.collect() };
-        self.book = book.renewed(&self.book);
+        let book = LearnedServers { written_ms: self.desk.wall, servers: learned.collect() };
+        self.book = book.merge_earlier(&self.book);
         if !self.keeper.learned(self.book.clone()) {
             tracing::warn!("what was learned could not be written: the disk is behind");
         }
@@ -1086,20 +1084,20 @@
     };
     if let Some(accepted) = found.accepted.take() {
         // A confirmed commit that a restart left unconfirmed is taken back (RFC 6241, section 8.4.1).
-        if accepted.before.is_some() {
+        if accepted.rollback_entries.is_some() {
             tracing::warn!("a confirmed commit was never confirmed: back to what stood before");
         }
-        let entries = accepted.before.unwrap_or(accepted.entries);
+        let entries = accepted.rollback_entries.unwrap_or(accepted.entries);
         let text = format!("<fleet xmlns=\"{FLEET}\">{}</fleet>", entries.concat());
         put(
             "fleet",
             Element::parse(&text).map_err(|e| Failed::Data(format!("the fleet as kept: {}", e.reason)))?,
         );
-        ledger = EditHistory::restore(accepted.noted.into_iter().map(|n| StoredEdit {
+        ledger = EditHistory::restore(accepted.edits.into_iter().map(|n| StoredEdit {
             id: n.id,
-            author: n.who,
+            author: n.author,
             digest: n.digest,
-            accepted_ms: n.accepted,
+            accepted_ms: n.accepted_ms,
         }));
     } else if let Some(accepted) = shelf.read("accepted.xml")? {
         if let Some(fleet) = accepted.child("before").unwrap_or(&accepted).child("fleet") {
@@ -1133,7 +1131,7 @@
     let Some(book) = &found.learned else { return vec![] };
     let hint = |(name, server): (&String, &runloom_inventory::Server)| {
         let hint = book.hint(wall_ms(), name, &server.address.to_string(), server.started_ms)?;
-        Some(ServerHint { name: name.clone(), speed_factor: hint.swift, suspicion: hint.doubt })
+        Some(ServerHint { name: name.clone(), speed_factor: hint.speed_factor, suspicion: hint.suspicion })
     };
     roster.servers().iter().filter_map(hint).collect()
 }
--- /dev/null
+++ b/crates/store/src/framing.rs
@@ -0,0 +1,91 @@
+//! The form of a file: magic bytes, a header, and frames, each with its length and a checksum.
+
+use crate::error::StoreError;
+use serde::{Deserialize, Serialize};
+
+/// The first bytes of every file.
+const MAGIC: [u8; 4] = *b"RLST";
+/// Bytes of a frame's length and of its checksum.
+const FIELD_SIZE: usize = 4;
+/// Largest frame, in bytes: twice the largest message that an edit may come in, and a fleet of thousands of servers.
+const MAX_FRAME_SIZE: usize = 64 << 20;
+
+/// What a file holds. The order of the variants is part of the stored form.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub(crate) enum FileKind {
+    Snapshot,
+    Journal,
+}
+
+/// The first frame of a file. The order of the fields is part of the stored form.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct Header {
+    pub kind: FileKind,
+    pub version: u16,
+    pub generation: u64,
+}
+
+/// A file as it was read.
+pub(crate) struct FileContent {
+    pub header: Header,
+    pub frames: Vec<Vec<u8>>,
+    /// Bytes after the last complete frame.
+    pub trailing_bytes: usize,
+}
+
+/// Appends a frame to `out`.
+pub(crate) fn write_frame(body: &[u8], out: &mut Vec<u8>) -> Result<(), StoreError> {
+    if body.len() > MAX_FRAME_SIZE {
+        return Err(StoreError::TooLarge(body.len()));
+    }
+    out.extend_from_slice(&(body.len() as u32).to_le_bytes());
+    out.extend_from_slice(&checksum(body).to_le_bytes());
+    out.extend_from_slice(body);
+    Ok(())
+}
+
+/// The beginning of a file.
+pub(crate) fn write_header(header: Header) -> Result<Vec<u8>, StoreError> {
+    let unusable = |e: postcard::Error| StoreError::Unusable { file: "head".into(), reason: e.to_string() };
+    let mut out = MAGIC.to_vec();
+    write_frame(&postcard::to_stdvec(&header).map_err(unusable)?, &mut out)?;
+    Ok(out)
+}
+
+/// Reads a file up to its first frame that is incomplete or corrupt; `None` if that is the header.
+pub(crate) fn read_file(bytes: &[u8]) -> Option<FileContent> {
+    let after_magic = bytes.strip_prefix(&MAGIC)?;
+    let (header, mut rest) = split_frame(after_magic)?;
+    let header: Header = postcard::from_bytes(header).ok()?;
+    let mut frames = Vec::new();
+    while let Some((body, after)) = split_frame(rest) {
+        frames.push(body.to_vec());
+        rest = after;
+    }
+    Some(FileContent { header, frames, trailing_bytes: rest.len() })
+}
+
+/// The first frame and what follows it; `None` if it is incomplete or corrupt.
+fn split_frame(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
+    let length = read_u32(bytes, 0)? as usize;
+    let expected = read_u32(bytes, FIELD_SIZE)?;
+    if length > MAX_FRAME_SIZE {
+        return None;
+    }
+    let begin = 2 * FIELD_SIZE;
+    let body = bytes.get(begin..begin + length)?;
+    (checksum(body) == expected).then_some((body, &bytes[begin + length..]))
+}
+
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
+    let field = bytes.get(at..at + FIELD_SIZE)?;
+    Some(u32::from_le_bytes([field[0], field[1], field[2], field[3]]))
+}
+
+/// CRC-32 of the length and the body: a length that was written in part must not pass.
+fn checksum(body: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&(body.len() as u32).to_le_bytes());
+    hasher.update(body);
+    hasher.finalize()
+}
--- /dev/null
+++ b/crates/store/src/tests/accepted_state.rs
@@ -0,0 +1,42 @@
+//! Patches of the accepted state.
+
+use crate::{list_chunks, AcceptedState, EntrySource, ListChunk, PatchError, StatePatch};
+use proptest::prelude::*;
+
+fn entry_text(entry: u32) -> String {
+    format!("<e>{entry}</e>")
+}
+
+/// A patch to a list of these entries.
+fn patch_to(state: &AcceptedState, list: &[u32]) -> StatePatch {
+    let source = |entry: &u32| {
+        let text = entry_text(*entry);
+        match state.entries.iter().position(|old| *old == text) {
+            Some(index) => EntrySource::Existing(index as u32),
+            None => EntrySource::New(text),
+        }
+    };
+    StatePatch { chunks: Some(list_chunks(list.iter().map(source))), ..StatePatch::default() }
+}
+
+proptest! {
+    #[test]
+    fn patches_make_one_list_of_another_and_are_read_back(
+        lists in prop::collection::vec(prop::collection::vec(0u32..30, 0..20), 1..12),
+    ) {
+        let mut state = AcceptedState::default();
+        for (k, list) in lists.iter().enumerate() {
+            let rollback_entries = (k % 3 == 0).then(|| Some(vec!["b".into()]));
+            let patch = StatePatch { rollback_entries, ..patch_to(&state, list) };
+            state.apply(StatePatch::decode(&patch.encode()).unwrap()).unwrap();
+            let texts: Vec<String> = list.iter().map(|entry| entry_text(*entry)).collect();
+            prop_assert_eq!(&state.entries, &texts);
+            prop_assert_eq!(&AcceptedState::decode(&state.encode()).unwrap(), &state);
+        }
+        // A patch that was made for another list.
+        let chunks = Some(vec![ListChunk::Existing { from: 19, count: 9 }]);
+        let error = state.apply(StatePatch { chunks, ..StatePatch::default() });
+        let entries = state.entries.len();
+        prop_assert_eq!(error, Err(PatchError::UnknownEntries { from: 19, to: 28, entries }));
+    }
+}
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -9,10 +9,10 @@
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, StatePatch};
-use runloom_store::disk::Folder;
-use runloom_store::learned::{LearnedServer, LearnedServers};
-use runloom_store::Store;
+use runloom_store::{
+    list_chunks, AcceptedEdit, AcceptedState, EntrySource, Folder, LearnedServer, LearnedServers, StatePatch,
+    Store,
+};
 use statrs::statistics::Statistics;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -26,9 +26,9 @@
 fn edit(state: &Path, change: impl FnOnce(Option<LearnedServers>) -> Option<LearnedServers>) {
     let Ok(folder) = Folder::open(state) else { return };
     let Ok((mut store, opened)) = Store::open(folder, LEARNED) else { return };
-    let book = opened.state.and_then(|bytes| LearnedServers::read(&bytes).ok());
+    let book = opened.state.and_then(|bytes| LearnedServers::decode(&bytes).ok());
     if let Some(book) = change(book) {
-        let _ = store.snapshot(&book.write());
+        let _ = store.snapshot(&book.encode());
     }
 }
 
@@ -40,8 +40,8 @@
     const AGE: u64 = 6 * 3600 * 1000;
     edit(state, |book| {
         let mut book = book?;
-        book.written -= AGE;
-        book.servers.iter_mut().for_each(|s| s.failed = s.failed.map(|at| at - AGE));
+        book.written_ms -= AGE;
+        book.servers.iter_mut().for_each(|s| s.last_ejected_ms = s.last_ejected_ms.map(|at| at - AGE));
         Some(book)
     });
 }
@@ -55,18 +55,18 @@
     let Some(roster) = planner.child("roster") else { return };
     edit(state, |book| {
         let book = book?;
-        let bad = |s: &LearnedServer| s.failed.is_some() || s.swift < 0.8;
+        let bad = |s: &LearnedServer| s.last_ejected_ms.is_some() || s.speed_factor < 0.8;
         let failed = |name: &str| book.servers.iter().any(|s| s.name == name && bad(s));
         let entries = roster.named("server").filter(|e| !failed(e.text_of("name").unwrap_or_default()));
         let doubted = |e: &std::sync::Arc<Element>| LearnedServer {
             name: e.text_of("name").unwrap_or_default().to_string(),
             address: e.text_of("address").unwrap_or_default().to_string(),
-            started: e.text_of("started").and_then(|t| t.parse().ok()),
-            swift: 0.5,
-            failed: Some(book.written),
-            held: true,
+            started_ms: e.text_of("started").and_then(|t| t.parse().ok()),
+            speed_factor: 0.5,
+            last_ejected_ms: Some(book.written_ms),
+            is_long_ejected: true,
         };
-        Some(LearnedServers { written: book.written, servers: entries.take(5).map(doubted).collect() })
+        Some(LearnedServers { written_ms: book.written_ms, servers: entries.take(5).map(doubted).collect() })
     });
 }
 
@@ -134,33 +134,43 @@
     let io = |e: std::io::Error| e.to_string();
     let noted = |k: usize| AcceptedEdit {
         id: format!("e{k}"),
-        who: "staff".into(),
+        author: "staff".into(),
         digest: "d".repeat(64),
-        accepted: k as u64,
+        accepted_ms: k as u64,
     };
     let word = |k: usize| {
         format!("<server xmlns=\"urn:runloom:fleet\"><name>server-{k}</name><weight>0.5</weight></server>")
     };
     let all = AcceptedState {
         entries: (0..544).map(word).collect(),
-        before: None,
-        noted: (0..1024).map(noted).collect(),
+        rollback_entries: None,
+        edits: (0..1024).map(noted).collect(),
     };
     let (mut store, _) =
         Store::open(Folder::open(&folder.join("keeping")).map_err(io)?, EDITS).map_err(told)?;
     let start = Instant::now();
-    store.snapshot(&all.write()).map_err(told)?;
+    store.snapshot(&all.encode()).map_err(told)?;
     figure("snapshot_544_words_1024_edits", start.elapsed().as_secs_f64() * 1e3, "ms");
-    figure("snapshot_544_words_1024_edits_size", all.write().len() as f64 / 1024.0, "KiB");
+    figure("snapshot_544_words_1024_edits_size", all.encode().len() as f64 / 1024.0, "KiB");
     for batch in [1usize, 16] {
         let mut times =
             hdrhistogram::Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string())?;
         let (start, mut edits, mut bytes) = (Instant::now(), 0, 0);
         while start.elapsed() < Duration::from_secs(3) {
             let entry = |k: usize| {
-                let place = |at: usize| if at == k % 544 { Err(word(at)) } else { Ok(at as u32) };
-                StatePatch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None }
-                    .write()
+                let place = |at: usize| {
+                    if at == k % 544 {
+                        EntrySource::New(word(at))
+                    } else {
+                        EntrySource::Existing(at as u32)
+                    }
+                };
+                StatePatch {
+                    chunks: Some(list_chunks((0..544).map(place))),
+                    edits: vec![noted(k)],
+                    rollback_entries: None,
+                }
+                .encode()
             };
             let entries: Vec<Vec<u8>> = (0..batch).map(|k| entry(edits + k)).collect();
             bytes += entries.iter().map(Vec::len).sum::<usize>();
@@ -175,13 +185,22 @@
         figure(&format!("{name}_bytes"), bytes as f64 / edits as f64, "bytes");
     }
     // As many as the planner lets come before it writes a snapshot.
-    store.snapshot(&all.write()).map_err(told)?;
+    store.snapshot(&all.encode()).map_err(told)?;
     let mut k = 0;
-    while !store.wants_snapshot() {
-        let place = |at: usize| if at == k % 544 { Err(word(at)) } else { Ok(at as u32) };
-        let patch =
-            StatePatch { pieces: Some(pieces((0..544).map(place))), noted: vec![noted(k)], before: None };
-        store.append(&[patch.write()]).map_err(told)?;
+    while !store.needs_snapshot() {
+        let place = |at: usize| {
+            if at == k % 544 {
+                EntrySource::New(word(at))
+            } else {
+                EntrySource::Existing(at as u32)
+            }
+        };
+        let patch = StatePatch {
+            chunks: Some(list_chunks((0..544).map(place))),
+            edits: vec![noted(k)],
+            rollback_entries: None,
+        };
+        store.append(&[patch.encode()]).map_err(told)?;
         k += 1;
     }
     let start = Instant::now();
