--- /dev/null
+++ b/crates/daemon/src/proxy_runtime/reports.rs
@@ -0,0 +1,98 @@
+//! Reports to the planner: attempts and arrivals since the last report.
+
+use super::planner_link::PlannerProtocol;
+use super::ProxyRuntime;
+use crate::wall_text;
+use runloom_event_loop::EventLoop;
+use runloom_model::order::Report;
+use runloom_mqtt::report;
+use runloom_proxy::Proxy;
+use std::time::Duration;
+
+/// Shortest window of a report.
+const MIN_REPORT_WINDOW: Duration = Duration::from_millis(1);
+/// The arrival rate is averaged over about this many seconds.
+const ARRIVAL_RATE_SECONDS: f64 = 10.0;
+
+/// When the next report is due, and the arrival rate.
+pub(super) struct Reporter {
+    interval: Duration,
+    due_at: Duration,
+    last_report_at: Duration,
+    /// Requests a second.
+    arrival_rate: f64,
+}
+
+impl Reporter {
+    pub(super) fn new(interval: Duration, now: Duration) -> Reporter {
+        Reporter { interval, due_at: now + interval, last_report_at: now, arrival_rate: 0.0 }
+    }
+
+    pub(super) fn due_at(&self) -> Duration {
+        self.due_at
+    }
+
+    /// Requests a second, averaged.
+    pub(super) fn arrival_rate(&self) -> f64 {
+        self.arrival_rate
+    }
+
+    /// Drops what was counted while no planner was connected: it is out of date.
+    pub(super) fn discard(&mut self, proxy: &mut Proxy, now: Duration) {
+        proxy.take_report(Duration::ZERO);
+        self.last_report_at = now;
+    }
+
+    fn take_report(&mut self, proxy: &mut Proxy, now: Duration) -> Report {
+        let window = now.saturating_sub(self.last_report_at).max(MIN_REPORT_WINDOW);
+        self.last_report_at = now;
+        let report = proxy.take_report(window);
+        self.update_arrival_rate(&report, window);
+        report
+    }
+
+    fn update_arrival_rate(&mut self, report: &Report, window: Duration) {
+        let arrivals: u64 = report.came.iter().map(|arrivals| arrivals.queries).sum();
+        let rate = arrivals as f64 / window.as_secs_f64();
+        let is_first = self.arrival_rate == 0.0;
+        let share = (window.as_secs_f64() / ARRIVAL_RATE_SECONDS).min(1.0);
+        self.arrival_rate += (rate - self.arrival_rate) * if is_first { 1.0 } else { share };
+    }
+}
+
+impl ProxyRuntime {
+    /// Reports to the planner, if a report is due. Where the planner has not confirmed the last ones yet, the counts
+    /// stay for the next report.
+    pub(super) fn send_due_report(&mut self, event_loop: &mut EventLoop, now: Duration) {
+        if now < self.reporter.due_at {
+            return;
+        }
+        self.reporter.due_at = now + self.reporter.interval;
+        let client = self.planner_link.mqtt_client();
+        if client.is_some_and(|client| client.is_joined() && !client.can_report()) {
+            return;
+        }
+        let report = self.reporter.take_report(&mut self.proxy, now);
+        self.send_report(now, &report);
+        self.write_planner(event_loop);
+    }
+
+    fn send_report(&mut self, now: Duration, report: &Report) {
+        match self.planner_link.protocol_mut() {
+            Some(PlannerProtocol::Netconf { id, .. }) => {
+                let id = *id;
+                let event = report.element();
+                if !self.planner_link.service.subscribers(&event).contains(&id) {
+                    return;
+                }
+                if let Some(PlannerProtocol::Netconf { session, .. }) = self.planner_link.protocol_mut() {
+                    session.notify(&wall_text(), event);
+                }
+            }
+            Some(PlannerProtocol::Mqtt(client)) if client.is_joined() => {
+                client.report(now, report::write(report));
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -492,7 +492,7 @@
     }
 
     fn adopt(&mut self, f: usize) {
-        for conn in std::mem::take(&mut self.forwarders[f].forwarder.made) {
+        for conn in self.forwarders[f].forwarder.take_opened_connections() {
             self.owner.insert(conn, f);
         }
     }
@@ -634,12 +634,12 @@
             }
             "stream-break" => {
                 for f in 0..t.count.min(self.forwarders.len()) {
-                    self.forwarders[f].forwarder.break_stream(&mut self.turn);
+                    self.forwarders[f].forwarder.break_planner_session(&mut self.turn);
                 }
             }
             "deaf" => {
                 let ids: Vec<usize> = (0..t.count.min(self.forwarders.len())).collect();
-                ids.iter().for_each(|f| self.forwarders[*f].forwarder.set_deaf(&mut self.turn, true));
+                ids.iter().for_each(|f| self.forwarders[*f].forwarder.set_unresponsive(&mut self.turn, true));
                 self.later(t.lasts, What::Hear(ids));
             }
             "surge" => {
@@ -713,7 +713,8 @@
                 self.since_back.clear();
             }
             What::Hear(ids) => {
-                ids.iter().for_each(|f| self.forwarders[*f].forwarder.set_deaf(&mut self.turn, false));
+                ids.iter()
+                    .for_each(|f| self.forwarders[*f].forwarder.set_unresponsive(&mut self.turn, false));
             }
             What::Calm => self.clients.surge = 1.0,
         }
@@ -767,7 +768,7 @@
         for _ in 0..due {
             let f = self.chance.random_range(0..self.forwarders.len());
             let class = self.chance.random_range(0..CLASSES.len());
-            self.forwarders[f].forwarder.meets(at, class, self.day.work);
+            self.forwarders[f].forwarder.simulate_request(at, class, self.day.work);
         }
     }
 
@@ -776,7 +777,7 @@
         let slow = (self.slow * self.forwarders.len() as f64) as usize;
         let beat = (now.as_millis() / LOOK.as_millis()) as usize;
         for f in 0..slow {
-            self.forwarders[f].forwarder.set_deaf(&mut self.turn, (f + beat) % 10 != 0);
+            self.forwarders[f].forwarder.set_unresponsive(&mut self.turn, (f + beat) % 10 != 0);
         }
     }
 
@@ -807,7 +808,7 @@
         self.servers.turned(&mut self.turn, &mut self.chance);
         self.clients.turned(&mut self.turn, &mut self.chance);
         for f in 0..self.forwarders.len() {
-            self.forwarders[f].forwarder.turned(&mut self.turn);
+            self.forwarders[f].forwarder.run_due_tasks(&mut self.turn);
             self.adopt(f);
             self.note(f);
         }
@@ -818,10 +819,10 @@
     fn note(&mut self, f: usize) {
         let now = self.now();
         let held = &mut self.forwarders[f];
-        for (lines, version) in std::mem::take(&mut held.forwarder.taken) {
-            self.lines += lines as u64;
+        for update in held.forwarder.take_applied_updates() {
+            self.lines += update.entries as u64;
             self.evidence.messages.entry(f).or_default().push(now);
-            if let Some(version) = version.filter(|(topic, _)| topic.kind == TopicKind::Weights) {
+            if let Some(version) = update.version.filter(|(topic, _)| topic.kind == TopicKind::Weights) {
                 let first = *self.first_taken.entry(version).or_insert(now);
                 if f as f64 >= self.slow * self.day.forwarders as f64 {
                     self.behind.saturating_record(now.saturating_sub(first).as_micros() as u64);
@@ -834,12 +835,12 @@
                 }
             }
         }
-        if held.forwarder.streams != held.streams {
-            held.streams = held.forwarder.streams;
+        if held.forwarder.session_count() != held.streams {
+            held.streams = held.forwarder.session_count();
             let wave = self.waves.entry(held.streams).or_insert((now, now, 0));
             (wave.1, wave.2) = (now, wave.2 + 1);
         }
-        let home = held.forwarder.planner();
+        let home = held.forwarder.connected_planner();
         let joined =
             home.and_then(|at| self.planners.iter().position(|p| p.home == at || p.pubsub == Some(at)));
         if joined != held.joined.map(|j| j.1) {
@@ -864,7 +865,7 @@
             if let IoEvent::Closed { conn, .. } = &happened {
                 self.owner.remove(conn);
             }
-            self.forwarders[f].forwarder.happened(&mut self.turn, happened);
+            self.forwarders[f].forwarder.handle_event(&mut self.turn, happened);
             self.adopt(f);
         } else if self.servers.owns(conn) {
             match happened {
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -196,9 +196,9 @@
         while self.turn.now() < until {
             let wake = self.forwarder.wakes_at().map_or(until, |at| at.min(until));
             for happened in self.turn.wait(Some(wake)).unwrap() {
-                self.forwarder.happened(&mut self.turn, happened);
+                self.forwarder.handle_event(&mut self.turn, happened);
             }
-            self.forwarder.turned(&mut self.turn);
+            self.forwarder.run_due_tasks(&mut self.turn);
         }
     }
 
@@ -209,7 +209,7 @@
             assert!(
                 Instant::now() < end,
                 "waited for: {what}; {held:?}, joined {}",
-                self.forwarder.is_joined()
+                self.forwarder.is_connected()
             );
             self.run(Duration::from_millis(50));
         }
@@ -252,7 +252,7 @@
             let before = format!("{:?}", proxy.forwarder.proxy().tables());
             proxy.run(Duration::from_millis(700));
             assert_eq!(format!("{:?}", proxy.forwarder.proxy().tables()), before, "{front:?} {other}");
-            assert!(!proxy.forwarder.is_joined());
+            assert!(!proxy.forwarder.is_connected());
         }
         let mut proxy = Proxy::new(&desk, front, trusting(papers, OWN));
         proxy.until("its own planner's tables", |p| p.lists(&["s1", "s2", "s3"]));
@@ -285,15 +285,15 @@
     let lives = planner_lives.min(proxy_lives) as u64;
     let over = Instant::now() + Duration::from_secs(lives + 1);
     let mut proxy = Proxy::new(&desk, front, trusting(papers, OWN));
-    proxy.until("its tables", |p| p.lists(&["s1", "s2", "s3"]) && p.forwarder.is_joined());
-    proxy.until("the end", |p| !p.forwarder.is_joined() && Instant::now() >= over);
+    proxy.until("its tables", |p| p.lists(&["s1", "s2", "s3"]) && p.forwarder.is_connected());
+    proxy.until("the end", |p| !p.forwarder.is_connected() && Instant::now() >= over);
     proxy.run(Duration::from_millis(500));
     assert!(proxy.lists(&["s1", "s2", "s3"]), "{name}: tables stay");
-    assert!(!proxy.forwarder.is_joined(), "{name}: joined with an identity that is over");
+    assert!(!proxy.forwarder.is_connected(), "{name}: joined with an identity that is over");
     // Under the same names, as an issuer's agent puts them there.
     desk.issuer.identity("p", OWN, HOUR, |_| {}).unwrap();
     desk.issuer.identity("f1", identity, HOUR, |_| {}).unwrap();
-    proxy.until("joined again", |p| p.forwarder.is_joined());
+    proxy.until("joined again", |p| p.forwarder.is_connected());
     let end = Instant::now() + PATIENCE;
     while Client::open(desk.at, &desk.terms, Duration::from_secs(5)).is_err() && Instant::now() < end {}
     drain(&desk, "s2");
@@ -352,20 +352,20 @@
     fleet(&desk);
     let mine = TlsFiles { trust: new_alone.clone(), ..trusting(old_f1.clone(), OWN) };
     let mut proxy = Proxy::new(&desk, Front::Weights, mine);
-    proxy.until("its tables", |p| p.lists(&["s1", "s2", "s3"]) && p.forwarder.is_joined());
+    proxy.until("its tables", |p| p.lists(&["s1", "s2", "s3"]) && p.forwarder.is_connected());
     // Half of the fleet has the new bundle and half the old one: neither side minds.
     proxy.run(Duration::from_millis(1200));
-    assert!(proxy.forwarder.is_joined());
-    let streams = proxy.forwarder.streams;
+    assert!(proxy.forwarder.is_connected());
+    let streams = proxy.forwarder.session_count();
     std::fs::copy(&new_alone, &both).unwrap();
-    proxy.until("the end", |p| !p.forwarder.is_joined());
+    proxy.until("the end", |p| !p.forwarder.is_connected());
     assert!(proxy.lists(&["s1", "s2", "s3"]));
     // The issuer's agent puts an identity of the new authority where the old one was.
     let next = desk.issuer.identity("f1", "spiffe://valle.example/proxy/f1", HOUR, |_| {}).unwrap();
     for (from, to) in [(&next.key, &old_f1.key), (&next.certificate, &old_f1.certificate)] {
         std::fs::rename(from, to).unwrap();
     }
-    proxy.until("joined again", |p| p.forwarder.is_joined() && p.forwarder.streams > streams);
+    proxy.until("joined again", |p| p.forwarder.is_connected() && p.forwarder.session_count() > streams);
     drain(&desk, "s2");
     proxy.until("the drain", |p| p.lists(&["s1", "s3"]));
 }
