--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -739,11 +739,11 @@
 
     fn carry(&mut self, turn: &mut EventLoop, deed: Action) {
         match deed {
-            Action::Table { table, edit } => self.front.table(table, &edit),
-            Action::Withdrawn { servers } => self.front.withdrawn(&servers),
+            Action::Table { table, edit } => self.front.update_table(table, &edit),
+            Action::Withdrawn { servers } => self.front.update_ejections(&servers),
             Action::Send { proxy, number, message, lines } => {
                 tracing::debug!(proxy, number, lines, "ordered");
-                self.front.ordered(proxy, number, &message);
+                self.front.issue_command(proxy, number, &message);
             }
             Action::Probe { server, address } => {
                 let out = self.peers.values().filter(|p| matches!(p, Peer::Probe(_))).count();
@@ -906,8 +906,8 @@
         }
         for (proxy, member) in self.driver.members() {
             let told = self.joined.get(proxy).map(|j| j.way).map_or("edits", |way| match way {
-                Transport::Whole => "edits",
-                Transport::Parts => "published",
+                Transport::Edits => "edits",
+                Transport::Published => "published",
             });
             let mut e = Element::new(STATE, "proxy")
                 .with_leaf("name", self.driver.proxy_name(*proxy))
@@ -960,15 +960,15 @@
         metrics::with_local_recorder(&self.recorder.0, || {
             let gauge = |name: &'static str, value: f64| metrics::gauge!(name).set(value);
             gauge("runloom_proxies_joined", self.joined.len() as f64);
-            let published = self.joined.values().filter(|j| j.way == Transport::Parts).count();
+            let published = self.joined.values().filter(|j| j.way == Transport::Published).count();
             gauge("runloom_proxies_published_to", published as f64);
-            gauge("runloom_proxies_to_be_let_in", self.front.waiting() as f64);
-            gauge("runloom_messages_flying", self.front.publisher().waiting() as f64);
+            gauge("runloom_proxies_to_be_let_in", self.front.waiting_count() as f64);
+            gauge("runloom_messages_flying", self.front.publisher().messages_in_flight() as f64);
             if let Some(own) = self.terms.own() {
                 gauge("runloom_identity_ends_seconds", (own.until - (wall_ms() / 1000) as i64) as f64);
             }
             metrics::counter!("runloom_not_allowed_total").absolute(self.desk.audit.refused);
-            metrics::counter!("runloom_proxies_doubted_total").absolute(self.front.doubted);
+            metrics::counter!("runloom_proxies_doubted_total").absolute(self.front.resync_count());
             metrics::counter!("runloom_reports_unread_total").absolute(self.unread_reports);
             gauge("runloom_lines_waiting", self.driver.lines_waiting() as f64);
             gauge("runloom_lines_waiting_most", self.driver.most_waiting as f64);
--- a/crates/daemon/src/proxy_runtime/planner_link.rs
+++ b/crates/daemon/src/proxy_runtime/planner_link.rs
@@ -8,8 +8,8 @@
 use runloom_mqtt::client::Client;
 use runloom_netconf::service::Service;
 use runloom_netconf::session::Session;
-use runloom_versioned_publisher::reader::UpdateReader;
-use runloom_versioned_publisher::{Topic, Version};
+use runloom_versioned_publisher::UpdateReader;
+use runloom_versioned_publisher::{HeldVersion, Topic};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -150,20 +150,20 @@
 
     pub(super) fn session_lost(&mut self, now: Duration, session: &PlannerSession) {
         self.leave_service(session);
-        self.published.broke();
+        self.published.end_session();
         self.schedule_redial(now);
     }
 
     /// Topics held of this planner, with epoch and version, so that it can go on from there. Another planner's epochs
     /// and versions say nothing to it.
-    pub(super) fn resume_positions(&mut self, planner: &str) -> Vec<(Topic, u64, Version)> {
-        self.published.broke();
+    pub(super) fn resume_positions(&mut self, planner: &str) -> Vec<(Topic, HeldVersion)> {
+        self.published.end_session();
         let is_same_planner = self.published_by == planner;
         self.published_by = planner.to_string();
-        if !is_same_planner {
-            return vec![];
+        if is_same_planner {
+            self.published.held_versions()
+        } else {
+            vec![]
         }
-        let position = |topic| self.published.holds(topic).map(|(epoch, version)| (topic, epoch, version));
-        self.published.topics().filter_map(position).collect()
     }
 }
--- a/crates/daemon/src/proxy_runtime/table_delivery.rs
+++ b/crates/daemon/src/proxy_runtime/table_delivery.rs
@@ -9,7 +9,7 @@
 use runloom_netconf::session::SessionEvent;
 use runloom_netconf::tree::Element;
 use runloom_proxy::published_tables::tables_after_update;
-use runloom_versioned_publisher::reader::ReadOutcome;
+use runloom_versioned_publisher::ReadOutcome;
 use runloom_versioned_publisher::UpdatePart;
 use std::time::Duration;
 
@@ -106,10 +106,10 @@
     /// Applies a part of a published update. False: it cannot be used, and the planner is to send a snapshot.
     fn apply_part(&mut self, part: &UpdatePart) -> bool {
         let reader = &mut self.planner_link.published;
-        let version = match reader.take(part) {
-            ReadOutcome::Waits => return true,
-            ReadOutcome::Lacks | ReadOutcome::Stale => return false,
-            ReadOutcome::Now(version) => version,
+        let version = match reader.read(part) {
+            ReadOutcome::Pending => return true,
+            ReadOutcome::NeedsSnapshot | ReadOutcome::Stale => return false,
+            ReadOutcome::Applied(version) => version,
         };
         match tables_after_update(reader, part.topic) {
             Ok(tables) => {
@@ -125,7 +125,7 @@
                 let why = unusable.error.to_string();
                 let name = &self.settings.name;
                 tracing::warn!(forwarder = %name, table = ?unusable.topic, why, "a published table is invalid");
-                reader.forget(unusable.topic);
+                reader.drop_table(unusable.topic);
                 false
             }
         }
--- a/crates/daemon/src/proxy_sessions.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -4,7 +4,7 @@
 use crate::planner_runtime::{Peer, Planner};
 use crate::tls_credentials::CertificateHolder;
 use crate::wall_ms;
-use runloom_distribution::doubt::Verdict;
+use runloom_distribution::suspicion::Verdict;
 use runloom_distribution::{Outgoing, PendingProxy, Transport};
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_model::order::Report;
@@ -14,7 +14,7 @@
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
 use runloom_netconf::{BASE, NOTIFY};
-use runloom_versioned_publisher::{Topic, TopicFilter, UpdatePart, Version};
+use runloom_versioned_publisher::{HeldVersion, Topic, TopicFilter, UpdatePart, Version};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -105,7 +105,7 @@
                     return self.closed(turn, conn, CloseReason::Broken);
                 }
                 self.confirmed.saturating_record(now.saturating_sub(sent).as_micros() as u64);
-                let order = self.front.confirmed(now, proxy, number);
+                let order = self.front.acknowledged(now, proxy, number);
                 self.in_force(now, proxy, order);
             }
             SessionEvent::Notified(event) => {
@@ -130,24 +130,24 @@
             return self.closed(turn, conn, CloseReason::Untrusted);
         }
         let newcomer = PendingProxy {
-            conn,
+            connection: conn,
             name: name.to_string(),
             zone: told.text_of("zone").unwrap_or_default().to_string(),
-            rate: told.text_of("rate").and_then(|r| r.parse().ok()).unwrap_or(0.0),
-            fresh: told.text_of("fresh") == Some("true"),
-            way: Transport::Whole,
-            wanted: vec![TopicFilter::ALL],
-            holds: vec![],
+            request_rate: told.text_of("rate").and_then(|r| r.parse().ok()).unwrap_or(0.0),
+            has_no_table: told.text_of("fresh") == Some("true"),
+            transport: Transport::Edits,
+            filters: vec![TopicFilter::ALL],
+            held: vec![],
         };
         self.came(turn, newcomer);
     }
 
     fn came(&mut self, turn: &mut EventLoop, newcomer: PendingProxy) {
-        let conn = newcomer.conn;
-        if let Some(other) = self.front.waits(&newcomer.name).filter(|other| *other != conn) {
+        let conn = newcomer.connection;
+        if let Some(other) = self.front.waiting_connection(&newcomer.name).filter(|other| *other != conn) {
             self.taken_over(turn, other);
         }
-        if !self.front.came(turn.now(), newcomer) {
+        if !self.front.enqueue(turn.now(), newcomer) {
             tracing::warn!("turned away: too many proxies wait to be let in");
             turn.cut(conn);
             self.closed(turn, conn, CloseReason::Refused);
@@ -156,8 +156,14 @@
 
     /// Lets in those whose turn it is.
     pub(crate) fn admit(&mut self, turn: &mut EventLoop, now: Duration) {
-        while let Some(newcomer) = self.front.admit(now) {
-            let PendingProxy { conn, way, fresh, rate, .. } = newcomer;
+        while let Some(newcomer) = self.front.admit_next(now) {
+            let PendingProxy {
+                connection: conn,
+                transport: way,
+                has_no_table: fresh,
+                request_rate: rate,
+                ..
+            } = newcomer;
             let (name, zone) = (newcomer.name.clone(), newcomer.zone.clone());
             let place = match self.peers.get_mut(&conn) {
                 Some(Peer::Home(home)) => &mut home.proxy,
@@ -166,9 +172,9 @@
             };
             let proxy = self.driver.joined(&name, &zone, rate, fresh);
             *place = Some(proxy);
-            self.front.joined(proxy, newcomer);
+            self.front.connect(proxy, newcomer);
             self.desk.ledger.left(proxy);
-            tracing::info!(proxy = %name, zone = %zone, rate, fresh, published = way == Transport::Parts, "joined");
+            tracing::info!(proxy = %name, zone = %zone, rate, fresh, published = way == Transport::Published, "joined");
             let joined = Joined { conn, name, zone, rate, way };
             if let Some(old) = self.joined.insert(proxy, joined).filter(|old| old.conn != conn) {
                 // The same proxy on a newer stream; the old one is half open, or another holder of its certificate.
@@ -197,12 +203,12 @@
         proxy: Option<usize>,
         why: CloseReason,
     ) {
-        self.front.gone(name, conn);
+        self.front.cancel_waiting(name, conn);
         if let Some(proxy) = proxy.filter(|p| self.joined.get(p).is_some_and(|j| j.conn == conn)) {
             tracing::info!(proxy = %name, ?why, "left");
             self.joined.remove(&proxy);
             self.driver.left(proxy);
-            self.front.left(proxy);
+            self.front.disconnect(proxy);
             self.desk.ledger.left(proxy);
         }
     }
@@ -219,13 +225,13 @@
         let now = turn.now();
         self.driver.report(now, proxy, report);
         let tried = report.met.iter().filter(|m| m.tries > 0).map(|m| m.server.as_str());
-        match self.front.reported(now, proxy, report.span, tried) {
-            Verdict::Fine => {}
-            Verdict::Anew => {
+        match self.front.check_report(now, proxy, report.span, tried) {
+            Verdict::Trusted => {}
+            Verdict::Resync => {
                 let proxy = self.driver.proxy_name(proxy);
                 tracing::warn!(proxy, "it tries servers that it confirmed to be out: told its tables anew");
             }
-            Verdict::LetGo => {
+            Verdict::Disconnect => {
                 let name = self.driver.proxy_name(proxy);
                 tracing::error!(proxy = name, "let go: it does not do what it confirms");
                 turn.cut(conn);
@@ -280,15 +286,15 @@
                 if let Some(sent) = sent {
                     self.confirmed.saturating_record(now.saturating_sub(sent).as_micros() as u64);
                 }
-                let order = self.front.confirmed(now, proxy, number);
+                let order = self.front.acknowledged(now, proxy, number);
                 self.in_force(now, proxy, order);
             }
             Said::Lacks(number, topic) => {
                 stream.sent.remove(&number);
                 let Some(proxy) = stream.proxy else { return };
-                let (order, verdict) = self.front.lacks(now, proxy, number, topic);
-                self.in_force(now, proxy, order);
-                if verdict == Verdict::LetGo {
+                let rejection = self.front.rejected(now, proxy, number, topic);
+                self.in_force(now, proxy, rejection.in_force);
+                if rejection.verdict == Verdict::Disconnect {
                     tracing::error!(proxy = self.driver.proxy_name(proxy), "let go: it can use no message");
                     turn.finish(conn);
                     self.closed(turn, conn, CloseReason::Refused);
@@ -297,19 +303,19 @@
         }
     }
 
-    fn stream_came(&mut self, turn: &mut EventLoop, conn: ConnectionId, holds: Vec<(Topic, u64, u64)>) {
+    fn stream_came(&mut self, turn: &mut EventLoop, conn: ConnectionId, holds: Vec<(Topic, HeldVersion)>) {
         let Some(Peer::Stream(stream)) = self.peers.get(&conn) else { return };
         let newcomer = PendingProxy {
-            conn,
+            connection: conn,
             name: stream.holder.name.clone(),
             zone: stream.hello.zone.clone(),
-            rate: stream.hello.rate,
-            fresh: stream.hello.fresh,
-            way: Transport::Parts,
-            wanted: stream.wanted.clone(),
-            holds,
+            request_rate: stream.hello.rate,
+            has_no_table: stream.hello.fresh,
+            transport: Transport::Published,
+            filters: stream.wanted.clone(),
+            held: holds,
         };
-        if newcomer.can_be_ordered() {
+        if newcomer.can_apply_tables() {
             self.came(turn, newcomer);
         }
     }
@@ -359,7 +365,7 @@
     /// Tells proxies what they lack.
     pub(crate) fn tell(&mut self, turn: &mut EventLoop) {
         let now = turn.now();
-        for (proxy, order) in self.front.take_settled() {
+        for (proxy, order) in self.front.take_completed() {
             self.in_force(now, proxy, Some(order));
         }
         if self.bodies.len() > BODIES_MOST {
@@ -374,8 +380,8 @@
                 continue;
             }
             while self.has_room(conn) {
-                match self.front.next(now, proxy) {
-                    Some(Outgoing::Message { number, text, .. }) => self.tell_home(now, conn, number, &text),
+                match self.front.next_message(now, proxy) {
+                    Some(Outgoing::Edit { number, text, .. }) => self.tell_home(now, conn, number, &text),
                     Some(Outgoing::Part { number, part }) => self.tell_stream(now, conn, number, &part),
                     None => break,
                 }
@@ -404,7 +410,7 @@
 
     fn tell_stream(&mut self, now: Duration, conn: ConnectionId, number: u64, part: &UpdatePart) {
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
-        let key = (part.epoch, part.topic, part.from, part.to, part.part);
+        let key = (part.epoch, part.topic, part.base_version, part.version, part.part);
         let text = self.bodies.entry(key).or_insert_with(|| body::write(part).into());
         stream.session.tell(now, number, part.topic, text.clone());
         stream.sent.insert(number, now);
--- a/crates/distribution/src/subset.rs
+++ b/crates/distribution/src/subset.rs
@@ -1,28 +1,39 @@
-//! Subsets for proxies that know no weights: which servers of a table are theirs to pick from, evenly.
+//! Subsets for proxies that know no weights: the servers of a table among which they select evenly.
 
 use runloom_model::order::read_line;
 use runloom_versioned_publisher::Key;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A server belongs to a table's subset if its weight is at least this part of the middle one: what stands far under
-/// it is cold, failing or far away, and an even share would push it over (rule 4).
-const PART_LEAST: f64 = 0.5;
+/// A server is in a subset if its weight is at least this fraction of the median weight. Below that it is warming up,
+/// failing or far away, and an even share would overload it.
+const MIN_MEDIAN_FRACTION: f64 = 0.5;
 
-/// The subset of a table's lines: server and address. Never empty while the table has a line.
-pub fn of(table: &BTreeMap<Key, Rc<str>>) -> BTreeMap<Key, Rc<str>> {
-    let lines: Vec<(&Key, &str, f64)> = table
-        .iter()
-        .filter(|(key, _)| matches!(key, Key::Line(_)))
-        .filter_map(|(key, text)| read_line(text).map(|(address, weight)| (key, address, weight)))
-        .collect();
-    let mut weights: Vec<f64> = lines.iter().map(|l| l.2).collect();
+struct Entry<'a> {
+    key: &'a Key,
+    address: &'a str,
+    weight: f64,
+}
+
+impl<'a> Entry<'a> {
+    /// `None` for keys that are no entry.
+    fn read(key: &'a Key, value: &'a str) -> Option<Entry<'a>> {
+        let (address, weight) = read_line(value).filter(|_| matches!(key, Key::Entry(_)))?;
+        Some(Entry { key, address, weight })
+    }
+}
+
+/// Returns the subset of a table: the address of each server. It is never empty while the table has an entry.
+pub fn create_subset(table: &BTreeMap<Key, Rc<str>>) -> BTreeMap<Key, Rc<str>> {
+    let entries: Vec<Entry> = table.iter().filter_map(|(key, value)| Entry::read(key, value)).collect();
+    let min_weight = upper_median(&entries).map_or(0.0, |median| median * MIN_MEDIAN_FRACTION);
+    let selected = entries.into_iter().filter(|entry| entry.weight >= min_weight);
+    selected.map(|entry| (entry.key.clone(), entry.address.into())).collect()
+}
+
+/// Of two weights in the middle the greater one: where half of a table warms up, the other half is selected.
+fn upper_median(entries: &[Entry]) -> Option<f64> {
+    let mut weights: Vec<f64> = entries.iter().map(|entry| entry.weight).collect();
     weights.sort_by(f64::total_cmp);
-    // Of two in the middle the greater one: where half of a table is cold, the other half is what is picked.
-    let least = weights.get(weights.len() / 2).map_or(0.0, |middle| middle * PART_LEAST);
-    lines
-        .into_iter()
-        .filter(|l| l.2 >= least)
-        .map(|(key, address, _)| (key.clone(), address.into()))
-        .collect()
+    weights.get(weights.len() / 2).copied()
 }
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -1,14 +1,22 @@
+use super::distributor::REJECTION_LIMIT;
+use super::suspicion::Verdict;
 use super::*;
 use proptest::prelude::*;
 use runloom_controller::RetryPolicy;
+use runloom_model::order::{Message, TableEdit};
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY_XSD};
-use runloom_netconf::edit::{apply, Operation};
+use runloom_netconf::edit::{apply, Operation as EditOperation};
 use runloom_netconf::tree::Element;
-use runloom_proxy::published_tables;
+use runloom_proxy::published_tables::tables_after_update;
 use runloom_proxy::RouteTables;
-use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
+use runloom_versioned_publisher::{
+    HeldVersion, ReadOutcome, Topic, TopicFilter, TopicKind, UpdateReader, MAX_IN_FLIGHT,
+};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::rc::Rc;
 use std::sync::Arc;
+use std::time::Duration;
 
 const ZERO: Duration = Duration::ZERO;
 const CLASSES: [&str; 2] = ["q", "r"];
@@ -17,235 +25,268 @@
     Duration::from_secs(n)
 }
 
-fn newcomer(name: &str, way: Transport, holds: Vec<(Topic, u64, Version)>) -> PendingProxy {
-    let (zone, wanted) = ("a".to_string(), vec![TopicFilter::ALL]);
-    PendingProxy { conn: 1, name: name.into(), zone, rate: 1.0, fresh: true, way, wanted, holds }
+fn pending_proxy(name: &str, transport: Transport, held: Vec<(Topic, HeldVersion)>) -> PendingProxy {
+    PendingProxy {
+        connection: 1,
+        name: name.into(),
+        zone: "a".into(),
+        request_rate: 1.0,
+        has_no_table: true,
+        transport,
+        filters: vec![TopicFilter::ALL],
+        held,
+    }
 }
 
-fn front() -> Distributor {
+fn distributor() -> Distributor {
     Distributor::new(1, secs(2), secs(1))
 }
 
-fn lines(lines: &[(usize, f64)]) -> TableEdit {
+/// An edit of servers' weights.
+fn weights(weights: &[(usize, f64)]) -> TableEdit {
     let line = |(k, w): &(usize, f64)| (format!("s{k}"), (format!("127.0.0.1:{}", k + 1), *w));
-    TableEdit { lines: lines.iter().map(line).collect(), ..TableEdit::default() }
+    TableEdit { lines: weights.iter().map(line).collect(), ..TableEdit::default() }
 }
 
-fn binds(whole: bool, binds: &[(&str, u16)]) -> Message {
-    let binds = binds.iter().map(|(class, table)| (class.to_string(), *table)).collect();
+/// A message that assigns classes to tables.
+fn assignments(whole: bool, assignments: &[(&str, u16)]) -> Message {
+    let binds = assignments.iter().map(|(class, table)| (class.to_string(), *table)).collect();
     Message { whole, binds, ..Message::default() }
 }
 
-/// A proxy at the other end of either front, as the program has them.
+/// A proxy at the other end, with the program's own code for either transport.
 struct Peer {
-    way: Transport,
+    transport: Transport,
     schema: Schema,
     data: Arc<Element>,
     reader: UpdateReader,
-    held: RouteTables,
-    joined: bool,
-    flying: VecDeque<Outgoing>,
+    tables: RouteTables,
+    is_connected: bool,
+    in_flight: VecDeque<Outgoing>,
 }
 
 impl Peer {
-    fn new(way: Transport) -> Peer {
+    fn new(transport: Transport) -> Peer {
         let schema = Schema::root(derive(PROXY_XSD, &["tables"]).unwrap());
         let data = Arc::new(Element::new("", "data"));
-        let (reader, held, flying) = (UpdateReader::default(), RouteTables::default(), VecDeque::new());
-        Peer { way, schema, data, reader, held, joined: false, flying }
+        Peer {
+            transport,
+            schema,
+            data,
+            reader: UpdateReader::default(),
+            tables: RouteTables::default(),
+            is_connected: false,
+            in_flight: VecDeque::new(),
+        }
     }
 
-    /// Takes a message; its number, and its table if it was of no use.
-    fn take(&mut self, out: Outgoing) -> (u64, Option<Topic>) {
-        match out {
-            Outgoing::Message { number, text, .. } => {
+    /// Applies a message. Returns its number, and its topic if it could not be used.
+    fn apply(&mut self, outgoing: Outgoing) -> (u64, Option<Topic>) {
+        match outgoing {
+            Outgoing::Edit { number, text, .. } => {
                 let rpc = Element::parse(&text).unwrap();
                 let config = rpc.child("config").unwrap();
-                let (data, faults) = apply(&self.schema, &self.data, config, Operation::Merge, false);
+                let (data, faults) = apply(&self.schema, &self.data, config, EditOperation::Merge, false);
                 assert!(faults.is_empty(), "{faults:?} in {text}");
                 self.data = data;
-                let tables = self.data.child("tables");
-                self.held = tables.map_or_else(RouteTables::default, |t| RouteTables::read(t).unwrap());
+                let tables = self.data.child("tables").map(|tables| RouteTables::read(tables).unwrap());
+                self.tables = tables.unwrap_or_default();
                 (number, None)
             }
             Outgoing::Part { number, mut part } => {
-                if part.topic.kind == TopicKind::Binds {
+                if part.topic.kind == TopicKind::Assignments {
                     part.topic.table = 0;
                 }
-                match self.reader.take(&part) {
-                    ReadOutcome::Now(_) => {
-                        if let Some(held) =
-                            published_tables::tables_after_update(&mut self.reader, part.topic).unwrap()
-                        {
-                            self.held = held;
+                match self.reader.read(&part) {
+                    ReadOutcome::Applied(_) => {
+                        if let Some(tables) = tables_after_update(&mut self.reader, part.topic).unwrap() {
+                            self.tables = tables;
                         }
                         (number, None)
                     }
-                    ReadOutcome::Waits | ReadOutcome::Stale => (number, None),
-                    ReadOutcome::Lacks => (number, Some(part.topic)),
+                    ReadOutcome::Pending | ReadOutcome::Stale => (number, None),
+                    ReadOutcome::NeedsSnapshot => (number, Some(part.topic)),
                 }
             }
         }
     }
 
-    fn view(&self, class: &str) -> Vec<(String, u64)> {
-        let lines = self.held.entries(class).into_iter();
-        let mut view: Vec<_> = lines.map(|l| (l.server, l.weight as u64)).collect();
-        view.sort();
-        view
+    /// Servers and weights that a class's requests go by.
+    fn entries(&self, class: &str) -> Vec<(String, u64)> {
+        let entries = self.tables.entries(class).into_iter();
+        let mut entries: Vec<_> = entries.map(|entry| (entry.server, entry.weight as u64)).collect();
+        entries.sort();
+        entries
     }
 }
 
 #[derive(Debug, Clone)]
-enum Do {
-    /// Servers of a table, each to a weight or out; the table anew if it is said so. Server 0 stays.
-    Table(u16, bool, Vec<(usize, u64)>),
-    Bind(usize, usize, u16),
-    /// An order that changes nothing: a mark.
-    Mark(usize),
-    Tell(usize, usize),
-    Take(usize, usize),
-    Break(usize),
-    Join(usize),
+enum Operation {
+    /// Sets servers' weights in a table (0 removes), or replaces the table. Server 0 stays.
+    UpdateTable {
+        table: u16,
+        replace: bool,
+        weights: Vec<(usize, u64)>,
+    },
+    /// Assigns a proxy's class to a table.
+    Assign {
+        proxy: usize,
+        class: usize,
+        table: u16,
+    },
+    /// Issues a command that changes nothing, only to be acknowledged.
+    RequestAck(usize),
+    /// Sends up to this many messages to a proxy.
+    Send(usize, usize),
+    /// A proxy receives up to this many messages.
+    Receive(usize, usize),
+    Disconnect(usize),
+    Connect(usize),
     Restart,
 }
 
-fn deed() -> impl Strategy<Value = Do> {
+fn operation() -> impl Strategy<Value = Operation> {
     let line = || (1usize..300, 0u64..4);
-    let some =
+    let lines =
         prop_oneof![4 => prop::collection::vec(line(), 1..6), 1 => prop::collection::vec(line(), 150..300)];
-    let who = || 0usize..3;
+    let proxy = || 0usize..3;
     prop_oneof![
-        6 => (1u16..4, prop::bool::weighted(0.1), some).prop_map(|(t, anew, l)| Do::Table(t, anew, l)),
-        3 => (who(), 0usize..2, 1u16..4).prop_map(|(p, c, t)| Do::Bind(p, c, t)),
-        1 => who().prop_map(Do::Mark),
-        6 => (who(), 1usize..9).prop_map(|(p, n)| Do::Tell(p, n)),
-        6 => (who(), 1usize..9).prop_map(|(p, n)| Do::Take(p, n)),
-        1 => who().prop_map(Do::Break),
-        1 => who().prop_map(Do::Join),
-        1 => Just(Do::Restart),
+        6 => (1u16..4, prop::bool::weighted(0.1), lines).prop_map(|(table, replace, weights)| Operation::UpdateTable { table, replace, weights }),
+        3 => (proxy(), 0usize..2, 1u16..4).prop_map(|(proxy, class, table)| Operation::Assign { proxy, class, table }),
+        1 => proxy().prop_map(Operation::RequestAck),
+        6 => (proxy(), 1usize..9).prop_map(|(p, n)| Operation::Send(p, n)),
+        6 => (proxy(), 1usize..9).prop_map(|(p, n)| Operation::Receive(p, n)),
+        1 => proxy().prop_map(Operation::Disconnect),
+        1 => proxy().prop_map(Operation::Connect),
+        1 => Just(Operation::Restart),
     ]
 }
 
-type Lines = BTreeMap<usize, u64>;
+/// Servers and weights of a table.
+type Weights = BTreeMap<usize, u64>;
 
-/// What the decisions ordered, state by state.
+/// What was published at one time.
 #[derive(Clone)]
 struct State {
-    tables: BTreeMap<u16, Lines>,
-    binds: [BTreeMap<usize, u16>; 3],
+    tables: BTreeMap<u16, Weights>,
+    assignments: [BTreeMap<usize, u16>; 3],
 }
 
-struct Rig {
-    front: Distributor,
+struct Model {
+    distributor: Distributor,
     peers: Vec<Peer>,
     states: Vec<State>,
-    /// Each proxy's orders: which state each came with.
-    orders: [Vec<usize>; 3],
+    /// Each proxy's commands: the state that each was issued with.
+    commands: [Vec<usize>; 3],
     in_force: [u64; 3],
 }
 
-impl Rig {
-    fn new() -> Rig {
-        let peers = [Transport::Whole, Transport::Parts, Transport::Parts].map(Peer::new).into();
-        let state = State { tables: BTreeMap::new(), binds: Default::default() };
-        let (orders, in_force) = (Default::default(), [0; 3]);
-        let mut rig = Rig { front: front(), peers, states: vec![state], orders, in_force };
-        rig.fill();
-        (0..3).for_each(|p| rig.join(p));
-        rig
+impl Model {
+    fn new() -> Model {
+        let peers = [Transport::Edits, Transport::Published, Transport::Published].map(Peer::new).into();
+        let state = State { tables: BTreeMap::new(), assignments: Default::default() };
+        let mut model = Model {
+            distributor: distributor(),
+            peers,
+            states: vec![state],
+            commands: Default::default(),
+            in_force: [0; 3],
+        };
+        model.publish_tables();
+        (0..3).for_each(|p| model.connect(p));
+        model
     }
 
-    fn state(&mut self) -> &mut State {
+    /// A copy of the newest state, to be changed.
+    fn new_state(&mut self) -> &mut State {
         let last = self.states.last().unwrap().clone();
         self.states.push(last);
         self.states.last_mut().unwrap()
     }
 
-    /// Tables 1 to 3, as the decisions have them after a start.
-    fn fill(&mut self) {
+    /// Publishes tables 1 to 3.
+    fn publish_tables(&mut self) {
         for table in 1..4u16 {
-            self.state().tables.insert(table, [(0, 1)].into());
-            self.front.table(table, &TableEdit { whole: true, ..lines(&[(0, 1.0)]) });
+            self.new_state().tables.insert(table, [(0, 1)].into());
+            self.distributor.update_table(table, &TableEdit { whole: true, ..weights(&[(0, 1.0)]) });
         }
     }
 
-    fn order(&mut self, p: usize, message: &Message) {
+    fn issue_command(&mut self, p: usize, message: &Message) {
         let at = self.states.len() - 1;
-        self.orders[p].push(at);
-        self.front.ordered(p, self.orders[p].len() as u64, message);
+        self.commands[p].push(at);
+        self.distributor.issue_command(p, self.commands[p].len() as u64, message);
     }
 
-    fn bind(&mut self, p: usize, whole: bool, class: &[(usize, u16)]) {
-        class.iter().for_each(|(c, t)| _ = self.state().binds[p].insert(*c, *t));
+    fn assign(&mut self, p: usize, whole: bool, class: &[(usize, u16)]) {
+        class.iter().for_each(|(c, t)| _ = self.new_state().assignments[p].insert(*c, *t));
         let class: Vec<(&str, u16)> = class.iter().map(|(c, t)| (CLASSES[*c], *t)).collect();
-        self.order(p, &binds(whole, &class));
+        self.issue_command(p, &assignments(whole, &class));
     }
 
-    fn join(&mut self, p: usize) {
+    fn connect(&mut self, p: usize) {
         let peer = &mut self.peers[p];
-        (peer.joined, peer.flying) = (true, VecDeque::new());
-        peer.reader.broke();
-        let holds = peer.reader.topics().filter_map(|t| peer.reader.holds(t).map(|(e, v)| (t, e, v)));
-        let newcomer = newcomer(&format!("f{p}"), peer.way, holds.collect());
-        self.front.joined(p, newcomer);
-        self.orders[p].clear();
+        (peer.is_connected, peer.in_flight) = (true, VecDeque::new());
+        peer.reader.end_session();
+        let pending = pending_proxy(&format!("f{p}"), peer.transport, peer.reader.held_versions());
+        self.distributor.connect(p, pending);
+        self.commands[p].clear();
         self.in_force[p] = 0;
-        self.bind(p, true, &[(0, 1), (1, 2)]);
+        self.assign(p, true, &[(0, 1), (1, 2)]);
     }
 
-    fn tell(&mut self, p: usize, count: usize) {
+    fn send(&mut self, p: usize, count: usize) {
         for _ in 0..count {
-            let Some(out) = self.front.next(ZERO, p) else { return };
-            self.peers[p].flying.push_back(out);
+            let Some(outgoing) = self.distributor.next_message(ZERO, p) else { return };
+            self.peers[p].in_flight.push_back(outgoing);
         }
-        assert!(self.peers[p].flying.len() <= runloom_versioned_publisher::WINDOW);
+        assert!(self.peers[p].in_flight.len() <= MAX_IN_FLIGHT);
     }
 
-    fn take(&mut self, p: usize, count: usize) {
+    fn receive(&mut self, p: usize, count: usize) {
         for _ in 0..count {
-            let Some(out) = self.peers[p].flying.pop_front() else { return };
-            let (number, lacks) = self.peers[p].take(out);
-            let newest = match lacks {
-                None => self.front.confirmed(ZERO, p, number),
+            let Some(outgoing) = self.peers[p].in_flight.pop_front() else { return };
+            let (number, rejected) = self.peers[p].apply(outgoing);
+            let newest = match rejected {
+                None => self.distributor.acknowledged(ZERO, p, number),
                 Some(mut topic) => {
-                    topic.table = if topic.kind == TopicKind::Binds { p as u16 } else { topic.table };
-                    self.front.lacks(ZERO, p, number, topic).0
+                    topic.table = if topic.kind == TopicKind::Assignments { p as u16 } else { topic.table };
+                    self.distributor.rejected(ZERO, p, number, topic).in_force
                 }
             };
             if let Some(newest) = newest {
-                assert!(newest > self.in_force[p], "orders come in force in their order");
+                assert!(newest > self.in_force[p], "commands come in force in their order");
                 self.in_force[p] = newest;
             }
-            self.look(p);
+            self.check_tables(p);
         }
     }
 
-    /// What it goes by was ordered at or after the newest order that is said to be in force, and is never empty.
-    fn look(&self, p: usize) {
+    /// What the proxy holds was published with or after the newest command in force, and is never empty.
+    fn check_tables(&self, p: usize) {
         let Some(number) = self.in_force[p].checked_sub(1) else { return };
-        let from = self.orders[p][number as usize];
+        let from = self.commands[p][number as usize];
         for (c, class) in CLASSES.iter().enumerate() {
-            let view = self.peers[p].view(class);
-            assert!(!view.is_empty(), "without a line");
+            let entries = self.peers[p].entries(class);
+            assert!(!entries.is_empty(), "without an entry");
             let tables: BTreeSet<u16> =
-                self.states[from..].iter().filter_map(|s| s.binds[p].get(&c).copied()).collect();
-            let fits = |s: &State| tables.iter().any(|t| shown(&s.tables[t]) == view);
+                self.states[from..].iter().filter_map(|s| s.assignments[p].get(&c).copied()).collect();
+            let fits = |s: &State| tables.iter().any(|t| entries_of(&s.tables[t]) == entries);
             assert!(
                 self.states[from..].iter().any(fits),
-                "{p} {class}: {view:?} was never ordered since {number}"
+                "{p} {class}: {entries:?} was never published since {number}"
             );
         }
     }
 
-    fn act(&mut self, what: Do) {
-        match what {
-            Do::Table(table, anew, mut changes) => {
+    fn run(&mut self, operation: Operation) {
+        match operation {
+            Operation::UpdateTable { table, replace, weights: mut changes } => {
                 changes.sort();
                 changes.dedup_by_key(|c| c.0);
                 let mut edit: Vec<(usize, f64)> = changes.iter().map(|(k, w)| (*k, *w as f64)).collect();
-                let state = self.state().tables.entry(table).or_default();
-                if anew {
+                let state = self.new_state().tables.entry(table).or_default();
+                if replace {
                     *state = [(0, 1)].into();
                     edit.push((0, 1.0));
                     edit.retain(|(_, w)| *w > 0.0);
@@ -257,33 +298,37 @@
                         state.remove(&k);
                     }
                 }
-                self.front.table(table, &TableEdit { whole: anew, ..lines(&edit) });
+                self.distributor.update_table(table, &TableEdit { whole: replace, ..weights(&edit) });
                 let last = self.states.last().unwrap().clone();
                 for p in 0..3 {
-                    if self.peers[p].joined && last.binds[p].values().any(|t| *t == table) {
-                        self.order(p, &Message::default());
+                    if self.peers[p].is_connected && last.assignments[p].values().any(|t| *t == table) {
+                        self.issue_command(p, &Message::default());
                     }
                 }
             }
-            Do::Bind(p, c, t) if self.peers[p].joined => self.bind(p, false, &[(c, t)]),
-            Do::Mark(p) if self.peers[p].joined => self.order(p, &Message::default()),
-            Do::Bind(..) | Do::Mark(_) => {}
-            Do::Tell(p, n) => self.tell(p, n),
-            Do::Take(p, n) => self.take(p, n),
-            Do::Break(p) => {
-                self.front.left(p);
-                (self.peers[p].joined, self.peers[p].flying) = (false, VecDeque::new());
+            Operation::Assign { proxy, class, table } if self.peers[proxy].is_connected => {
+                self.assign(proxy, false, &[(class, table)])
+            }
+            Operation::RequestAck(p) if self.peers[p].is_connected => {
+                self.issue_command(p, &Message::default())
+            }
+            Operation::Assign { .. } | Operation::RequestAck(_) => {}
+            Operation::Send(p, n) => self.send(p, n),
+            Operation::Receive(p, n) => self.receive(p, n),
+            Operation::Disconnect(p) => {
+                self.distributor.disconnect(p);
+                (self.peers[p].is_connected, self.peers[p].in_flight) = (false, VecDeque::new());
             }
-            Do::Join(p) => self.join(p),
-            Do::Restart => {
-                let epoch = self.front.publisher().epoch() + 1;
-                self.front.restart(epoch, secs(2), secs(1));
-                self.fill();
+            Operation::Connect(p) => self.connect(p),
+            Operation::Restart => {
+                let epoch = self.distributor.publisher().epoch() + 1;
+                self.distributor.restart(epoch, secs(2), secs(1));
+                self.publish_tables();
                 for p in 0..3 {
-                    self.orders[p].clear();
+                    self.commands[p].clear();
                     self.in_force[p] = 0;
-                    if self.peers[p].joined {
-                        self.bind(p, true, &[(0, 2), (1, 3)]);
+                    if self.peers[p].is_connected {
+                        self.assign(p, true, &[(0, 2), (1, 3)]);
                     }
                 }
             }
@@ -291,195 +336,204 @@
     }
 }
 
-fn shown(lines: &Lines) -> Vec<(String, u64)> {
-    let mut all: Vec<(String, u64)> = lines.iter().map(|(k, w)| (format!("s{k}"), *w)).collect();
+/// Entries as [`Peer::entries`] returns them.
+fn entries_of(weights: &Weights) -> Vec<(String, u64)> {
+    let mut all: Vec<(String, u64)> = weights.iter().map(|(k, w)| (format!("s{k}"), *w)).collect();
     all.sort();
     all
 }
 
 proptest! {
-    /// Both fronts, whatever is ordered, told, taken, broken and started over: an order that is said to be in force is,
-    /// nobody is without a line, and after quiet all go by the latest.
+    /// With either transport, whatever is published, sent, received, disconnected and restarted: a command that is said
+    /// to be in force is, no proxy is without an entry, and once nothing changes all hold the latest tables.
     #[test]
-    fn what_is_said_to_be_in_force_is_and_in_the_end_all_go_by_the_latest(deeds in prop::collection::vec(deed(), 1..50)) {
-        let mut rig = Rig::new();
-        deeds.into_iter().for_each(|what| rig.act(what));
+    fn commands_in_force_are_applied_and_finally_all_hold_the_latest_tables(operations in prop::collection::vec(operation(), 1..50)) {
+        let mut model = Model::new();
+        for operation in operations {
+            model.run(operation);
+        }
         for p in 0..3 {
-            if !rig.peers[p].joined {
-                rig.join(p);
+            if !model.peers[p].is_connected {
+                model.connect(p);
             }
             for _ in 0..300 {
-                rig.take(p, 9);
-                rig.tell(p, 9);
+                model.receive(p, 9);
+                model.send(p, 9);
             }
-            prop_assert_eq!(rig.in_force[p], rig.orders[p].len() as u64, "all orders of {} are in force", p);
-            let last = rig.states.last().unwrap();
+            prop_assert_eq!(model.in_force[p], model.commands[p].len() as u64, "all commands to {} are in force", p);
+            let last = model.states.last().unwrap();
             for (c, class) in CLASSES.iter().enumerate() {
-                prop_assert_eq!(rig.peers[p].view(class), shown(&last.tables[&last.binds[p][&c]]), "{} {}", p, class);
+                prop_assert_eq!(model.peers[p].entries(class), entries_of(&last.tables[&last.assignments[p][&c]]), "{} {}", p, class);
             }
         }
     }
 }
 
-/// Proxies at one position share the text of a message; a proxy that is behind gets one message and not a history.
+/// Proxies at one position share the text of an edit; a proxy that is behind receives one edit and not a history.
 #[test]
-fn messages_are_shared_and_what_is_behind_is_conflated() {
-    let mut front = front();
-    front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 1.0)]) });
+fn edits_are_shared_and_the_backlog_is_conflated() {
+    let mut distributor = distributor();
+    distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
     for p in 0..3 {
-        front.joined(p, newcomer(&format!("f{p}"), Transport::Whole, vec![]));
-        front.ordered(p, 1, &binds(true, &[("q", 1)]));
-        let Some(Outgoing::Message { number, text, .. }) = front.next(ZERO, p) else { panic!("no message") };
+        distributor.connect(p, pending_proxy(&format!("f{p}"), Transport::Edits, vec![]));
+        distributor.issue_command(p, 1, &assignments(true, &[("q", 1)]));
+        let Some(Outgoing::Edit { number, text, .. }) = distributor.next_message(ZERO, p) else {
+            panic!("no message")
+        };
         assert!(text.contains("operation=\"replace\"") && text.contains("<bind><class>q</class>"), "{text}");
-        assert_eq!(front.confirmed(ZERO, p, number), Some(1));
+        assert_eq!(distributor.acknowledged(ZERO, p, number), Some(1));
     }
-    let text = |front: &mut Distributor, p| match front.next(ZERO, p) {
-        Some(Outgoing::Message { text, .. }) => text,
+    let text = |distributor: &mut Distributor, p| match distributor.next_message(ZERO, p) {
+        Some(Outgoing::Edit { text, .. }) => text,
         other => panic!("{other:?}"),
     };
     for k in 0..5 {
-        front.table(1, &lines(&[(0, f64::from(k) + 2.0), (1, if k < 4 { 2.0 } else { 0.0 })]));
-        (0..3).for_each(|p| front.ordered(p, 2 + k as u64, &Message::default()));
+        distributor.update_table(1, &weights(&[(0, f64::from(k) + 2.0), (1, if k < 4 { 2.0 } else { 0.0 })]));
+        (0..3).for_each(|p| distributor.issue_command(p, 2 + k as u64, &Message::default()));
     }
-    let texts = [0, 1, 2].map(|p| text(&mut front, p));
+    let texts = [0, 1, 2].map(|p| text(&mut distributor, p));
     assert!(Rc::ptr_eq(&texts[0], &texts[1]) && Rc::ptr_eq(&texts[1], &texts[2]));
     assert!(
         texts[0].contains("remove\"><server>s1<") && texts[0].contains("<weight>6</weight>"),
         "{}",
         texts[0]
     );
-    assert!(!texts[0].contains("bind") && front.next(ZERO, 0).is_none());
-    assert_eq!(front.confirmed(ZERO, 0, 2), Some(6), "all five orders at once");
-    // A mark alone is a message too.
-    front.ordered(0, 7, &Message::default());
-    assert!(text(&mut front, 0).contains("<tables"));
-    assert_eq!(front.confirmed(ZERO, 0, 3), Some(7));
+    assert!(!texts[0].contains("bind") && distributor.next_message(ZERO, 0).is_none());
+    assert_eq!(distributor.acknowledged(ZERO, 0, 2), Some(6), "all five commands at once");
+    // A command that changes nothing is a message too.
+    distributor.issue_command(0, 7, &Message::default());
+    assert!(text(&mut distributor, 0).contains("<tables"));
+    assert_eq!(distributor.acknowledged(ZERO, 0, 3), Some(7));
 }
 
-/// It confirms that a server is out and goes on trying it: told anew once, let go the second time. One that merely
-/// ends what was out is left alone.
+/// A proxy that acknowledges a server's removal and goes on sending requests there is resynced once, and disconnected
+/// the second time; one whose requests in flight end there is not.
 #[test]
-fn a_proxy_that_confirms_and_does_not_apply_is_told_anew_and_then_let_go() {
-    for way in [Transport::Whole, Transport::Parts] {
-        let mut front = front();
-        front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 1.0)]) });
-        front.joined(0, newcomer("f0", way, vec![]));
-        front.ordered(0, 1, &binds(true, &[("q", 1)]));
-        let level = |front: &mut Distributor, now| {
-            while let Some(out) = front.next(now, 0) {
-                let (Outgoing::Message { number, .. } | Outgoing::Part { number, .. }) = out;
-                front.confirmed(now, 0, number);
+fn a_proxy_that_does_not_apply_what_it_acknowledges_is_resynced_and_then_disconnected() {
+    for transport in [Transport::Edits, Transport::Published] {
+        let mut distributor = distributor();
+        distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
+        distributor.connect(0, pending_proxy("f0", transport, vec![]));
+        distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
+        let deliver = |distributor: &mut Distributor, now| {
+            while let Some(outgoing) = distributor.next_message(now, 0) {
+                let (Outgoing::Edit { number, .. } | Outgoing::Part { number, .. }) = outgoing;
+                distributor.acknowledged(now, 0, number);
             }
         };
-        level(&mut front, ZERO);
-        front.table(1, &lines(&[(1, 0.0)]));
-        front.ordered(0, 2, &Message::default());
-        let report =
-            |front: &mut Distributor, at, server| front.reported(at, 0, secs(1), [server].into_iter());
-        assert_eq!(report(&mut front, secs(9), "s1"), Verdict::Fine, "not confirmed yet");
-        level(&mut front, secs(10));
+        deliver(&mut distributor, ZERO);
+        distributor.update_table(1, &weights(&[(1, 0.0)]));
+        distributor.issue_command(0, 2, &Message::default());
+        let report = |distributor: &mut Distributor, at, server| {
+            distributor.check_report(at, 0, secs(1), [server].into_iter())
+        };
+        assert_eq!(report(&mut distributor, secs(9), "s1"), Verdict::Trusted, "not acknowledged yet");
+        deliver(&mut distributor, secs(10));
         // Outer limit 1 s, a second for clocks, and the report's own span.
-        assert_eq!(report(&mut front, secs(12), "s1"), Verdict::Fine);
-        assert_eq!(report(&mut front, secs(13), "s1"), Verdict::Fine, "once");
-        assert_eq!(report(&mut front, secs(14), "s0"), Verdict::Fine);
-        assert_eq!(report(&mut front, secs(15), "s1"), Verdict::Fine, "once again");
-        assert_eq!(report(&mut front, secs(16), "s1"), Verdict::Anew);
-        let Some(out) = front.next(secs(16), 0) else { panic!("nothing is told anew") };
-        let (Outgoing::Message { number, .. } | Outgoing::Part { number, .. }) = out.clone();
-        match out {
-            Outgoing::Message { text, .. } => {
+        assert_eq!(report(&mut distributor, secs(12), "s1"), Verdict::Trusted);
+        assert_eq!(report(&mut distributor, secs(13), "s1"), Verdict::Trusted, "once");
+        assert_eq!(report(&mut distributor, secs(14), "s0"), Verdict::Trusted);
+        assert_eq!(report(&mut distributor, secs(15), "s1"), Verdict::Trusted, "once again");
+        assert_eq!(report(&mut distributor, secs(16), "s1"), Verdict::Resync);
+        let Some(outgoing) = distributor.next_message(secs(16), 0) else { panic!("no resync") };
+        let (Outgoing::Edit { number, .. } | Outgoing::Part { number, .. }) = outgoing.clone();
+        match outgoing {
+            Outgoing::Edit { text, .. } => {
                 assert!(text.contains("<tables xmlns=\"urn:runloom:proxy\" xmlns:nc="))
             }
-            Outgoing::Part { part, .. } => assert_eq!(part.from, None),
+            Outgoing::Part { part, .. } => assert_eq!(part.base_version, None),
         }
-        front.confirmed(secs(16), 0, number);
-        level(&mut front, secs(16));
-        assert_eq!(report(&mut front, secs(20), "s1"), Verdict::Fine);
-        assert_eq!(report(&mut front, secs(21), "s1"), Verdict::LetGo);
-        assert_eq!(front.doubted, 1);
+        distributor.acknowledged(secs(16), 0, number);
+        deliver(&mut distributor, secs(16));
+        assert_eq!(report(&mut distributor, secs(20), "s1"), Verdict::Trusted);
+        assert_eq!(report(&mut distributor, secs(21), "s1"), Verdict::Disconnect);
+        assert_eq!(distributor.resync_count(), 1);
     }
 }
 
-/// A server that comes back into the table is no reason for doubt.
 #[test]
-fn a_server_that_is_in_the_table_again_may_be_tried() {
-    let mut front = front();
-    front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 1.0)]) });
-    front.joined(0, newcomer("f0", Transport::Parts, vec![]));
-    front.ordered(0, 1, &binds(true, &[("q", 1)]));
+fn requests_to_a_server_that_is_listed_again_are_not_suspicious() {
+    let mut distributor = distributor();
+    distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
+    distributor.connect(0, pending_proxy("f0", Transport::Published, vec![]));
+    distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
     for (number, weight) in [(2, 0.0), (3, 1.0)] {
-        while let Some(Outgoing::Part { number, .. }) = front.next(ZERO, 0) {
-            front.confirmed(ZERO, 0, number);
+        while let Some(Outgoing::Part { number, .. }) = distributor.next_message(ZERO, 0) {
+            distributor.acknowledged(ZERO, 0, number);
         }
-        front.table(1, &lines(&[(1, weight)]));
-        front.ordered(0, number, &Message::default());
+        distributor.update_table(1, &weights(&[(1, weight)]));
+        distributor.issue_command(0, number, &Message::default());
     }
-    while let Some(Outgoing::Part { number, .. }) = front.next(ZERO, 0) {
-        front.confirmed(ZERO, 0, number);
+    while let Some(Outgoing::Part { number, .. }) = distributor.next_message(ZERO, 0) {
+        distributor.acknowledged(ZERO, 0, number);
     }
     for at in 10..20 {
-        assert_eq!(front.reported(secs(at), 0, secs(1), ["s1"].into_iter()), Verdict::Fine);
+        assert_eq!(distributor.check_report(secs(at), 0, secs(1), ["s1"].into_iter()), Verdict::Trusted);
     }
 }
 
 #[test]
-fn one_that_can_use_no_message_is_let_go_and_subsets_leave_out_what_is_far_under_the_middle() {
-    let mut front = front();
-    front.table(1, &TableEdit { whole: true, ..lines(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]) });
-    let wanted = vec![
-        TopicFilter { kind: Some(TopicKind::Binds), table: None },
+fn subsets_leave_out_low_weights_and_a_proxy_that_can_use_no_message_is_disconnected() {
+    let mut distributor = distributor();
+    distributor
+        .update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]) });
+    let filters = vec![
+        TopicFilter { kind: Some(TopicKind::Assignments), table: None },
         TopicFilter { kind: Some(TopicKind::Subset), table: None },
-        TopicFilter { kind: Some(TopicKind::Withdrawn), table: None },
+        TopicFilter { kind: Some(TopicKind::Ejections), table: None },
     ];
-    let subsets = PendingProxy { wanted, ..newcomer("f0", Transport::Parts, vec![]) };
-    assert!(subsets.can_be_ordered());
-    front.joined(0, subsets);
-    front.ordered(0, 1, &binds(true, &[("q", 1)]));
-    let mut peer = Peer::new(Transport::Parts);
-    while let Some(out) = front.next(ZERO, 0) {
-        let (number, lacks) = peer.take(out);
-        assert_eq!(lacks, None);
-        front.confirmed(ZERO, 0, number);
+    let subsets = PendingProxy { filters, ..pending_proxy("f0", Transport::Published, vec![]) };
+    assert!(subsets.can_apply_tables());
+    distributor.connect(0, subsets);
+    distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
+    let mut peer = Peer::new(Transport::Published);
+    while let Some(outgoing) = distributor.next_message(ZERO, 0) {
+        let (number, rejected) = peer.apply(outgoing);
+        assert_eq!(rejected, None);
+        distributor.acknowledged(ZERO, 0, number);
     }
-    assert_eq!(peer.view("q"), [("s0".into(), 1), ("s1".into(), 1), ("s3".into(), 1)]);
-    // A weight that moves within the bound is no step of the subset: the mark alone goes out.
-    front.table(1, &lines(&[(1, 0.8)]));
-    front.ordered(0, 2, &Message::default());
-    let Some(Outgoing::Part { part, number }) = front.next(ZERO, 0) else { panic!("no mark") };
-    assert!(part.topic.kind == TopicKind::Binds && part.changes.is_empty());
-    assert_eq!(front.confirmed(ZERO, 0, number), Some(2));
-
-    front.table(1, &lines(&[(0, 0.0)]));
-    front.ordered(0, 3, &Message::default());
+    assert_eq!(peer.entries("q"), [("s0".into(), 1), ("s1".into(), 1), ("s3".into(), 1)]);
+    // A weight that changes within the bound leaves the subset as it is: only an acknowledgement is requested.
+    distributor.update_table(1, &weights(&[(1, 0.8)]));
+    distributor.issue_command(0, 2, &Message::default());
+    let Some(Outgoing::Part { part, number }) = distributor.next_message(ZERO, 0) else {
+        panic!("no message")
+    };
+    assert!(part.topic.kind == TopicKind::Assignments && part.changes.is_empty());
+    assert_eq!(distributor.acknowledged(ZERO, 0, number), Some(2));
+
+    distributor.update_table(1, &weights(&[(0, 0.0)]));
+    distributor.issue_command(0, 3, &Message::default());
     let subset = Topic { kind: TopicKind::Subset, table: 1 };
     let mut verdicts = vec![];
-    while let Some(Outgoing::Part { number, .. }) = front.next(ZERO, 0).filter(|_| verdicts.len() < 20) {
-        verdicts.push(front.lacks(ZERO, 0, number, subset).1);
+    while let Some(Outgoing::Part { number, .. }) =
+        distributor.next_message(ZERO, 0).filter(|_| verdicts.len() < 20)
+    {
+        verdicts.push(distributor.rejected(ZERO, 0, number, subset).verdict);
     }
-    assert_eq!(verdicts.iter().position(|v| *v == Verdict::LetGo), Some(LACKING_MOST as usize));
+    assert_eq!(verdicts.iter().position(|v| *v == Verdict::Disconnect), Some(REJECTION_LIMIT as usize));
 }
 
-/// Both ways of trying again and paces come through either front as they were ordered, and so do withdrawals.
 #[test]
-fn levels_and_withdrawals_come_through_both_fronts() {
-    let mut front = front();
+fn admission_limits_and_ejections_arrive_by_both_transports() {
+    let mut distributor = distributor();
     let levels = [("q", (Some(2.5), RetryPolicy::Never)), ("r", (None, RetryPolicy::Twice))];
     let levels = levels.map(|(class, level)| (class.to_string(), level)).into();
-    front.table(1, &TableEdit { whole: true, levels, ..lines(&[(0, 1.0), (1, 1.0)]) });
-    front.withdrawn(&[("s1".to_string(), true)].into());
-    for (p, way) in [Transport::Whole, Transport::Parts].into_iter().enumerate() {
-        front.joined(p, newcomer(&format!("f{p}"), way, vec![]));
-        front.ordered(p, 1, &binds(true, &[("q", 1), ("r", 1)]));
-        let mut peer = Peer::new(way);
-        let level = |front: &mut Distributor, peer: &mut Peer| {
-            while let Some(out) = front.next(ZERO, p) {
-                let (number, _) = peer.take(out);
-                front.confirmed(ZERO, p, number);
+    distributor.update_table(1, &TableEdit { whole: true, levels, ..weights(&[(0, 1.0), (1, 1.0)]) });
+    distributor.update_ejections(&[("s1".to_string(), true)].into());
+    for (p, transport) in [Transport::Edits, Transport::Published].into_iter().enumerate() {
+        distributor.connect(p, pending_proxy(&format!("f{p}"), transport, vec![]));
+        distributor.issue_command(p, 1, &assignments(true, &[("q", 1), ("r", 1)]));
+        let mut peer = Peer::new(transport);
+        let deliver = |distributor: &mut Distributor, peer: &mut Peer| {
+            while let Some(outgoing) = distributor.next_message(ZERO, p) {
+                let (number, _) = peer.apply(outgoing);
+                distributor.acknowledged(ZERO, p, number);
             }
         };
-        level(&mut front, &mut peer);
-        assert_eq!(peer.held.admission_limit("q"), Some((Some(2.5), RetryPolicy::Never)));
-        assert_eq!(peer.held.admission_limit("r"), Some((None, RetryPolicy::Twice)));
-        assert_eq!(peer.view("q"), [("s0".to_string(), 1)]);
+        deliver(&mut distributor, &mut peer);
+        assert_eq!(peer.tables.admission_limit("q"), Some((Some(2.5), RetryPolicy::Never)));
+        assert_eq!(peer.tables.admission_limit("r"), Some((None, RetryPolicy::Twice)));
+        assert_eq!(peer.entries("q"), [("s0".to_string(), 1)]);
     }
 }
--- a/crates/mqtt/src/body.rs
+++ b/crates/mqtt/src/body.rs
@@ -1,6 +1,6 @@
 //! A part of an update as JSON, for proxies in any language; its topic is the message's.
 
-use runloom_versioned_publisher::{Change, Key, Topic, UpdatePart, PART_MOST};
+use runloom_versioned_publisher::{Change, Key, Topic, UpdatePart, MAX_CHANGES_PER_PART};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
@@ -29,15 +29,15 @@
 pub fn write(part: &UpdatePart) -> Vec<u8> {
     let change = |c: &Change| {
         let (what, name) = match &c.key {
-            Key::Withdrawn(name) => (What::Withdrawn, name),
-            Key::Line(name) => (What::Line, name),
-            Key::Level(name) => (What::Level, name),
-            Key::Bind(class) => (What::Bind, class),
+            Key::Ejection(name) => (What::Withdrawn, name),
+            Key::Entry(name) => (What::Line, name),
+            Key::AdmissionLimit(name) => (What::Level, name),
+            Key::Assignment(class) => (What::Bind, class),
         };
         (what, name.clone(), c.value.as_deref().map(String::from))
     };
     let changes = part.changes.iter().map(change).collect();
-    let UpdatePart { epoch, from, to, part, of, .. } = *part;
+    let UpdatePart { epoch, base_version: from, version: to, part, part_count: of, .. } = *part;
     // Numbers, texts and lists of them are JSON whatever they hold.
     serde_json::to_vec(&Body { epoch, from, to, part, of, changes }).unwrap_or_default()
 }
@@ -46,18 +46,30 @@
 pub fn read(topic: Topic, bytes: &[u8]) -> Result<UpdatePart, String> {
     let body: Body = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
     let Body { epoch, from, to, part, of, changes } = body;
-    if part >= of || of > PARTS_MOST || changes.len() > PART_MOST || from.is_some_and(|from| from >= to) {
+    if part >= of
+        || of > PARTS_MOST
+        || changes.len() > MAX_CHANGES_PER_PART
+        || from.is_some_and(|from| from >= to)
+    {
         return Err("its numbers do not fit together".into());
     }
     let change = |(what, name, value): (What, String, Option<String>)| {
         let key = match what {
-            What::Withdrawn => Key::Withdrawn(name),
-            What::Line => Key::Line(name),
-            What::Level => Key::Level(name),
-            What::Bind => Key::Bind(name),
+            What::Withdrawn => Key::Ejection(name),
+            What::Line => Key::Entry(name),
+            What::Level => Key::AdmissionLimit(name),
+            What::Bind => Key::Assignment(name),
         };
         Change { key, value: value.map(|v| v.as_str().into()) }
     };
     let changes: Vec<Change> = changes.into_iter().map(change).collect();
-    Ok(UpdatePart { topic, epoch, from, to, part, of, changes: changes.into() })
+    Ok(UpdatePart {
+        topic,
+        epoch,
+        base_version: from,
+        version: to,
+        part,
+        part_count: of,
+        changes: changes.into(),
+    })
 }
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -9,7 +9,7 @@
 use mqtt_protocol_core::mqtt::packet::{GenericPacketTrait, MaximumPacketSize, ReceiveMaximum};
 use mqtt_protocol_core::mqtt::result_code::{ConnectReasonCode, PubackReasonCode};
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
-use runloom_versioned_publisher::{Topic, TopicKind, UpdatePart, WINDOW};
+use runloom_versioned_publisher::{HeldVersion, Topic, TopicKind, UpdatePart, MAX_IN_FLIGHT};
 use std::time::Duration;
 
 /// The largest message that is taken: a part of 128 changes with names and addresses of the greatest length.
@@ -51,7 +51,7 @@
     planner: String,
     proxy: String,
     wish: Wish,
-    holds: Vec<(Topic, u64, u64)>,
+    holds: Vec<(Topic, HeldVersion)>,
     out: Vec<u8>,
     joined: bool,
     /// When an answer is overdue, and when a sign of life is due.
@@ -68,7 +68,7 @@
         proxy: &str,
         hello: &Hello,
         wish: Wish,
-        holds: Vec<(Topic, u64, u64)>,
+        holds: Vec<(Topic, HeldVersion)>,
     ) -> Client {
         let bounds = ConnectionOptions::new().maximum_packet_size_recv(PACKET_MOST);
         let mut client = Client {
@@ -93,7 +93,7 @@
     fn greeting(&self, hello: &Hello) -> Option<v5_0::Connect> {
         let said = |name: &str, value: String| UserProperty::new(name, value).ok().map(Property::from);
         let mut properties: Vec<Property> = vec![
-            ReceiveMaximum::new(WINDOW as u16).ok()?.into(),
+            ReceiveMaximum::new(MAX_IN_FLIGHT as u16).ok()?.into(),
             MaximumPacketSize::new(PACKET_MOST).ok()?.into(),
         ];
         properties.push(said("zone", hello.zone.clone())?);
@@ -204,13 +204,17 @@
     fn subscription(&mut self) -> Option<v5_0::Subscribe> {
         let of = |kind| names::all_of(&self.planner, &self.proxy, kind);
         let filters = match self.wish {
-            Wish::Weights => vec![of(TopicKind::Weights), of(TopicKind::Withdrawn), of(TopicKind::Binds)],
-            Wish::Subsets => vec![of(TopicKind::Subset), of(TopicKind::Withdrawn), of(TopicKind::Binds)],
+            Wish::Weights => {
+                vec![of(TopicKind::Weights), of(TopicKind::Ejections), of(TopicKind::Assignments)]
+            }
+            Wish::Subsets => {
+                vec![of(TopicKind::Subset), of(TopicKind::Ejections), of(TopicKind::Assignments)]
+            }
         };
         let options = SubOpts::new().set_qos(Qos::AtLeastOnce);
         let entries =
             filters.iter().map(|f| SubEntry::new(f.as_str(), options).ok()).collect::<Option<Vec<_>>>()?;
-        let holds = self.holds.iter().map(|(topic, epoch, version)| {
+        let holds = self.holds.iter().map(|(topic, HeldVersion { epoch, version })| {
             let name = names::table(&self.planner, &self.proxy, *topic);
             UserProperty::new("holds", format!("{name} {epoch} {version}")).ok().map(Property::from)
         });
--- a/crates/mqtt/src/names.rs
+++ b/crates/mqtt/src/names.rs
@@ -11,14 +11,19 @@
         TopicKind::Weights => "weights",
         TopicKind::Subset => "subset",
         TopicKind::Range => "range",
-        TopicKind::Withdrawn => "withdrawn",
-        TopicKind::Binds => "binds",
+        TopicKind::Ejections => "withdrawn",
+        TopicKind::Assignments => "binds",
     }
 }
 
 fn kind(word: &str) -> Option<TopicKind> {
-    let all =
-        [TopicKind::Weights, TopicKind::Subset, TopicKind::Range, TopicKind::Withdrawn, TopicKind::Binds];
+    let all = [
+        TopicKind::Weights,
+        TopicKind::Subset,
+        TopicKind::Range,
+        TopicKind::Ejections,
+        TopicKind::Assignments,
+    ];
     all.into_iter().find(|k| self::word(*k) == word)
 }
 
@@ -32,7 +37,7 @@
 
 /// A table's name. A proxy has one table of binds, whatever its number at this planner: 0.
 pub fn table(planner: &str, proxy: &str, topic: Topic) -> String {
-    let number = if topic.kind == TopicKind::Binds { 0 } else { topic.table };
+    let number = if topic.kind == TopicKind::Assignments { 0 } else { topic.table };
     format!("{ROOT}/{planner}/{proxy}/{}/{number}", word(topic.kind))
 }
 
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -14,7 +14,7 @@
     ConnectReasonCode, DisconnectReasonCode, PubackReasonCode, SubackReasonCode, UnsubackReasonCode,
 };
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
-use runloom_versioned_publisher::{Topic, TopicFilter};
+use runloom_versioned_publisher::{HeldVersion, Topic, TopicFilter};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     /// It wants these tables of its own, and holds what it says of some: epoch and version.
     Wants {
         wanted: Vec<TopicFilter>,
-        holds: Vec<(Topic, u64, u64)>,
+        holds: Vec<(Topic, HeldVersion)>,
     },
     WantsNoMore {
         wanted: Vec<TopicFilter>,
@@ -272,7 +272,8 @@
                 let (_, value) = property.as_key_value().filter(|(key, _)| *key == "holds")?;
                 let mut words = value.split(' ');
                 let topic = names::read_table(&self.planner, &self.proxy, words.next()?)?;
-                Some((topic, words.next()?.parse().ok()?, words.next()?.parse().ok()?))
+                let (epoch, version) = (words.next()?.parse().ok()?, words.next()?.parse().ok()?);
+                Some((topic, HeldVersion { epoch, version }))
             };
             let holds = p.props().iter().take(FILTERS_MOST).filter_map(held).collect();
             heard.push(SessionEvent::Wants { wanted: all, holds });
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -12,15 +12,19 @@
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
 use proptest::prelude::*;
 use runloom_model::order::{Report, ServerOutcomes};
-use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
 use runloom_versioned_publisher::{
-    Change, Key, Publisher, Topic, TopicFilter, TopicKind, UpdatePart, WINDOW,
+    Change, HeldVersion, Key, Publisher, ReadOutcome, Topic, TopicFilter, TopicKind, UpdatePart,
+    UpdateReader, MAX_IN_FLIGHT,
 };
 use std::time::Duration;
 
 const TABLE: Topic = Topic { kind: TopicKind::Weights, table: 3 };
 const ZERO: Duration = Duration::ZERO;
 
+fn held(epoch: u64, version: u64) -> HeldVersion {
+    HeldVersion { epoch, version }
+}
+
 /// A proxy's end, by the library's client.
 struct Proxy {
     link: Connection<role::Client>,
@@ -101,7 +105,7 @@
 }
 
 fn line(k: usize, weight: usize) -> Change {
-    Change { key: Key::Line(format!("s{k}")), value: (weight > 0).then(|| weight.to_string().into()) }
+    Change { key: Key::Entry(format!("s{k}")), value: (weight > 0).then(|| weight.to_string().into()) }
 }
 
 #[test]
@@ -148,8 +152,11 @@
     let heard = session.take(ZERO, &proxy.subscribe(&asked, Some("runloom/p/f1/weights/3 7 12")));
     let all = TopicFilter { kind: None, table: None };
     let one = TopicFilter { kind: Some(TopicKind::Weights), table: Some(3) };
-    assert_eq!(heard, vec![SessionEvent::Wants { wanted: vec![all, one], holds: vec![(TABLE, 7, 12)] }]);
-    assert!(all.covers(TABLE) && one.covers(TABLE) && !one.covers(Topic { table: 4, ..TABLE }));
+    assert_eq!(
+        heard,
+        vec![SessionEvent::Wants { wanted: vec![all, one], holds: vec![(TABLE, held(7, 12))] }]
+    );
+    assert!(all.matches(TABLE) && one.matches(TABLE) && !one.matches(Topic { table: 4, ..TABLE }));
     proxy.take(&session.output());
     let Some(GenericPacket::V5_0Suback(answer)) = proxy.got.pop() else { panic!("no answer") };
     assert_eq!(answer.reason_codes(), filters.map(|f| f.1));
@@ -207,19 +214,20 @@
 #[test]
 fn tables_pass_in_parts_are_confirmed_and_gone_on_from() {
     let mut publisher = Publisher::new(9);
-    publisher.step(TABLE, (0..300).map(|k| line(k, 1)).collect());
+    publisher.apply(TABLE, (0..300).map(|k| line(k, 1)).collect());
     let mut reader = UpdateReader::default();
     for (round, parts) in [(0, 3), (1, 1)] {
         let (mut session, mut proxy) = pair();
-        let holds =
-            reader.holds(TABLE).map(|(epoch, version)| format!("runloom/p/f1/weights/3 {epoch} {version}"));
+        let holds = reader
+            .held_version(TABLE)
+            .map(|held| format!("runloom/p/f1/weights/3 {} {}", held.epoch, held.version));
         let heard = session.take(ZERO, &proxy.subscribe(&["runloom/p/f1/#"], holds.as_deref()));
         let SessionEvent::Wants { holds, .. } = &heard[0] else { panic!("{heard:?}") };
-        let stream = publisher.join("f1");
-        let held = holds.first().map(|(_, epoch, version)| (*epoch, *version));
+        let stream = publisher.connect("f1");
+        let held = holds.first().map(|(_, held)| *held);
         assert!(publisher.subscribe("f1", TABLE, held));
         let mut count = 0;
-        while let Some((number, part)) = publisher.next(ZERO, "f1") {
+        while let Some((number, part)) = publisher.next_part(ZERO, "f1") {
             assert!(tell(&mut session, number, &part));
             count += 1;
         }
@@ -231,7 +239,7 @@
             let GenericPacket::V5_0Publish(message) = packet else { continue };
             let topic = names::read_table("p", "f1", message.topic_name()).unwrap();
             let part = crate::body::read(topic, message.payload().as_slice()).unwrap();
-            assert!(matches!(reader.take(&part), ReadOutcome::Waits | ReadOutcome::Now(_)));
+            assert!(matches!(reader.read(&part), ReadOutcome::Pending | ReadOutcome::Applied(_)));
             words.extend(proxy.confirm(message.packet_id().unwrap(), PubackReasonCode::Success));
         }
         let mut confirmed = vec![];
@@ -241,20 +249,20 @@
         assert_eq!(confirmed.len(), parts);
         let Some(SessionEvent::Confirmed(last)) = confirmed.last() else { panic!("{confirmed:?}") };
         assert_eq!(
-            publisher.confirmed("f1", stream, *last),
+            publisher.acknowledge("f1", stream, *last),
             vec![(TABLE, publisher.table(TABLE).unwrap().0)]
         );
         assert_eq!(&reader.held(TABLE).unwrap().state, publisher.table(TABLE).unwrap().1);
-        publisher.step(TABLE, vec![line(5, 0), line(6, 4)]);
+        publisher.apply(TABLE, vec![line(5, 0), line(6, 4)]);
     }
     let (mut session, mut proxy) = pair();
     let part = UpdatePart {
         topic: TABLE,
         epoch: 9,
-        from: None,
-        to: 1,
+        base_version: None,
+        version: 1,
         part: 0,
-        of: 1,
+        part_count: 1,
         changes: [line(1, 1)].into(),
     };
     assert!(tell(&mut session, 44, &part));
@@ -263,7 +271,7 @@
     let word = proxy.confirm(message.packet_id().unwrap(), PubackReasonCode::PayloadFormatInvalid);
     assert_eq!(session.take(ZERO, &word), vec![SessionEvent::Lacks(44, TABLE)]);
     // Nobody listens: what goes out is bounded by who asks, and the publisher asks for a window at the most.
-    assert!((0..WINDOW).all(|k| tell(&mut session, 50 + k as u64, &part)));
+    assert!((0..MAX_IN_FLIGHT).all(|k| tell(&mut session, 50 + k as u64, &part)));
 }
 
 /// Passes all that either side has to say, in pieces, until neither has more.
@@ -285,21 +293,29 @@
 fn a_client_greets_subscribes_confirms_and_reports_through_bytes_cut_anywhere() {
     for cut in [1, 2, 3, 7, 4096] {
         let hello = Hello { zone: "z1".into(), rate: 2.5, fresh: true };
-        let holds = vec![(TABLE, 7, 12), (Topic { kind: TopicKind::Binds, table: 0 }, 7, 3)];
+        let holds =
+            vec![(TABLE, held(7, 12)), (Topic { kind: TopicKind::Assignments, table: 0 }, held(7, 3))];
         let mut client = Client::new(ZERO, "p", "f1", &hello, Wish::Weights, holds.clone());
         let mut session = Session::new(ZERO, "p", "f1");
         let (heard, told) = pass(&mut session, &mut client, cut);
         assert_eq!((&heard[0], told.as_slice()), (&SessionEvent::Connected(hello), &[Told::Joined][..]));
         let SessionEvent::Wants { wanted, holds: said } = &heard[1] else { panic!("{heard:?}") };
-        let covers = |kind| wanted.iter().any(|w| w.covers(Topic { kind, table: 9 }));
+        let covers = |kind| wanted.iter().any(|w| w.matches(Topic { kind, table: 9 }));
         let wants =
-            [TopicKind::Weights, TopicKind::Withdrawn, TopicKind::Binds, TopicKind::Subset].map(covers);
+            [TopicKind::Weights, TopicKind::Ejections, TopicKind::Assignments, TopicKind::Subset].map(covers);
         assert_eq!((said, wants), (&holds, [true, true, true, false]));
         // A proxy's binds are its table 0, whatever the planner's number.
-        let topic = Topic { kind: TopicKind::Binds, table: 44 };
-        let change = Change { key: Key::Bind("q".into()), value: Some("1".into()) };
-        let part =
-            UpdatePart { topic, epoch: 9, from: None, to: 1, part: 0, of: 1, changes: [change].into() };
+        let topic = Topic { kind: TopicKind::Assignments, table: 44 };
+        let change = Change { key: Key::Assignment("q".into()), value: Some("1".into()) };
+        let part = UpdatePart {
+            topic,
+            epoch: 9,
+            base_version: None,
+            version: 1,
+            part: 0,
+            part_count: 1,
+            changes: [change].into(),
+        };
         assert!(tell(&mut session, 5, &part) && tell(&mut session, 6, &part));
         let (_, told) = pass(&mut session, &mut client, cut);
         let [Told::Part(a, got), Told::Part(b, _)] = &told[..] else { panic!("{told:?}") };
@@ -417,7 +433,7 @@
             prop_assert!(!others.into_iter().any(matches), "{filter}");
             for table in [3, 4] {
                 let topic = Topic { kind: TopicKind::Weights, table };
-                prop_assert_eq!(wanted.covers(topic), matches(&names::table("p", "f1", topic)), "{}", filter);
+                prop_assert_eq!(wanted.matches(topic), matches(&names::table("p", "f1", topic)), "{}", filter);
             }
         }
     }
@@ -428,9 +444,17 @@
         let changes: Vec<Change> = names
             .iter()
             .enumerate()
-            .map(|(k, n)| Change { key: Key::Line(n.clone()), value: (k % 2 == 0).then(|| n.as_str().into()) })
+            .map(|(k, n)| Change { key: Key::Entry(n.clone()), value: (k % 2 == 0).then(|| n.as_str().into()) })
             .collect();
-        let part = UpdatePart { topic: TABLE, epoch: 3, from: Some(to - 1), to, part: 0, of: 2, changes: changes.into() };
+        let part = UpdatePart {
+            topic: TABLE,
+            epoch: 3,
+            base_version: Some(to - 1),
+            version: to,
+            part: 0,
+            part_count: 2,
+            changes: changes.into(),
+        };
         prop_assert_eq!(crate::body::read(TABLE, &crate::body::write(&part)), Ok(part));
     }
 }
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -23,20 +23,31 @@
 #[test]
 fn tables_and_their_topics_are_as_they_were() {
     let mut seen = String::new();
-    for kind in
-        [TopicKind::Weights, TopicKind::Subset, TopicKind::Range, TopicKind::Withdrawn, TopicKind::Binds]
-    {
+    for kind in [
+        TopicKind::Weights,
+        TopicKind::Subset,
+        TopicKind::Range,
+        TopicKind::Ejections,
+        TopicKind::Assignments,
+    ] {
         let topic = Topic { kind, table: 3 };
         let changes = [
-            change(Key::Withdrawn("s7".into()), Some("out")),
-            change(Key::Line("s\"1".into()), Some("127.0.0.1:81 0.75")),
-            change(Key::Line("s2".into()), None),
-            change(Key::Level("lookup".into()), Some("12.5 unrun")),
-            change(Key::Bind("order".into()), Some("3")),
+            change(Key::Ejection("s7".into()), Some("out")),
+            change(Key::Entry("s\"1".into()), Some("127.0.0.1:81 0.75")),
+            change(Key::Entry("s2".into()), None),
+            change(Key::AdmissionLimit("lookup".into()), Some("12.5 unrun")),
+            change(Key::Assignment("order".into()), Some("3")),
         ];
         for from in [None, Some(4)] {
-            let part =
-                UpdatePart { topic, epoch: 77, from, to: 9, part: 0, of: 2, changes: changes.clone().into() };
+            let part = UpdatePart {
+                topic,
+                epoch: 77,
+                base_version: from,
+                version: 9,
+                part: 0,
+                part_count: 2,
+                changes: changes.clone().into(),
+            };
             seen += &format!(
                 "{} {}\n",
                 names::table("p1", "f1", topic),
--- a/crates/proxy/src/published_tables.rs
+++ b/crates/proxy/src/published_tables.rs
@@ -7,15 +7,15 @@
 
 use crate::route_tables::{RouteTable, RouteTables, TableEntry, TableError};
 use runloom_model::order::{read_level, read_line, AdmissionLimit};
-use runloom_versioned_publisher::reader::{HeldTable, UpdateReader};
+use runloom_versioned_publisher::{HeldTable, UpdateReader};
 use runloom_versioned_publisher::{Key, Topic, TopicKind};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The topic that assigns each class a table, as one proxy sees it.
-pub const ASSIGNMENTS: Topic = Topic { kind: TopicKind::Binds, table: 0 };
+pub const ASSIGNMENTS: Topic = Topic { kind: TopicKind::Assignments, table: 0 };
 /// The topic of servers that get no requests, whatever the tables say.
-pub const EJECTIONS: Topic = Topic { kind: TopicKind::Withdrawn, table: 0 };
+pub const EJECTIONS: Topic = Topic { kind: TopicKind::Ejections, table: 0 };
 /// Weight of each entry of a subset, whose topic carries addresses only.
 const SUBSET_WEIGHT: f64 = 1.0;
 
@@ -40,7 +40,7 @@
     let tables = consistent_tables(reader)?;
     if tables.is_some() && topic == ASSIGNMENTS {
         for topic in unassigned_topics(reader) {
-            reader.forget(topic);
+            reader.drop_table(topic);
         }
     }
     Ok(tables)
@@ -71,14 +71,14 @@
 
 /// Returns a class, and the number of the table that it is assigned to.
 fn read_assignment(key: &Key, value: &str) -> Result<(String, u16), TableError> {
-    let Key::Bind(class) = key else { return Err(TableError::UnexpectedKey) };
+    let Key::Assignment(class) = key else { return Err(TableError::UnexpectedKey) };
     let number = value.parse().map_err(|_| TableError::InvalidAssignment)?;
     Ok((class.clone(), number))
 }
 
 fn read_ejections(published: &HeldTable) -> BTreeSet<String> {
     let server = |key: &Key| match key {
-        Key::Withdrawn(server) => Some(server.clone()),
+        Key::Ejection(server) => Some(server.clone()),
         _ => None,
     };
     published.state.keys().filter_map(server).collect()
@@ -98,11 +98,11 @@
     let mut admission_limits = BTreeMap::new();
     for (key, value) in &published.state {
         match key {
-            Key::Line(server) => entries.push(read_entry(kind, server, value)?),
-            Key::Level(class) => {
+            Key::Entry(server) => entries.push(read_entry(kind, server, value)?),
+            Key::AdmissionLimit(class) => {
                 admission_limits.insert(class.clone(), read_admission_limit(class, value)?);
             }
-            Key::Withdrawn(_) | Key::Bind(_) => return Err(TableError::UnexpectedKey),
+            Key::Ejection(_) | Key::Assignment(_) => return Err(TableError::UnexpectedKey),
         }
     }
     Ok(RouteTable::new(entries, admission_limits))
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -282,7 +282,8 @@
                     let came = came.iter().filter(|c| c.class == *name).map(|c| c.queries as f64).sum();
                     let mut gates = self.gates.entry((proxy.clone(), class)).or_default().iter_mut();
                     let mut pass = |side: &Side| {
-                        let level = side.force.held(proxy).and_then(|h| h.admission_limit(name)).and_then(|l| l.0);
+                        let level =
+                            side.force.held(proxy).and_then(|h| h.admission_limit(name)).and_then(|l| l.0);
                         gates.next().map_or(came, |g| g.lets_in(level, came, seconds))
                     };
                     let flow = Flow { came, was: pass(was), would: pass(would) };
--- a/crates/testbed/src/fronts.rs
+++ b/crates/testbed/src/fronts.rs
@@ -33,7 +33,16 @@
 
 fn newcomer(p: usize, way: Transport) -> PendingProxy {
     let (zone, wanted) = ("z".to_string(), vec![TopicFilter::ALL]);
-    PendingProxy { conn: p, name: format!("f{p}"), zone, rate: 1.0, fresh: true, way, wanted, holds: vec![] }
+    PendingProxy {
+        connection: p,
+        name: format!("f{p}"),
+        zone,
+        request_rate: 1.0,
+        has_no_table: true,
+        transport: way,
+        filters: wanted,
+        held: vec![],
+    }
 }
 
 /// Resident memory of this process, bytes.
@@ -46,16 +55,16 @@
 /// TLS: what it takes to make all messages, with the protocol's own state for those that subscribe.
 pub fn fronts() -> Told {
     let now = Duration::ZERO;
-    for (name, way) in [("pubsub", Transport::Parts), ("netconf", Transport::Whole)] {
+    for (name, way) in [("pubsub", Transport::Published), ("netconf", Transport::Edits)] {
         let greet =
             |p: usize| Client::new(now, "p", &format!("f{p}"), &Hello::default(), Wish::Weights, vec![]);
         let clients: Vec<Client> = (0..PROXIES).map(greet).collect();
         let before = resident();
         let mut front = Distributor::new(1, Duration::from_secs(2), Duration::from_secs(2));
-        front.table(1, &edit(true, 0));
+        front.update_table(1, &edit(true, 0));
         let mut pairs: BTreeMap<usize, (Session, Client)> = BTreeMap::new();
         for (p, client) in clients.into_iter().enumerate() {
-            front.joined(p, newcomer(p, way));
+            front.connect(p, newcomer(p, way));
             pairs.insert(p, (Session::new(now, "p", &format!("f{p}")), client));
         }
         for (session, client) in pairs.values_mut() {
@@ -69,24 +78,24 @@
         for step in 0..=STEPS {
             let start = Instant::now();
             if step > 0 {
-                front.table(1, &edit(false, step));
+                front.update_table(1, &edit(false, step));
             }
             let message = if step == 0 { bind.clone() } else { Message::default() };
-            (0..PROXIES).for_each(|p| front.ordered(p, step as u64 + 1, &message));
+            (0..PROXIES).for_each(|p| front.issue_command(p, step as u64 + 1, &message));
             let mut bodies: BTreeMap<_, Arc<[u8]>> = BTreeMap::new();
             let mut sent: Vec<(usize, u64)> = vec![];
             for p in front.take_ready() {
-                while let Some(out) = front.next(now, p) {
+                while let Some(out) = front.next_message(now, p) {
                     if step > 0 {
                         told += 1;
                     }
                     match out {
-                        Outgoing::Message { number, text, .. } => {
+                        Outgoing::Edit { number, text, .. } => {
                             bytes += if step > 0 { text.len() as u64 } else { 0 };
                             sent.push((p, number));
                         }
                         Outgoing::Part { number, part } => {
-                            let key = (part.topic, part.from, part.to, part.part);
+                            let key = (part.topic, part.base_version, part.version, part.part);
                             let text = bodies.entry(key).or_insert_with(|| body::write(&part).into());
                             let session = pairs.get_mut(&p).map(|(session, _)| session);
                             session.map(|s| s.tell(now, number, part.topic, text.clone()));
@@ -95,7 +104,7 @@
                 }
             }
             let mut written: Vec<(usize, Vec<u8>)> = vec![];
-            if way == Transport::Parts {
+            if way == Transport::Published {
                 written.extend(pairs.iter_mut().map(|(p, (session, _))| (*p, session.output())));
             }
             busy += if step > 0 { start.elapsed() } else { Duration::ZERO };
@@ -115,24 +124,25 @@
                 let Some((session, _)) = pairs.get_mut(&p) else { continue };
                 for heard in session.take(now, &word) {
                     if let SessionEvent::Confirmed(number) = heard {
-                        front.confirmed(now, p, number);
+                        front.acknowledged(now, p, number);
                     }
                 }
             }
             for (p, number) in sent {
-                front.confirmed(now, p, number);
+                front.acknowledged(now, p, number);
             }
             busy += if step > 0 { start.elapsed() } else { Duration::ZERO };
         }
-        let held = (0..PROXIES)
-            .filter(|p| front.publisher().taken(&format!("f{p}"), TABLE) == Some(STEPS as u64 + 1));
+        let held = (0..PROXIES).filter(|p| {
+            front.publisher().acknowledged_version(&format!("f{p}"), TABLE) == Some(STEPS as u64 + 1)
+        });
         if held.count() != PROXIES {
             return Err(format!("{name}: not all proxies hold the last step"));
         }
         figure(&format!("{name}.messages_per_second"), told as f64 / busy.as_secs_f64(), "messages/s");
         figure(&format!("{name}.step_to_all"), busy.as_secs_f64() / STEPS as f64 * 1e3, "ms");
         figure(&format!("{name}.bytes_a_message"), bytes as f64 / told as f64, "bytes");
-        if way == Transport::Parts {
+        if way == Transport::Published {
             // The planner's side: its session, its place in the front, and its part of what passed.
             figure(&format!("{name}.memory_a_proxy"), (resident() - before) / PROXIES as f64 / 1024.0, "KiB");
         }
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -13,8 +13,8 @@
 use runloom_mqtt::report;
 use runloom_mqtt::session::Hello;
 use runloom_netconf::tree::Element;
-use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
 use runloom_versioned_publisher::{Key, Topic, TopicKind, UpdatePart};
+use runloom_versioned_publisher::{ReadOutcome, UpdateReader};
 use std::time::{Duration, Instant};
 
 /// Far beyond what anything here takes.
@@ -38,7 +38,7 @@
         let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
         let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
         let hello = Hello { zone: "a".into(), rate: 5.0, fresh: reader.topics().next().is_none() };
-        let holds = reader.topics().filter_map(|t| reader.holds(t).map(|(e, v)| (t, e, v))).collect();
+        let holds = reader.held_versions();
         let client = Client::new(turn.now(), planner, proxy, &hello, Wish::Weights, holds);
         Subscriber { turn, conn, client, reader, parts: vec![], confirms: true, closed: None }
     }
@@ -66,7 +66,7 @@
                     for told in self.client.take(now, &bytes) {
                         let Told::Part(id, part) = told else { continue };
                         let good =
-                            matches!(self.reader.take(&part), ReadOutcome::Now(_) | ReadOutcome::Waits);
+                            matches!(self.reader.read(&part), ReadOutcome::Applied(_) | ReadOutcome::Pending);
                         self.parts.push(part);
                         if self.confirms {
                             self.client.answer(now, id, good);
@@ -83,10 +83,10 @@
 
     /// Servers of the table that it is bound to.
     fn servers(&self) -> Vec<String> {
-        let binds = self.reader.held(Topic { kind: TopicKind::Binds, table: 0 });
+        let binds = self.reader.held(Topic { kind: TopicKind::Assignments, table: 0 });
         let table = binds.and_then(|b| b.state.values().next()?.parse().ok()).unwrap_or_default();
         let held = self.reader.held(Topic { kind: TopicKind::Weights, table });
-        let line = |k: &Key| if let Key::Line(server) = k { Some(server.clone()) } else { None };
+        let line = |k: &Key| if let Key::Entry(server) = k { Some(server.clone()) } else { None };
         held.into_iter().flat_map(|h| h.state.keys()).filter_map(line).collect()
     }
 
@@ -149,13 +149,13 @@
     let (desk, terms, first) = subscribed("resume");
     let Subscriber { mut reader, turn, .. } = first;
     drop(turn);
-    reader.broke();
+    reader.end_session();
     drain(&desk, "s2", "d");
     let mut again = Subscriber::new(&desk, &terms, "p", "f1", reader);
     again.until("the drain", |s| s.lists(&["s1", "s3"]));
     let tables: Vec<&UpdatePart> =
         again.parts.iter().filter(|p| p.topic.kind == TopicKind::Weights).collect();
-    assert!(tables[0].from.is_some() && tables[0].changes[0].takes_out(), "{tables:?}");
+    assert!(tables[0].base_version.is_some() && tables[0].changes[0].takes_server_out(), "{tables:?}");
     is_in_force(&desk, "d", &mut again);
 }
 
@@ -206,10 +206,12 @@
     desk.restart();
     subscriber.until("the end", |s| s.closed.is_some());
     let mut reader = subscriber.reader;
-    reader.broke();
+    reader.end_session();
     let mut again = Subscriber::new(&desk, &terms, "p", "f1", reader);
-    again.until("the tables of the next start", |s| s.parts.iter().any(|p| p.topic.kind == TopicKind::Binds));
-    assert!(again.parts.iter().all(|p| p.epoch > epoch && p.from.is_none()), "{:?}", again.parts);
+    again.until("the tables of the next start", |s| {
+        s.parts.iter().any(|p| p.topic.kind == TopicKind::Assignments)
+    });
+    assert!(again.parts.iter().all(|p| p.epoch > epoch && p.base_version.is_none()), "{:?}", again.parts);
     assert!(again.lists(&["s1", "s3"]), "{:?}", again.servers());
     assert_ne!(edit_state(&desk, "d"), "");
 }
@@ -237,7 +239,7 @@
     let told = liar.parts.len();
     let end = Instant::now() + PATIENCE;
     let anew = |s: &Subscriber| {
-        s.parts[told..].iter().any(|p| p.topic.kind == TopicKind::Weights && p.from.is_none())
+        s.parts[told..].iter().any(|p| p.topic.kind == TopicKind::Weights && p.base_version.is_none())
     };
     while liar.closed.is_none() && Instant::now() < end {
         liar.reports("s3");
@@ -256,7 +258,7 @@
     let grace = Element::new(FLEET, "grace").with_leaf("drain-ms", 2500);
     desk.client().edit(Element::new(FLEET, "fleet").with(grace), None).unwrap();
     subscriber.until("another epoch", |s| {
-        s.parts.last().is_some_and(|p| p.epoch > epoch && p.topic.kind == TopicKind::Binds)
+        s.parts.last().is_some_and(|p| p.epoch > epoch && p.topic.kind == TopicKind::Assignments)
     });
     assert!(subscriber.closed.is_none() && subscriber.lists(&["s1", "s2", "s3"]));
     drain(&desk, "s2", "d");
--- a/crates/versioned-publisher/src/tests.rs
+++ b/crates/versioned-publisher/src/tests.rs
@@ -1,94 +1,97 @@
 use super::*;
-use crate::admit::ReconnectQueue;
-use crate::reader::{ReadOutcome, UpdateReader};
 use proptest::prelude::*;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::rc::Rc;
+use std::time::Duration;
 
 const TOPICS: [Topic; 2] =
     [Topic { kind: TopicKind::Weights, table: 1 }, Topic { kind: TopicKind::Subset, table: 2 }];
 
-fn line(server: usize, weight: Option<usize>) -> Change {
-    Change { key: Key::Line(format!("s{server}")), value: weight.map(|w| w.to_string().into()) }
+fn entry(server: usize, weight: Option<usize>) -> Change {
+    Change { key: Key::Entry(format!("s{server}")), value: weight.map(|w| w.to_string().into()) }
 }
 
-fn joined(publisher: &mut Publisher, name: &str) -> u64 {
-    let stream = publisher.join(name);
-    TOPICS.iter().for_each(|t| assert!(publisher.subscribe(name, *t, None)));
-    stream
+/// Connects a subscriber that holds nothing to both tables.
+fn connected(publisher: &mut Publisher, name: &str) -> u64 {
+    let session = publisher.connect(name);
+    for topic in TOPICS {
+        assert!(publisher.subscribe(name, topic, None));
+    }
+    session
 }
 
-/// All messages for one subscriber, each confirmed at once.
-fn drain(publisher: &mut Publisher, name: &str, stream: u64, reader: &mut UpdateReader) -> Vec<UpdatePart> {
+/// Sends all messages to one subscriber, each acknowledged at once.
+fn drain(publisher: &mut Publisher, name: &str, session: u64, reader: &mut UpdateReader) -> Vec<UpdatePart> {
     let mut parts = vec![];
-    while let Some((number, part)) = publisher.next(Duration::ZERO, name) {
-        assert!(matches!(reader.take(&part), ReadOutcome::Now(_) | ReadOutcome::Waits), "{part:?}");
-        publisher.confirmed(name, stream, number);
+    while let Some((number, part)) = publisher.next_part(Duration::ZERO, name) {
+        assert!(matches!(reader.read(&part), ReadOutcome::Applied(_) | ReadOutcome::Pending), "{part:?}");
+        publisher.acknowledge(name, session, number);
         parts.push(part);
     }
     parts
 }
 
 #[derive(Debug, Clone)]
-enum Do {
-    /// Keys of a table, each to a weight or out.
-    Step(usize, Vec<(usize, Option<usize>)>),
-    /// So many messages go out to a subscriber.
-    Tell(usize, usize),
-    /// It takes the oldest so many of what is on its way, and its word comes back, or not.
-    Take(usize, usize, bool),
-    Break(usize),
-    /// It has lost a table, and says so by the next message that it cannot use.
-    Forget(usize, usize),
-    Touch(usize),
-    Join(usize),
+enum Operation {
+    /// Changes servers' weights in a table, or removes them.
+    Apply(usize, Vec<(usize, Option<usize>)>),
+    /// Sends up to this many messages to a subscriber.
+    Send(usize, usize),
+    /// It receives the oldest messages in flight, and acknowledges them or not.
+    Receive(usize, usize, bool),
+    Disconnect(usize),
+    /// It loses a table, which the next message that it cannot use reveals.
+    DropTable(usize, usize),
+    AdvanceUnchanged(usize),
+    Connect(usize),
     Restart,
 }
 
-fn deed() -> impl Strategy<Value = Do> {
+fn operation() -> impl Strategy<Value = Operation> {
     let key = (0usize..400, prop::option::weighted(0.7, 1usize..4));
     let many =
         prop_oneof![3 => prop::collection::vec(key.clone(), 1..6), 1 => prop::collection::vec(key, 200..400)];
     prop_oneof![
-        6 => (0usize..2, many).prop_map(|(t, keys)| Do::Step(t, keys)),
-        6 => (0usize..3, 1usize..6).prop_map(|(s, n)| Do::Tell(s, n)),
-        6 => (0usize..3, 1usize..6, any::<bool>()).prop_map(|(s, n, back)| Do::Take(s, n, back)),
-        1 => (0usize..3).prop_map(Do::Break),
-        1 => (0usize..3, 0usize..2).prop_map(|(s, t)| Do::Forget(s, t)),
-        1 => (0usize..2).prop_map(Do::Touch),
-        2 => (0usize..3).prop_map(Do::Join),
-        1 => Just(Do::Restart),
+        6 => (0usize..2, many).prop_map(|(t, keys)| Operation::Apply(t, keys)),
+        6 => (0usize..3, 1usize..6).prop_map(|(s, n)| Operation::Send(s, n)),
+        6 => (0usize..3, 1usize..6, any::<bool>()).prop_map(|(s, n, back)| Operation::Receive(s, n, back)),
+        1 => (0usize..3).prop_map(Operation::Disconnect),
+        1 => (0usize..3, 0usize..2).prop_map(|(s, t)| Operation::DropTable(s, t)),
+        1 => (0usize..2).prop_map(Operation::AdvanceUnchanged),
+        2 => (0usize..3).prop_map(Operation::Connect),
+        1 => Just(Operation::Restart),
     ]
 }
 
-/// A subscriber as a test has it: what it holds, its stream, and what is on its way to it.
+/// A subscriber: what it holds, its session, and what is in flight to it.
 #[derive(Default)]
 struct Peer {
     reader: UpdateReader,
-    stream: Option<u64>,
-    forgot: bool,
-    flying: VecDeque<(u64, UpdatePart)>,
+    session: Option<u64>,
+    dropped_table: bool,
+    in_flight: VecDeque<(u64, UpdatePart)>,
     /// The newest epoch and version that it held of each table.
-    newest: HashMap<Topic, (u64, Version)>,
+    newest: HashMap<Topic, HeldVersion>,
 }
 
 type States = HashMap<(u64, Topic, Version), BTreeMap<Key, Rc<str>>>;
 
-struct Rig {
+struct Model {
     publisher: Publisher,
     peers: Vec<Peer>,
-    /// All states that a planner held.
+    /// All states that were published.
     states: States,
 }
 
-impl Rig {
-    fn new() -> Rig {
+impl Model {
+    fn new() -> Model {
         let peers = (0..3).map(|_| Peer::default()).collect();
-        let mut rig = Rig { publisher: Publisher::new(1), peers, states: States::new() };
-        rig.note();
-        rig
+        let mut model = Model { publisher: Publisher::new(1), peers, states: States::new() };
+        model.record_states();
+        model
     }
 
-    fn note(&mut self) {
+    fn record_states(&mut self) {
         for topic in TOPICS {
             let (version, state) = match self.publisher.table(topic) {
                 Some((version, state)) => (version, state.clone()),
@@ -98,88 +101,88 @@
         }
     }
 
-    fn join(&mut self, k: usize) {
+    fn connect(&mut self, k: usize) {
         let name = format!("f{k}");
         let peer = &mut self.peers[k];
-        // Whatever the old stream still had on its way is lost.
-        (peer.flying, peer.stream) = (VecDeque::new(), Some(self.publisher.join(&name)));
-        peer.reader.broke();
+        // What was in flight in the old session is lost.
+        (peer.in_flight, peer.session) = (VecDeque::new(), Some(self.publisher.connect(&name)));
+        peer.reader.end_session();
         for topic in TOPICS {
-            assert!(self.publisher.subscribe(&name, topic, peer.reader.holds(topic)));
+            assert!(self.publisher.subscribe(&name, topic, peer.reader.held_version(topic)));
         }
     }
 
-    fn tell(&mut self, k: usize, count: usize) {
-        if self.peers[k].stream.is_none() {
+    fn send(&mut self, k: usize, count: usize) {
+        if self.peers[k].session.is_none() {
             return;
         }
         for _ in 0..count {
-            let Some(told) = self.publisher.next(Duration::ZERO, &format!("f{k}")) else { return };
-            let outs = told.1.changes.iter().map(|c| !c.takes_out());
-            assert!(outs.clone().is_sorted(), "what takes servers out stands first");
-            self.peers[k].flying.push_back(told);
+            let Some(sent) = self.publisher.next_part(Duration::ZERO, &format!("f{k}")) else { return };
+            let in_order = sent.1.changes.iter().map(|c| !c.takes_server_out());
+            assert!(in_order.clone().is_sorted(), "changes that take servers out come first");
+            self.peers[k].in_flight.push_back(sent);
         }
-        assert!(self.peers[k].flying.len() <= WINDOW + 1);
+        assert!(self.peers[k].in_flight.len() <= MAX_IN_FLIGHT + 1);
     }
 
-    fn take(&mut self, k: usize, count: usize, back: bool) {
+    fn receive(&mut self, k: usize, count: usize, acknowledges: bool) {
         let peer = &mut self.peers[k];
         for _ in 0..count {
-            let Some((number, part)) = peer.flying.pop_front() else { return };
-            match peer.reader.take(&part) {
-                ReadOutcome::Now(version) => {
+            let Some((number, part)) = peer.in_flight.pop_front() else { return };
+            match peer.reader.read(&part) {
+                ReadOutcome::Applied(version) => {
                     let held = peer.reader.held(part.topic).unwrap();
                     assert_eq!(Some(&held.state), self.states.get(&(held.epoch, part.topic, version)));
-                    let newest = peer.newest.entry(part.topic).or_default();
-                    assert!(*newest <= (held.epoch, held.version), "versions only rise");
-                    *newest = (held.epoch, held.version);
+                    let held = peer.reader.held_version(part.topic).unwrap();
+                    let newest = peer.newest.insert(part.topic, held);
+                    assert!(newest.is_none_or(|newest| newest <= held), "versions only rise");
                 }
-                ReadOutcome::Waits => {}
-                ReadOutcome::Lacks if peer.forgot => {
-                    let stream = peer.stream.unwrap();
-                    self.publisher.lacks(&format!("f{k}"), stream, number, part.topic);
+                ReadOutcome::Pending => {}
+                ReadOutcome::NeedsSnapshot if peer.dropped_table => {
+                    let session = peer.session.unwrap();
+                    self.publisher.reject(&format!("f{k}"), session, number, part.topic);
                     continue;
                 }
                 other => panic!("{other:?} {part:?}"),
             }
-            // Its word may come late: then a later one stands for it.
-            if back {
-                let stream = peer.stream.unwrap();
-                self.publisher.confirmed(&format!("f{k}"), stream, number);
+            // An acknowledgement may be lost: a later one covers it.
+            if acknowledges {
+                let session = peer.session.unwrap();
+                self.publisher.acknowledge(&format!("f{k}"), session, number);
             }
         }
     }
 
-    fn act(&mut self, what: Do) {
-        match what {
-            Do::Step(t, keys) => {
-                self.publisher.step(TOPICS[t], keys.into_iter().map(|(s, w)| line(s, w)).collect());
-                self.note();
+    fn run(&mut self, operation: Operation) {
+        match operation {
+            Operation::Apply(t, keys) => {
+                self.publisher.apply(TOPICS[t], keys.into_iter().map(|(s, w)| entry(s, w)).collect());
+                self.record_states();
             }
-            Do::Tell(k, count) => self.tell(k, count),
-            Do::Take(k, count, back) => self.take(k, count, back),
-            Do::Break(k) => {
-                if let Some(stream) = self.peers[k].stream.take() {
-                    assert!(self.publisher.leave(&format!("f{k}"), stream));
-                    self.peers[k].flying.clear();
+            Operation::Send(k, count) => self.send(k, count),
+            Operation::Receive(k, count, acknowledges) => self.receive(k, count, acknowledges),
+            Operation::Disconnect(k) => {
+                if let Some(stream) = self.peers[k].session.take() {
+                    assert!(self.publisher.disconnect(&format!("f{k}"), stream));
+                    self.peers[k].in_flight.clear();
                 }
             }
-            Do::Forget(k, t) => {
-                self.peers[k].reader.forget(TOPICS[t]);
-                self.peers[k].forgot = true;
+            Operation::DropTable(k, t) => {
+                self.peers[k].reader.drop_table(TOPICS[t]);
+                self.peers[k].dropped_table = true;
             }
-            Do::Touch(t) => {
-                self.publisher.touch(TOPICS[t]);
-                self.note();
+            Operation::AdvanceUnchanged(t) => {
+                self.publisher.advance_unchanged(TOPICS[t]);
+                self.record_states();
             }
-            Do::Join(k) => self.join(k),
-            Do::Restart => {
-                // The decisions order anew: another epoch, versions from the start, other tables.
+            Operation::Connect(k) => self.connect(k),
+            Operation::Restart => {
+                // Another epoch: versions start over, and so do the tables.
                 self.publisher = Publisher::new(self.publisher.epoch() + 1);
                 for peer in &mut self.peers {
-                    (peer.stream, peer.flying) = (None, VecDeque::new());
+                    (peer.session, peer.in_flight) = (None, VecDeque::new());
                 }
-                self.note();
+                self.record_states();
             }
         }
     }
@@ -188,180 +191,190 @@
 proptest! {
     // More by the environment, PROPTEST_CASES: docs/publish.md tells of a hundred thousand.
     #![proptest_config(ProptestConfig::default())]
-    /// Whatever changes, breaks, resumes, conflations and restarts come: what a subscriber holds was held by a planner,
-    /// versions only rise, and after quiet it holds the latest.
+    /// Whatever changes, disconnects, resumes and restarts come: what a subscriber holds was published, versions only
+    /// rise, and once nothing changes it holds the latest.
     #[test]
-    fn a_subscriber_holds_what_a_planner_held_and_in_the_end_the_latest(deeds in prop::collection::vec(deed(), 1..60)) {
-        let mut rig = Rig::new();
-        deeds.into_iter().for_each(|what| rig.act(what));
+    fn a_subscriber_holds_only_published_states_and_finally_the_latest(operations in prop::collection::vec(operation(), 1..60)) {
+        let mut model = Model::new();
+        for operation in operations {
+            model.run(operation);
+        }
         for k in 0..3 {
-            if rig.peers[k].stream.is_none() {
-                rig.join(k);
+            if model.peers[k].session.is_none() {
+                model.connect(k);
             }
             for _ in 0..200 {
-                rig.take(k, WINDOW + 1, true);
-                rig.tell(k, WINDOW);
+                model.receive(k, MAX_IN_FLIGHT + 1, true);
+                model.send(k, MAX_IN_FLIGHT);
             }
-            // A word that was lost stands in the way of the window only until the stream is left and joined anew.
-            if rig.peers[k].flying.is_empty() {
-                rig.join(k);
+            // Lost acknowledgements count against the limit only until the session ends.
+            if model.peers[k].in_flight.is_empty() {
+                model.connect(k);
                 for _ in 0..200 {
-                    rig.tell(k, WINDOW);
-                    rig.take(k, WINDOW + 1, true);
+                    model.send(k, MAX_IN_FLIGHT);
+                    model.receive(k, MAX_IN_FLIGHT + 1, true);
                 }
             }
-            // One that lost a table and has been told nothing since has not said so yet.
-            TOPICS.iter().for_each(|t| _ = rig.publisher.touch(*t));
-            rig.note();
+            // A table that was lost and not changed since is noticed with the next message.
+            TOPICS.iter().for_each(|t| _ = model.publisher.advance_unchanged(*t));
+            model.record_states();
             for _ in 0..200 {
-                rig.tell(k, WINDOW);
-                rig.take(k, WINDOW + 1, true);
+                model.send(k, MAX_IN_FLIGHT);
+                model.receive(k, MAX_IN_FLIGHT + 1, true);
             }
             for topic in TOPICS {
-                let latest = rig.publisher.table(topic).map(|(_, s)| s.clone()).unwrap_or_default();
-                prop_assert_eq!(&rig.peers[k].reader.held(topic).unwrap().state, &latest);
+                let latest = model.publisher.table(topic).map(|(_, s)| s.clone()).unwrap_or_default();
+                prop_assert_eq!(&model.peers[k].reader.held(topic).unwrap().state, &latest);
             }
         }
     }
 }
 
 #[test]
-fn a_slow_subscriber_gets_the_latest_and_not_a_history_and_costs_no_more() {
+fn a_slow_subscriber_receives_the_latest_state_and_not_a_history() {
     let mut publisher = Publisher::new(1);
-    let stream = joined(&mut publisher, "slow");
+    let session = connected(&mut publisher, "slow");
     let mut reader = UpdateReader::default();
-    publisher.step(TOPICS[0], (0..100).map(|s| line(s, Some(1))).collect());
-    drain(&mut publisher, "slow", stream, &mut reader);
-    // Five hundred steps while it hears nothing: of ten servers, one of which goes out at the last.
+    publisher.apply(TOPICS[0], (0..100).map(|s| entry(s, Some(1))).collect());
+    drain(&mut publisher, "slow", session, &mut reader);
+    // Many versions while it receives nothing: of ten servers, one of which is removed in the last.
     for k in 0..50 {
-        publisher.step(TOPICS[0], vec![line(k % 10, Some(k + 2))]);
+        publisher.apply(TOPICS[0], vec![entry(k % 10, Some(k + 2))]);
     }
-    publisher.step(TOPICS[0], vec![line(3, None)]);
-    let parts = drain(&mut publisher, "slow", stream, &mut reader);
+    publisher.apply(TOPICS[0], vec![entry(3, None)]);
+    let parts = drain(&mut publisher, "slow", session, &mut reader);
     assert_eq!(parts.len(), 1);
-    assert_eq!((parts[0].from, parts[0].changes.len()), (Some(1), 10));
-    assert_eq!(parts[0].changes[0], line(3, None), "what goes out stands first");
-    // Past the run it is a snapshot, again in one go.
+    assert_eq!((parts[0].base_version, parts[0].changes.len()), (Some(1), 10));
+    assert_eq!(parts[0].changes[0], entry(3, None), "the removal comes first");
+    // Past the history it is a snapshot, again in one part.
     for k in 0..300 {
-        publisher.step(TOPICS[0], vec![line(k % 10 + 4, Some(k + 2))]);
+        publisher.apply(TOPICS[0], vec![entry(k % 10 + 4, Some(k + 2))]);
     }
-    let parts = drain(&mut publisher, "slow", stream, &mut reader);
-    assert!(parts.len() == 1 && parts[0].from.is_none() && parts[0].changes.len() == 99);
+    let parts = drain(&mut publisher, "slow", session, &mut reader);
+    assert!(parts.len() == 1 && parts[0].base_version.is_none() && parts[0].changes.len() == 99);
 }
 
 #[test]
-fn a_snapshot_that_changes_while_it_is_sent_in_parts_is_taken_whole_and_then_followed() {
+fn a_snapshot_that_changes_while_it_is_sent_in_parts_is_completed_and_then_followed() {
     let mut publisher = Publisher::new(1);
-    publisher.step(TOPICS[0], (0..300).map(|s| line(s, Some(1))).collect());
-    let stream = joined(&mut publisher, "f");
+    publisher.apply(TOPICS[0], (0..300).map(|s| entry(s, Some(1))).collect());
+    let session = connected(&mut publisher, "f");
     let mut reader = UpdateReader::default();
-    let (number, first) = publisher.next(Duration::ZERO, "f").unwrap();
-    assert_eq!((first.of, reader.take(&first)), (3, ReadOutcome::Waits));
-    publisher.confirmed("f", stream, number);
-    publisher.step(TOPICS[0], vec![line(299, None), line(0, Some(9))]);
+    let (number, first) = publisher.next_part(Duration::ZERO, "f").unwrap();
+    assert_eq!((first.part_count, reader.read(&first)), (3, ReadOutcome::Pending));
+    publisher.acknowledge("f", session, number);
+    publisher.apply(TOPICS[0], vec![entry(299, None), entry(0, Some(9))]);
     assert_eq!(reader.held(TOPICS[0]), None);
-    drain(&mut publisher, "f", stream, &mut reader);
+    drain(&mut publisher, "f", session, &mut reader);
     let held = reader.held(TOPICS[0]).unwrap();
     assert_eq!((held.version, &held.state), (2, publisher.table(TOPICS[0]).unwrap().1));
 }
 
 #[test]
-fn a_message_of_an_earlier_epoch_and_a_will_after_the_rejoin_change_nothing() {
+fn messages_of_an_earlier_epoch_and_of_an_earlier_session_change_nothing() {
     let mut old = Publisher::new(1);
-    old.step(TOPICS[0], vec![line(1, Some(1))]);
-    joined(&mut old, "f");
-    let (_, retained) = old.next(Duration::ZERO, "f").unwrap();
+    old.apply(TOPICS[0], vec![entry(1, Some(1))]);
+    connected(&mut old, "f");
+    let (_, retained) = old.next_part(Duration::ZERO, "f").unwrap();
     let mut publisher = Publisher::new(2);
-    publisher.step(TOPICS[0], vec![line(2, Some(1))]);
-    let first = joined(&mut publisher, "f");
+    publisher.apply(TOPICS[0], vec![entry(2, Some(1))]);
+    let first = connected(&mut publisher, "f");
     let mut reader = UpdateReader::default();
     drain(&mut publisher, "f", first, &mut reader);
     let held = reader.held(TOPICS[0]).cloned();
-    assert_eq!(reader.take(&retained), ReadOutcome::Stale);
+    assert_eq!(reader.read(&retained), ReadOutcome::Stale);
     assert_eq!(reader.held(TOPICS[0]).cloned(), held);
-    let second = joined(&mut publisher, "f");
-    let (number, _) = publisher.next(Duration::ZERO, "f").unwrap();
-    assert!(!publisher.leave("f", first), "the old stream's will");
-    assert_eq!(publisher.confirmed("f", first, number), vec![], "the old stream's word");
-    assert_eq!(publisher.confirmed("f", second, number), vec![(TOPICS[0], 1)]);
+    let second = connected(&mut publisher, "f");
+    let (number, _) = publisher.next_part(Duration::ZERO, "f").unwrap();
+    assert!(!publisher.disconnect("f", first), "the old session");
+    assert_eq!(publisher.acknowledge("f", first, number), vec![], "the old session");
+    assert_eq!(publisher.acknowledge("f", second, number), vec![(TOPICS[0], 1)]);
 }
 
-/// What starts from a version that is not held, and a part that was lost, are asked for anew and not guessed.
+/// After an update from a version that is not held, and after a lost part, only a snapshot helps.
 #[test]
-fn a_gap_is_asked_for_and_a_subscriber_that_confirms_nothing_is_told_no_more_and_found() {
+fn a_gap_needs_a_snapshot_and_a_subscriber_that_acknowledges_nothing_is_overdue() {
     let mut publisher = Publisher::new(1);
-    publisher.step(TOPICS[0], (0..300).map(|s| line(s, Some(1))).collect());
-    let stream = joined(&mut publisher, "f");
+    publisher.apply(TOPICS[0], (0..300).map(|s| entry(s, Some(1))).collect());
+    let session = connected(&mut publisher, "f");
     let mut reader = UpdateReader::default();
-    let parts: Vec<UpdatePart> = (0..3).map(|_| publisher.next(Duration::ZERO, "f").unwrap().1).collect();
-    assert_eq!((reader.take(&parts[0]), reader.take(&parts[2])), (ReadOutcome::Waits, ReadOutcome::Lacks));
-    assert_eq!(reader.take(&UpdatePart { from: Some(7), ..parts[0].clone() }), ReadOutcome::Lacks);
-    publisher.lacks("f", stream, 3, TOPICS[0]);
-    let mut told = 0;
+    let parts: Vec<UpdatePart> =
+        (0..3).map(|_| publisher.next_part(Duration::ZERO, "f").unwrap().1).collect();
+    assert_eq!(
+        (reader.read(&parts[0]), reader.read(&parts[2])),
+        (ReadOutcome::Pending, ReadOutcome::NeedsSnapshot)
+    );
+    assert_eq!(
+        reader.read(&UpdatePart { base_version: Some(7), ..parts[0].clone() }),
+        ReadOutcome::NeedsSnapshot
+    );
+    publisher.reject("f", session, 3, TOPICS[0]);
+    let mut sent = 0;
     for k in 0..20 {
-        publisher.step(TOPICS[1], vec![line(k, Some(1))]);
-        told += std::iter::from_fn(|| publisher.next(Duration::from_secs(1), "f")).count();
+        publisher.apply(TOPICS[1], vec![entry(k, Some(1))]);
+        sent += std::iter::from_fn(|| publisher.next_part(Duration::from_secs(1), "f")).count();
     }
-    assert_eq!(told, WINDOW, "no more than the window");
+    assert_eq!(sent, MAX_IN_FLIGHT, "no more than may be in flight");
     assert_eq!(publisher.overdue(Duration::from_secs(3), Duration::from_secs(3)), vec![]);
     assert_eq!(
         publisher.overdue(Duration::from_secs(4), Duration::from_secs(3)),
-        vec![("f".to_string(), stream)]
+        vec![("f".to_string(), session)]
     );
-    assert_eq!(publisher.waiting(), WINDOW);
+    assert_eq!(publisher.messages_in_flight(), MAX_IN_FLIGHT);
 }
 
 #[test]
-fn a_reconnect_storm_is_let_in_at_a_pace_oldest_tables_first_and_within_the_grace() {
-    let grace = Duration::from_secs(2);
-    let mut admission = ReconnectQueue::new(grace);
+fn a_reconnect_storm_is_admitted_oldest_tables_first_and_within_the_grace_period() {
+    let grace_period = Duration::from_secs(2);
+    let mut queue = ReconnectQueue::new(grace_period);
     for k in 0..592u64 {
-        let age = (k % 3 > 0).then_some((1, 1000 - k));
-        assert!(admission.came(Duration::ZERO, &format!("f{k}"), age));
+        let oldest_held = (k % 3 > 0).then_some(HeldVersion { epoch: 1, version: 1000 - k });
+        assert!(queue.push(Duration::ZERO, &format!("f{k}"), oldest_held));
     }
-    // One comes again while it waits, and one goes.
-    assert!(admission.came(Duration::ZERO, "f1", Some((0, 5))));
-    admission.gone("f2");
-    let (mut let_in, mut now, mut most) = (vec![], Duration::ZERO, 0);
-    while let Some(at) = admission.wakes_at() {
-        assert!(at <= now + grace, "it wakes in time");
+    // One connects again while it waits, and one disconnects.
+    assert!(queue.push(Duration::ZERO, "f1", Some(HeldVersion { epoch: 0, version: 5 })));
+    queue.remove("f2");
+    let (mut admitted, mut now, mut most) = (vec![], Duration::ZERO, 0);
+    while let Some(at) = queue.wakes_at() {
+        assert!(at <= now + grace_period, "it wakes in time");
         now = now.max(at) + Duration::from_micros(10);
-        let before = let_in.len();
-        while let Some(name) = admission.next(now) {
-            let_in.push(name);
+        let before = admitted.len();
+        while let Some(name) = queue.admit_next(now) {
+            admitted.push(name);
         }
-        most = most.max(let_in.len() - before);
+        most = most.max(admitted.len() - before);
     }
-    assert_eq!(let_in.len(), 591);
-    assert!(now < grace / 2 && most <= 130, "{now:?} {most}");
-    assert!(let_in[..198].iter().all(|n| n[1..].parse::<u64>().unwrap() % 3 == 0), "nothing held: first");
-    assert_eq!((let_in[198].as_str(), let_in[199].as_str()), ("f1", "f590"), "then by age");
+    assert_eq!(admitted.len(), 591);
+    assert!(now < grace_period / 2 && most <= 130, "{now:?} {most}");
+    assert!(admitted[..198].iter().all(|n| n[1..].parse::<u64>().unwrap() % 3 == 0), "nothing held: first");
+    assert_eq!((admitted[198].as_str(), admitted[199].as_str()), ("f1", "f590"), "then by age");
 }
 
-/// A class goes over from one table to another: whatever is told when, the subscriber holds a table before a bind to it,
-/// and a drain in the old table reaches it before either.
+/// A class goes over from one table to another: the subscriber holds a table before an assignment to it, and a drain in
+/// the old table reaches it before either.
 #[test]
-fn a_bind_comes_after_its_table_and_a_drain_before_both() {
-    let binds = Topic { kind: TopicKind::Binds, table: 0 };
-    let to = |table: u16| Change { key: Key::Bind("q".into()), value: Some(table.to_string().into()) };
+fn an_assignment_comes_after_its_table_and_a_drain_before_both() {
+    let assignments = Topic { kind: TopicKind::Assignments, table: 0 };
+    let assign_to =
+        |table: u16| Change { key: Key::Assignment("q".into()), value: Some(table.to_string().into()) };
     let mut publisher = Publisher::new(1);
-    publisher.step(TOPICS[0], (0..20).map(|s| line(s, Some(1))).collect());
-    publisher.step(binds, vec![to(1)]);
-    let stream = joined(&mut publisher, "f");
-    assert!(publisher.subscribe("f", binds, None));
+    publisher.apply(TOPICS[0], (0..20).map(|s| entry(s, Some(1))).collect());
+    publisher.apply(assignments, vec![assign_to(1)]);
+    let session = connected(&mut publisher, "f");
+    assert!(publisher.subscribe("f", assignments, None));
     let mut reader = UpdateReader::default();
     let order = |parts: &[UpdatePart]| parts.iter().map(|p| p.topic.kind).collect::<Vec<_>>();
-    let first = drain(&mut publisher, "f", stream, &mut reader);
-    assert_eq!(order(&first), [TopicKind::Weights, TopicKind::Subset, TopicKind::Binds]);
-    publisher.step(binds, vec![to(2)]);
-    publisher.step(TOPICS[1], (0..300).map(|s| line(s, Some(1))).collect());
-    publisher.step(TOPICS[0], vec![line(4, None)]);
-    let next = drain(&mut publisher, "f", stream, &mut reader);
+    let first = drain(&mut publisher, "f", session, &mut reader);
+    assert_eq!(order(&first), [TopicKind::Weights, TopicKind::Subset, TopicKind::Assignments]);
+    publisher.apply(assignments, vec![assign_to(2)]);
+    publisher.apply(TOPICS[1], (0..300).map(|s| entry(s, Some(1))).collect());
+    publisher.apply(TOPICS[0], vec![entry(4, None)]);
+    let next = drain(&mut publisher, "f", session, &mut reader);
     assert_eq!(
         order(&next),
-        [TopicKind::Weights, TopicKind::Subset, TopicKind::Subset, TopicKind::Subset, TopicKind::Binds]
+        [TopicKind::Weights, TopicKind::Subset, TopicKind::Subset, TopicKind::Subset, TopicKind::Assignments]
     );
-    assert!(next[0].changes[0].takes_out());
-    let bound = reader.held(binds).unwrap().state[&Key::Bind("q".into())].clone();
-    assert_eq!(&*bound, "2");
+    assert!(next[0].changes[0].takes_server_out());
+    let assigned = reader.held(assignments).unwrap().state[&Key::Assignment("q".into())].clone();
+    assert_eq!(&*assigned, "2");
 }
