--- a/crates/daemon/src/proxy_runtime/mod.rs
+++ b/crates/daemon/src/proxy_runtime/mod.rs
@@ -40,8 +40,8 @@
 const CERTIFICATE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// A client's connection is closed after this time without a byte.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Bytes that a client may leave unread.
-const MAX_UNREAD_BYTES: usize = 4 << 20;
+/// Bytes of responses that a client may leave unread.
+const MAX_UNSENT_BYTES: usize = 4 << 20;
 /// Makes the redial delays' random sequence differ from that of endpoint selection.
 const REDIAL_SEED_MASK: u64 = 0x5151;
 
@@ -81,8 +81,8 @@
     ) -> Result<(ProxyRuntime, SocketAddr), ProxyStartError> {
         let tls = TlsPolicy::load(&settings.papers)?;
         let limits = BufferLimits {
-            idle: Some(CLIENT_IDLE_TIMEOUT),
-            unread: MAX_UNREAD_BYTES,
+            idle_timeout: Some(CLIENT_IDLE_TIMEOUT),
+            max_unsent_bytes: MAX_UNSENT_BYTES,
             ..BufferLimits::default()
         };
         let (listener, address) = event_loop.listen(settings.listen, Security::Plain, limits)?;
@@ -192,7 +192,7 @@
                 }
             }
             IoEvent::Bytes { conn, bytes } => self.bytes_received(event_loop, conn, &bytes),
-            IoEvent::Closed { conn, why } => self.connection_closed(event_loop, conn, why),
+            IoEvent::Closed { conn, reason } => self.connection_closed(event_loop, conn, reason),
         }
     }
 
@@ -250,9 +250,9 @@
 /// same.
 fn planner_security(settings: &ProxySettings, tls: &TlsPolicy) -> Security {
     match settings.front {
-        TableDelivery::Edits => Security::Answers(tls.answers.clone()),
+        TableDelivery::Edits => Security::TlsServer(tls.answers.clone()),
         TableDelivery::Weights | TableDelivery::Subsets => {
-            Security::Starts(tls.starts.clone(), server_name(PLANNER))
+            Security::TlsClient(tls.starts.clone(), server_name(PLANNER))
         }
     }
 }
--- a/crates/daemon/src/proxy_runtime/upstream_connections.rs
+++ b/crates/daemon/src/proxy_runtime/upstream_connections.rs
@@ -125,8 +125,11 @@
 
     /// Returns `None` if no socket can be opened; nothing was written then.
     fn dial_upstream(&mut self, event_loop: &mut EventLoop, address: SocketAddr) -> Option<ConnectionId> {
-        let limits =
-            BufferLimits { idle: Some(IDLE_TIMEOUT), handshake: CONNECT_TIMEOUT, ..BufferLimits::default() };
+        let limits = BufferLimits {
+            idle_timeout: Some(IDLE_TIMEOUT),
+            handshake_timeout: CONNECT_TIMEOUT,
+            ..BufferLimits::default()
+        };
         let connection = event_loop.dial(address, &Security::Plain, limits).ok()?;
         self.upstreams.insert_dialed(connection, address, event_loop.now());
         self.opened_connections.push(connection);
