--- a/crates/daemon/src/proxy_runtime/planner_link.rs
+++ b/crates/daemon/src/proxy_runtime/planner_link.rs
@@ -44,7 +44,7 @@
     fn is_connected(&self) -> bool {
         match &self.protocol {
             PlannerProtocol::Netconf { session, .. } => session.is_open(),
-            PlannerProtocol::Mqtt(client) => client.is_joined(),
+            PlannerProtocol::Mqtt(client) => client.is_connected(),
         }
     }
 }
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -6,8 +6,8 @@
 use crate::tls_credentials::CertificateHolder;
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop};
 use runloom_model::forwarder::TableDelivery;
-use runloom_mqtt::client::{Client, Wish};
-use runloom_mqtt::session::Hello;
+use runloom_mqtt::client::{Client, TableFormat};
+use runloom_mqtt::ProxyInfo;
 use runloom_netconf::service::CAPABILITIES;
 use runloom_netconf::session::{Role, Session, SessionLimits};
 use std::net::SocketAddr;
@@ -124,22 +124,22 @@
 
     /// Opens the protocol's side of a session; `planner` is the name of its certificate.
     fn open_protocol(&mut self, now: Duration, planner: &str) -> Option<PlannerProtocol> {
-        let wish = match self.settings.front {
+        let format = match self.settings.front {
             TableDelivery::Edits => {
                 let id = self.planner_link.service.open(planner, now)?;
                 let session = Session::new(Role::Server { id }, &CAPABILITIES, SessionLimits::default());
                 return Some(PlannerProtocol::Netconf { session: Box::new(session), id });
             }
-            TableDelivery::Weights => Wish::Weights,
-            TableDelivery::Subsets => Wish::Subsets,
+            TableDelivery::Weights => TableFormat::Weights,
+            TableDelivery::Subsets => TableFormat::Subsets,
         };
         let positions = self.planner_link.resume_positions(planner);
-        let hello = Hello {
+        let info = ProxyInfo {
             zone: self.settings.zone.clone(),
-            rate: self.reporter.arrival_rate(),
-            fresh: !self.proxy.tables().is_from_planner(),
+            request_rate: self.reporter.arrival_rate(),
+            has_no_table: !self.proxy.tables().is_from_planner(),
         };
-        let client = Client::new(now, planner, &self.settings.name, &hello, wish, positions);
+        let client = Client::new(now, planner, &self.settings.name, &info, format, positions);
         Some(PlannerProtocol::Mqtt(Box::new(client)))
     }
 
--- a/crates/daemon/src/proxy_runtime/reports.rs
+++ b/crates/daemon/src/proxy_runtime/reports.rs
@@ -69,7 +69,7 @@
         }
         self.reporter.due_at = now + self.reporter.interval;
         let client = self.planner_link.mqtt_client();
-        if client.is_some_and(|client| client.is_joined() && !client.can_report()) {
+        if client.is_some_and(|client| client.is_connected() && !client.can_report()) {
             return;
         }
         let report = self.reporter.take_report(&mut self.proxy, now);
@@ -89,8 +89,8 @@
                     session.notify(&wall_text(), event);
                 }
             }
-            Some(PlannerProtocol::Mqtt(client)) if client.is_joined() => {
-                client.report(now, report::write(report));
+            Some(PlannerProtocol::Mqtt(client)) if client.is_connected() => {
+                client.send_report(now, report::encode(report));
             }
             _ => {}
         }
--- a/crates/daemon/src/proxy_runtime/table_delivery.rs
+++ b/crates/daemon/src/proxy_runtime/table_delivery.rs
@@ -5,7 +5,7 @@
 use super::{AppliedUpdate, ProxyRuntime};
 use runloom_event_loop::EventLoop;
 use runloom_model::PROXY;
-use runloom_mqtt::client::{Client, Told as ClientEvent};
+use runloom_mqtt::client::{Client, ClientEvent};
 use runloom_netconf::session::SessionEvent;
 use runloom_netconf::tree::Element;
 use runloom_proxy::published_tables::tables_after_update;
@@ -93,11 +93,13 @@
     fn read_mqtt(&mut self, event_loop: &mut EventLoop, bytes: &[u8]) {
         let now = event_loop.now();
         let Some(client) = self.planner_link.mqtt_client_mut() else { return };
-        for event in client.take(now, bytes) {
-            let ClientEvent::Part(id, part) = event else { continue };
+        for event in client.receive(now, bytes) {
+            let ClientEvent::Part { packet_id, part } = event else { continue };
             let is_usable = self.apply_part(&part);
-            if let Some(client) = self.planner_link.mqtt_client_mut() {
-                client.answer(now, id, is_usable);
+            match self.planner_link.mqtt_client_mut() {
+                Some(client) if is_usable => client.acknowledge(now, packet_id),
+                Some(client) => client.reject(now, packet_id),
+                None => {}
             }
         }
         self.write_mqtt(event_loop);
@@ -135,7 +137,7 @@
     pub(super) fn run_session_timers(&mut self, event_loop: &mut EventLoop, now: Duration) {
         let Some(client) = self.planner_link.mqtt_client_mut() else { return };
         if client.wakes_at().is_some_and(|at| now >= at) {
-            client.wake(now);
+            client.handle_timeout(now);
             self.write_mqtt(event_loop);
         }
     }
@@ -143,7 +145,7 @@
     /// Writes what the MQTT client has to send, and ends the session if the client ended it.
     fn write_mqtt(&mut self, event_loop: &mut EventLoop) {
         self.write_planner(event_loop);
-        let end = self.planner_link.mqtt_client().and_then(Client::over);
+        let end = self.planner_link.mqtt_client().and_then(Client::end);
         if let Some(end) = end {
             tracing::info!(forwarder = %self.settings.name, over = ?end, "stream ends; tables stay in force");
             self.break_planner_session(event_loop);
--- a/crates/daemon/src/proxy_sessions.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -9,8 +9,8 @@
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_model::order::Report;
 use runloom_model::PROXY as PROXY_NS;
-use runloom_mqtt::session::{Hello, Session as Subscription, SessionEnd, SessionEvent as Said};
-use runloom_mqtt::{body, report};
+use runloom_mqtt::session::{Session as Subscription, SessionEvent as Said};
+use runloom_mqtt::{body, report, ConnectionEnd, ProxyInfo};
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
 use runloom_netconf::tree::Element;
 use runloom_netconf::{BASE, NOTIFY};
@@ -58,7 +58,7 @@
 pub(crate) struct Stream {
     pub holder: CertificateHolder,
     session: Subscription,
-    hello: Hello,
+    hello: ProxyInfo,
     wanted: Vec<TopicFilter>,
     pub proxy: Option<usize>,
     /// When messages that it has yet to confirm were sent.
@@ -71,7 +71,7 @@
         Stream {
             holder,
             session,
-            hello: Hello::default(),
+            hello: ProxyInfo::default(),
             wanted: vec![],
             proxy: None,
             sent: BTreeMap::new(),
@@ -187,7 +187,7 @@
     fn taken_over(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         if let Some(Peer::Stream(mut stream)) = self.peers.remove(&conn) {
             tracing::warn!(proxy = %stream.holder.name, "another connection of this name took over");
-            stream.session.taken_over(turn.now());
+            stream.session.take_over(turn.now());
             turn.write(conn, &stream.session.output());
             turn.finish(conn);
         } else {
@@ -245,7 +245,7 @@
     pub(crate) fn stream_bytes(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let now = turn.now();
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
-        for said in stream.session.take(now, bytes) {
+        for said in stream.session.receive(now, bytes) {
             self.said(turn, conn, said);
         }
         self.stream_out(turn, conn);
@@ -256,13 +256,13 @@
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         match said {
             Said::Connected(hello) => stream.hello = hello,
-            Said::Wants { wanted, holds } => {
+            Said::Subscribed { filters: wanted, held: holds } => {
                 stream.wanted.extend(wanted);
                 if stream.proxy.is_none() {
                     self.stream_came(turn, conn, holds);
                 }
             }
-            Said::WantsNoMore { wanted } => {
+            Said::Unsubscribed { filters: wanted } => {
                 stream.wanted.retain(|w| !wanted.contains(w));
                 // Without its tables it cannot be ordered, and would be taken for one that is.
                 tracing::warn!(proxy = %stream.holder.name, "let go: it wants its tables no more");
@@ -270,17 +270,17 @@
                 self.closed(turn, conn, CloseReason::Ended);
             }
             Said::Report(bytes) => {
-                let (proxy, read) = (stream.proxy, report::read(&bytes));
+                let (proxy, read) = (stream.proxy, report::decode(&bytes));
                 match (proxy, read) {
                     (Some(proxy), Ok(report)) => self.reported(turn, conn, proxy, &report),
                     (None, _) => {}
                     (_, Err(why)) => {
                         self.unread_reports += 1;
-                        tracing::debug!(proxy = %stream.holder.name, why, "a report cannot be read");
+                        tracing::debug!(proxy = %stream.holder.name, why = why.to_string(), "a report cannot be read");
                     }
                 }
             }
-            Said::Confirmed(number) => {
+            Said::Acknowledged(number) => {
                 let sent = stream.sent.remove(&number);
                 let Some(proxy) = stream.proxy else { return };
                 if let Some(sent) = sent {
@@ -289,7 +289,7 @@
                 let order = self.front.acknowledged(now, proxy, number);
                 self.in_force(now, proxy, order);
             }
-            Said::Lacks(number, topic) => {
+            Said::Rejected(number, topic) => {
                 stream.sent.remove(&number);
                 let Some(proxy) = stream.proxy else { return };
                 let rejection = self.front.rejected(now, proxy, number, topic);
@@ -309,8 +309,8 @@
             connection: conn,
             name: stream.holder.name.clone(),
             zone: stream.hello.zone.clone(),
-            request_rate: stream.hello.rate,
-            has_no_table: stream.hello.fresh,
+            request_rate: stream.hello.request_rate,
+            has_no_table: stream.hello.has_no_table,
             transport: Transport::Published,
             filters: stream.wanted.clone(),
             held: holds,
@@ -324,11 +324,11 @@
     fn stream_out(&mut self, turn: &mut EventLoop, conn: ConnectionId) {
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         turn.write(conn, &stream.session.output());
-        let why = match stream.session.over() {
+        let why = match stream.session.end() {
             None => return,
-            Some(SessionEnd::Left) => CloseReason::Ended,
-            Some(SessionEnd::Silent) => CloseReason::Idle,
-            Some(SessionEnd::Refused(reason)) => {
+            Some(ConnectionEnd::Disconnected) => CloseReason::Ended,
+            Some(ConnectionEnd::TimedOut) => CloseReason::Idle,
+            Some(ConnectionEnd::Rejected(reason)) => {
                 tracing::warn!(proxy = %stream.holder.name, reason, "stream ends");
                 CloseReason::Broken
             }
@@ -346,8 +346,8 @@
         self.identities(turn, now);
         let silent = |(conn, peer): (&ConnectionId, &mut Peer)| {
             let Peer::Stream(stream) = peer else { return None };
-            stream.session.wake(now);
-            stream.session.over().map(|_| *conn)
+            stream.session.handle_timeout(now);
+            stream.session.end().map(|_| *conn)
         };
         let silent: Vec<ConnectionId> = self.peers.iter_mut().filter_map(silent).collect();
         silent.into_iter().for_each(|conn| self.stream_out(turn, conn));
@@ -396,7 +396,7 @@
     /// A front that has no room is told more with its next confirmation.
     fn has_room(&self, conn: ConnectionId) -> bool {
         match self.peers.get(&conn) {
-            Some(Peer::Stream(stream)) => stream.session.room() > 0,
+            Some(Peer::Stream(stream)) => stream.session.available_messages() > 0,
             Some(Peer::Home(_)) => true,
             _ => false,
         }
@@ -411,8 +411,8 @@
     fn tell_stream(&mut self, now: Duration, conn: ConnectionId, number: u64, part: &UpdatePart) {
         let Some(Peer::Stream(stream)) = self.peers.get_mut(&conn) else { return };
         let key = (part.epoch, part.topic, part.base_version, part.version, part.part);
-        let text = self.bodies.entry(key).or_insert_with(|| body::write(part).into());
-        stream.session.tell(now, number, part.topic, text.clone());
+        let text = self.bodies.entry(key).or_insert_with(|| body::encode(part).into());
+        stream.session.publish(now, number, part.topic, text.clone());
         stream.sent.insert(number, now);
     }
 }
--- a/crates/mqtt/src/body.rs
+++ b/crates/mqtt/src/body.rs
@@ -1,75 +1,105 @@
-//! A part of an update as JSON, for proxies in any language; its topic is the message's.
+//! A part of a table's update as JSON, for proxies in any language. Its topic is the message's.
 
-use runloom_versioned_publisher::{Change, Key, Topic, UpdatePart, MAX_CHANGES_PER_PART};
+use crate::decode_error::DecodeError;
+use runloom_versioned_publisher::{Change, Key, Topic, UpdatePart, Version, MAX_CHANGES_PER_PART};
 use serde::{Deserialize, Serialize};
 
+/// Parts of one update: a table of 8,192 keys, twice what a fleet may have.
+const MAX_PARTS: usize = 64;
+
+/// The JSON object.
 #[derive(Serialize, Deserialize)]
-struct Body {
+struct PartBody {
     epoch: u64,
-    /// None: a snapshot.
-    from: Option<u64>,
-    to: u64,
+    /// `None`: a snapshot.
+    #[serde(rename = "from")]
+    base_version: Option<Version>,
+    #[serde(rename = "to")]
+    version: Version,
     part: usize,
-    of: usize,
-    changes: Vec<(What, String, Option<String>)>,
+    #[serde(rename = "of")]
+    part_count: usize,
+    changes: Vec<ChangeBody>,
 }
 
+/// The kind of the key, its name, and the value: `None` removes the key.
+#[derive(Serialize, Deserialize)]
+struct ChangeBody(KeyKind, String, Option<String>);
+
 #[derive(Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum What {
-    Withdrawn,
-    Line,
-    Level,
-    Bind,
+enum KeyKind {
+    #[serde(rename = "withdrawn")]
+    Ejection,
+    #[serde(rename = "line")]
+    Entry,
+    #[serde(rename = "level")]
+    AdmissionLimit,
+    #[serde(rename = "bind")]
+    Assignment,
 }
 
-/// Parts of one update: a table of 8,192 keys, twice what a fleet may have.
-const PARTS_MOST: usize = 64;
+impl PartBody {
+    fn is_consistent(&self) -> bool {
+        let goes_forward = self.base_version.is_none_or(|base_version| base_version < self.version);
+        self.part < self.part_count
+            && self.part_count <= MAX_PARTS
+            && self.changes.len() <= MAX_CHANGES_PER_PART
+            && goes_forward
+    }
+}
 
-pub fn write(part: &UpdatePart) -> Vec<u8> {
-    let change = |c: &Change| {
-        let (what, name) = match &c.key {
-            Key::Ejection(name) => (What::Withdrawn, name),
-            Key::Entry(name) => (What::Line, name),
-            Key::AdmissionLimit(name) => (What::Level, name),
-            Key::Assignment(class) => (What::Bind, class),
+impl From<&Change> for ChangeBody {
+    fn from(change: &Change) -> ChangeBody {
+        let (kind, name) = match &change.key {
+            Key::Ejection(server) => (KeyKind::Ejection, server),
+            Key::Entry(server) => (KeyKind::Entry, server),
+            Key::AdmissionLimit(class) => (KeyKind::AdmissionLimit, class),
+            Key::Assignment(class) => (KeyKind::Assignment, class),
         };
-        (what, name.clone(), c.value.as_deref().map(String::from))
-    };
-    let changes = part.changes.iter().map(change).collect();
-    let UpdatePart { epoch, base_version: from, version: to, part, part_count: of, .. } = *part;
-    // Numbers, texts and lists of them are JSON whatever they hold.
-    serde_json::to_vec(&Body { epoch, from, to, part, of, changes }).unwrap_or_default()
+        ChangeBody(kind, name.clone(), change.value.as_deref().map(String::from))
+    }
 }
 
-/// Reads what [`write`] wrote; an error in words for what is none.
-pub fn read(topic: Topic, bytes: &[u8]) -> Result<UpdatePart, String> {
-    let body: Body = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
-    let Body { epoch, from, to, part, of, changes } = body;
-    if part >= of
-        || of > PARTS_MOST
-        || changes.len() > MAX_CHANGES_PER_PART
-        || from.is_some_and(|from| from >= to)
-    {
-        return Err("its numbers do not fit together".into());
-    }
-    let change = |(what, name, value): (What, String, Option<String>)| {
-        let key = match what {
-            What::Withdrawn => Key::Ejection(name),
-            What::Line => Key::Entry(name),
-            What::Level => Key::AdmissionLimit(name),
-            What::Bind => Key::Assignment(name),
+impl From<ChangeBody> for Change {
+    fn from(ChangeBody(kind, name, value): ChangeBody) -> Change {
+        let key = match kind {
+            KeyKind::Ejection => Key::Ejection(name),
+            KeyKind::Entry => Key::Entry(name),
+            KeyKind::AdmissionLimit => Key::AdmissionLimit(name),
+            KeyKind::Assignment => Key::Assignment(name),
         };
-        Change { key, value: value.map(|v| v.as_str().into()) }
+        Change { key, value: value.map(|value| value.as_str().into()) }
+    }
+}
+
+/// Writes a part.
+pub fn encode(part: &UpdatePart) -> Vec<u8> {
+    let body = PartBody {
+        epoch: part.epoch,
+        base_version: part.base_version,
+        version: part.version,
+        part: part.part,
+        part_count: part.part_count,
+        changes: part.changes.iter().map(ChangeBody::from).collect(),
     };
-    let changes: Vec<Change> = changes.into_iter().map(change).collect();
+    // Numbers, strings and lists of them are always valid JSON.
+    serde_json::to_vec(&body).unwrap_or_default()
+}
+
+/// Reads what [`encode`] wrote.
+pub fn decode(topic: Topic, bytes: &[u8]) -> Result<UpdatePart, DecodeError> {
+    let body: PartBody = serde_json::from_slice(bytes)?;
+    if !body.is_consistent() {
+        return Err(DecodeError::InconsistentPart);
+    }
+    let changes: Vec<Change> = body.changes.into_iter().map(Change::from).collect();
     Ok(UpdatePart {
         topic,
-        epoch,
-        base_version: from,
-        version: to,
-        part,
-        part_count: of,
+        epoch: body.epoch,
+        base_version: body.base_version,
+        version: body.version,
+        part: body.part,
+        part_count: body.part_count,
         changes: changes.into(),
     })
 }
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -1,7 +1,8 @@
-//! A proxy's side of a connection: it says what it is and what it holds, takes its tables, and sends its reports.
+//! A proxy's side of a connection: it subscribes to its tables, acknowledges their updates, and publishes reports.
 
-use crate::session::Hello;
-use crate::{body, names};
+use crate::connection_end::ConnectionEnd;
+use crate::proxy_info::ProxyInfo;
+use crate::{body, topics};
 use mqtt_protocol_core::mqtt::common::Cursor;
 use mqtt_protocol_core::mqtt::connection::event::{GenericEvent, TimerKind};
 use mqtt_protocol_core::mqtt::connection::ConnectionOptions;
@@ -12,153 +13,173 @@
 use runloom_versioned_publisher::{HeldVersion, Topic, TopicKind, UpdatePart, MAX_IN_FLIGHT};
 use std::time::Duration;
 
-/// The largest message that is taken: a part of 128 changes with names and addresses of the greatest length.
-const PACKET_MOST: u32 = 256 << 10;
-/// The other side answers a greeting, a subscription and a sign of life within this time, or it is gone.
-const ANSWER: Duration = Duration::from_secs(5);
-/// A report is confirmed within this time, or something is heard at least: a proxy that hears nothing must not take
-/// itself for joined, for drains no longer reach it. As long as a planner waits for a proxy's word, and some.
-const CONFIRMED: Duration = Duration::from_secs(2);
+/// The largest packet that is accepted: a part of 128 changes with names and addresses of maximal length.
+const MAX_PACKET_BYTES: u32 = 256 << 10;
+/// A ping is sent after this many seconds without another packet.
+const KEEP_ALIVE_SECONDS: u16 = 10;
+/// The planner answers a connect, a subscription and a ping within this time.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The planner acknowledges a report, or sends something else, within this time: a proxy that receives nothing must
+/// not take itself for connected, since drains no longer reach it.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the planner said.
+/// What the planner sent.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
-    /// It lets this proxy have its tables.
-    Joined,
-    /// A part of a table, to be answered by [`Client::answer`] under the number.
-    Part(u16, UpdatePart),
+pub enum ClientEvent {
+    /// The subscription was granted.
+    Connected,
+    /// A part of a table's update, to be answered by [`Client::acknowledge`] or [`Client::reject`].
+    Part {
+        /// The message's packet identifier.
+        packet_id: u16,
+        /// The part.
+        part: UpdatePart,
+    },
 }
 
-/// Why a connection is over.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SessionEnd {
-    Left,
-    Refused(String),
-    Silent,
-}
-
-/// What a proxy asks for.
+/// Which tables a proxy subscribes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wish {
+pub enum TableFormat {
     /// Tables with weights.
     Weights,
-    /// Subsets, of servers that are all alike to it.
+    /// Subsets of servers to select from evenly.
     Subsets,
 }
 
+impl TableFormat {
+    fn topic_kinds(self) -> [TopicKind; 3] {
+        let table_kind = match self {
+            TableFormat::Weights => TopicKind::Weights,
+            TableFormat::Subsets => TopicKind::Subset,
+        };
+        [table_kind, TopicKind::Ejections, TopicKind::Assignments]
+    }
+}
+
+/// A connection to a planner.
 pub struct Client {
-    link: Connection<role::Client>,
+    connection: Connection<role::Client>,
     planner: String,
     proxy: String,
-    wish: Wish,
-    holds: Vec<(Topic, HeldVersion)>,
-    out: Vec<u8>,
-    joined: bool,
-    /// When an answer is overdue, and when a sign of life is due.
-    answer_by: Option<Duration>,
-    sign_at: Option<Duration>,
-    over: Option<SessionEnd>,
+    format: TableFormat,
+    held: Vec<(Topic, HeldVersion)>,
+    output: Vec<u8>,
+    is_subscribed: bool,
+    /// When a response is overdue.
+    response_due_at: Option<Duration>,
+    /// When a ping is due.
+    ping_at: Option<Duration>,
+    end: Option<ConnectionEnd>,
 }
 
 impl Client {
-    /// Greets. `planner`: by its certificate; `holds`: tables with epoch and version, to go on from.
+    /// Starts a connection. `planner` is the name of the planner's certificate; `held` are the topics to resume from.
     pub fn new(
         now: Duration,
         planner: &str,
         proxy: &str,
-        hello: &Hello,
-        wish: Wish,
-        holds: Vec<(Topic, HeldVersion)>,
+        info: &ProxyInfo,
+        format: TableFormat,
+        held: Vec<(Topic, HeldVersion)>,
     ) -> Client {
-        let bounds = ConnectionOptions::new().maximum_packet_size_recv(PACKET_MOST);
+        let options = ConnectionOptions::new().maximum_packet_size_recv(MAX_PACKET_BYTES);
         let mut client = Client {
-            link: Connection::with_options(Version::V5_0, bounds),
+            connection: Connection::with_options(Version::V5_0, options),
             planner: planner.to_string(),
             proxy: proxy.to_string(),
-            wish,
-            holds,
-            out: vec![],
-            joined: false,
-            answer_by: Some(now + ANSWER),
-            sign_at: None,
-            over: None,
+            format,
+            held,
+            output: vec![],
+            is_subscribed: false,
+            response_due_at: Some(now + RESPONSE_TIMEOUT),
+            ping_at: None,
+            end: None,
         };
-        match client.greeting(hello) {
-            Some(greeting) => client.send(now, greeting),
-            None => client.over = Some(SessionEnd::Refused("its name or zone fits no message".into())),
+        match client.connect_packet(info) {
+            Some(packet) => client.send(now, packet),
+            None => client.end = Some(ConnectionEnd::rejected("the proxy's name or zone fits no packet")),
         }
         client
     }
 
-    fn greeting(&self, hello: &Hello) -> Option<v5_0::Connect> {
-        let said = |name: &str, value: String| UserProperty::new(name, value).ok().map(Property::from);
+    fn connect_packet(&self, info: &ProxyInfo) -> Option<v5_0::Connect> {
         let mut properties: Vec<Property> = vec![
             ReceiveMaximum::new(MAX_IN_FLIGHT as u16).ok()?.into(),
-            MaximumPacketSize::new(PACKET_MOST).ok()?.into(),
+            MaximumPacketSize::new(MAX_PACKET_BYTES).ok()?.into(),
         ];
-        properties.push(said("zone", hello.zone.clone())?);
-        properties.push(said("rate", format!("{:.3}", hello.rate))?);
-        properties.push(said("fresh", hello.fresh.to_string())?);
-        let greeting = v5_0::Connect::builder().client_id(&self.proxy).ok()?.clean_start(true);
-        greeting.keep_alive(10).props(properties).build().ok()
+        properties.extend(info.properties()?);
+        let packet = v5_0::Connect::builder().client_id(&self.proxy).ok()?.clean_start(true);
+        packet.keep_alive(KEEP_ALIVE_SECONDS).props(properties).build().ok()
     }
 
+    /// Takes the bytes to be written.
     pub fn output(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.output)
     }
 
-    pub fn over(&self) -> Option<&SessionEnd> {
-        self.over.as_ref()
+    /// Why the connection ended, if it did: the output is still to be written.
+    pub fn end(&self) -> Option<&ConnectionEnd> {
+        self.end.as_ref()
     }
 
-    pub fn is_joined(&self) -> bool {
-        self.joined && self.over.is_none()
+    /// Whether the subscription was granted and the connection has not ended.
+    pub fn is_connected(&self) -> bool {
+        self.is_subscribed && self.end.is_none()
     }
 
+    /// When [`Client::handle_timeout`] is to be called.
     pub fn wakes_at(&self) -> Option<Duration> {
-        [self.answer_by, self.sign_at].into_iter().flatten().min()
+        [self.response_due_at, self.ping_at].into_iter().flatten().min()
     }
 
-    pub fn wake(&mut self, now: Duration) {
-        if self.answer_by.is_some_and(|at| now >= at) {
-            self.answer_by = None;
-            self.over.get_or_insert(SessionEnd::Silent);
+    /// Ends the connection if a response is overdue, and sends a ping if one is due.
+    pub fn handle_timeout(&mut self, now: Duration) {
+        if self.response_due_at.is_some_and(|at| now >= at) {
+            self.response_due_at = None;
+            self.end.get_or_insert(ConnectionEnd::TimedOut);
         }
-        if self.sign_at.is_some_and(|at| now >= at) && self.over.is_none() {
-            self.sign_at = None;
-            let events = self.link.notify_timer_fired(TimerKind::PingreqSend);
-            self.follow(now, events);
-            self.answer_by.get_or_insert(now + ANSWER);
+        if self.ping_at.is_some_and(|at| now >= at) && self.end.is_none() {
+            self.ping_at = None;
+            let events = self.connection.notify_timer_fired(TimerKind::PingreqSend);
+            self.handle_protocol_events(now, events);
+            self.response_due_at.get_or_insert(now + RESPONSE_TIMEOUT);
         }
     }
 
-    pub fn take(&mut self, now: Duration, bytes: &[u8]) -> Vec<Told> {
-        let (mut cursor, mut told) = (Cursor::new(bytes), Vec::new());
-        while self.over.is_none() && (cursor.position() as usize) < bytes.len() {
-            let events = self.link.recv(&mut cursor);
-            for packet in self.follow(now, events) {
-                self.packet(now, packet, &mut told);
+    /// Takes in received bytes.
+    pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Vec<ClientEvent> {
+        let mut cursor = Cursor::new(bytes);
+        let mut events = Vec::new();
+        while self.end.is_none() && (cursor.position() as usize) < bytes.len() {
+            let protocol_events = self.connection.recv(&mut cursor);
+            for packet in self.handle_protocol_events(now, protocol_events) {
+                self.handle_packet(now, packet, &mut events);
             }
         }
-        told
+        events
     }
 
-    fn follow(&mut self, now: Duration, events: Vec<GenericEvent<u16>>) -> Vec<GenericPacket<u16>> {
+    /// Does what the protocol's state machine asks for, and returns the packets that came.
+    fn handle_protocol_events(
+        &mut self,
+        now: Duration,
+        events: Vec<GenericEvent<u16>>,
+    ) -> Vec<GenericPacket<u16>> {
         let mut packets = Vec::new();
         for event in events {
             match event {
                 GenericEvent::NotifyPacketReceived(packet) => packets.push(packet),
                 GenericEvent::RequestSendPacket { packet, .. } => {
-                    self.out.extend(packet.to_continuous_buffer());
+                    self.output.extend(packet.to_continuous_buffer());
                 }
                 GenericEvent::RequestTimerReset { kind: TimerKind::PingreqSend, duration_ms } => {
-                    self.sign_at = Some(now + Duration::from_millis(duration_ms));
+                    self.ping_at = Some(now + Duration::from_millis(duration_ms));
                 }
-                GenericEvent::RequestTimerCancel(TimerKind::PingreqSend) => self.sign_at = None,
+                GenericEvent::RequestTimerCancel(TimerKind::PingreqSend) => self.ping_at = None,
                 GenericEvent::NotifyError(error) => {
-                    self.over.get_or_insert(SessionEnd::Refused(format!("{error:?}")));
+                    self.end.get_or_insert(ConnectionEnd::rejected_by(error));
                 }
-                GenericEvent::RequestClose => _ = self.over.get_or_insert(SessionEnd::Left),
+                GenericEvent::RequestClose => _ = self.end.get_or_insert(ConnectionEnd::Disconnected),
                 _ => {}
             }
         }
@@ -166,107 +187,118 @@
     }
 
     fn send(&mut self, now: Duration, packet: impl Into<GenericPacket<u16>>) {
-        let events = self.link.send(packet.into());
-        self.follow(now, events);
+        let events = self.connection.send(packet.into());
+        self.handle_protocol_events(now, events);
     }
 
-    fn packet(&mut self, now: Duration, packet: GenericPacket<u16>, told: &mut Vec<Told>) {
-        // Whatever comes is a sign of life.
-        self.answer_by = if self.joined { None } else { self.answer_by };
+    fn handle_packet(&mut self, now: Duration, packet: GenericPacket<u16>, events: &mut Vec<ClientEvent>) {
+        if self.is_subscribed {
+            // Whatever comes shows that the planner responds.
+            self.response_due_at = None;
+        }
         match packet {
-            GenericPacket::V5_0Connack(p) if p.reason_code() == ConnectReasonCode::Success => {
-                match self.subscription() {
-                    Some(wish) => self.send(now, wish),
-                    None => self.over = Some(SessionEnd::Refused("its tables fit no message".into())),
-                }
-            }
-            GenericPacket::V5_0Connack(p) => {
-                self.over = Some(SessionEnd::Refused(format!("{:?}", p.reason_code())));
-            }
-            GenericPacket::V5_0Suback(p) => {
-                let refused = p.reason_codes().into_iter().find(|code| !code.is_success());
-                match refused {
-                    Some(code) => self.over = Some(SessionEnd::Refused(format!("{code:?}"))),
-                    None => {
-                        (self.joined, self.answer_by) = (true, None);
-                        told.push(Told::Joined);
-                    }
-                }
-            }
-            GenericPacket::V5_0Publish(p) => self.published(now, &p, told),
-            GenericPacket::V5_0Disconnect(p) => {
-                self.over = Some(SessionEnd::Refused(format!("{:?}", p.reason_code())));
+            GenericPacket::V5_0Connack(packet) => self.handle_connack(now, &packet),
+            GenericPacket::V5_0Suback(packet) => events.extend(self.handle_suback(&packet)),
+            GenericPacket::V5_0Publish(packet) => events.extend(self.handle_publish(now, &packet)),
+            GenericPacket::V5_0Disconnect(packet) => {
+                self.end = Some(ConnectionEnd::rejected_by(packet.reason_code()));
             }
             _ => {}
         }
     }
 
-    fn subscription(&mut self) -> Option<v5_0::Subscribe> {
-        let of = |kind| names::all_of(&self.planner, &self.proxy, kind);
-        let filters = match self.wish {
-            Wish::Weights => {
-                vec![of(TopicKind::Weights), of(TopicKind::Ejections), of(TopicKind::Assignments)]
-            }
-            Wish::Subsets => {
-                vec![of(TopicKind::Subset), of(TopicKind::Ejections), of(TopicKind::Assignments)]
-            }
-        };
+    fn handle_connack(&mut self, now: Duration, packet: &v5_0::Connack) {
+        if packet.reason_code() != ConnectReasonCode::Success {
+            self.end = Some(ConnectionEnd::rejected_by(packet.reason_code()));
+            return;
+        }
+        match self.subscribe_packet() {
+            Some(packet) => self.send(now, packet),
+            None => self.end = Some(ConnectionEnd::rejected("the held topics fit no packet")),
+        }
+    }
+
+    fn subscribe_packet(&mut self) -> Option<v5_0::Subscribe> {
         let options = SubOpts::new().set_qos(Qos::AtLeastOnce);
-        let entries =
-            filters.iter().map(|f| SubEntry::new(f.as_str(), options).ok()).collect::<Option<Vec<_>>>()?;
-        let holds = self.holds.iter().map(|(topic, HeldVersion { epoch, version })| {
-            let name = names::table(&self.planner, &self.proxy, *topic);
-            UserProperty::new("holds", format!("{name} {epoch} {version}")).ok().map(Property::from)
-        });
-        let holds = holds.collect::<Option<Vec<_>>>()?;
-        let id = self.link.acquire_packet_id().ok()?;
-        v5_0::Subscribe::builder().entries(entries).props(holds).packet_id(id).build().ok()
+        let entry = |kind| {
+            let filter = topics::kind_filter(&self.planner, &self.proxy, kind);
+            SubEntry::new(filter.as_str(), options).ok()
+        };
+        let entries = self.format.topic_kinds().into_iter().map(entry).collect::<Option<Vec<_>>>()?;
+        let held = |(topic, held): &(Topic, HeldVersion)| {
+            let name = topics::table_topic(&self.planner, &self.proxy, *topic);
+            let value = format!("{name} {} {}", held.epoch, held.version);
+            UserProperty::new("holds", value).ok().map(Property::from)
+        };
+        let properties = self.held.iter().map(held).collect::<Option<Vec<_>>>()?;
+        let packet_id = self.connection.acquire_packet_id().ok()?;
+        v5_0::Subscribe::builder().entries(entries).props(properties).packet_id(packet_id).build().ok()
     }
 
-    fn published(&mut self, now: Duration, p: &v5_0::Publish, told: &mut Vec<Told>) {
-        let topic = names::read_table(&self.planner, &self.proxy, p.topic_name());
-        let part = topic.ok_or_else(|| "no table of its own".to_string());
-        let part = part.and_then(|topic| body::read(topic, p.payload().as_slice()));
-        match (part, p.packet_id()) {
-            (Ok(part), Some(id)) => told.push(Told::Part(id, part)),
-            // What cannot be read is said so at once, and asked for anew by that.
-            (Err(_), Some(id)) => self.answer(now, id, false),
-            (_, None) => {}
+    fn handle_suback(&mut self, packet: &v5_0::Suback) -> Option<ClientEvent> {
+        if let Some(code) = packet.reason_codes().into_iter().find(|code| !code.is_success()) {
+            self.end = Some(ConnectionEnd::rejected_by(code));
+            return None;
         }
+        self.is_subscribed = true;
+        self.response_due_at = None;
+        Some(ClientEvent::Connected)
+    }
+
+    /// A part that cannot be read is rejected at once, upon which the planner sends a snapshot.
+    fn handle_publish(&mut self, now: Duration, packet: &v5_0::Publish) -> Option<ClientEvent> {
+        let packet_id = packet.packet_id()?;
+        let topic = topics::parse_table_topic(&self.planner, &self.proxy, packet.topic_name());
+        match topic.and_then(|topic| body::decode(topic, packet.payload().as_slice()).ok()) {
+            Some(part) => Some(ClientEvent::Part { packet_id, part }),
+            None => {
+                self.reject(now, packet_id);
+                None
+            }
+        }
+    }
+
+    /// Acknowledges a part that was applied, or waits for the rest of its update.
+    pub fn acknowledge(&mut self, now: Duration, packet_id: u16) {
+        self.send_puback(now, packet_id, PubackReasonCode::Success);
+    }
+
+    /// Rejects a part that cannot be used: the planner is to send a snapshot.
+    pub fn reject(&mut self, now: Duration, packet_id: u16) {
+        self.send_puback(now, packet_id, PubackReasonCode::PayloadFormatInvalid);
     }
 
-    /// The word on a part: taken, or of no use.
-    pub fn answer(&mut self, now: Duration, id: u16, good: bool) {
-        let code = if good { PubackReasonCode::Success } else { PubackReasonCode::PayloadFormatInvalid };
-        if let Ok(word) = v5_0::Puback::builder().packet_id(id).reason_code(code).build() {
-            self.send(now, word);
+    fn send_puback(&mut self, now: Duration, packet_id: u16, code: PubackReasonCode) {
+        if let Ok(packet) = v5_0::Puback::builder().packet_id(packet_id).reason_code(code).build() {
+            self.send(now, packet);
         }
     }
 
-    /// Whether a report can be sent now; one that cannot stays with what comes next.
+    /// Whether a report can be sent now: the planner limits how many it has not acknowledged.
     pub fn can_report(&self) -> bool {
-        let room = self.link.get_receive_maximum_vacancy_for_send();
-        self.is_joined() && room.is_none_or(|room| room > 0)
+        let available = self.connection.get_receive_maximum_vacancy_for_send();
+        self.is_connected() && available.is_none_or(|available| available > 0)
     }
 
-    pub fn report(&mut self, now: Duration, report: Vec<u8>) {
-        let topic = names::report(&self.planner, &self.proxy);
-        let Ok(id) = self.link.acquire_packet_id() else { return };
-        let message = v5_0::Publish::builder()
+    /// Sends a report, as [`crate::report::encode`] writes it.
+    pub fn send_report(&mut self, now: Duration, report: Vec<u8>) {
+        let topic = topics::report_topic(&self.planner, &self.proxy);
+        let Ok(packet_id) = self.connection.acquire_packet_id() else { return };
+        let packet = v5_0::Publish::builder()
             .topic_name(topic)
-            .map(|b| b.qos(Qos::AtLeastOnce).packet_id(id).payload(report))
-            .and_then(|b| b.build());
-        if let Ok(message) = message {
-            self.answer_by.get_or_insert(now + CONFIRMED);
-            self.send(now, message);
+            .map(|builder| builder.qos(Qos::AtLeastOnce).packet_id(packet_id).payload(report))
+            .and_then(|builder| builder.build());
+        if let Ok(packet) = packet {
+            self.response_due_at.get_or_insert(now + REPORT_TIMEOUT);
+            self.send(now, packet);
         }
     }
 
-    /// Says goodbye.
-    pub fn leave(&mut self, now: Duration) {
-        if let Ok(goodbye) = v5_0::Disconnect::builder().build() {
-            self.send(now, goodbye);
+    /// Disconnects.
+    pub fn disconnect(&mut self, now: Duration) {
+        if let Ok(packet) = v5_0::Disconnect::builder().build() {
+            self.send(now, packet);
         }
-        self.over.get_or_insert(SessionEnd::Left);
+        self.end.get_or_insert(ConnectionEnd::Disconnected);
     }
 }
--- a/crates/mqtt/src/report.rs
+++ b/crates/mqtt/src/report.rs
@@ -1,104 +1,163 @@
 //! A proxy's report as JSON, for proxies in any language.
 
+use crate::decode_error::DecodeError;
 use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
+/// Values of a load report.
+const MAX_LOAD_VALUES: usize = 16;
+/// Classes of a fleet.
+const MAX_CLASSES: usize = 32;
+/// Servers of a fleet.
+const MAX_SERVERS: usize = 4096;
+/// The highest latency bucket; longer latencies are in it.
+const MAX_LATENCY_BUCKET: u8 = 27;
+/// Bounds of a report's window, in milliseconds.
+const MIN_WINDOW_MS: u64 = 1;
+const MAX_WINDOW_MS: u64 = 600_000;
+
+/// The JSON object.
 #[derive(Serialize, Deserialize)]
-struct Body {
-    span_ms: u64,
-    met: Vec<MetBody>,
-    came: Vec<CameBody>,
+struct ReportBody {
+    #[serde(rename = "span_ms")]
+    window_ms: u64,
+    #[serde(rename = "met")]
+    outcomes: Vec<OutcomesBody>,
+    #[serde(rename = "came")]
+    arrivals: Vec<ArrivalsBody>,
 }
 
+/// Attempts at one server.
 #[derive(Serialize, Deserialize)]
-struct MetBody {
+struct OutcomesBody {
     server: String,
-    tries: u64,
-    failed: u64,
-    took_us: u64,
-    #[serde(default)]
-    in_time: u64,
+    #[serde(rename = "tries")]
+    attempts: u64,
+    #[serde(rename = "failed")]
+    failures: u64,
+    #[serde(rename = "took_us")]
+    mean_latency_us: u64,
+    #[serde(rename = "in_time", default)]
+    within_objective: u64,
     /// The newest load report; null where a value is missing.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     load: Vec<Option<f64>>,
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    of: Vec<OfBody>,
+    #[serde(rename = "of", default, skip_serializing_if = "Vec::is_empty")]
+    classes: Vec<ClassBody>,
 }
 
+/// Attempts of one class at one server.
 #[derive(Serialize, Deserialize)]
-struct OfBody {
+struct ClassBody {
     class: String,
-    tries: u64,
-    in_time: u64,
-    /// Halved buckets and their counts.
-    took: Vec<(u8, u64)>,
+    #[serde(rename = "tries")]
+    attempts: u64,
+    #[serde(rename = "in_time")]
+    within_objective: u64,
+    /// Latency buckets and their counts.
+    #[serde(rename = "took")]
+    latencies: Vec<(u8, u64)>,
 }
 
+/// Requests of one class that arrived.
 #[derive(Serialize, Deserialize)]
-struct CameBody {
+struct ArrivalsBody {
     class: String,
-    queries: u64,
+    #[serde(rename = "queries")]
+    requests: u64,
     unanswered: u64,
 }
 
-/// Values of a load report, classes a server, and servers: as many as a fleet may have of each.
-const LOADS_MOST: usize = 16;
-const CLASSES_MOST: usize = 32;
-const MET_MOST: usize = 4096;
+impl From<&ServerOutcomes> for OutcomesBody {
+    fn from(outcomes: &ServerOutcomes) -> OutcomesBody {
+        OutcomesBody {
+            server: outcomes.server.clone(),
+            attempts: outcomes.tries,
+            failures: outcomes.failed,
+            mean_latency_us: outcomes.took.as_micros() as u64,
+            within_objective: outcomes.in_time,
+            load: outcomes.load.iter().map(|value| value.is_finite().then_some(*value)).collect(),
+            classes: outcomes.classes.iter().map(ClassBody::from).collect(),
+        }
+    }
+}
 
-pub fn write(report: &Report) -> Vec<u8> {
-    let of = |c: &ClassOutcomes| OfBody {
-        class: c.class.clone(),
-        tries: c.tries,
-        in_time: c.in_time,
-        took: c.took.iter().map(|(k, n)| (*k, *n)).collect(),
-    };
-    let met = |m: &ServerOutcomes| MetBody {
-        server: m.server.clone(),
-        tries: m.tries,
-        failed: m.failed,
-        took_us: m.took.as_micros() as u64,
-        in_time: m.in_time,
-        load: m.load.iter().map(|v| v.is_finite().then_some(*v)).collect(),
-        of: m.classes.iter().map(of).collect(),
-    };
-    let came =
-        |c: &ClassArrivals| CameBody { class: c.class.clone(), queries: c.queries, unanswered: c.unanswered };
-    let body = Body {
-        span_ms: report.span.as_millis() as u64,
-        met: report.met.iter().map(met).collect(),
-        came: report.came.iter().map(came).collect(),
+impl From<OutcomesBody> for ServerOutcomes {
+    fn from(body: OutcomesBody) -> ServerOutcomes {
+        let load = body.load.into_iter().take(MAX_LOAD_VALUES);
+        let classes = body.classes.into_iter().take(MAX_CLASSES);
+        ServerOutcomes {
+            server: body.server,
+            tries: body.attempts,
+            failed: body.failures,
+            took: Duration::from_micros(body.mean_latency_us),
+            in_time: body.within_objective,
+            load: load.map(|value| value.unwrap_or(f64::NAN)).collect(),
+            classes: classes.map(ClassOutcomes::from).collect(),
+        }
+    }
+}
+
+impl From<&ClassOutcomes> for ClassBody {
+    fn from(outcomes: &ClassOutcomes) -> ClassBody {
+        ClassBody {
+            class: outcomes.class.clone(),
+            attempts: outcomes.tries,
+            within_objective: outcomes.in_time,
+            latencies: outcomes.took.iter().map(|(bucket, count)| (*bucket, *count)).collect(),
+        }
+    }
+}
+
+impl From<ClassBody> for ClassOutcomes {
+    fn from(body: ClassBody) -> ClassOutcomes {
+        let latencies = body.latencies.into_iter();
+        ClassOutcomes {
+            class: body.class,
+            tries: body.attempts,
+            in_time: body.within_objective,
+            took: latencies.map(|(bucket, count)| (bucket.min(MAX_LATENCY_BUCKET), count)).collect(),
+        }
+    }
+}
+
+impl From<&ClassArrivals> for ArrivalsBody {
+    fn from(arrivals: &ClassArrivals) -> ArrivalsBody {
+        ArrivalsBody {
+            class: arrivals.class.clone(),
+            requests: arrivals.queries,
+            unanswered: arrivals.unanswered,
+        }
+    }
+}
+
+impl From<ArrivalsBody> for ClassArrivals {
+    fn from(body: ArrivalsBody) -> ClassArrivals {
+        ClassArrivals { class: body.class, queries: body.requests, unanswered: body.unanswered }
+    }
+}
+
+/// Writes a report.
+pub fn encode(report: &Report) -> Vec<u8> {
+    let body = ReportBody {
+        window_ms: report.span.as_millis() as u64,
+        outcomes: report.met.iter().map(OutcomesBody::from).collect(),
+        arrivals: report.came.iter().map(ArrivalsBody::from).collect(),
     };
-    // Numbers, texts and lists of them are JSON whatever they hold.
+    // Numbers, strings and lists of them are always valid JSON.
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// Reads what [`write`] wrote; an error in words for what is none.
-pub fn read(bytes: &[u8]) -> Result<Report, String> {
-    let body: Body = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
-    if body.met.len() > MET_MOST || body.came.len() > CLASSES_MOST {
-        return Err("it names more than there can be".into());
+/// Reads what [`encode`] wrote.
+pub fn decode(bytes: &[u8]) -> Result<Report, DecodeError> {
+    let body: ReportBody = serde_json::from_slice(bytes)?;
+    if body.outcomes.len() > MAX_SERVERS || body.arrivals.len() > MAX_CLASSES {
+        return Err(DecodeError::TooManyEntries);
     }
-    let of = |c: OfBody| ClassOutcomes {
-        class: c.class,
-        tries: c.tries,
-        in_time: c.in_time,
-        took: c.took.into_iter().map(|(k, n)| (k.min(27), n)).collect(),
-    };
-    let met = |m: MetBody| ServerOutcomes {
-        server: m.server,
-        tries: m.tries,
-        failed: m.failed,
-        took: Duration::from_micros(m.took_us),
-        in_time: m.in_time,
-        load: m.load.into_iter().take(LOADS_MOST).map(|v| v.unwrap_or(f64::NAN)).collect(),
-        classes: m.of.into_iter().take(CLASSES_MOST).map(of).collect(),
-    };
-    let came = |c: CameBody| ClassArrivals { class: c.class, queries: c.queries, unanswered: c.unanswered };
     Ok(Report {
-        span: Duration::from_millis(body.span_ms.clamp(1, 600_000)),
-        met: body.met.into_iter().map(met).collect(),
-        came: body.came.into_iter().map(came).collect(),
+        span: Duration::from_millis(body.window_ms.clamp(MIN_WINDOW_MS, MAX_WINDOW_MS)),
+        met: body.outcomes.into_iter().map(ServerOutcomes::from).collect(),
+        came: body.arrivals.into_iter().map(ClassArrivals::from).collect(),
     })
 }
--- /dev/null
+++ b/crates/mqtt/src/topics.rs
@@ -0,0 +1,132 @@
+//! MQTT topics, and which of them a proxy may use: `runloom/<planner>/<proxy>/<kind>/<table>` for tables, which the
+//! planner alone publishes, and `runloom/<planner>/<proxy>/report`, which that proxy alone publishes.
+
+use runloom_versioned_publisher::{Topic, TopicFilter, TopicKind};
+
+/// The first level of all topics.
+const ROOT: &str = "runloom";
+/// Bytes of a planner's or proxy's name: as many as the settings allow.
+const MAX_NAME_BYTES: usize = 128;
+/// Prefix of shared subscriptions (MQTT 5, 4.8.2).
+const SHARED_PREFIX: &str = "$share/";
+/// A proxy has one table of assignments; its topic has this number, whatever number the planner gives it.
+const ASSIGNMENTS_NUMBER: u16 = 0;
+
+const KINDS: [TopicKind; 5] =
+    [TopicKind::Weights, TopicKind::Subset, TopicKind::Range, TopicKind::Ejections, TopicKind::Assignments];
+
+/// The topic level of a kind of table.
+fn kind_level(kind: TopicKind) -> &'static str {
+    match kind {
+        TopicKind::Weights => "weights",
+        TopicKind::Subset => "subset",
+        TopicKind::Range => "range",
+        TopicKind::Ejections => "withdrawn",
+        TopicKind::Assignments => "binds",
+    }
+}
+
+fn parse_kind(level: &str) -> Option<TopicKind> {
+    KINDS.into_iter().find(|kind| kind_level(*kind) == level)
+}
+
+/// Each table has one topic: numbers with leading zeros or signs are none.
+fn parse_number(level: &str) -> Option<u16> {
+    level.parse().ok().filter(|number: &u16| number.to_string() == level)
+}
+
+/// Whether a planner or proxy can be named in a topic: no separator, wildcard or control character, and not too long.
+pub fn is_valid_name(name: &str) -> bool {
+    let is_invalid = |c: char| matches!(c, '/' | '+' | '#' | '$') || c.is_control();
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains(is_invalid)
+}
+
+/// The topic of a proxy's table.
+pub fn table_topic(planner: &str, proxy: &str, topic: Topic) -> String {
+    let number = if topic.kind == TopicKind::Assignments { ASSIGNMENTS_NUMBER } else { topic.table };
+    format!("{ROOT}/{planner}/{proxy}/{}/{number}", kind_level(topic.kind))
+}
+
+/// The filter of all of a proxy's tables of one kind.
+pub fn kind_filter(planner: &str, proxy: &str, kind: TopicKind) -> String {
+    format!("{ROOT}/{planner}/{proxy}/{}/+", kind_level(kind))
+}
+
+/// The topic of a proxy's reports.
+pub fn report_topic(planner: &str, proxy: &str) -> String {
+    format!("{ROOT}/{planner}/{proxy}/report")
+}
+
+/// The table that a topic stands for, if it is one of this proxy's.
+pub fn parse_table_topic(planner: &str, proxy: &str, name: &str) -> Option<Topic> {
+    let rest = name.strip_prefix(ROOT)?.strip_prefix('/')?.strip_prefix(planner)?.strip_prefix('/')?;
+    let (kind, number) = rest.strip_prefix(proxy)?.strip_prefix('/')?.split_once('/')?;
+    let table = parse_number(number)?;
+    Some(Topic { kind: parse_kind(kind)?, table })
+}
+
+/// Why a filter is rejected.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FilterError {
+    /// It is no filter by the protocol's rules.
+    Invalid,
+    /// It matches topics that are not the proxy's to subscribe to.
+    NotOwn,
+    /// Shared subscriptions would distribute one proxy's updates among several.
+    Shared,
+}
+
+/// MQTT 5, 4.7.1: `#` is the last level and alone in it, `+` is alone in its level.
+fn is_valid_filter(filter: &str) -> bool {
+    let levels: Vec<&str> = filter.split('/').collect();
+    let last = levels.len() - 1;
+    let is_valid_level = |(index, level): (usize, &&str)| match *level {
+        "#" => index == last,
+        "+" => true,
+        level => !level.contains(['#', '+', '\0']),
+    };
+    !filter.is_empty() && levels.iter().enumerate().all(is_valid_level)
+}
+
+/// Reads a proxy's filter. Its own name and its planner's must stand there in full: a wildcard in their place would
+/// match others' tables, even if none is published now.
+pub fn parse_filter(planner: &str, proxy: &str, filter: &str) -> Result<TopicFilter, FilterError> {
+    if filter.starts_with(SHARED_PREFIX) {
+        return Err(FilterError::Shared);
+    }
+    if !is_valid_filter(filter) {
+        return Err(FilterError::Invalid);
+    }
+    let levels: Vec<&str> = filter.split('/').collect();
+    match levels[..] {
+        [ROOT, its_planner, its_proxy, ref table @ ..] if its_planner == planner && its_proxy == proxy => {
+            parse_table_filter(table)
+        }
+        _ => Err(FilterError::NotOwn),
+    }
+}
+
+/// Reads the levels of a filter that follow the proxy's name.
+fn parse_table_filter(levels: &[&str]) -> Result<TopicFilter, FilterError> {
+    match levels {
+        ["#"] => Ok(TopicFilter::ALL),
+        [kind, table] => {
+            Ok(TopicFilter { kind: parse_kind_filter(kind)?, table: parse_number_filter(table)? })
+        }
+        _ => Err(FilterError::NotOwn),
+    }
+}
+
+fn parse_kind_filter(level: &str) -> Result<Option<TopicKind>, FilterError> {
+    match level {
+        "+" => Ok(None),
+        level => parse_kind(level).map(Some).ok_or(FilterError::NotOwn),
+    }
+}
+
+fn parse_number_filter(level: &str) -> Result<Option<u16>, FilterError> {
+    match level {
+        "+" | "#" => Ok(None),
+        level => parse_number(level).map(Some).ok_or(FilterError::NotOwn),
+    }
+}
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -3,7 +3,7 @@
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
 use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
-use runloom_mqtt::{body, names, report};
+use runloom_mqtt::{body, report, topics};
 use runloom_versioned_publisher::{Change, Key, Topic, TopicKind, UpdatePart};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -50,8 +50,8 @@
             };
             seen += &format!(
                 "{} {}\n",
-                names::table("p1", "f1", topic),
-                String::from_utf8(body::write(&part)).unwrap()
+                topics::table_topic("p1", "f1", topic),
+                String::from_utf8(body::encode(&part)).unwrap()
             );
         }
     }
@@ -78,6 +78,6 @@
     let came = ClassArrivals { class: "order".into(), queries: 30, unanswered: 1 };
     let met = vec![met(vec![]), met(vec![0.5, f64::NAN])];
     let sent = Report { span: Duration::from_millis(1000), met, came: vec![came] };
-    let seen = String::from_utf8(report::write(&sent)).unwrap();
+    let seen = String::from_utf8(report::encode(&sent)).unwrap();
     assert_unchanged("mqtt-report.txt", &(seen + "\n"));
 }
--- a/crates/testbed/src/fronts.rs
+++ b/crates/testbed/src/fronts.rs
@@ -6,9 +6,9 @@
 use crate::world::Testbed;
 use runloom_distribution::{Distributor, Outgoing, PendingProxy, Transport};
 use runloom_model::order::{Message, TableEdit};
-use runloom_mqtt::client::{Client, Told as Say, Wish};
-use runloom_mqtt::session::{Hello, Session, SessionEvent};
-use runloom_mqtt::{body, report};
+use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
+use runloom_mqtt::session::{Session, SessionEvent};
+use runloom_mqtt::{body, report, ProxyInfo};
 use runloom_versioned_publisher::TopicFilter;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -56,8 +56,9 @@
 pub fn fronts() -> Told {
     let now = Duration::ZERO;
     for (name, way) in [("pubsub", Transport::Published), ("netconf", Transport::Edits)] {
-        let greet =
-            |p: usize| Client::new(now, "p", &format!("f{p}"), &Hello::default(), Wish::Weights, vec![]);
+        let greet = |p: usize| {
+            Client::new(now, "p", &format!("f{p}"), &ProxyInfo::default(), TableFormat::Weights, vec![])
+        };
         let clients: Vec<Client> = (0..PROXIES).map(greet).collect();
         let before = resident();
         let mut front = Distributor::new(1, Duration::from_secs(2), Duration::from_secs(2));
@@ -69,8 +70,8 @@
         }
         for (session, client) in pairs.values_mut() {
             for _ in 0..2 {
-                session.take(now, &client.output());
-                client.take(now, &session.output());
+                session.receive(now, &client.output());
+                client.receive(now, &session.output());
             }
         }
         let (mut told, mut bytes, mut busy) = (0u64, 0u64, Duration::ZERO);
@@ -96,9 +97,9 @@
                         }
                         Outgoing::Part { number, part } => {
                             let key = (part.topic, part.base_version, part.version, part.part);
-                            let text = bodies.entry(key).or_insert_with(|| body::write(&part).into());
+                            let text = bodies.entry(key).or_insert_with(|| body::encode(&part).into());
                             let session = pairs.get_mut(&p).map(|(session, _)| session);
-                            session.map(|s| s.tell(now, number, part.topic, text.clone()));
+                            session.map(|s| s.publish(now, number, part.topic, text.clone()));
                         }
                     }
                 }
@@ -113,17 +114,24 @@
             let mut words: Vec<(usize, Vec<u8>)> = vec![];
             for (p, output) in written {
                 let Some((_, client)) = pairs.get_mut(&p) else { continue };
-                let parts = client.take(now, &output).into_iter();
-                let ids: Vec<u16> =
-                    parts.filter_map(|t| if let Say::Part(id, _) = t { Some(id) } else { None }).collect();
-                ids.into_iter().for_each(|id| client.answer(now, id, true));
+                let parts = client.receive(now, &output).into_iter();
+                let ids: Vec<u16> = parts
+                    .filter_map(|t| {
+                        if let ClientEvent::Part { packet_id, .. } = t {
+                            Some(packet_id)
+                        } else {
+                            None
+                        }
+                    })
+                    .collect();
+                ids.into_iter().for_each(|id| client.acknowledge(now, id));
                 words.push((p, client.output()));
             }
             let start = Instant::now();
             for (p, word) in words {
                 let Some((session, _)) = pairs.get_mut(&p) else { continue };
-                for heard in session.take(now, &word) {
-                    if let SessionEvent::Confirmed(number) = heard {
+                for heard in session.receive(now, &word) {
+                    if let SessionEvent::Acknowledged(number) = heard {
                         front.acknowledged(now, p, number);
                     }
                 }
@@ -147,11 +155,11 @@
             figure(&format!("{name}.memory_a_proxy"), (resident() - before) / PROXIES as f64 / 1024.0, "KiB");
         }
     }
-    let body = report::write(&sample());
+    let body = report::encode(&sample());
     let start = Instant::now();
     let mut read = 0;
     while start.elapsed() < Duration::from_secs(1) {
-        read += usize::from(report::read(&body).is_ok());
+        read += usize::from(report::decode(&body).is_ok());
     }
     figure("reports_read_per_second", read as f64 / start.elapsed().as_secs_f64(), "reports/s");
     Ok(())
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -11,8 +11,8 @@
 use runloom_model::fleet::{Class, Repeats, TlsFiles};
 use runloom_model::forwarder::{ProxySettings, TableDelivery as Front};
 use runloom_model::FLEET;
-use runloom_mqtt::client::{Client as Subscription, Told, Wish};
-use runloom_mqtt::session::Hello;
+use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
+use runloom_mqtt::ProxyInfo;
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 use runloom_testbed::issuer::Issuer;
@@ -58,20 +58,22 @@
     let mut turn = EventLoop::new().unwrap();
     let security = Security::TlsClient(terms.starts.clone(), server_name(PLANNER));
     let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
-    let hello = Hello { zone: "a".into(), rate: 1.0, fresh: true };
-    let mut client = Subscription::new(turn.now(), "p", name, &hello, Wish::Weights, vec![]);
+    let hello = ProxyInfo { zone: "a".into(), request_rate: 1.0, has_no_table: true };
+    let mut client = Subscription::new(turn.now(), "p", name, &hello, TableFormat::Weights, vec![]);
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
         for happened in turn.wait(Some(turn.now() + Duration::from_millis(50))).unwrap() {
             match happened {
-                IoEvent::Bytes { bytes, .. } if client.take(turn.now(), &bytes).contains(&Told::Joined) => {
+                IoEvent::Bytes { bytes, .. }
+                    if client.receive(turn.now(), &bytes).contains(&ClientEvent::Connected) =>
+                {
                     return true;
                 }
                 IoEvent::Closed { .. } => return false,
                 _ => {}
             }
         }
-        if client.over().is_some() {
+        if client.end().is_some() {
             return false;
         }
         let bytes = client.output();
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -9,9 +9,8 @@
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
 use runloom_model::{FLEET, STATE};
-use runloom_mqtt::client::{Client, SessionEnd, Told, Wish};
-use runloom_mqtt::report;
-use runloom_mqtt::session::Hello;
+use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
+use runloom_mqtt::{report, ConnectionEnd, ProxyInfo};
 use runloom_netconf::tree::Element;
 use runloom_versioned_publisher::{Key, Topic, TopicKind, UpdatePart};
 use runloom_versioned_publisher::{ReadOutcome, UpdateReader};
@@ -37,9 +36,10 @@
         let mut turn = EventLoop::new().unwrap();
         let security = Security::TlsClient(terms.starts.clone(), server_name(PLANNER));
         let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
-        let hello = Hello { zone: "a".into(), rate: 5.0, fresh: reader.topics().next().is_none() };
+        let hello =
+            ProxyInfo { zone: "a".into(), request_rate: 5.0, has_no_table: reader.topics().next().is_none() };
         let holds = reader.held_versions();
-        let client = Client::new(turn.now(), planner, proxy, &hello, Wish::Weights, holds);
+        let client = Client::new(turn.now(), planner, proxy, &hello, TableFormat::Weights, holds);
         Subscriber { turn, conn, client, reader, parts: vec![], confirms: true, closed: None }
     }
 
@@ -50,7 +50,7 @@
             assert!(
                 Instant::now() < end,
                 "waited for: {what}; over: {:?}, closed: {:?}",
-                self.client.over(),
+                self.client.end(),
                 self.closed
             );
             self.turn(Duration::from_millis(100));
@@ -63,13 +63,15 @@
             match happened {
                 IoEvent::Bytes { bytes, .. } => {
                     let now = self.turn.now();
-                    for told in self.client.take(now, &bytes) {
-                        let Told::Part(id, part) = told else { continue };
+                    for told in self.client.receive(now, &bytes) {
+                        let ClientEvent::Part { packet_id, part } = told else { continue };
                         let good =
                             matches!(self.reader.read(&part), ReadOutcome::Applied(_) | ReadOutcome::Pending);
                         self.parts.push(part);
-                        if self.confirms {
-                            self.client.answer(now, id, good);
+                        match (self.confirms, good) {
+                            (true, true) => self.client.acknowledge(now, packet_id),
+                            (true, false) => self.client.reject(now, packet_id),
+                            (false, _) => {}
                         }
                     }
                 }
@@ -99,7 +101,7 @@
         let met = ServerOutcomes { server: server.into(), tries: 3, ..ServerOutcomes::default() };
         let came = ClassArrivals { class: "q".into(), queries: 3, unanswered: 0 };
         let report = Report { span: Duration::from_millis(200), met: vec![met], came: vec![came] };
-        self.client.report(self.turn.now(), report::write(&report));
+        self.client.send_report(self.turn.now(), report::encode(&report));
     }
 }
 
@@ -166,7 +168,7 @@
     second.until("its tables", |s| s.lists(&["s1", "s2", "s3"]));
     first.until(
         "the word",
-        |s| matches!(s.client.over(), Some(SessionEnd::Refused(why)) if why.contains("SessionTakenOver")),
+        |s| matches!(s.client.end(), Some(ConnectionEnd::Rejected(why)) if why.contains("SessionTakenOver")),
     );
     // The first one's end is not the second one's.
     first.until("the end", |s| s.closed.is_some());
@@ -181,12 +183,12 @@
     let mut other = Subscriber::new(&desk, &terms, "q", "f1", UpdateReader::default());
     other.until(
         "no",
-        |s| matches!(s.client.over(), Some(SessionEnd::Refused(why)) if why.contains("NotAuthorized")),
+        |s| matches!(s.client.end(), Some(ConnectionEnd::Rejected(why)) if why.contains("NotAuthorized")),
     );
     let mut liar = Subscriber::new(&desk, &terms, "p", "f2", UpdateReader::default());
     liar.until(
         "no",
-        |s| matches!(s.client.over(), Some(SessionEnd::Refused(why)) if why.contains("ClientIdentifier")),
+        |s| matches!(s.client.end(), Some(ConnectionEnd::Rejected(why)) if why.contains("ClientIdentifier")),
     );
     let staff = Subscriber::new(&desk, &desk.terms.clone(), "p", "staff", UpdateReader::default());
     let mut staff = staff;
