--- a/crates/adapter/tests/wire_snapshot.rs
+++ b/crates/adapter/tests/wire_snapshot.rs
@@ -1,8 +1,8 @@
-//! The adapter's answers to a seeded script of frames, byte for byte as they were before the code was renamed.
+//! Snapshot of the adapter's replies to a seeded script of batches, byte for byte.
 //!
 //! The script plays every kind of event against three instances with different settings and answers the
-//! adapter's own requests (timers, probes, acknowledgements). The snapshot holds the first replies in full and a
-//! digest of each later one. `UPDATE_SNAPSHOTS=1` writes it anew.
+//! adapter's own requests (timers, health checks, acknowledgements). The snapshot holds the first replies in full and a
+//! digest of each later one. `UPDATE_SNAPSHOTS=1` rewrites it.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -98,7 +98,7 @@
         "group": server, "mode": mode, "share": 1.0 + (server % 2) as f64, "lastStartS": started})
 }
 
-fn whole_list(planner: u64, how: &str) -> Value {
+fn complete_list(planner: u64, how: &str) -> Value {
     let host = |server: u64| {
         json!({"server": 900 + server, "az": ZONES[(server % 3) as usize],
             "sku": KINDS[(server % 2) as usize], "group": server, "mode": "SERVING",
@@ -107,7 +107,7 @@
     json!({"verb": "DISCOVERY", "planner": planner, "how": how, "hosts": (0..SERVERS).map(host).collect::<Vec<_>>()})
 }
 
-/// The share of tries that fail at a server, in percent: some fail for a while, all are overloaded for a while.
+/// The share of attempts that fail at a server, in percent: some fail for a while, all are overloaded for a while.
 fn failure_percent(server: u64, clock_ms: u64) -> u64 {
     let second = clock_ms / 1000;
     match second {
@@ -118,25 +118,25 @@
     }
 }
 
-fn roundup(planner: u64, server: u64, clock_ms: u64, draws: &mut Draws) -> Value {
-    let tries = 4 + draws.below(30);
-    let errors = (tries * failure_percent(server, clock_ms) + draws.below(100)) / 100;
+fn outcome_report(planner: u64, server: u64, clock_ms: u64, draws: &mut Draws) -> Value {
+    let attempts = 4 + draws.below(30);
+    let errors = (attempts * failure_percent(server, clock_ms) + draws.below(100)) / 100;
     let overloaded = (50..=70).contains(&(clock_ms / 1000));
     let elapsed = if overloaded { 0.9 } else { 0.05 } + draws.below(100) as f64 / 1000.0;
     let metrics = json!([draws.below(9), draws.below(100) as f64 / 100.0, 20.0 + draws.below(60) as f64]);
     json!({"verb": "ROUNDUP", "planner": planner, "az": ZONES[draws.below(3) as usize], "server": 900 + server,
-        "n": tries, "errors": errors.min(tries), "elapsedS": elapsed, "coversS": 1.0,
+        "n": attempts, "errors": errors.min(attempts), "elapsedS": elapsed, "coversS": 1.0,
         "metrics": if draws.one_in(9) { json!(null) } else { metrics }})
 }
 
-/// Events that come of themselves, whatever the adapter answered.
+/// Events that do not depend on the adapter's replies.
 fn script(planner: u64, frame: u64, clock_ms: u64, draws: &mut Draws) -> Vec<Value> {
     let mut events = Vec::new();
     if frame == 0 {
         events.push(
             json!({"verb": "HELLO", "planner": planner, "rngSeed": 7 + planner, "facts": settings(planner)}),
         );
-        events.push(whole_list(planner, "Persisted"));
+        events.push(complete_list(planner, "Persisted"));
     }
     if frame < PROXIES || draws.one_in(60) {
         let edge = if frame < PROXIES { frame } else { draws.below(PROXIES) };
@@ -147,7 +147,7 @@
     }
     if frame % 20 == planner {
         for server in 0..SERVERS {
-            events.push(roundup(planner, server, clock_ms, draws));
+            events.push(outcome_report(planner, server, clock_ms, draws));
         }
         for edge in 0..PROXIES {
             let class = ["lookup", "order", "report", "unheard"][draws.below(4) as usize];
@@ -165,7 +165,7 @@
         events.push(json!({"verb": "DISCOVERY", "planner": planner, "how": "Partial", "hosts": hosts}));
     }
     if draws.one_in(400) {
-        events.push(whole_list(planner, "Complete"));
+        events.push(complete_list(planner, "Complete"));
     }
     if draws.one_in(500) {
         events.push(json!({"verb": "DISCOVERY", "planner": planner, "how": "Unavailable", "hosts": null}));
@@ -189,12 +189,12 @@
         events.push(json!({"verb": "TEARDOWN", "planner": planner}));
         events
             .push(json!({"verb": "HELLO", "planner": planner, "rngSeed": frame, "facts": settings(planner)}));
-        events.push(whole_list(planner, "Persisted"));
+        events.push(complete_list(planner, "Persisted"));
     }
     events
 }
 
-const ENDINGS: [&str; 8] =
+const HEALTH_CHECK_RESULTS: [&str; 8] =
     ["served", "served", "served", "no_answer", "server_error", "turned_away", "no_connection", "called_off"];
 
 /// What the simulator would answer to a reply, with the time at which it comes.
@@ -224,14 +224,14 @@
                 }
             }
             "HEALTH_CHECK" => {
-                let ending = ENDINGS[draws.below(8) as usize];
+                let result = HEALTH_CHECK_RESULTS[draws.below(8) as usize];
                 due.push((
                     clock_ms + 200,
-                    json!({"verb": "ECHO", "planner": planner, "ending": ending,
+                    json!({"verb": "ECHO", "planner": planner, "ending": result,
                     "elapsedS": 0.2, "server": action["server"], "metrics": [1, 0.5, 30.0]}),
                 ));
             }
-            "LISTEN" => due.push((clock_ms + 100, whole_list(planner.as_u64().unwrap(), "Complete"))),
+            "LISTEN" => due.push((clock_ms + 100, complete_list(planner.as_u64().unwrap(), "Complete"))),
             _ => {}
         }
     }
@@ -241,7 +241,7 @@
 fn replies() -> String {
     let (mut adapter, mut draws) = (Adapter::start(), Draws(20261203));
     let mut due: Vec<(u64, Value)> = Vec::new();
-    let (mut seen, mut verbs) = (String::new(), BTreeMap::<String, u64>::new());
+    let (mut transcript, mut verbs) = (String::new(), BTreeMap::<String, u64>::new());
     for frame in 0..FRAMES {
         let clock_ms = 1000 + frame * FRAME_MS;
         let mut events: Vec<Value> = (0..3).flat_map(|p| script(p, frame, clock_ms, &mut draws)).collect();
@@ -254,27 +254,27 @@
         }
         due.extend(answers(&reply, clock_ms, &mut draws));
         let lines = reply.lines().count();
-        writeln!(seen, "frame {frame}: {lines} lines, digest {:016x}", digest(&reply)).unwrap();
+        writeln!(transcript, "frame {frame}: {lines} lines, digest {:016x}", digest(&reply)).unwrap();
         if frame < FRAMES_IN_FULL {
-            seen.push_str(&reply);
+            transcript.push_str(&reply);
         }
     }
     for (verb, count) in verbs {
-        writeln!(seen, "{verb}: {count}").unwrap();
+        writeln!(transcript, "{verb}: {count}").unwrap();
     }
     drop(adapter.input);
     assert!(adapter.process.wait().unwrap().success());
-    seen
+    transcript
 }
 
 #[test]
-fn replies_to_the_seeded_script_are_as_they_were() {
-    let seen = replies();
+fn replies_to_the_seeded_script_match_the_snapshot() {
+    let transcript = replies();
     if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
-        std::fs::write(SNAPSHOT, &seen).unwrap();
+        std::fs::write(SNAPSHOT, &transcript).unwrap();
     }
-    let kept = std::fs::read_to_string(SNAPSHOT).unwrap();
-    let differs = seen.lines().zip(kept.lines()).position(|(new, old)| new != old);
+    let expected = std::fs::read_to_string(SNAPSHOT).unwrap();
+    let differs = transcript.lines().zip(expected.lines()).position(|(new, old)| new != old);
     assert!(differs.is_none(), "line {differs:?} differs from {SNAPSHOT}");
-    assert_eq!(seen.len(), kept.len());
+    assert_eq!(transcript.len(), expected.len());
 }
