--- a/crates/daemon/tests/help/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what is round a planner on the platform, and the built program among them.
+//! Fakes of what surrounds a planner on the platform, and the built program.
 
-// Each file of tests uses its part.
+// Each test file uses some of it.
 #![allow(dead_code)]
 
 use runloom_platform_protocol::framing::{write_frame, FrameReader, MAX_MESSAGE_BYTES};
@@ -12,7 +12,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// Longer than anything here takes on any machine: verdicts go by order and counts.
+/// Longer than anything here takes on any machine; no assertion depends on it.
 pub const LONG: Duration = Duration::from_secs(60);
 
 pub fn listen() -> (TcpListener, SocketAddr) {
@@ -21,7 +21,7 @@
     (listener, at)
 }
 
-pub fn head(stream: &mut TcpStream) -> String {
+pub fn read_head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).unwrap_or(0) == 1 {
@@ -30,24 +30,24 @@
     String::from_utf8(head).unwrap()
 }
 
-/// Discovery: tells the path of each watch, and writes the lines it is given to the newest.
+/// A discovery agent: reports the path of each watch, and writes the lines that it is given to the newest one.
 pub fn discovery() -> (SocketAddr, Receiver<String>, Sender<Value>) {
     let (listener, at) = listen();
-    let (told, paths) = channel();
+    let (sender, paths) = channel();
     let (lines, given) = channel::<Value>();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
-            let path = head(&mut stream).split(' ').nth(1).unwrap_or_default().to_string();
+            let path = read_head(&mut stream).split(' ').nth(1).unwrap_or_default().to_string();
             stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
-            let _ = told.send(path);
+            let _ = sender.send(path);
             loop {
                 let line = match given.recv_timeout(Duration::from_millis(500)) {
                     Ok(line) => format!("{line}\n"),
                     Err(std::sync::mpsc::RecvTimeoutError::Timeout) => "\n".into(),
                     Err(_) => return,
                 };
-                // In two pieces, as on a bad way.
+                // In two segments, as on a bad network.
                 let chunk = format!("{:x}\r\n{line}\r\n", line.len());
                 let (a, b) = chunk.split_at(chunk.len() / 2);
                 if stream.write_all(a.as_bytes()).and_then(|()| stream.write_all(b.as_bytes())).is_err() {
@@ -59,18 +59,18 @@
     (at, paths, lines)
 }
 
-/// A server that answers every probe, and tells of each.
+/// A server that answers every health check and reports its request head.
 pub fn server() -> (SocketAddr, Receiver<String>) {
     let (listener, at) = listen();
-    let (told, probes) = channel();
+    let (sender, health_checks) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
-            let _ = told.send(head(&mut stream));
+            let _ = sender.send(read_head(&mut stream));
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":1}");
         }
     });
-    (at, probes)
+    (at, health_checks)
 }
 
 pub fn member(id: &str, at: SocketAddr, phase: &str) -> Value {
@@ -82,7 +82,7 @@
     json!({"revision": revision, "complete": false, "members": members})
 }
 
-pub fn station(discovery: SocketAddr, server: SocketAddr) -> Value {
+pub fn bootstrap(discovery: SocketAddr, server: SocketAddr) -> Value {
     let members: Vec<Value> = ["s-1", "s-2", "s-3"].iter().map(|id| member(id, server, "SERVING")).collect();
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "1f",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256},
@@ -94,8 +94,8 @@
             "rules": {"drainGraceS": 2.0, "coldFrom": 0.5, "warmAfterS": 1.0}}})
 }
 
-/// Where a planner listens, by its first line.
-pub fn address_told(line: &str) -> SocketAddr {
+/// Where a planner listens, by its first log line.
+pub fn logged_address(line: &str) -> SocketAddr {
     let at = line.split("at=").nth(1).and_then(|rest| rest.split_whitespace().next());
     at.and_then(|at| at.parse().ok()).expect(line)
 }
@@ -108,40 +108,40 @@
 }
 
 impl Planner {
-    /// Starts it, and waits until it listens.
-    pub fn start(name: &str, station: &Value) -> Planner {
-        let mut planner = Planner::spawn(name, station);
-        planner.listens();
+    /// Starts a planner and waits until it listens.
+    pub fn start(name: &str, bootstrap: &Value) -> Planner {
+        let mut planner = Planner::spawn(name, bootstrap);
+        planner.wait_until_listening();
         planner
     }
 
-    /// Starts it while this listener holds its address, which is given up once it was found so.
-    pub fn start_held(name: &str, station: &Value, held: TcpListener) -> Planner {
-        let mut planner = Planner::spawn(name, station);
-        planner.until_told("in use");
+    /// Starts a planner while its address is in use; the listener is closed once the planner has logged that.
+    pub fn start_with_address_in_use(name: &str, bootstrap: &Value, held: TcpListener) -> Planner {
+        let mut planner = Planner::spawn(name, bootstrap);
+        planner.wait_for_log("in use");
         drop(held);
-        planner.listens();
+        planner.wait_until_listening();
         planner
     }
 
-    pub fn spawn(name: &str, station: &Value) -> Planner {
-        let mut planner = Planner::spawn_with(name, station, Stdio::piped());
+    pub fn spawn(name: &str, bootstrap: &Value) -> Planner {
+        let mut planner = Planner::spawn_with_log(name, bootstrap, Stdio::piped());
         let stderr = planner.child.stderr.take().unwrap();
         planner.read_log(stderr);
         planner
     }
 
-    /// Reads the log on, so that it never stops the planner.
+    /// Keeps reading the log, so that it never blocks the planner.
     pub fn read_log(&mut self, log: impl Read + Send + 'static) {
-        let (told, log_lines) = channel();
+        let (sender, log_lines) = channel();
         let lines = BufReader::new(log).lines();
-        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| _ = told.send(line)));
+        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| _ = sender.send(line)));
         self.log = log_lines;
     }
 
-    pub fn spawn_with(name: &str, station: &Value, log: Stdio) -> Planner {
+    pub fn spawn_with_log(name: &str, bootstrap: &Value, log: Stdio) -> Planner {
         let file = std::env::temp_dir().join(format!("runloom-platform-{name}-{}.json", std::process::id()));
-        std::fs::write(&file, station.to_string()).unwrap();
+        std::fs::write(&file, bootstrap.to_string()).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_runloom"))
             .arg("platform")
             .env("EDGE_CONFIG", &file)
@@ -151,13 +151,13 @@
         Planner { child, at: SocketAddr::from(([127, 0, 0, 1], 0)), file, log: channel().1 }
     }
 
-    fn listens(&mut self) {
-        let line = self.until_told("started");
-        self.at = address_told(&line);
+    fn wait_until_listening(&mut self) {
+        let line = self.wait_for_log("started");
+        self.at = logged_address(&line);
     }
 
-    /// Reads the log until a line has this.
-    pub fn until_told(&self, part: &str) -> String {
+    /// Reads the log until a line contains this.
+    pub fn wait_for_log(&self, part: &str) -> String {
         loop {
             let line = self.log.recv_timeout(LONG).expect("the log goes on");
             if line.contains(part) {
@@ -166,22 +166,23 @@
         }
     }
 
-    /// Stops it where it is, and waits until it stands.
+    /// Suspends the process and waits until it is suspended.
     pub fn stop(&self) {
         self.signal("STOP");
         let file = format!("/proc/{}/stat", self.child.id());
-        let stands = || std::fs::read_to_string(&file).unwrap().split(") ").nth(1).unwrap().starts_with('T');
-        while !stands() {
+        let is_stopped =
+            || std::fs::read_to_string(&file).unwrap().split(") ").nth(1).unwrap().starts_with('T');
+        while !is_stopped() {
             std::thread::yield_now();
         }
     }
 
-    /// The descriptors that it holds now.
+    /// The number of its open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// The most memory that it has held.
+    /// Its peak memory, KiB.
     pub fn peak_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let peak = status.lines().find(|line| line.starts_with("VmHWM:")).unwrap();
@@ -212,11 +213,11 @@
         let stream = TcpStream::connect(planner.at).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         let mut client = Client { stream, reader: FrameReader::new(MAX_MESSAGE_BYTES) };
-        client.say(first);
+        client.send(first);
         client
     }
 
-    pub fn say(&mut self, messages: &[Value]) {
+    pub fn send(&mut self, messages: &[Value]) {
         let mut bytes = Vec::new();
         messages.iter().for_each(|m| write_frame(&mut bytes, m.to_string().as_bytes()));
         self.stream.write_all(&bytes).unwrap();
@@ -238,16 +239,16 @@
         }
     }
 
-    /// Reads orders, answers their marks, until one sets this line.
-    pub fn until_row(&mut self, id: u64, row: Value) -> Vec<Value> {
+    /// Reads and acknowledges updates until one sets this entry; returns them all.
+    pub fn read_until_entry(&mut self, id: u64, row: Value) -> Vec<Value> {
         let mut read = Vec::new();
         loop {
-            let order = self.next().expect("the stream goes on");
-            if let Some(stamp) = order["stamp"].as_u64() {
-                self.say(&[json!({"t": "ACK", "id": id, "seq": stamp, "ms": 5.0})]);
+            let update = self.next().expect("the stream goes on");
+            if let Some(ack_token) = update["stamp"].as_u64() {
+                self.send(&[json!({"t": "ACK", "id": id, "seq": ack_token, "ms": 5.0})]);
             }
-            let found = order["rows"].as_array().is_some_and(|rows| rows.contains(&row));
-            read.push(order);
+            let found = update["rows"].as_array().is_some_and(|rows| rows.contains(&row));
+            read.push(update);
             if found {
                 return read;
             }
@@ -255,6 +256,6 @@
     }
 }
 
-pub fn joining(id: u64, new: bool) -> Value {
+pub fn connect_message(id: u64, new: bool) -> Value {
     json!({"t": "SUBSCRIBE", "id": id, "site": "a", "rps": 3.0, "new": new})
 }
--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -1,8 +1,8 @@
-//! The real program on loopback, among stand-ins for the platform: discovery, a server, a collector, proxies.
+//! The built program on the loopback interface, with fakes of the platform: discovery, a server, a collector, proxies.
 
-mod help;
+mod common;
 
-use help::*;
+use common::*;
 use runloom_platform_protocol::framing::write_frame;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -11,68 +11,67 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn a_proxy_is_led_through_drain_takeover_a_moved_discovery_and_the_end() {
-    let (server, probes) = server();
+fn a_proxy_is_served_through_a_drain_a_takeover_a_moved_discovery_and_the_shutdown() {
+    let (server, health_checks) = server();
     let (first, paths, lines) = discovery();
-    let mut planner = Planner::start("led", &station(first, server));
-    let mut stranger = Client::open(&planner, &[json!({"t": "PING"})]);
-    assert_eq!(stranger.next(), Some(json!({"t": "PONG"})));
+    let mut planner = Planner::start("led", &bootstrap(first, server));
+    let mut unidentified = Client::open(&planner, &[json!({"t": "PING"})]);
+    assert_eq!(unidentified.next(), Some(json!({"t": "PONG"})));
     assert_eq!(paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=41");
 
-    let mut proxy = Client::open(&planner, &[joining(2, true)]);
-    let told = proxy.until_row(2, json!(["s-2", 1.0]));
-    assert_eq!(told[0]["replace"], json!(true));
-    assert_eq!(told[0]["rows"].as_array().unwrap().len(), 3);
+    let mut proxy = Client::open(&planner, &[connect_message(2, true)]);
+    let updates = proxy.read_until_entry(2, json!(["s-2", 1.0]));
+    assert_eq!(updates[0]["replace"], json!(true));
+    assert_eq!(updates[0]["rows"].as_array().unwrap().len(), 3);
     let mut collector = Client::open(&planner, &[json!({"t": "SOURCE", "site": "a"})]);
-    let met = |target: &str| {
+    let report = |target: &str| {
         json!({"t": "LOAD", "site": "a", "target": target, "count": 2, "fail": 0, "mean": 40.0,
         "over": 1000.0, "util": {"queue": 1}})
     };
-    collector.say(&[met("s-1"), met("nobody"), json!({"t": "LOAD"}), met("s-2")]);
+    collector.send(&[report("s-1"), report("nobody"), json!({"t": "LOAD"}), report("s-2")]);
 
     lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
-    proxy.until_row(2, json!(["s-2", 0.0]));
+    proxy.read_until_entry(2, json!(["s-2", 0.0]));
 
     // A new stream, while the old one is still open.
-    let mut again = Client::open(&planner, &[joining(2, false)]);
-    let told = again.until_row(2, json!(["s-3", 1.0]));
-    assert_eq!(told[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
+    let mut again = Client::open(&planner, &[connect_message(2, false)]);
+    let updates = again.read_until_entry(2, json!(["s-3", 1.0]));
+    assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
     while proxy.next().is_some() {}
 
-    // Discovery moves, and goes on where the list stood; a broken file before that changes nothing.
+    // Discovery moves and continues from the held revision; an invalid file before that changes nothing.
     let (second, moved_paths, moved) = discovery();
     std::fs::write(&planner.file, "{").unwrap();
     planner.signal("HUP");
-    std::fs::write(&planner.file, station(second, server).to_string()).unwrap();
+    std::fs::write(&planner.file, bootstrap(second, server).to_string()).unwrap();
     planner.signal("HUP");
     assert_eq!(moved_paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=42");
-    // The same file once more: nothing starts over, so that the next order alters the table and is no whole
-    // one.
+    // The same file once more: nothing starts over, and the next update changes the table without replacing it.
     planner.signal("HUP");
     moved.send(list(43, &[member("s-3", server, "DRAINING")])).unwrap();
-    let told = again.until_row(2, json!(["s-3", 0.0]));
-    assert!(told.iter().all(|order| order.get("replace").is_none()), "{told:?}");
+    let updates = again.read_until_entry(2, json!(["s-3", 0.0]));
+    assert!(updates.iter().all(|update| update.get("replace").is_none()), "{updates:?}");
 
-    assert!(probes.recv_timeout(LONG).unwrap().starts_with("GET /metrics/load HTTP/1.1"));
+    assert!(health_checks.recv_timeout(LONG).unwrap().starts_with("GET /metrics/load HTTP/1.1"));
     planner.signal("TERM");
     assert_eq!(planner.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
-fn bad_clients_are_refused_and_keep_nobody_out() {
-    let (server, _probes) = server();
+fn invalid_clients_are_rejected_and_keep_nobody_out() {
+    let (server, _health_checks) = server();
     let (at, _paths, _lines) = discovery();
-    let planner = Planner::start("bad", &station(at, server));
+    let planner = Planner::start("bad", &bootstrap(at, server));
     let silent: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(planner.at).unwrap()).collect();
-    let mut proxy = Client::open(&planner, &[joining(1, true)]);
-    proxy.until_row(1, json!(["s-1", 1.0]));
-    // The listener waits while they are short: never more than the station allows.
+    let mut proxy = Client::open(&planner, &[connect_message(1, true)]);
+    proxy.read_until_entry(1, json!(["s-1", 1.0]));
+    // The listener is paused while descriptors are short: never more than the bootstrap file allows.
     assert!(planner.descriptors() <= 256);
     let bad = [b"GET / HTTP/1.1\r\n\r\n".to_vec(), vec![0xee; 64], b"\x04\0\0\0{:}}".to_vec()];
     for bytes in bad {
         let mut client = Client::open(&planner, &[]);
         client.stream.write_all(&bytes).unwrap();
-        // Some of it may have been on its way when the planner closed: then that is all there is.
+        // A reset may overtake the NACK where input was unread.
         assert!(client.next().is_none_or(|m| m == json!({"t": "NACK"})));
         assert_eq!(client.next(), None);
     }
@@ -82,110 +81,114 @@
         let ended = stream.read_to_end(&mut rest);
         assert!(ended.is_ok() || ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
     }
-    let mut last = Client::open(&planner, &[joining(3, true)]);
-    last.until_row(3, json!(["s-1", 1.0]));
+    let mut last = Client::open(&planner, &[connect_message(3, true)]);
+    last.read_until_entry(3, json!(["s-1", 1.0]));
 }
 
 #[test]
-fn all_proxies_of_a_fleet_fit_at_one_planner_of_the_least_descriptors() {
-    let (server, _probes) = server();
+fn all_proxies_of_a_fleet_fit_one_planner_with_the_minimum_of_descriptors() {
+    let (server, _health_checks) = server();
     let (at, _paths, _lines) = discovery();
-    let mut station = station(at, server);
-    station["settings"]["familyInfo"]["proxies"] = json!(150);
-    let planner = Planner::start("storm", &station);
-    // All of them first, as after a restart; then each reads its table.
-    let mut proxies: Vec<Client> = (0..150).map(|id| Client::open(&planner, &[joining(id, true)])).collect();
+    let mut bootstrap = bootstrap(at, server);
+    bootstrap["settings"]["familyInfo"]["proxies"] = json!(150);
+    let planner = Planner::start("storm", &bootstrap);
+    // All connect first, as after a restart; then each reads its table.
+    let mut proxies: Vec<Client> =
+        (0..150).map(|id| Client::open(&planner, &[connect_message(id, true)])).collect();
     for (id, proxy) in proxies.iter_mut().enumerate() {
-        let told = proxy.until_row(id as u64, json!(["s-3", 1.0]));
-        assert_eq!(told[0]["rows"].as_array().unwrap().len(), 3);
+        let updates = proxy.read_until_entry(id as u64, json!(["s-3", 1.0]));
+        assert_eq!(updates[0]["rows"].as_array().unwrap().len(), 3);
     }
     assert!((150..=256).contains(&planner.descriptors()), "{}", planner.descriptors());
     assert!(planner.peak_kib() < 32 << 10, "{} KiB", planner.peak_kib());
 }
 
 #[test]
-fn a_proxy_that_does_not_read_loses_its_stream_and_holds_up_nobody() {
-    let (server, _probes) = server();
+fn a_proxy_that_does_not_read_is_disconnected_and_delays_nobody() {
+    let (server, _health_checks) = server();
     let (at, _paths, lines) = discovery();
-    let planner = Planner::start("deaf", &station(at, server));
-    let mut other = Client::open(&planner, &[joining(1, true)]);
-    other.until_row(1, json!(["s-1", 1.0]));
-    let mut deaf = Client::open(&planner, &[joining(2, true)]);
+    let planner = Planner::start("deaf", &bootstrap(at, server));
+    let mut other = Client::open(&planner, &[connect_message(1, true)]);
+    other.read_until_entry(1, json!(["s-1", 1.0]));
+    let mut stalled = Client::open(&planner, &[connect_message(2, true)]);
     let mut pings = Vec::new();
     (0..4096).for_each(|_| write_frame(&mut pings, br#"{"t":"PING"}"#));
-    // The system keeps some megabytes of answers for a connection; a hundred are more than it ever does.
-    let sent = (0..1600).take_while(|_| deaf.stream.write_all(&pings).is_ok()).count();
+    // The system buffers some megabytes of answers for a connection, never a hundred.
+    let sent = (0..1600).take_while(|_| stalled.stream.write_all(&pings).is_ok()).count();
     assert!(sent < 1600, "a hundred megabytes of answers were taken in");
     lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
-    other.until_row(1, json!(["s-2", 0.0]));
-    let mut again = Client::open(&planner, &[joining(2, false)]);
-    let told = again.until_row(2, json!(["s-3", 1.0]));
-    assert_eq!(told[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
+    other.read_until_entry(1, json!(["s-2", 0.0]));
+    let mut again = Client::open(&planner, &[connect_message(2, false)]);
+    let updates = again.read_until_entry(2, json!(["s-3", 1.0]));
+    assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
     assert!(planner.peak_kib() < 32 << 10, "{} KiB", planner.peak_kib());
 }
 
 #[test]
-fn a_planner_that_was_killed_starts_from_nothing_and_keeps_a_drain() {
-    let (server, _probes) = server();
+fn a_planner_restarted_after_a_kill_keeps_a_drain() {
+    let (server, _health_checks) = server();
     let (at, _paths, _lines) = discovery();
-    let mut station = station(at, server);
-    let mut planner = Planner::start("killed", &station);
-    let mut proxy = Client::open(&planner, &[joining(1, true)]);
-    proxy.until_row(1, json!(["s-2", 1.0]));
+    let mut bootstrap = bootstrap(at, server);
+    let mut planner = Planner::start("killed", &bootstrap);
+    let mut proxy = Client::open(&planner, &[connect_message(1, true)]);
+    proxy.read_until_entry(1, json!(["s-2", 1.0]));
     planner.signal("KILL");
     assert_eq!(planner.child.wait().unwrap().code(), None);
     while proxy.next().is_some() {}
-    station["known"]["members"][1]["phase"] = json!("DRAINING");
-    let planner = Planner::start("killed-again", &station);
-    // It comes with the table of before.
-    let mut proxy = Client::open(&planner, &[joining(1, false)]);
-    let told = proxy.until_row(1, json!(["s-3", 1.0]));
-    assert_eq!((&told[0]["replace"], &told[0]["rows"]), (&json!(true), &json!([["s-1", 1.0], ["s-3", 1.0]])));
+    bootstrap["known"]["members"][1]["phase"] = json!("DRAINING");
+    let planner = Planner::start("killed-again", &bootstrap);
+    // It connects with its earlier table.
+    let mut proxy = Client::open(&planner, &[connect_message(1, false)]);
+    let updates = proxy.read_until_entry(1, json!(["s-3", 1.0]));
+    assert_eq!(
+        (&updates[0]["replace"], &updates[0]["rows"]),
+        (&json!(true), &json!([["s-1", 1.0], ["s-3", 1.0]]))
+    );
 }
 
 #[test]
-fn probes_of_silent_servers_are_bounded_and_give_their_descriptors_back() {
+fn health_checks_of_silent_servers_are_bounded_and_release_their_descriptors() {
     let (listener, server) = listen();
-    let (told, probes) = channel();
+    let (sender, health_checks) = channel();
     std::thread::spawn(move || {
-        // Takes every query and answers none.
+        // Accepts every connection and answers none.
         let mut kept = Vec::new();
         for stream in listener.incoming() {
             kept.push(stream.unwrap());
-            let _ = told.send(());
+            let _ = sender.send(());
         }
     });
     let (at, _paths, _lines) = discovery();
-    let mut station = station(at, server);
+    let mut bootstrap = bootstrap(at, server);
     let members: Vec<Value> = (0..120).map(|k| member(&format!("s-{k}"), server, "SERVING")).collect();
-    station["known"]["members"] = json!(members);
-    let planner = Planner::start("probes", &station);
+    bootstrap["known"]["members"] = json!(members);
+    let planner = Planner::start("probes", &bootstrap);
     let before = planner.descriptors();
-    // Every server once and most of them again; the watch may be dialled anew meanwhile.
+    // Every server once and most of them again; the watch may be dialed again meanwhile.
     for _ in 0..200 {
-        probes.recv_timeout(LONG).unwrap();
+        health_checks.recv_timeout(LONG).unwrap();
         let now = planner.descriptors();
         assert!(now <= before + 16 + 2, "{now} after {before}");
     }
 }
 
 #[test]
-fn a_watch_that_is_silent_or_cannot_be_read_is_dialled_again() {
+fn a_silent_or_unreadable_watch_is_dialed_again() {
     let (listener, at) = listen();
-    let (server, _probes) = server();
-    let _planner = Planner::start("silent", &station(at, server));
+    let (server, _health_checks) = server();
+    let _planner = Planner::start("silent", &bootstrap(at, server));
     let mut kept = Vec::new();
-    // Nothing at all; a head and then nothing; no discovery; and each time the planner comes back.
+    // Nothing at all; a head and then nothing; another protocol; and each time the planner dials again.
     for answer in ["", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "SSH-2.0-x\r\n", ""] {
         let (mut stream, _) = listener.accept().unwrap();
-        assert!(head(&mut stream).starts_with("GET /discovery/hosts?follow=1&since=41 "));
+        assert!(read_head(&mut stream).starts_with("GET /discovery/hosts?follow=1&since=41 "));
         stream.write_all(answer.as_bytes()).unwrap();
         kept.push(stream);
     }
 }
 
 #[test]
-fn a_file_that_is_missing_or_broken_is_one_line_and_a_code() {
+fn a_missing_or_invalid_file_gives_a_one_line_error_and_an_exit_code() {
     let run = |file: Option<&str>| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_runloom"));
         command.arg("platform").env_remove("EDGE_CONFIG");
--- /dev/null
+++ b/crates/daemon/tests/race_conditions.rs
@@ -0,0 +1,382 @@
+//! Race conditions in the built program: each test forces one unfavourable order of events, by suspending the planner,
+//! by what the fakes hold back, or by what they wait for.
+
+mod common;
+
+use common::*;
+use runloom_platform_protocol::framing::write_frame;
+use serde_json::{json, Value};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::os::fd::OwnedFd;
+use std::os::unix::net::UnixStream;
+use std::process::Stdio;
+use std::sync::mpsc::{channel, Receiver};
+use std::time::Duration;
+
+/// A discovery agent that does nothing by itself: it hands out each watch with its path.
+fn discovery_agent() -> (SocketAddr, Receiver<(String, TcpStream)>) {
+    let (listener, at) = listen();
+    let (sender, watches) = channel();
+    std::thread::spawn(move || {
+        for stream in listener.incoming() {
+            let mut stream = stream.unwrap();
+            let path = read_head(&mut stream).split(' ').nth(1).unwrap_or_default().to_string();
+            if sender.send((path, stream)).is_err() {
+                return;
+            }
+        }
+    });
+    (at, watches)
+}
+
+const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n\r\n\r\n";
+
+fn chunk(line: &str) -> Vec<u8> {
+    format!("{:x}\r\n{line}\n\r\n", line.len() + 1).into_bytes()
+}
+
+fn watch_path(revision: u64) -> String {
+    format!("/discovery/hosts?follow=1&since={revision}")
+}
+
+/// A proxy that has its table.
+fn connected_proxy(planner: &Planner, id: u64) -> Client {
+    let mut proxy = Client::open(planner, &[connect_message(id, true)]);
+    proxy.read_until_entry(id, json!(["s-3", 1.0]));
+    proxy
+}
+
+/// Fills the system's buffer of a planner's log, so that its next line blocks it.
+fn fill_log(log: &mut UnixStream) {
+    log.set_nonblocking(true).unwrap();
+    while log.write(&[b'.'; 512]).is_ok() {}
+    while log.write(b".").is_ok() {}
+    log.set_nonblocking(false).unwrap();
+}
+
+#[test]
+fn input_that_arrived_while_the_planner_was_blocked_is_in_time() {
+    let (server, _health_checks) = server();
+    let (at, watches) = discovery_agent();
+    let (near, mut far) = UnixStream::pair().unwrap();
+    let log = Stdio::from(OwnedFd::from(far.try_clone().unwrap()));
+    let mut planner = Planner::spawn_with_log("stood", &bootstrap(at, server), log);
+    let mut log_lines = BufReader::new(near).lines().map(Result::unwrap);
+    planner.at = logged_address(&log_lines.find(|line| line.contains("started")).unwrap());
+    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    log_lines.find(|line| line.contains("watching")).unwrap();
+    let mut proxy = connected_proxy(&planner, 1);
+    let mut unidentified = Client::open(&planner, &[json!({"t": "PING"})]);
+    assert_eq!(unidentified.next(), Some(json!({"t": "PONG"})));
+    // The log is not read, and the planner writes a line: it is blocked within an iteration.
+    fill_log(&mut far);
+    planner.signal("HUP");
+    std::thread::sleep(Duration::from_millis(500));
+    watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
+    unidentified.send(&[connect_message(2, true)]);
+    // Longer than the timeouts of a watch and of an unidentified connection.
+    std::thread::sleep(Duration::from_millis(2900));
+    std::thread::spawn(move || log_lines.for_each(drop));
+    // Neither the watch nor the connection is closed with its input unread.
+    proxy.read_until_entry(1, json!(["s-2", 0.0]));
+    let updates = unidentified.read_until_entry(2, json!(["s-3", 1.0]));
+    assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
+    assert!(watches.try_recv().is_err(), "the watch was dialed again");
+}
+
+#[test]
+fn the_previous_watch_is_read_to_its_end_when_discovery_moves_within_a_line() {
+    let (server, _health_checks) = server();
+    let (old, old_watches) = discovery_agent();
+    let (new, new_watches) = discovery_agent();
+    let planner = Planner::start("amid", &bootstrap(old, server));
+    let (_, mut watch) = old_watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    let mut proxy = connected_proxy(&planner, 1);
+    let line = chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string());
+    let (half, rest) = line.split_at(line.len() / 2);
+    watch.write_all(half).unwrap();
+    std::fs::write(&planner.file, bootstrap(new, server).to_string()).unwrap();
+    planner.signal("HUP");
+    // The planner watches the new agent, which holds the list back; the old one completes its line.
+    let (path, mut moved) = new_watches.recv_timeout(LONG).unwrap();
+    assert_eq!(path, watch_path(41));
+    watch.write_all(rest).unwrap();
+    proxy.read_until_entry(1, json!(["s-2", 0.0]));
+    drop(watch);
+    moved.write_all(WATCH).unwrap();
+    moved.write_all(&chunk(&list(43, &[member("s-3", server, "DRAINING")]).to_string())).unwrap();
+    proxy.read_until_entry(1, json!(["s-3", 0.0]));
+}
+
+#[test]
+fn a_file_half_written_at_the_signal_is_applied_once_it_is_complete() {
+    let (server, _health_checks) = server();
+    let (old, old_watches) = discovery_agent();
+    let (new, new_watches) = discovery_agent();
+    let planner = Planner::start("half", &bootstrap(old, server));
+    let (_, mut watch) = old_watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    let text = bootstrap(new, server).to_string();
+    std::fs::write(&planner.file, &text[..text.len() / 2]).unwrap();
+    planner.signal("HUP");
+    planner.wait_for_log("kept as it is");
+    // No second signal comes.
+    std::fs::write(&planner.file, &text).unwrap();
+    assert_eq!(new_watches.recv_timeout(LONG).unwrap().0, watch_path(41));
+}
+
+#[test]
+fn after_two_signals_at_once_the_last_file_holds() {
+    let (server, _health_checks) = server();
+    let (old, old_watches) = discovery_agent();
+    let (between, between_watches) = discovery_agent();
+    let (new, new_watches) = discovery_agent();
+    let planner = Planner::start("twice", &bootstrap(old, server));
+    let (_, mut watch) = old_watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    planner.stop();
+    for at in [between, new] {
+        std::fs::write(&planner.file, bootstrap(at, server).to_string()).unwrap();
+        planner.signal("HUP");
+    }
+    planner.signal("CONT");
+    assert_eq!(new_watches.recv_timeout(LONG).unwrap().0, watch_path(41));
+    assert!(between_watches.try_recv().is_err());
+}
+
+#[test]
+fn an_unreadable_list_line_is_asked_for_again() {
+    let (server, _health_checks) = server();
+    let (at, watches) = discovery_agent();
+    let planner = Planner::start("line", &bootstrap(at, server));
+    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    let mut proxy = connected_proxy(&planner, 1);
+    // The unreadable line held a drain; the line behind it on this watch would hide that.
+    let malformed = list(42, &[member("s-2", server, "DRAINING")]).to_string().replace("42", "4x");
+    let behind = list(43, &[member("s-9", server, "SERVING")]).to_string();
+    watch.write_all(&[chunk(&malformed), chunk(&behind)].concat()).unwrap();
+    let (path, mut again) = watches.recv_timeout(LONG).unwrap();
+    assert_eq!(path, watch_path(41));
+    let drain = list(43, &[member("s-2", server, "DRAINING"), member("s-9", server, "SERVING")]);
+    again.write_all(WATCH).unwrap();
+    again.write_all(&chunk(&drain.to_string())).unwrap();
+    proxy.read_until_entry(1, json!(["s-2", 0.0]));
+}
+
+#[test]
+fn an_agent_with_reset_revisions_is_asked_for_the_complete_list() {
+    let (server, _health_checks) = server();
+    let (at, watches) = discovery_agent();
+    let planner = Planner::start("anew", &bootstrap(at, server));
+    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    let mut proxy = connected_proxy(&planner, 1);
+    let mut complete = list(3, &[member("s-1", server, "SERVING"), member("s-3", server, "SERVING")]);
+    complete["complete"] = json!(true);
+    watch.write_all(&chunk(&complete.to_string())).unwrap();
+    // A lagging agent would have reached revision 41 by then; empty lines keep the watch alive.
+    let (path, mut again) = loop {
+        match watches.recv_timeout(Duration::from_millis(500)) {
+            Ok(watch) => break watch,
+            Err(_) => watch.write_all(&chunk("")).unwrap(),
+        }
+    };
+    assert_eq!(path, watch_path(0));
+    again.write_all(WATCH).unwrap();
+    again.write_all(&chunk(&complete.to_string())).unwrap();
+    proxy.read_until_entry(1, json!(["s-2", 0.0]));
+}
+
+#[test]
+fn a_half_closed_client_gets_the_answer_to_its_ping() {
+    let (server, _health_checks) = server();
+    let (at, _paths, _lines) = discovery();
+    let planner = Planner::start("halfclosed", &bootstrap(at, server));
+    let mut asking = Client::open(&planner, &[json!({"t": "PING"})]);
+    asking.stream.shutdown(Shutdown::Write).unwrap();
+    assert_eq!((asking.next(), asking.next()), (Some(json!({"t": "PONG"})), None));
+}
+
+#[test]
+fn a_planner_waits_for_an_address_that_is_in_use() {
+    let (server, _health_checks) = server();
+    let (at, _paths, _lines) = discovery();
+    let held = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut bootstrap = bootstrap(at, server);
+    bootstrap["listen"] = json!(held.local_addr().unwrap().to_string());
+    let planner = Planner::start_with_address_in_use("held", &bootstrap, held);
+    connected_proxy(&planner, 1);
+    // An address that stays in use is an error after some time; the signal ends the wait before that.
+    let mut second = Planner::spawn("held-too", &bootstrap);
+    second.wait_for_log("in use");
+    second.signal("TERM");
+    assert_eq!(second.child.wait().unwrap().code(), Some(0));
+}
+
+#[test]
+fn a_termination_signal_among_other_events_ends_the_planner_and_its_connections() {
+    let (server, _health_checks) = server();
+    let (at, watches) = discovery_agent();
+    let mut planner = Planner::start("term", &bootstrap(at, server));
+    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    let mut proxy = connected_proxy(&planner, 1);
+    planner.stop();
+    // All in one iteration: bytes, a connecting proxy, a takeover, a partial message, a drain, a SIGHUP, the end.
+    watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
+    proxy.send(&[json!({"t": "ACK", "id": 1, "seq": 60000, "ms": 1.0})]);
+    let mut joins: Vec<Client> =
+        (1..4).map(|id| Client::open(&planner, &[connect_message(id, false)])).collect();
+    joins[2].stream.write_all(b"\x40\0\0\0{").unwrap();
+    planner.signal("HUP");
+    planner.signal("TERM");
+    planner.signal("CONT");
+    assert_eq!(planner.child.wait().unwrap().code(), Some(0));
+    // Proxies connect elsewhere now: each sees the end at once, whatever was pending.
+    for client in joins.iter_mut().chain([&mut proxy]) {
+        while client.next().is_some() {}
+    }
+}
+
+#[test]
+fn clients_in_the_accept_queue_see_the_kill_and_connect_to_the_next_process() {
+    let (server, _health_checks) = server();
+    let (at, _paths, _lines) = discovery();
+    let mut bootstrap = bootstrap(at, server);
+    bootstrap["settings"]["familyInfo"]["proxies"] = json!(60);
+    let mut planner = Planner::start("behind", &bootstrap);
+    planner.stop();
+    let mut waiting: Vec<Client> =
+        (0..60).map(|id| Client::open(&planner, &[connect_message(id, true)])).collect();
+    planner.signal("KILL");
+    assert_eq!(planner.child.wait().unwrap().code(), None);
+    assert!(waiting.iter_mut().all(|client| client.next().is_none()));
+    // At the same address, while the system still closes those connections.
+    bootstrap["listen"] = json!(planner.at.to_string());
+    let again = Planner::start("behind-again", &bootstrap);
+    let mut joined: Vec<Client> =
+        (0..60).map(|id| Client::open(&again, &[connect_message(id, false)])).collect();
+    for (id, proxy) in joined.iter_mut().enumerate() {
+        proxy.read_until_entry(id as u64, json!(["s-3", 1.0]));
+    }
+}
+
+#[test]
+fn a_health_check_with_a_truncated_response_is_repeated_and_its_server_stays() {
+    let (listener, server) = listen();
+    let (sender, cuts) = channel();
+    std::thread::spawn(move || {
+        for (k, stream) in listener.incoming().enumerate() {
+            let mut stream = stream.unwrap();
+            read_head(&mut stream);
+            // Every other response is truncated within its head.
+            let complete = "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":1}";
+            stream
+                .write_all(if k % 2 == 0 { &complete.as_bytes()[..9] } else { complete.as_bytes() })
+                .unwrap();
+            let _ = sender.send(k);
+        }
+    });
+    let (at, _paths, _lines) = discovery();
+    let mut bootstrap = bootstrap(at, server);
+    bootstrap["known"]["members"] =
+        json!([member("s-3", server, "SERVING"), member("s-4", server, "SERVING")]);
+    let planner = Planner::start("cut", &bootstrap);
+    let mut proxy = connected_proxy(&planner, 1);
+    // Two servers, each checked twice. Neither is ejected by then.
+    for _ in 0..4 {
+        cuts.recv_timeout(LONG).unwrap();
+    }
+    let mut second = Client::open(&planner, &[connect_message(2, true)]);
+    let updates = second.read_until_entry(2, json!(["s-4", 1.0]));
+    assert_eq!(updates[0]["rows"].as_array().map(Vec::len), Some(2));
+    let mut bytes = Vec::new();
+    write_frame(&mut bytes, br#"{"t":"PING"}"#);
+    proxy.stream.write_all(&bytes).unwrap();
+    let mut received: Vec<Value> = Vec::new();
+    while received.last() != Some(&json!({"t": "PONG"})) {
+        received.push(proxy.next().unwrap());
+    }
+    assert!(received.iter().all(|update| !update.to_string().contains("0.0")), "{received:?}");
+}
+
+#[test]
+fn a_proxy_that_reconnects_during_a_drain_gets_a_table_without_that_server() {
+    let (server, _health_checks) = server();
+    let (at, watches) = discovery_agent();
+    let planner = Planner::start("rejoin", &bootstrap(at, server));
+    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    let proxy = connected_proxy(&planner, 1);
+    // The end of its stream, the drain and its next stream reach the planner together.
+    planner.stop();
+    drop(proxy);
+    watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
+    let mut again = Client::open(&planner, &[connect_message(1, false)]);
+    planner.signal("CONT");
+    let updates = again.read_until_entry(1, json!(["s-3", 1.0]));
+    assert_eq!(
+        (&updates[0]["replace"], &updates[0]["rows"]),
+        (&json!(true), &json!([["s-1", 1.0], ["s-3", 1.0]]))
+    );
+}
+
+#[test]
+fn of_two_simultaneous_streams_one_gets_the_table_and_the_other_is_closed() {
+    let (server, _health_checks) = server();
+    let (at, _paths, _lines) = discovery();
+    let planner = Planner::start("both", &bootstrap(at, server));
+    planner.stop();
+    let mut both = [0, 1].map(|_| Client::open(&planner, &[connect_message(1, true)]));
+    planner.signal("CONT");
+    let told: Vec<Option<Value>> = both.iter_mut().map(Client::next).collect();
+    assert_eq!(told.iter().filter(|first| first.is_none()).count(), 1, "{told:?}");
+    assert!(told.iter().flatten().all(|first| first["replace"] == json!(true)), "{told:?}");
+}
+
+#[test]
+fn a_repeated_complete_list_removes_no_server_twice() {
+    let (server, _health_checks) = server();
+    let (at, watches) = discovery_agent();
+    let planner = Planner::start("whole", &bootstrap(at, server));
+    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
+    watch.write_all(WATCH).unwrap();
+    let mut proxy = connected_proxy(&planner, 1);
+    let complete = |revision| {
+        let mut complete =
+            list(revision, &[member("s-1", server, "SERVING"), member("s-3", server, "SERVING")]);
+        complete["complete"] = json!(true);
+        chunk(&complete.to_string())
+    };
+    watch.write_all(&complete(42)).unwrap();
+    proxy.read_until_entry(1, json!(["s-2", 0.0]));
+    let drain = chunk(&list(44, &[member("s-3", server, "DRAINING")]).to_string());
+    watch.write_all(&[complete(42), complete(43), drain].concat()).unwrap();
+    let updates = proxy.read_until_entry(1, json!(["s-3", 0.0]));
+    assert!(updates.iter().all(|update| !update.to_string().contains("s-2")), "{updates:?}");
+}
+
+#[test]
+fn a_stream_with_an_overdue_ack_or_a_partial_message_is_closed_and_others_go_on() {
+    let (server, _health_checks) = server();
+    let (at, _paths, lines) = discovery();
+    let mut bootstrap = bootstrap(at, server);
+    // A short queue and transit time make the acknowledgement timeout short.
+    bootstrap["settings"]["familyInfo"]["backlog"] = json!(2000.0);
+    bootstrap["settings"]["familyInfo"]["lateMostS"] = json!(0.1);
+    let planner = Planner::start("mute", &bootstrap);
+    let mut other = connected_proxy(&planner, 1);
+    let mut half = connected_proxy(&planner, 2);
+    half.stream.write_all(b"\x40\0\0\0{").unwrap();
+    // It has its table and sends nothing more, as a machine that vanished.
+    let mut unresponsive = Client::open(&planner, &[connect_message(3, true)]);
+    assert_eq!(unresponsive.next().unwrap()["replace"], json!(true));
+    while unresponsive.next().is_some() {}
+    while half.next().is_some() {}
+    lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
+    other.read_until_entry(1, json!(["s-2", 0.0]));
+}
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -1,8 +1,8 @@
-//! Data stored by an earlier build is read back, and the commands that read it print what they printed before the
-//! code was renamed. The fixtures were written by a planner on a short scripted day with edits, a kill, failing
-//! servers and an overload; versions 1 and 2 of the record leave out the kinds of entries that those did not have.
+//! Snapshots of the commands that read data stored by an earlier build. The fixtures were written by a planner in a short
+//! scripted run with edits, a kill, failing servers and an overload; versions 1 and 2 of the record leave out the kinds of
+//! entries that those did not have.
 //!
-//! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
+//! `UPDATE_SNAPSHOTS=1` rewrites the snapshots.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -19,12 +19,12 @@
     format!("{folders}code {}\n", run.status.code().unwrap())
 }
 
-fn assert_unchanged(name: &str, seen: &str) {
+fn assert_unchanged(name: &str, output: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/snapshots").join(name);
     if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
-        std::fs::write(&path, seen).unwrap();
+        std::fs::write(&path, output).unwrap();
     }
-    assert_eq!(seen, std::fs::read_to_string(&path).unwrap(), "{}", path.display());
+    assert_eq!(output, std::fs::read_to_string(&path).unwrap(), "{}", path.display());
 }
 
 /// A copy of the state folder, since reading it may set files aside.
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_state_folder_is_read_as_before() {
+fn a_state_folder_of_an_earlier_build_is_read() {
     let folder = state_folder("state");
     let path = folder.to_str().unwrap();
-    let seen: String = ["ls", "show", "verify"].map(|command| runloom(&["state", command, path])).concat();
+    let output: String = ["ls", "show", "verify"].map(|command| runloom(&["state", command, path])).concat();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_unchanged("state.txt", &without_ages(&seen));
+    assert_unchanged("state.txt", &without_ages(&output));
 }
 
 /// FNV-1a, 64 bits.
@@ -74,31 +74,31 @@
 }
 
 #[test]
-fn records_of_all_versions_are_read_as_before() {
+fn records_of_all_versions_are_read() {
     for version in ["1", "2", "3"] {
         let folder = fixture("record").join(version);
         let path = folder.to_str().unwrap();
-        let seen: String = ["ls", "verify"].map(|command| runloom(&["record", command, path])).concat();
+        let output: String = ["ls", "verify"].map(|command| runloom(&["record", command, path])).concat();
         let shown = runloom(&["record", "show", path, "--name", "f1"]);
-        assert_unchanged(&format!("record-{version}.txt"), &(seen + &shown + &export(path)));
+        assert_unchanged(&format!("record-{version}.txt"), &(output + &shown + &export(path)));
     }
 }
 
 #[test]
-fn a_record_gives_the_same_orders_again() {
+fn a_replayed_record_gives_the_same_commands() {
     let folder = fixture("record/3");
     let path = folder.to_str().unwrap();
-    let seen =
+    let output =
         runloom(&["replay", "--folder", path]) + &runloom(&["replay", "--folder", path, "--back", "1"]);
-    assert_unchanged("replay.txt", &seen);
+    assert_unchanged("replay.txt", &output);
 }
 
 #[test]
-fn settings_are_checked_as_before() {
+fn settings_are_checked_with_the_same_output() {
     let names = ["valid", "bad-weight", "unknown-element", "not-xml"];
     let files = names.map(|name| fixture(&format!("settings/{name}.xml")));
-    let seen: String = files.iter().map(|file| runloom(&["check", file.to_str().unwrap()])).collect();
-    assert_unchanged("check.txt", &seen);
+    let output: String = files.iter().map(|file| runloom(&["check", file.to_str().unwrap()])).collect();
+    assert_unchanged("check.txt", &output);
 }
 
 /// Names of options and sub-commands, without their descriptions.
@@ -123,7 +123,7 @@
         &["record", "export"],
         &["record", "verify"],
     ];
-    let mut seen = String::new();
+    let mut output = String::new();
     for command in commands {
         let help = runloom(&[command, &["--help"]].concat());
         let is_name = |word: &&str| word.starts_with(['-', '<', '[']);
@@ -134,7 +134,7 @@
         names.retain(|name| name.chars().next().is_some_and(|c| !c.is_uppercase()));
         names.sort();
         names.dedup();
-        seen += &format!("{}: {}\n", command.join(" "), names.join(" "));
+        output += &format!("{}: {}\n", command.join(" "), names.join(" "));
     }
-    assert_unchanged("command-line.txt", &seen);
+    assert_unchanged("command-line.txt", &output);
 }
