--- /dev/null
+++ b/crates/daemon/src/platform_runtime/error.rs
@@ -0,0 +1,20 @@
+//! Why a planner on the platform could not start or had to stop.
+
+use runloom_platform_protocol::bootstrap::BootstrapError;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Why a planner could not start or had to stop.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum RuntimeError {
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error("EDGE_CONFIG is not set")]
+    NoBootstrapFile,
+    #[error("{}: {source}", .path.display())]
+    ReadBootstrap { path: PathBuf, source: std::io::Error },
+    #[error("{}: {source}", .path.display())]
+    InvalidBootstrap { path: PathBuf, source: BootstrapError },
+    #[error("{address}: {source}")]
+    Listen { address: SocketAddr, source: std::io::Error },
+}
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -4,6 +4,8 @@
 //! writes, and waits again. Plain and TLS connections look the same to the caller. A peer that does not read fills its
 //! own bounded buffer and then loses its connection; it never holds up the loop.
 
+#![warn(missing_docs)]
+
 mod connection;
 mod event;
 mod event_loop;
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -5,6 +5,8 @@
 //! come from [`runloom_controller::Controller`]; this crate settles the protocol alone: framing, which connections may
 //! stay, and when a peer counts as unresponsive.
 
+#![warn(missing_docs)]
+
 mod action;
 pub mod bootstrap;
 mod counters;
