--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -3,7 +3,8 @@
 use crate::{Action, ControlSession, ServerHint};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
 use runloom_event_log::entry::{
-    RecordedArrivals, RecordedClassOutcome, RecordedEvent, RecordedOutcome, RecordedServer, SentUpdate,
+    RecordedArrivals, RecordedClassOutcome, RecordedEvent, RecordedHint, RecordedOutcome, RecordedServer,
+    SentUpdate,
 };
 use runloom_guard::command_text::command_text;
 use runloom_guard::SafetyGuard;
@@ -27,14 +28,14 @@
 
 pub(crate) fn endpoint_list(update: EndpointUpdate, changes: &[(String, Change)]) -> RecordedEvent {
     let mut servers = Vec::new();
-    let mut gone = Vec::new();
+    let mut removed = Vec::new();
     for (name, change) in changes {
         match change {
             Change::Updated(server) => servers.push(record_server(name, server)),
-            Change::Removed => gone.push(name.clone()),
+            Change::Removed => removed.push(name.clone()),
         }
     }
-    RecordedEvent::Listed { whole: update != EndpointUpdate::Delta, servers, gone }
+    RecordedEvent::EndpointsListed { is_complete: update != EndpointUpdate::Delta, servers, removed }
 }
 
 fn record_server(name: &str, server: &Server) -> RecordedServer {
@@ -44,63 +45,71 @@
         zone: server.zone.clone(),
         kind: server.kind.clone(),
         cell: server.cell,
-        draining: server.is_draining,
+        is_draining: server.is_draining,
         weight: server.weight,
-        started: server.started_ms,
+        started_ms: server.started_ms,
     }
 }
 
 pub(crate) fn warm_start(hints: &[ServerHint]) -> RecordedEvent {
-    let bits = |hint: &ServerHint| (hint.name.clone(), hint.speed_factor.to_bits(), hint.suspicion.to_bits());
-    RecordedEvent::Remembered { hints: hints.iter().map(bits).collect() }
+    RecordedEvent::WarmStart { hints: hints.iter().map(record_hint).collect() }
+}
+
+fn record_hint(hint: &ServerHint) -> RecordedHint {
+    RecordedHint {
+        server: hint.name.clone(),
+        speed_factor_bits: hint.speed_factor.to_bits(),
+        suspicion_bits: hint.suspicion.to_bits(),
+    }
 }
 
 pub(crate) fn report(proxy: String, report: &Report) -> RecordedEvent {
     RecordedEvent::Report {
         proxy,
-        span: report.span.as_micros() as u64,
-        met: report.met.iter().map(record_outcome).collect(),
-        came: report.came.iter().map(record_arrivals).collect(),
+        window_us: report.span.as_micros() as u64,
+        outcomes: report.met.iter().map(record_outcome).collect(),
+        arrivals: report.came.iter().map(record_arrivals).collect(),
     }
 }
 
 fn record_outcome(outcomes: &ServerOutcomes) -> RecordedOutcome {
     RecordedOutcome {
         server: outcomes.server.clone(),
-        tries: outcomes.tries,
-        failed: outcomes.failed,
-        took: outcomes.took.as_micros() as u64,
-        in_time: outcomes.in_time,
-        load: load_to_bits(&outcomes.load),
+        attempts: outcomes.tries,
+        failures: outcomes.failed,
+        mean_latency_us: outcomes.took.as_micros() as u64,
+        within_objective: outcomes.in_time,
+        load_bits: load_to_bits(&outcomes.load),
     }
 }
 
 fn record_arrivals(arrivals: &ClassArrivals) -> RecordedArrivals {
     RecordedArrivals {
         class: arrivals.class.clone(),
-        queries: arrivals.queries,
+        requests: arrivals.queries,
         unanswered: arrivals.unanswered,
     }
 }
 
 /// A report's outcomes by class, if it has any.
 pub(crate) fn class_outcomes(proxy: &str, report: &Report) -> Option<RecordedEvent> {
-    let mut met = Vec::new();
+    let mut recorded = Vec::new();
     for outcomes in &report.met {
         for of_class in &outcomes.classes {
-            met.push(record_class_outcome(&outcomes.server, of_class));
+            recorded.push(record_class_outcome(&outcomes.server, of_class));
         }
     }
-    (!met.is_empty()).then(|| RecordedEvent::Outcomes { proxy: proxy.to_string(), met })
+    (!recorded.is_empty())
+        .then(|| RecordedEvent::ClassOutcomes { proxy: proxy.to_string(), outcomes: recorded })
 }
 
 fn record_class_outcome(server: &str, outcomes: &ClassOutcomes) -> RecordedClassOutcome {
     RecordedClassOutcome {
         server: server.to_string(),
         class: outcomes.class.clone(),
-        tries: outcomes.tries,
-        in_time: outcomes.in_time,
-        took: outcomes.took.clone().into_iter().collect(),
+        attempts: outcomes.tries,
+        within_objective: outcomes.in_time,
+        latency_buckets: outcomes.took.clone().into_iter().collect(),
     }
 }
 
@@ -111,11 +120,11 @@
     load: &[f64],
 ) -> RecordedEvent {
     let number = HEALTH_CHECK_RESULTS.iter().position(|known| *known == result).unwrap_or(INCONCLUSIVE);
-    RecordedEvent::Probed {
+    RecordedEvent::HealthChecked {
         server,
-        found: number as u8,
-        after: elapsed.as_micros() as u64,
-        load: load_to_bits(load),
+        result: number as u8,
+        elapsed_us: elapsed.as_micros() as u64,
+        load_bits: load_to_bits(load),
     }
 }
 
@@ -125,26 +134,28 @@
     let mut texts = Vec::new();
     let mut text_of_message = BTreeMap::new();
     let mut sent = Vec::new();
-    let mut probes = Vec::new();
+    let mut health_checks = Vec::new();
     let mut log = Vec::new();
     for action in actions {
         match action {
             Action::Send { proxy, number, message, entries } => {
-                let text = *text_of_message.entry(Rc::as_ptr(message) as usize).or_insert_with(|| {
+                let text_index = *text_of_message.entry(Rc::as_ptr(message) as usize).or_insert_with(|| {
                     texts.push(message.to_text());
                     texts.len() as u32 - 1
                 });
                 let proxy = session.proxy_name(*proxy).to_string();
-                sent.push(SentUpdate { proxy, number: *number, text, lines: *entries as u32 });
+                sent.push(SentUpdate { proxy, number: *number, text_index, entries: *entries as u32 });
+            }
+            Action::CheckHealth { server, .. } => {
+                health_checks.push(session.server_name(*server).to_string())
             }
-            Action::CheckHealth { server, .. } => probes.push(session.server_name(*server).to_string()),
             // The messages of the same step carry these.
             Action::UpdateTable { .. } | Action::UpdateEjections { .. } => {}
             Action::Log { text } => log.push(text.clone()),
         }
     }
-    let refused = newest_rejections(session.guard(), rejections);
-    RecordedEvent::Turn { took: 0, texts, sent, probes, log, refused }
+    let rejections = newest_rejections(session.guard(), rejections);
+    RecordedEvent::Step { duration_us: 0, texts, sent, health_checks, log, rejections }
 }
 
 /// The newest `count` rejections: reason and command of each.
@@ -161,36 +172,41 @@
 /// replayed here: the caller makes them.
 pub fn replay_event(session: &mut ControlSession, at: Duration, event: &RecordedEvent) -> bool {
     match event {
-        RecordedEvent::Listed { whole, servers, gone } => {
-            replay_endpoint_list(session, *whole, servers, gone).is_some()
+        RecordedEvent::EndpointsListed { is_complete, servers, removed } => {
+            replay_endpoint_list(session, *is_complete, servers, removed).is_some()
         }
-        RecordedEvent::Joined { proxy, zone, rate, fresh } => {
-            session.connect_proxy(proxy, zone, *rate, *fresh);
+        RecordedEvent::ProxyConnected { proxy, zone, request_rate, has_no_table } => {
+            session.connect_proxy(proxy, zone, *request_rate, *has_no_table);
             true
         }
-        RecordedEvent::Left { proxy } => {
+        RecordedEvent::ProxyDisconnected { proxy } => {
             let proxy = session.proxy(proxy);
             proxy.map(|proxy| session.disconnect_proxy(proxy)).is_some()
         }
-        RecordedEvent::Applied { proxy, number } => {
+        RecordedEvent::UpdateAcknowledged { proxy, number } => {
             let proxy = session.proxy(proxy);
             proxy.map(|proxy| session.acknowledge(at, proxy, *number)).is_some()
         }
-        RecordedEvent::Report { proxy, span, met, came } => {
-            let report = replay_report(*span, met, came);
+        RecordedEvent::Report { proxy, window_us, outcomes, arrivals } => {
+            let report = replay_report(*window_us, outcomes, arrivals);
             let proxy = session.proxy(proxy);
             proxy.map(|proxy| session.handle_report(at, proxy, &report)).is_some()
         }
-        RecordedEvent::Remembered { hints } => {
+        RecordedEvent::WarmStart { hints } => {
             let hints: Vec<ServerHint> = hints.iter().map(replay_hint).collect();
             session.warm_start(&hints);
             true
         }
-        RecordedEvent::Probed { server, found, after, load } => {
+        RecordedEvent::HealthChecked { server, result, elapsed_us, load_bits } => {
             let Some(server) = session.server(server) else { return false };
-            let result = HEALTH_CHECK_RESULTS.get(usize::from(*found)).copied();
+            let result = HEALTH_CHECK_RESULTS.get(usize::from(*result)).copied();
             let result = result.unwrap_or(HealthCheckResult::Inconclusive);
-            session.record_health_check(server, result, Duration::from_micros(*after), load_from_bits(load));
+            session.record_health_check(
+                server,
+                result,
+                Duration::from_micros(*elapsed_us),
+                load_from_bits(load_bits),
+            );
             true
         }
         _ => true,
@@ -220,9 +236,9 @@
         zone: recorded.zone.clone(),
         kind: recorded.kind.clone(),
         cell: recorded.cell,
-        is_draining: recorded.draining,
+        is_draining: recorded.is_draining,
         weight: recorded.weight,
-        started_ms: recorded.started,
+        started_ms: recorded.started_ms,
     })
 }
 
@@ -230,26 +246,26 @@
 fn replay_report(window_us: u64, outcomes: &[RecordedOutcome], arrivals: &[RecordedArrivals]) -> Report {
     let met = outcomes.iter().map(|recorded| ServerOutcomes {
         server: recorded.server.clone(),
-        tries: recorded.tries,
-        failed: recorded.failed,
-        took: Duration::from_micros(recorded.took),
-        in_time: recorded.in_time,
-        load: load_from_bits(&recorded.load),
+        tries: recorded.attempts,
+        failed: recorded.failures,
+        took: Duration::from_micros(recorded.mean_latency_us),
+        in_time: recorded.within_objective,
+        load: load_from_bits(&recorded.load_bits),
         classes: vec![],
     });
     let came = arrivals.iter().map(|recorded| ClassArrivals {
         class: recorded.class.clone(),
-        queries: recorded.queries,
+        queries: recorded.requests,
         unanswered: recorded.unanswered,
     });
     Report { span: Duration::from_micros(window_us), met: met.collect(), came: came.collect() }
 }
 
-fn replay_hint((name, speed_factor, suspicion): &(String, u64, u64)) -> ServerHint {
+fn replay_hint(recorded: &RecordedHint) -> ServerHint {
     ServerHint {
-        name: name.clone(),
-        speed_factor: f64::from_bits(*speed_factor),
-        suspicion: f64::from_bits(*suspicion),
+        name: recorded.server.clone(),
+        speed_factor: f64::from_bits(recorded.speed_factor_bits),
+        suspicion: f64::from_bits(recorded.suspicion_bits),
     }
 }
 
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -296,11 +296,11 @@
         request_rate: f64,
         has_no_table: bool,
     ) -> ProxyId {
-        self.record(|| RecordedEvent::Joined {
+        self.record(|| RecordedEvent::ProxyConnected {
             proxy: name.to_string(),
             zone: zone.to_string(),
-            rate: request_rate,
-            fresh: has_no_table,
+            request_rate,
+            has_no_table,
         });
         let proxy = self.proxies.index(name.to_string());
         self.remove_member(proxy);
@@ -320,7 +320,7 @@
     /// A proxy's connection ended.
     pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
         let name = self.proxy_name(proxy).to_string();
-        self.record(|| RecordedEvent::Left { proxy: name });
+        self.record(|| RecordedEvent::ProxyDisconnected { proxy: name });
         self.remove_member(proxy);
     }
 
@@ -337,7 +337,7 @@
         let now = self.advance_clock(now);
         if self.recorded_events.is_some() {
             let name = self.proxy_name(proxy).to_string();
-            self.record(|| RecordedEvent::Applied { proxy: name, number });
+            self.record(|| RecordedEvent::UpdateAcknowledged { proxy: name, number });
         }
         let Some(member) = self.members.get_mut(&proxy) else { return };
         self.guard.acknowledge(proxy, number);
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -7,7 +7,8 @@
 use runloom_daemon::state;
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_daemon::{run, wall_ms};
-use runloom_event_log::Entry;
+use runloom_event_log::columns::EntryTotals;
+use runloom_event_log::{read_segment, Entry, SegmentContent};
 use runloom_guard::{replay_case, RejectionCase};
 use runloom_identity::access::{Permission, Principal, Rule};
 use runloom_identity::id::Id;
@@ -287,20 +288,20 @@
     | RecordCommand::Verify { folder }) = command;
     let told = |e: std::io::Error| Told::Record(format!("{}: {e}", folder.display()));
     let mut bad = 0;
-    for segment in runloom_event_log::folder::segments(folder).map_err(told)? {
-        let (entries, torn) = match runloom_event_log::folder::read(&segment) {
-            Ok(read) => read,
+    for segment in runloom_event_log::list_segments(folder).map_err(told)? {
+        let SegmentContent { entries, torn_bytes: torn } = match read_segment(&segment) {
+            Ok(content) => content,
             Err(e) => {
                 bad += 1;
                 writeln!(out, "{e}")?;
                 continue;
             }
         };
-        let span = entries.first().zip(entries.last()).map_or((0, 0), |(a, b)| (a.at, b.at));
+        let span = entries.first().zip(entries.last()).map_or((0, 0), |(a, b)| (a.at_us, b.at_us));
         let seconds = |at: u64| at as f64 / 1e6;
         match command {
             RecordCommand::Ls { .. } | RecordCommand::Verify { .. } => {
-                let kind = if segment.columnar { "parquet" } else { "journal" };
+                let kind = if segment.is_columnar { "parquet" } else { "journal" };
                 let (from, to) = (seconds(span.0), seconds(span.1));
                 let tail =
                     if torn > 0 { format!(", a torn tail of {torn} bytes left out") } else { String::new() };
@@ -308,19 +309,26 @@
                     out,
                     "{:08} {kind} {} bytes, {} entries, {from:.1} to {to:.1} s{tail}",
                     segment.number,
-                    segment.bytes,
+                    segment.size,
                     entries.len()
                 )?;
             }
             RecordCommand::Show { kind, name, .. } => {
                 let fits = |e: &&Entry| {
-                    kind.as_ref().is_none_or(|k| e.what.kind() == k)
-                        && name.as_ref().is_none_or(|n| e.what.name() == n)
+                    kind.as_ref().is_none_or(|k| e.event.kind() == k)
+                        && name.as_ref().is_none_or(|n| e.event.name() == n)
                 };
                 for e in entries.iter().filter(fits) {
-                    let (queries, failed, lines) = runloom_event_log::columns::sums(&e.what);
+                    let EntryTotals { requests: queries, failures: failed, table_entries: lines } =
+                        EntryTotals::of(&e.event);
                     let sums = format!("queries {queries} failed {failed} lines {lines}");
-                    writeln!(out, "{:>12.6} {:8} {:16} {sums}", seconds(e.at), e.what.kind(), e.what.name())?;
+                    writeln!(
+                        out,
+                        "{:>12.6} {:8} {:16} {sums}",
+                        seconds(e.at_us),
+                        e.event.kind(),
+                        e.event.name()
+                    )?;
                 }
             }
             RecordCommand::Export { .. } => {
@@ -348,7 +356,7 @@
 
 /// The record as a day of the rig.
 fn inferred(folder: &Path, file: &Path) -> Result<(), String> {
-    let days = runloom_event_log::folder::days(folder).map_err(|e| e.to_string())?;
+    let days = runloom_event_log::read_runs(folder).map_err(|e| e.to_string())?;
     let found = runloom_replay::infer::infer(&days).map_err(|e| e.to_string())?;
     std::fs::write(file, found.xml()).map_err(|e| format!("{}: {e}", file.display()))?;
     println!("{}: {} troubles, {} edits", file.display(), found.troubles.len(), found.edits.len());
@@ -370,7 +378,7 @@
             false
         })
     };
-    runloom_event_log::folder::each(folder, back, &mut take).map_err(|e| e.to_string())?;
+    runloom_event_log::for_each_entry(folder, back, &mut take).map_err(|e| e.to_string())?;
     match (broken, replay) {
         (Some(why), _) => Err(why),
         (None, Some(replay)) => Ok(replay.done()),
@@ -395,7 +403,7 @@
         }
         return same.first.map_or(Ok(()), |d| Err(format!("it differs: {}", d.what)));
     }
-    let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
+    let entries = runloom_event_log::read_run(folder, back).map_err(|e| e.to_string())?;
     let read = |f: &PathBuf| std::fs::read_to_string(f).map_err(|e| format!("{}: {e}", f.display()));
     let text = fleet.as_ref().map(read).transpose()?;
     let fleet = text.map(|t| runloom_replay::fleet(&t)).transpose().map_err(|e| e.to_string())?;
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -597,17 +597,17 @@
         };
         let mut batch = std::mem::take(witness);
         for (_, what) in &mut batch {
-            if let Recorded::Turn { took, .. } = what {
+            if let Recorded::Step { duration_us: took, .. } = what {
                 *took = now.saturating_sub(from).as_micros() as u64;
             }
         }
         record.push(now, batch);
-        let standing = record.standing();
-        let stopped = standing.stopped.is_some();
+        let standing = record.status();
+        let stopped = standing.failure.is_some();
         if stopped && !self.record_stopped {
-            tracing::error!(why = standing.stopped, "recording stopped; planning goes on");
+            tracing::error!(why = standing.failure, "recording stopped; planning goes on");
         } else if !stopped && self.record_stopped {
-            tracing::info!(lost = standing.lost, "recording goes on");
+            tracing::info!(lost = standing.lost_entries, "recording goes on");
         }
         self.record_stopped = stopped;
     }
@@ -718,7 +718,7 @@
 
     fn refit_noted(&mut self, now: Duration) {
         if self.driver.fleet() != self.desk.kept_fleet() {
-            let what = Recorded::Refit { fleet: self.desk.fleet_text(), seed: self.seed };
+            let what = Recorded::Reconfigured { fleet: self.desk.fleet_text(), seed: self.seed };
             if let Some(witness) = &mut self.driver.recorded_events {
                 witness.push((now, what));
             }
@@ -839,7 +839,7 @@
             if let Some(witness) = &mut self.driver.recorded_events {
                 witness.push((
                     now,
-                    Recorded::Edit { id: edit.stored.id.clone(), who: edit.stored.author.clone() },
+                    Recorded::EditInForce { id: edit.stored.id.clone(), author: edit.stored.author.clone() },
                 ));
             }
             let after = now.saturating_sub(edit.stored_at.unwrap_or(now)).as_millis();
@@ -1059,13 +1059,15 @@
 ) -> Result<Option<Writer>, Failed> {
     let Some(folder) = &place.record else { return Ok(None) };
     let terms = runloom_event_log::RecorderConfig {
-        most: place.record_bytes,
+        max_total_bytes: place.record_bytes,
         ..runloom_event_log::RecorderConfig::default()
     };
     let recorder = Recorder::open(folder, terms)?;
     let (build, planner, fleet) = (BUILD.to_string(), place.name.clone(), desk.fleet_text());
-    driver.recorded_events =
-        Some(vec![(Duration::ZERO, Recorded::Start { build, planner, seed, epoch, fleet })]);
+    driver.recorded_events = Some(vec![(
+        Duration::ZERO,
+        Recorded::PlannerStarted { build, planner, seed, epoch_ms: epoch, fleet },
+    )]);
     Ok(Some(Writer::new(recorder)))
 }
 
--- a/crates/event-log/src/columns.rs
+++ b/crates/event-log/src/columns.rs
@@ -1,6 +1,6 @@
-//! Closed segments as Parquet: a row an entry, with columns that other tools can ask, and the entry itself.
+//! Closed segments as Parquet: a row for each entry, with columns that other tools can query, and the entry itself.
 
-use crate::entry::{Entry, RecordedEvent, OLDEST, VERSION};
+use crate::entry::{Entry, RecordedEvent, OLDEST_VERSION, VERSION};
 use parquet::basic::Compression;
 use parquet::column::writer::ColumnWriter;
 use parquet::data_type::ByteArray;
@@ -13,8 +13,8 @@
 use std::io::Write;
 use std::sync::Arc;
 
-/// `at` in microseconds since the planner's start; `queries` and `failed` are what a report sums up to; `entry` is
-/// the whole of it, as the journal has it.
+/// `at` is in microseconds since the planner's start; `queries`, `failed` and `lines` are the [`EntryTotals`];
+/// `entry` is the entry as the journal has it.
 const SCHEMA: &str = "message entry {
     REQUIRED INT64 at;
     REQUIRED BYTE_ARRAY kind (UTF8);
@@ -25,84 +25,140 @@
     REQUIRED BYTE_ARRAY entry;
 }";
 
+/// Columns of the schema, in its order.
+#[derive(Debug, Clone, Copy)]
+enum Column {
+    At,
+    Kind,
+    Name,
+    Requests,
+    Failures,
+    TableEntries,
+    Entry,
+}
+
+const COLUMNS: [Column; 7] = [
+    Column::At,
+    Column::Kind,
+    Column::Name,
+    Column::Requests,
+    Column::Failures,
+    Column::TableEntries,
+    Column::Entry,
+];
+
+/// Key of the version in a file's metadata.
+const VERSION_KEY: &str = "runloom.version";
+
+/// A columnar file that cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum ColumnError {
+    /// The file is not Parquet of the expected schema.
     #[error("{0}")]
     Parquet(#[from] parquet::errors::ParquetError),
+    /// An entry in it is corrupt.
     #[error("an entry cannot be read: {0}")]
     Entry(#[from] postcard::Error),
-    #[error("its version is {0}, this build reads {OLDEST} to {VERSION}")]
+    /// It is of a version that this build does not read.
+    #[error("its version is {0}, this build reads {OLDEST_VERSION} to {VERSION}")]
     Version(String),
 }
 
-/// Queries, failed tries and lines of an entry.
-pub fn sums(what: &RecordedEvent) -> (i64, i64, i64) {
-    match what {
-        RecordedEvent::Report { met, came, .. } => {
-            let queries: u64 = came.iter().map(|c| c.queries).sum();
-            let failed: u64 = met.iter().map(|m| m.failed).sum();
-            (queries as i64, failed as i64, 0)
+/// Totals of an entry.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct EntryTotals {
+    /// Requests that a report names as arrived.
+    pub requests: i64,
+    /// Failed attempts that a report names.
+    pub failures: i64,
+    /// Table entries that a step sent.
+    pub table_entries: i64,
+}
+
+impl EntryTotals {
+    /// The totals of an event.
+    pub fn of(event: &RecordedEvent) -> EntryTotals {
+        match event {
+            RecordedEvent::Report { outcomes, arrivals, .. } => EntryTotals {
+                requests: arrivals.iter().map(|arrivals| arrivals.requests).sum::<u64>() as i64,
+                failures: outcomes.iter().map(|outcome| outcome.failures).sum::<u64>() as i64,
+                table_entries: 0,
+            },
+            RecordedEvent::Step { sent, .. } => {
+                let table_entries = sent.iter().map(|update| i64::from(update.entries)).sum();
+                EntryTotals { table_entries, ..EntryTotals::default() }
+            }
+            _ => EntryTotals::default(),
         }
-        RecordedEvent::Turn { sent, .. } => (0, 0, sent.iter().map(|s| i64::from(s.lines)).sum()),
-        _ => (0, 0, 0),
     }
 }
 
 /// Writes entries as one file.
 pub fn write(entries: &[Entry], out: impl Write + Send) -> Result<(), ColumnError> {
     let schema = Arc::new(parse_message_type(SCHEMA)?);
-    let version = KeyValue { key: "runloom.version".into(), value: Some(VERSION.to_string()) };
-    let properties = WriterProperties::builder()
-        .set_compression(Compression::SNAPPY)
-        .set_key_value_metadata(Some(vec![version]))
-        .build();
-    let mut writer = SerializedFileWriter::new(out, schema, Arc::new(properties))?;
+    let mut writer = SerializedFileWriter::new(out, schema, Arc::new(properties()))?;
     let mut group = writer.next_row_group()?;
     let payloads = entries.iter().map(postcard::to_stdvec).collect::<Result<Vec<_>, _>>()?;
-    let numbers = |k: usize| -> Vec<i64> {
-        let of = |e: &Entry| match (k, sums(&e.what)) {
-            (0, _) => e.at as i64,
-            (3, (queries, _, _)) => queries,
-            (4, (_, failed, _)) => failed,
-            (_, (_, _, lines)) => lines,
-        };
-        entries.iter().map(of).collect()
-    };
-    let texts = |k: usize| -> Vec<ByteArray> {
-        match k {
-            1 => entries.iter().map(|e| ByteArray::from(e.what.kind())).collect(),
-            2 => entries.iter().map(|e| ByteArray::from(e.what.name())).collect(),
-            _ => payloads.iter().map(|p| ByteArray::from(p.clone())).collect(),
-        }
-    };
-    let mut place = 0;
-    while let Some(mut column) = group.next_column()? {
-        match column.untyped() {
-            ColumnWriter::Int64ColumnWriter(w) => _ = w.write_batch(&numbers(place), None, None)?,
-            ColumnWriter::ByteArrayColumnWriter(w) => _ = w.write_batch(&texts(place), None, None)?,
+    let mut columns = COLUMNS.iter();
+    while let Some(mut writer) = group.next_column()? {
+        let Some(column) = columns.next() else { break };
+        match writer.untyped() {
+            ColumnWriter::Int64ColumnWriter(writer) => {
+                writer.write_batch(&integers(*column, entries), None, None)?;
+            }
+            ColumnWriter::ByteArrayColumnWriter(writer) => {
+                writer.write_batch(&texts(*column, entries, &payloads), None, None)?;
+            }
             _ => {}
         }
-        column.close()?;
-        place += 1;
+        writer.close()?;
     }
     group.close()?;
     writer.close()?;
     Ok(())
 }
 
+fn properties() -> WriterProperties {
+    let version = KeyValue { key: VERSION_KEY.into(), value: Some(VERSION.to_string()) };
+    WriterProperties::builder()
+        .set_compression(Compression::SNAPPY)
+        .set_key_value_metadata(Some(vec![version]))
+        .build()
+}
+
+fn integers(column: Column, entries: &[Entry]) -> Vec<i64> {
+    let value = |entry: &Entry| {
+        let totals = EntryTotals::of(&entry.event);
+        match column {
+            Column::At => entry.at_us as i64,
+            Column::Requests => totals.requests,
+            Column::Failures => totals.failures,
+            _ => totals.table_entries,
+        }
+    };
+    entries.iter().map(value).collect()
+}
+
+fn texts(column: Column, entries: &[Entry], payloads: &[Vec<u8>]) -> Vec<ByteArray> {
+    match column {
+        Column::Kind => entries.iter().map(|entry| ByteArray::from(entry.event.kind())).collect(),
+        Column::Name => entries.iter().map(|entry| ByteArray::from(entry.event.name())).collect(),
+        _ => payloads.iter().map(|payload| ByteArray::from(payload.clone())).collect(),
+    }
+}
+
 /// Reads a file that [`write`] wrote.
 pub fn read(file: impl ChunkReader + 'static) -> Result<Vec<Entry>, ColumnError> {
     let reader = SerializedFileReader::new(file)?;
-    let told = reader.metadata().file_metadata().key_value_metadata().cloned().unwrap_or_default();
-    let version = told.into_iter().find(|kv| kv.key == "runloom.version").and_then(|kv| kv.value);
-    let known =
-        version.as_deref().and_then(|v| v.parse().ok()).is_some_and(|v| (OLDEST..=VERSION).contains(&v));
-    if !known {
+    let metadata = reader.metadata().file_metadata().key_value_metadata().cloned().unwrap_or_default();
+    let version = metadata.into_iter().find(|pair| pair.key == VERSION_KEY).and_then(|pair| pair.value);
+    let number = version.as_deref().and_then(|version| version.parse().ok());
+    if !number.is_some_and(|number| (OLDEST_VERSION..=VERSION).contains(&number)) {
         return Err(ColumnError::Version(version.unwrap_or_else(|| "unknown".into())));
     }
     let mut entries = Vec::new();
     for row in reader.get_row_iter(None)? {
-        entries.push(postcard::from_bytes(row?.get_bytes(6)?.data())?);
+        entries.push(postcard::from_bytes(row?.get_bytes(Column::Entry as usize)?.data())?);
     }
     Ok(entries)
 }
--- a/crates/event-log/src/entry.rs
+++ b/crates/event-log/src/entry.rs
@@ -1,181 +1,318 @@
-//! One entry: when, and what. The driver's inputs are all here, so that a replay can make the same calls.
+//! Entries of the log. They hold all inputs of a control session, so that a replay can make the same calls.
+//!
+//! The stored form (postcard) depends on the order of fields and variants; the exported form (JSON) on the names in
+//! `serde(rename)`. Kinds of entries are only ever added, after the others.
 
 use serde::{Deserialize, Serialize};
 
-/// The schema's version. Kinds of entries are only ever added, behind those that were: files since [`OLDEST`] are
-/// read as they are, and what they do not hold is unknown. A newer file is refused, and says which it is.
+/// Version of what is written.
 pub const VERSION: u32 = 3;
-/// The oldest version that is read: it had no outcomes by class.
-pub const OLDEST: u32 = 1;
+/// Oldest version that is read. It has no outcomes by class.
+pub const OLDEST_VERSION: u32 = 1;
 
-/// A server as the list had it.
+/// A server as it was listed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordedServer {
+    /// Its name.
     pub name: String,
+    /// Where it listens.
     pub address: String,
+    /// Its zone.
     pub zone: String,
+    /// Its kind of machine.
     pub kind: String,
+    /// Its cell.
     pub cell: u64,
-    pub draining: bool,
+    /// Whether it finishes its requests and takes no more.
+    #[serde(rename = "draining")]
+    pub is_draining: bool,
+    /// Its weight.
     pub weight: f64,
-    /// Milliseconds since 1970.
-    pub started: Option<u64>,
+    /// When its process started, in milliseconds since 1970.
+    #[serde(rename = "started")]
+    pub started_ms: Option<u64>,
 }
 
-/// What a proxy met at a server over a span; times in microseconds.
+/// Outcomes of a proxy's attempts at one server within a report's window.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordedOutcome {
+    /// The server.
     pub server: String,
-    pub tries: u64,
-    pub failed: u64,
-    pub took: u64,
-    /// Of the good ones, those within their class's soft limit.
-    pub in_time: u64,
-    /// The load report, each value's bits: a missing one is a NaN.
-    pub load: Vec<u64>,
+    /// Attempts that ended.
+    #[serde(rename = "tries")]
+    pub attempts: u64,
+    /// Those of them that failed.
+    #[serde(rename = "failed")]
+    pub failures: u64,
+    /// Mean latency of the successful ones, in microseconds.
+    #[serde(rename = "took")]
+    pub mean_latency_us: u64,
+    /// Successful ones within the latency objective of their class.
+    #[serde(rename = "in_time")]
+    pub within_objective: u64,
+    /// The server's newest load report: the bits of each value, NaN for a missing one.
+    #[serde(rename = "load")]
+    pub load_bits: Vec<u64>,
 }
 
+/// Requests of one class that arrived at a proxy within a report's window.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedArrivals {
+    /// The class.
     pub class: String,
-    pub queries: u64,
+    /// Requests that arrived.
+    #[serde(rename = "queries")]
+    pub requests: u64,
+    /// Those of them that got no answer.
     pub unanswered: u64,
 }
 
-/// What a proxy met at a server with the queries of one class.
+/// Outcomes of a proxy's attempts at one server with requests of one class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedClassOutcome {
+    /// The server.
     pub server: String,
+    /// The class.
     pub class: String,
-    pub tries: u64,
-    /// Good ones within the class's soft limit.
-    pub in_time: u64,
-    /// Good tries by time: the bits of their microseconds, and how many.
-    pub took: Vec<(u8, u64)>,
+    /// Attempts that ended.
+    #[serde(rename = "tries")]
+    pub attempts: u64,
+    /// Successful ones within the class's latency objective.
+    #[serde(rename = "in_time")]
+    pub within_objective: u64,
+    /// Successful ones by latency: the number of bits of their microseconds, and how many they are.
+    #[serde(rename = "took")]
+    pub latency_buckets: Vec<(u8, u64)>,
 }
 
-/// One message that went out: to whom, under which number, and which of the turn's texts.
+/// A message that was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentUpdate {
+    /// The recipient.
     pub proxy: String,
+    /// Sequence number at this proxy.
     pub number: u64,
-    pub text: u32,
-    pub lines: u32,
+    /// Index of its text among the step's texts.
+    #[serde(rename = "text")]
+    pub text_index: u32,
+    /// Table entries in it.
+    #[serde(rename = "lines")]
+    pub entries: u32,
 }
 
+/// What an earlier process learned of a server. Stored and exported as a tuple.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, u64, u64)", into = "(String, u64, u64)")]
+pub struct RecordedHint {
+    /// The server.
+    pub server: String,
+    /// Bits of its speed factor.
+    pub speed_factor_bits: u64,
+    /// Bits of its suspicion.
+    pub suspicion_bits: u64,
+}
+
+impl From<(String, u64, u64)> for RecordedHint {
+    fn from((server, speed_factor_bits, suspicion_bits): (String, u64, u64)) -> RecordedHint {
+        RecordedHint { server, speed_factor_bits, suspicion_bits }
+    }
+}
+
+impl From<RecordedHint> for (String, u64, u64) {
+    fn from(hint: RecordedHint) -> (String, u64, u64) {
+        (hint.server, hint.speed_factor_bits, hint.suspicion_bits)
+    }
+}
+
+/// What happened.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RecordedEvent {
-    /// A planner started: its build, its name, the seed, the wall clock at zero, and `<fleet>`.
-    Start {
+    /// The planner started.
+    #[serde(rename = "Start")]
+    PlannerStarted {
+        /// The program's build.
         build: String,
+        /// The planner's name.
         planner: String,
+        /// Seed of the controller.
         seed: u64,
-        epoch: u64,
+        /// Wall clock at time zero, in milliseconds since 1970.
+        #[serde(rename = "epoch")]
+        epoch_ms: u64,
+        /// The `<fleet>` element.
         fleet: String,
     },
-    /// The list: whole as held before (`whole`) or changes; who is gone is named alone.
-    Listed {
-        whole: bool,
+    /// An endpoint list.
+    #[serde(rename = "Listed")]
+    EndpointsListed {
+        /// It is the list as held before the start, and not a change.
+        #[serde(rename = "whole")]
+        is_complete: bool,
+        /// Servers that are new or changed.
         servers: Vec<RecordedServer>,
-        gone: Vec<String>,
+        /// Names of servers that were removed.
+        #[serde(rename = "gone")]
+        removed: Vec<String>,
     },
-    /// The fleet was edited; the seed with which the decisions start over if its facts changed.
-    Refit {
+    /// The fleet was edited.
+    #[serde(rename = "Refit")]
+    Reconfigured {
+        /// The new `<fleet>` element.
         fleet: String,
+        /// Seed of the controller, if it starts over.
         seed: u64,
     },
-    Joined {
+    /// A proxy connected.
+    #[serde(rename = "Joined")]
+    ProxyConnected {
+        /// The proxy.
         proxy: String,
+        /// Its zone.
         zone: String,
-        rate: f64,
-        fresh: bool,
+        /// Requests a second that it expects.
+        #[serde(rename = "rate")]
+        request_rate: f64,
+        /// It holds no table of an earlier planner.
+        #[serde(rename = "fresh")]
+        has_no_table: bool,
     },
-    Left {
+    /// A proxy's connection ended.
+    #[serde(rename = "Left")]
+    ProxyDisconnected {
+        /// The proxy.
         proxy: String,
     },
-    Applied {
+    /// A proxy acknowledged a message and all before it.
+    #[serde(rename = "Applied")]
+    UpdateAcknowledged {
+        /// The proxy.
         proxy: String,
+        /// The message.
         number: u64,
     },
+    /// A proxy's report.
     Report {
+        /// The proxy.
         proxy: String,
-        span: u64,
-        met: Vec<RecordedOutcome>,
-        came: Vec<RecordedArrivals>,
+        /// The time that it covers, in microseconds.
+        #[serde(rename = "span")]
+        window_us: u64,
+        /// Outcomes by server.
+        #[serde(rename = "met")]
+        outcomes: Vec<RecordedOutcome>,
+        /// Arrivals by class.
+        #[serde(rename = "came")]
+        arrivals: Vec<RecordedArrivals>,
     },
-    Probed {
+    /// A health check ended.
+    #[serde(rename = "Probed")]
+    HealthChecked {
+        /// The server.
         server: String,
-        found: u8,
-        after: u64,
-        load: Vec<u64>,
+        /// Number of the result, in the order of `HealthCheckResult`.
+        #[serde(rename = "found")]
+        result: u8,
+        /// How long it took, in microseconds.
+        #[serde(rename = "after")]
+        elapsed_us: u64,
+        /// The load report that came with the answer: the bits of each value.
+        #[serde(rename = "load")]
+        load_bits: Vec<u64>,
     },
-    Edit {
+    /// An operator's edit is in force.
+    #[serde(rename = "Edit")]
+    EditInForce {
+        /// The edit.
         id: String,
-        who: String,
+        /// Who made it.
+        #[serde(rename = "who")]
+        author: String,
     },
-    /// The decisions were asked; what they ordered. A turn without orders is kept all the same: it moved their
-    /// clock. `took`: microseconds.
-    Turn {
-        took: u64,
+    /// The controller was asked, and what it commanded. A step without commands counts too: it moves the
+    /// controller's clock.
+    #[serde(rename = "Turn")]
+    Step {
+        /// How long it took, in microseconds.
+        #[serde(rename = "took")]
+        duration_us: u64,
+        /// Texts of the messages, each once.
         texts: Vec<String>,
+        /// The messages sent.
         sent: Vec<SentUpdate>,
-        probes: Vec<String>,
+        /// Servers whose health is checked.
+        #[serde(rename = "probes")]
+        health_checks: Vec<String>,
+        /// Lines of the log.
         log: Vec<String>,
-        refused: Vec<String>,
+        /// Commands that the guard rejected, with the reason.
+        #[serde(rename = "refused")]
+        rejections: Vec<String>,
     },
-    /// So many entries were lost here, since the disk was full.
-    Lost {
+    /// Entries were lost here, since the disk was full or too slow.
+    #[serde(rename = "Lost")]
+    EntriesLost {
+        /// How many; 0 if that is not known.
         entries: u64,
     },
-    /// A report's outcomes by class, from proxies that tell them. Decisions do not see them.
-    Outcomes {
+    /// Outcomes of a report by class. The controller does not use them.
+    #[serde(rename = "Outcomes")]
+    ClassOutcomes {
+        /// The proxy.
         proxy: String,
-        met: Vec<RecordedClassOutcome>,
+        /// Outcomes by server and class.
+        #[serde(rename = "met")]
+        outcomes: Vec<RecordedClassOutcome>,
     },
-    /// Hints of an earlier start: server, swiftness and doubt, both as bits.
-    Remembered {
-        hints: Vec<(String, u64, u64)>,
+    /// What an earlier process learned.
+    #[serde(rename = "Remembered")]
+    WarmStart {
+        /// One hint for each server.
+        hints: Vec<RecordedHint>,
     },
 }
 
-/// One entry: microseconds since the planner's start, and what happened.
+/// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    pub at: u64,
-    pub what: RecordedEvent,
+    /// Microseconds since the planner's start.
+    #[serde(rename = "at")]
+    pub at_us: u64,
+    /// What happened.
+    #[serde(rename = "what")]
+    pub event: RecordedEvent,
 }
 
 impl RecordedEvent {
-    /// A word for it.
+    /// The kind of the event, as stored in a column and shown to operators.
     pub fn kind(&self) -> &'static str {
         match self {
-            RecordedEvent::Start { .. } => "start",
-            RecordedEvent::Listed { .. } => "listed",
-            RecordedEvent::Refit { .. } => "refit",
-            RecordedEvent::Joined { .. } => "joined",
-            RecordedEvent::Left { .. } => "left",
-            RecordedEvent::Applied { .. } => "applied",
+            RecordedEvent::PlannerStarted { .. } => "start",
+            RecordedEvent::EndpointsListed { .. } => "listed",
+            RecordedEvent::Reconfigured { .. } => "refit",
+            RecordedEvent::ProxyConnected { .. } => "joined",
+            RecordedEvent::ProxyDisconnected { .. } => "left",
+            RecordedEvent::UpdateAcknowledged { .. } => "applied",
             RecordedEvent::Report { .. } => "report",
-            RecordedEvent::Probed { .. } => "probed",
-            RecordedEvent::Edit { .. } => "edit",
-            RecordedEvent::Turn { .. } => "turn",
-            RecordedEvent::Lost { .. } => "lost",
-            RecordedEvent::Outcomes { .. } => "outcomes",
-            RecordedEvent::Remembered { .. } => "remembered",
+            RecordedEvent::HealthChecked { .. } => "probed",
+            RecordedEvent::EditInForce { .. } => "edit",
+            RecordedEvent::Step { .. } => "turn",
+            RecordedEvent::EntriesLost { .. } => "lost",
+            RecordedEvent::ClassOutcomes { .. } => "outcomes",
+            RecordedEvent::WarmStart { .. } => "remembered",
         }
     }
 
-    /// Whom it is about, if it is about one.
+    /// The planner, proxy, server or edit that the event is about; empty for none.
     pub fn name(&self) -> &str {
         match self {
-            RecordedEvent::Start { planner, .. } => planner,
-            RecordedEvent::Joined { proxy, .. }
-            | RecordedEvent::Left { proxy }
-            | RecordedEvent::Applied { proxy, .. }
-            | RecordedEvent::Outcomes { proxy, .. }
+            RecordedEvent::PlannerStarted { planner, .. } => planner,
+            RecordedEvent::ProxyConnected { proxy, .. }
+            | RecordedEvent::ProxyDisconnected { proxy }
+            | RecordedEvent::UpdateAcknowledged { proxy, .. }
+            | RecordedEvent::ClassOutcomes { proxy, .. }
             | RecordedEvent::Report { proxy, .. } => proxy,
-            RecordedEvent::Probed { server, .. } => server,
-            RecordedEvent::Edit { id, .. } => id,
+            RecordedEvent::HealthChecked { server, .. } => server,
+            RecordedEvent::EditInForce { id, .. } => id,
             _ => "",
         }
     }
--- a/crates/event-log/src/framing.rs
+++ b/crates/event-log/src/framing.rs
@@ -1,88 +1,109 @@
-//! Frames: length, checksum, payload. Free of I/O.
+//! The form of a journal: a header, then frames of length, checksum and entry. Free of I/O.
 
-use crate::entry::{Entry, OLDEST, VERSION};
+use crate::entry::{Entry, OLDEST_VERSION, VERSION};
 
-/// What a journal begins with, the schema's version behind it.
+/// The first bytes of a journal; the version follows.
 const MAGIC: &[u8; 8] = b"runlrec\n";
-/// A frame larger than this is none: the largest turn, 592 whole tables, takes some 2 MB.
-const FRAME_MOST: usize = 16 << 20;
+/// Bytes of the header.
+const HEADER_SIZE: usize = MAGIC.len() + FIELD_SIZE;
+/// Bytes of the version, of a frame's length and of its checksum.
+const FIELD_SIZE: usize = 4;
+/// Bytes before a frame's entry.
+const FRAME_PREFIX_SIZE: usize = 2 * FIELD_SIZE;
+/// Largest entry, in bytes; that of a step with 592 complete tables has some 2 MB.
+const MAX_ENTRY_SIZE: usize = 16 << 20;
 
-/// The head of a journal.
-pub fn head() -> Vec<u8> {
+/// A journal that cannot be read.
+#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+pub enum JournalError {
+    /// The file begins with something else.
+    #[error("it is no journal")]
+    NotAJournal,
+    /// It is of a version that this build does not read.
+    #[error("its version is {0}, this build reads {OLDEST_VERSION} to {VERSION}")]
+    UnknownVersion(u32),
+}
+
+/// A journal as it was read.
+#[derive(Debug, Default, PartialEq)]
+pub struct DecodedJournal {
+    /// Its entries.
+    pub entries: Vec<Entry>,
+    /// Bytes of the header and of complete frames.
+    pub complete_bytes: usize,
+    /// Bytes after them: a frame that was not finished, or one that is corrupt.
+    pub torn_bytes: usize,
+}
+
+/// The header of a journal.
+pub fn header() -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&VERSION.to_le_bytes());
     out
 }
 
-/// Adds one entry to a buffer.
-pub fn push(entry: &Entry, out: &mut Vec<u8>) -> Result<(), postcard::Error> {
-    let from = out.len();
-    out.extend_from_slice(&[0; 8]);
+/// Appends the frame of an entry; on failure `out` is unchanged.
+pub fn append_frame(entry: &Entry, out: &mut Vec<u8>) -> Result<(), postcard::Error> {
+    let begin = out.len();
+    let body = begin + FRAME_PREFIX_SIZE;
+    out.extend_from_slice(&[0; FRAME_PREFIX_SIZE]);
     if let Err(e) = postcard::to_io(entry, &mut *out) {
-        out.truncate(from);
+        out.truncate(begin);
         return Err(e);
     }
-    let (length, sum) = ((out.len() - from - 8) as u32, crc32fast::hash(&out[from + 8..]));
-    out[from..from + 4].copy_from_slice(&length.to_le_bytes());
-    out[from + 4..from + 8].copy_from_slice(&sum.to_le_bytes());
+    let length = (out.len() - body) as u32;
+    let checksum = crc32fast::hash(&out[body..]);
+    out[begin..begin + FIELD_SIZE].copy_from_slice(&length.to_le_bytes());
+    out[begin + FIELD_SIZE..body].copy_from_slice(&checksum.to_le_bytes());
     Ok(())
 }
 
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum Unreadable {
-    #[error("it is no journal")]
-    NoJournal,
-    #[error("its version is {0}, this build reads {OLDEST} to {VERSION}")]
-    Version(u32),
-}
-
-/// What a journal holds.
-#[derive(Debug, Default, PartialEq)]
-pub struct Read {
-    pub entries: Vec<Entry>,
-    /// Bytes that are whole frames, the head with them.
-    pub whole: usize,
-    /// Bytes behind them: a frame that was not finished, or one that does not check.
-    pub torn: usize,
+/// Reads a journal up to its first frame that is incomplete or corrupt.
+pub fn decode_journal(bytes: &[u8]) -> Result<DecodedJournal, JournalError> {
+    if bytes.len() < HEADER_SIZE {
+        return decode_incomplete_header(bytes);
+    }
+    if !bytes.starts_with(MAGIC) {
+        return Err(JournalError::NotAJournal);
+    }
+    let version = read_u32(bytes, MAGIC.len()).unwrap_or_default();
+    if !(OLDEST_VERSION..=VERSION).contains(&version) {
+        return Err(JournalError::UnknownVersion(version));
+    }
+    let mut journal = DecodedJournal { complete_bytes: HEADER_SIZE, ..DecodedJournal::default() };
+    while let Some((entry, size)) = decode_frame(&bytes[journal.complete_bytes..]) {
+        journal.entries.push(entry);
+        journal.complete_bytes += size;
+    }
+    journal.torn_bytes = bytes.len() - journal.complete_bytes;
+    Ok(journal)
 }
 
-fn number(bytes: &[u8]) -> usize {
-    bytes.iter().rev().fold(0, |n, b| n << 8 | usize::from(*b))
+/// A journal whose writer was killed while it wrote the header: it has no entries.
+fn decode_incomplete_header(bytes: &[u8]) -> Result<DecodedJournal, JournalError> {
+    if header().starts_with(bytes) || bytes.starts_with(MAGIC) {
+        Ok(DecodedJournal { torn_bytes: bytes.len(), ..DecodedJournal::default() })
+    } else {
+        Err(JournalError::NotAJournal)
+    }
 }
 
-/// Reads a journal up to its end, or to the first frame that is not whole.
-pub fn read(bytes: &[u8]) -> Result<Read, Unreadable> {
-    let head = head();
-    if bytes.len() < head.len() {
-        // Killed while the head was written: nothing was recorded.
-        return if head.starts_with(bytes) || bytes.starts_with(MAGIC) {
-            Ok(Read { torn: bytes.len(), ..Read::default() })
-        } else {
-            Err(Unreadable::NoJournal)
-        };
-    }
-    if &bytes[..8] != MAGIC {
-        return Err(Unreadable::NoJournal);
-    }
-    let version = number(&bytes[8..12]) as u32;
-    if !(OLDEST..=VERSION).contains(&version) {
-        return Err(Unreadable::Version(version));
+/// The first entry and the size of its frame; `None` if that is incomplete or corrupt.
+fn decode_frame(bytes: &[u8]) -> Option<(Entry, usize)> {
+    let length = read_u32(bytes, 0)? as usize;
+    let checksum = read_u32(bytes, FIELD_SIZE)?;
+    if length > MAX_ENTRY_SIZE {
+        return None;
     }
-    let mut read = Read { whole: head.len(), ..Read::default() };
-    while let Some((size, sum)) =
-        bytes.get(read.whole..read.whole + 8).map(|h| (number(&h[..4]), number(&h[4..])))
-    {
-        let from = read.whole + 8;
-        let Some(payload) = (size <= FRAME_MOST).then(|| bytes.get(from..from + size)).flatten() else {
-            break;
-        };
-        if crc32fast::hash(payload) as usize != sum {
-            break;
-        }
-        let Ok(entry) = postcard::from_bytes(payload) else { break };
-        read.entries.push(entry);
-        read.whole = from + size;
+    let size = FRAME_PREFIX_SIZE + length;
+    let body = bytes.get(FRAME_PREFIX_SIZE..size)?;
+    if crc32fast::hash(body) != checksum {
+        return None;
     }
-    read.torn = bytes.len() - read.whole;
-    Ok(read)
+    Some((postcard::from_bytes(body).ok()?, size))
+}
+
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
+    let field = bytes.get(at..at + FIELD_SIZE)?;
+    Some(u32::from_le_bytes([field[0], field[1], field[2], field[3]]))
 }
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,16 +1,24 @@
-//! What happened and what was ordered, on disk. A planner writes an append-only journal of frames, each with its
-//! length and checksum; a segment that is closed becomes a columnar file (Parquet) that other tools read too.
-//! Killed at any moment, what was written before the last frame is there; a torn tail is cut, and told.
+//! The event log of a planner: what happened, and what the controller decided, on disk.
+//!
+//! A planner appends to a journal of frames, each with its length and checksum. A journal that is long enough is
+//! closed and becomes a columnar file (Parquet), which other tools read too. After a kill at any moment all that
+//! was written before the last frame is there; a torn tail is left out and reported.
 
 pub mod columns;
 pub mod entry;
-pub mod folder;
+mod error;
 pub mod framing;
-pub mod writer;
+mod reader;
+mod recorder;
+mod segment;
+mod writer;
 
 pub use entry::{Entry, RecordedEvent};
-pub use folder::{Recorder, RecorderConfig, Segment};
-pub use writer::Writer;
+pub use error::ReadError;
+pub use reader::{for_each_entry, read_run, read_runs};
+pub use recorder::{Recorder, RecorderConfig};
+pub use segment::{convert_to_columns, list_segments, read_segment, Segment, SegmentContent};
+pub use writer::{Writer, WriterStatus};
 
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/event-log/src/recorder.rs
@@ -0,0 +1,229 @@
+//! Writes a log: the open journal, closed segments, and their retention.
+
+use crate::entry::{Entry, RecordedEvent};
+use crate::framing;
+use crate::segment::{convert_to_columns, journal_path, list_segments, Segment};
+use std::fs::{self, File, OpenOptions};
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+use std::thread::JoinHandle;
+use std::time::{Duration, SystemTime};
+
+/// Time between attempts to write to a disk that failed.
+const RETRY_INTERVAL: Duration = Duration::from_secs(5);
+const DAY: Duration = Duration::from_secs(86_400);
+
+/// Limits of a log.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct RecorderConfig {
+    /// Size in bytes at which a journal is closed.
+    pub max_segment_bytes: u64,
+    /// Size in bytes of all segments, beyond which the oldest are removed.
+    pub max_total_bytes: u64,
+    /// Age beyond which segments are removed.
+    pub max_age: Duration,
+    /// Time between syncs, which is what a power cut may lose. A killed process loses nothing that was written.
+    pub sync_interval: Duration,
+    /// Bytes that may wait to be written. Entries beyond that are lost, and counted.
+    pub max_buffered_bytes: usize,
+}
+
+impl Default for RecorderConfig {
+    fn default() -> Self {
+        RecorderConfig {
+            max_segment_bytes: 16 << 20,
+            max_total_bytes: 2 << 30,
+            max_age: 7 * DAY,
+            sync_interval: Duration::from_secs(1),
+            max_buffered_bytes: 32 << 20,
+        }
+    }
+}
+
+/// The journal that is written to.
+struct OpenJournal {
+    file: File,
+    /// Bytes of header and complete frames.
+    size: u64,
+}
+
+/// Writes a log. It never blocks its planner on a disk that fails: entries wait within a limit, and beyond that they
+/// are lost, which the log then says.
+pub struct Recorder {
+    folder: PathBuf,
+    config: RecorderConfig,
+    /// Number of the open segment, or of the next one.
+    number: u64,
+    journal: Option<OpenJournal>,
+    buffer: Vec<u8>,
+    lost_entries: u64,
+    /// Lost entries that the log does not mention yet.
+    unreported_losses: u64,
+    last_sync: Duration,
+    next_attempt: Duration,
+    /// Why the last write failed.
+    failure: Option<String>,
+    converters: Vec<JoinHandle<()>>,
+}
+
+impl Recorder {
+    /// Opens a folder, which is created if it does not exist. A new segment begins; earlier journals become columnar.
+    pub fn open(folder: &Path, config: RecorderConfig) -> io::Result<Recorder> {
+        fs::create_dir_all(folder)?;
+        let earlier = list_segments(folder)?;
+        let mut recorder = Recorder {
+            folder: folder.to_path_buf(),
+            config,
+            number: earlier.last().map_or(0, |segment| segment.number) + 1,
+            journal: None,
+            buffer: vec![],
+            lost_entries: 0,
+            unreported_losses: 0,
+            last_sync: Duration::ZERO,
+            next_attempt: Duration::ZERO,
+            failure: None,
+            converters: vec![],
+        };
+        for segment in earlier.into_iter().filter(|segment| !segment.is_columnar) {
+            recorder.start_conversion(segment);
+        }
+        Ok(recorder)
+    }
+
+    /// Why nothing is recorded at the moment, if so.
+    pub fn failure(&self) -> Option<&str> {
+        self.failure.as_deref()
+    }
+
+    /// Entries lost since the start.
+    pub fn lost_entries(&self) -> u64 {
+        self.lost_entries
+    }
+
+    /// Adds an entry to the buffer.
+    pub fn push(&mut self, at: Duration, event: RecordedEvent) {
+        let at_us = at.as_micros() as u64;
+        if self.buffer.len() >= self.config.max_buffered_bytes {
+            self.count_loss();
+            return;
+        }
+        if self.unreported_losses > 0 {
+            let entries = std::mem::take(&mut self.unreported_losses);
+            let loss = Entry { at_us, event: RecordedEvent::EntriesLost { entries } };
+            let _ = framing::append_frame(&loss, &mut self.buffer);
+        }
+        if framing::append_frame(&Entry { at_us, event }, &mut self.buffer).is_err() {
+            self.count_loss();
+        }
+    }
+
+    fn count_loss(&mut self) {
+        self.unreported_losses += 1;
+        self.lost_entries += 1;
+    }
+
+    /// Writes the buffer; after a failure not before [`RETRY_INTERVAL`] has passed.
+    pub fn write(&mut self, now: Duration) {
+        if self.buffer.is_empty() || (self.failure.is_some() && now < self.next_attempt) {
+            return;
+        }
+        match self.write_buffer(now) {
+            Ok(()) => self.failure = None,
+            Err(e) => {
+                self.abandon_journal();
+                self.failure = Some(e.to_string());
+                self.next_attempt = now + RETRY_INTERVAL;
+            }
+        }
+    }
+
+    /// Cuts off a frame that may be half written; the buffer goes into a new segment.
+    fn abandon_journal(&mut self) {
+        if let Some(journal) = self.journal.take() {
+            let _ = journal.file.set_len(journal.size);
+            self.number += 1;
+        }
+    }
+
+    fn write_buffer(&mut self, now: Duration) -> io::Result<()> {
+        if self.journal.is_none() {
+            self.journal = Some(self.create_journal()?);
+        }
+        let Some(journal) = &mut self.journal else { return Ok(()) };
+        journal.file.write_all(&self.buffer)?;
+        journal.size += self.buffer.len() as u64;
+        self.buffer.clear();
+        if now >= self.last_sync + self.config.sync_interval {
+            journal.file.sync_data()?;
+            self.last_sync = now;
+        }
+        if journal.size >= self.config.max_segment_bytes {
+            self.close_journal()?;
+        }
+        Ok(())
+    }
+
+    fn create_journal(&self) -> io::Result<OpenJournal> {
+        let path = journal_path(&self.folder, self.number);
+        let mut file = OpenOptions::new().create_new(true).append(true).open(path)?;
+        let header = framing::header();
+        file.write_all(&header)?;
+        Ok(OpenJournal { file, size: header.len() as u64 })
+    }
+
+    fn close_journal(&mut self) -> io::Result<()> {
+        let Some(journal) = &self.journal else { return Ok(()) };
+        journal.file.sync_data()?;
+        let segment = Segment {
+            number: self.number,
+            path: journal_path(&self.folder, self.number),
+            size: journal.size,
+            is_columnar: false,
+        };
+        self.journal = None;
+        self.start_conversion(segment);
+        self.number += 1;
+        self.remove_old_segments();
+        Ok(())
+    }
+
+    /// Makes a closed journal columnar on a thread of its own, since that takes longer than an iteration of the event
+    /// loop may. A journal for which that fails stays, and is readable.
+    fn start_conversion(&mut self, segment: Segment) {
+        self.converters.retain(|converter| !converter.is_finished());
+        self.converters.push(std::thread::spawn(move || {
+            let _ = convert_to_columns(&segment);
+        }));
+    }
+
+    /// Removes closed segments beyond the limits of size and age, oldest first.
+    fn remove_old_segments(&mut self) {
+        let Ok(segments) = list_segments(&self.folder) else { return };
+        let mut total_bytes: u64 = segments.iter().map(|segment| segment.size).sum();
+        for segment in segments.iter().filter(|segment| segment.number < self.number) {
+            if total_bytes > self.config.max_total_bytes || age(segment) > self.config.max_age {
+                total_bytes -= segment.size;
+                let _ = fs::remove_file(&segment.path);
+            }
+        }
+    }
+
+    /// Ends the log in order: all is written, and closed segments are columnar.
+    pub fn finish(mut self, now: Duration) {
+        self.write(now);
+        if let Some(journal) = &self.journal {
+            let _ = journal.file.sync_data();
+        }
+        for converter in std::mem::take(&mut self.converters) {
+            let _ = converter.join();
+        }
+        // A small columnar file is larger than its journal was.
+        self.remove_old_segments();
+    }
+}
+
+/// Time since a segment was written.
+fn age(segment: &Segment) -> Duration {
+    let modified = fs::metadata(&segment.path).and_then(|metadata| metadata.modified()).ok();
+    modified.and_then(|at| SystemTime::now().duration_since(at).ok()).unwrap_or_default()
+}
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -44,7 +44,9 @@
     /// Sets out from a record's first entry, the planner's start. `build` is this program's, for the reason of a
     /// difference.
     pub fn new(first: &Entry, build: &str) -> Result<Replay, Unusable> {
-        let RecordedEvent::Start { build: theirs, .. } = &first.what else { return Err(Unusable::NoStart) };
+        let RecordedEvent::PlannerStarted { build: theirs, .. } = &first.event else {
+            return Err(Unusable::NoStart);
+        };
         Ok(Replay {
             driver: set_out(std::slice::from_ref(first), None, None)?,
             same: Same::default(),
@@ -58,23 +60,23 @@
     /// The next entry. False: it differs from here on, and nothing more is wanted.
     pub fn take(&mut self, entry: &Entry) -> Result<bool, Unusable> {
         self.same.entries += 1;
-        self.lost |= matches!(entry.what, RecordedEvent::Lost { .. });
-        let difference = match &entry.what {
-            RecordedEvent::Turn { sent, .. } => {
+        self.lost |= matches!(entry.event, RecordedEvent::EntriesLost { .. });
+        let difference = match &entry.event {
+            RecordedEvent::Step { sent, .. } => {
                 self.driver.step(at(entry));
                 let ours = turned(&mut self.driver);
                 self.same.turns += 1;
                 self.same.messages += sent.len() as u64;
-                if let Some(RecordedEvent::Turn { texts, sent, .. }) = &ours {
+                if let Some(RecordedEvent::Step { texts, sent, .. }) = &ours {
                     digest(&mut self.sum, texts, sent);
                 }
-                differs(&entry.what, ours.as_ref())
+                differs(&entry.event, ours.as_ref())
             }
-            RecordedEvent::Refit { fleet: text, seed } => {
+            RecordedEvent::Reconfigured { fleet: text, seed } => {
                 self.driver.reconfigure(fleet(text)?, *seed);
                 None
             }
-            RecordedEvent::Lost { entries } => {
+            RecordedEvent::EntriesLost { entries } => {
                 Some(format!("{entries} entries were lost when the disk was full"))
             }
             what => (!replay_event(&mut self.driver, at(entry), what))
@@ -84,7 +86,7 @@
             witness.clear();
         }
         let Some(what) = difference else { return Ok(true) };
-        let (turns, at, why) = (self.same.turns.saturating_sub(1), entry.at as f64 / 1e6, self.why());
+        let (turns, at, why) = (self.same.turns.saturating_sub(1), entry.at_us as f64 / 1e6, self.why());
         self.same.first = Some(Difference { turns, at, what, why });
         Ok(false)
     }
@@ -120,19 +122,24 @@
 fn digest(sum: &mut Sha256, texts: &[String], sent: &[SentUpdate]) {
     for s in sent {
         // A line break ends each part: none of them holds one.
-        let text = texts.get(s.text as usize).map_or("", String::as_str);
+        let text = texts.get(s.text_index as usize).map_or("", String::as_str);
         sum.update(format!("{} {}\n{text}\n", s.proxy, s.number));
     }
 }
 
 /// What two turns differ in, if they do; how long they took is no matter.
 fn differs(theirs: &RecordedEvent, ours: Option<&RecordedEvent>) -> Option<String> {
-    let RecordedEvent::Turn { texts, sent, probes, log, refused, .. } = theirs else { return None };
-    let Some(RecordedEvent::Turn { texts: t, sent: s, probes: p, log: l, refused: r, .. }) = ours else {
+    let RecordedEvent::Step { texts, sent, health_checks: probes, log, rejections: refused, .. } = theirs
+    else {
+        return None;
+    };
+    let Some(RecordedEvent::Step { texts: t, sent: s, health_checks: p, log: l, rejections: r, .. }) = ours
+    else {
         return Some("a turn in which the decisions were not asked".into());
     };
-    let text =
-        |sent: &SentUpdate, texts: &[String]| texts.get(sent.text as usize).cloned().unwrap_or_default();
+    let text = |sent: &SentUpdate, texts: &[String]| {
+        texts.get(sent.text_index as usize).cloned().unwrap_or_default()
+    };
     for (a, b) in sent.iter().zip(s) {
         if (&a.proxy, a.number) != (&b.proxy, b.number) {
             return Some(format!("message {} to {} is now {} to {}", a.number, a.proxy, b.number, b.proxy));
--- a/crates/replay/src/force.rs
+++ b/crates/replay/src/force.rs
@@ -88,9 +88,9 @@
 
     /// Takes in what is not the planner's doing: joins, leaves, lists.
     pub fn happened(&mut self, entry: &Entry) {
-        let now = Duration::from_micros(entry.at);
-        match &entry.what {
-            RecordedEvent::Joined { proxy, .. } => {
+        let now = Duration::from_micros(entry.at_us);
+        match &entry.event {
+            RecordedEvent::ProxyConnected { proxy, .. } => {
                 let place =
                     Place { joined: now, data: Arc::new(Element::new("", "data")), ..Place::default() };
                 // What it holds from before is not known here; it keeps what the record saw it take.
@@ -99,20 +99,20 @@
                     old.map_or((place.data.clone(), RouteTables::default()), |o| (o.data, o.held));
                 self.places.insert(proxy.clone(), Place { data, held, ..place });
             }
-            RecordedEvent::Left { proxy } => {
+            RecordedEvent::ProxyDisconnected { proxy } => {
                 if let Some(place) = self.places.get_mut(proxy) {
                     (place.joined, place.flying) = (Duration::MAX, VecDeque::new());
                 }
             }
-            RecordedEvent::Listed { servers, gone, .. } => {
+            RecordedEvent::EndpointsListed { servers, removed: gone, .. } => {
                 for s in servers {
                     self.weights.insert(s.name.clone(), s.weight);
-                    if s.draining {
+                    if s.is_draining {
                         self.closed.entry(s.name.clone()).or_insert(now);
                         self.open.remove(&s.name);
                     } else {
                         self.closed.remove(&s.name);
-                        self.open.insert(s.name.clone(), s.started);
+                        self.open.insert(s.name.clone(), s.started_ms);
                     }
                 }
                 for name in gone.iter().filter(|_| !self.fleet.only_drains_bind) {
@@ -120,13 +120,13 @@
                     self.open.remove(name);
                 }
             }
-            RecordedEvent::Report { proxy, span, met, came } => {
+            RecordedEvent::Report { proxy, window_us: span, outcomes: met, arrivals: came } => {
                 let seconds = (*span as f64 / 1e6).max(0.1);
                 for c in came {
-                    self.came.insert((proxy.clone(), c.class.clone()), c.queries as f64 / seconds);
+                    self.came.insert((proxy.clone(), c.class.clone()), c.requests as f64 / seconds);
                 }
                 for m in met {
-                    let good = m.tries.saturating_sub(m.failed) as f64 / seconds;
+                    let good = m.attempts.saturating_sub(m.failures) as f64 / seconds;
                     self.good.insert((m.server.clone(), proxy.clone()), good);
                 }
             }
--- a/crates/replay/src/infer.rs
+++ b/crates/replay/src/infer.rs
@@ -132,7 +132,9 @@
         let mut sight = Sight::default();
         let mut zero = None;
         for day in days {
-            let Some(RecordedEvent::Start { epoch, fleet: text, .. }) = day.first().map(|e| &e.what) else {
+            let Some(RecordedEvent::PlannerStarted { epoch_ms: epoch, fleet: text, .. }) =
+                day.first().map(|e| &e.event)
+            else {
                 return Err(Unusable::NoStart);
             };
             let wall = epoch.saturating_sub(*zero.get_or_insert(*epoch)) as f64 / 1000.0;
@@ -145,19 +147,19 @@
             let mut flying: BTreeMap<&str, Vec<(u64, f64)>> = BTreeMap::new();
             let mut whole = true;
             for entry in day {
-                let at = from + entry.at as f64 / 1e6;
+                let at = from + entry.at_us as f64 / 1e6;
                 sight.end = sight.end.max(at);
-                match &entry.what {
-                    RecordedEvent::Turn { sent, .. } => {
+                match &entry.event {
+                    RecordedEvent::Step { sent, .. } => {
                         sent.iter().for_each(|s| flying.entry(&s.proxy).or_default().push((s.number, at)));
                     }
-                    RecordedEvent::Applied { proxy, number } => {
+                    RecordedEvent::UpdateAcknowledged { proxy, number } => {
                         let waiting = flying.entry(proxy).or_default();
                         let since = waiting.first().map_or(at, |f| f.1);
                         waiting.retain(|f| f.0 > *number);
                         sight.deaf.extend((at > since + DEAF).then_some((since, at - since)));
                     }
-                    RecordedEvent::Left { proxy } => {
+                    RecordedEvent::ProxyDisconnected { proxy } => {
                         flying.remove(proxy.as_str());
                         sight.left.push(at);
                     }
@@ -170,7 +172,7 @@
 
     fn take(&mut self, at: f64, what: &RecordedEvent, whole: &mut bool) -> Result<(), Unusable> {
         match what {
-            RecordedEvent::Listed { servers, gone, .. } => {
+            RecordedEvent::EndpointsListed { servers, removed: gone, .. } => {
                 servers.iter().for_each(|s| self.listed(at, s));
                 if std::mem::take(whole) && self.first.is_empty() {
                     self.first = servers.iter().map(|s| s.name.clone()).collect();
@@ -179,16 +181,16 @@
                     self.servers.entry(name.clone()).or_default().list.push((at, None));
                 }
             }
-            RecordedEvent::Joined { proxy, .. } => _ = self.proxies.insert(proxy.clone()),
-            RecordedEvent::Refit { fleet: text, .. } => self.fleets.push((at, fleet(text)?)),
-            RecordedEvent::Probed { server, found, .. } => {
+            RecordedEvent::ProxyConnected { proxy, .. } => _ = self.proxies.insert(proxy.clone()),
+            RecordedEvent::Reconfigured { fleet: text, .. } => self.fleets.push((at, fleet(text)?)),
+            RecordedEvent::HealthChecked { server, result: found, .. } => {
                 // As the driver numbers them: handled, failed, turned away, no answer, no connection, nothing.
                 let kind = [0, 1, 1, 2, 2, 2][usize::from(*found).min(5)];
                 self.second(server, at).probes[kind] += 1;
             }
-            RecordedEvent::Report { met, came, .. } => {
-                let queries: u64 = came.iter().map(|c| c.queries).sum();
-                let tries: u64 = met.iter().map(|m| m.tries).sum();
+            RecordedEvent::Report { outcomes: met, arrivals: came, .. } => {
+                let queries: u64 = came.iter().map(|c| c.requests).sum();
+                let tries: u64 = met.iter().map(|m| m.attempts).sum();
                 // Who is refused tries again: of two refusals one is a second try of the same query.
                 let again = queries.saturating_sub(tries) / 2;
                 *self.came.entry((at / SPAN) as u64).or_default() += queries - again;
@@ -205,22 +207,22 @@
     }
 
     fn met(&mut self, at: f64, m: &RecordedOutcome) {
-        let load: Vec<f64> = m.load.iter().map(|b| f64::from_bits(*b)).collect();
+        let load: Vec<f64> = m.load_bits.iter().map(|b| f64::from_bits(*b)).collect();
         if let [_, busy, ..] = load.as_slice() {
             if busy.is_finite() {
                 self.busy.push(((at / SPAN) as u64, *busy));
             }
         }
         let second = self.second(&m.server, at);
-        second.tries += m.tries;
-        second.failed += m.failed;
-        second.took += m.took as f64 * m.tries.saturating_sub(m.failed) as f64;
+        second.tries += m.attempts;
+        second.failed += m.failures;
+        second.took += m.mean_latency_us as f64 * m.attempts.saturating_sub(m.failures) as f64;
     }
 
     fn listed(&mut self, at: f64, s: &RecordedServer) {
         let seen = self.servers.entry(s.name.clone()).or_default();
         seen.zone = s.zone.clone();
-        let now = Some((s.draining, s.started));
+        let now = Some((s.is_draining, s.started_ms));
         if seen.list.last().is_none_or(|l| l.1 != now) {
             seen.list.push((at, now));
         }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -35,7 +35,9 @@
     other: Option<&Fleet>,
     other_seed: Option<u64>,
 ) -> Result<ControlSession, Unusable> {
-    let Some(RecordedEvent::Start { seed, epoch, fleet: text, .. }) = entries.first().map(|e| &e.what) else {
+    let Some(RecordedEvent::PlannerStarted { seed, epoch_ms: epoch, fleet: text, .. }) =
+        entries.first().map(|e| &e.event)
+    else {
         return Err(Unusable::NoStart);
     };
     let fleet = other.map_or_else(|| fleet(text), |f| Ok(f.clone()))?;
@@ -48,11 +50,11 @@
 pub(crate) fn turned(driver: &mut ControlSession) -> Option<RecordedEvent> {
     let witness = driver.recorded_events.as_mut()?;
     let last = std::mem::take(witness).pop()?;
-    matches!(last.1, RecordedEvent::Turn { .. }).then_some(last.1)
+    matches!(last.1, RecordedEvent::Step { .. }).then_some(last.1)
 }
 
 pub(crate) fn at(entry: &Entry) -> Duration {
-    Duration::from_micros(entry.at)
+    Duration::from_micros(entry.at_us)
 }
 
 #[cfg(test)]
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -66,13 +66,13 @@
     let mut sent: BTreeMap<(String, u64), u64> = BTreeMap::new();
     let mut lags: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for entry in entries {
-        match &entry.what {
-            RecordedEvent::Turn { sent: messages, .. } => {
-                messages.iter().for_each(|m| _ = sent.insert((m.proxy.clone(), m.number), entry.at));
+        match &entry.event {
+            RecordedEvent::Step { sent: messages, .. } => {
+                messages.iter().for_each(|m| _ = sent.insert((m.proxy.clone(), m.number), entry.at_us));
             }
-            RecordedEvent::Applied { proxy, number } => {
+            RecordedEvent::UpdateAcknowledged { proxy, number } => {
                 if let Some(from) = sent.remove(&(proxy.clone(), *number)) {
-                    lags.entry(proxy.clone()).or_default().push(entry.at.saturating_sub(from));
+                    lags.entry(proxy.clone()).or_default().push(entry.at_us.saturating_sub(from));
                 }
             }
             _ => {}
@@ -88,9 +88,12 @@
 impl Side {
     fn turn(&mut self, now: Duration, lags: &BTreeMap<String, Duration>) {
         self.driver.step(now);
-        let Some(RecordedEvent::Turn { texts, sent, refused, .. }) = turned(&mut self.driver) else { return };
+        let Some(RecordedEvent::Step { texts, sent, rejections: refused, .. }) = turned(&mut self.driver)
+        else {
+            return;
+        };
         self.refused += refused.len() as u64;
-        for SentUpdate { proxy, number, text, lines } in sent {
+        for SentUpdate { proxy, number, text_index: text, entries: lines } in sent {
             self.force.sent(now, &proxy, number, &texts[text as usize], lines);
             let lag = lags.get(&proxy).copied().unwrap_or(Duration::from_millis(20));
             self.due.insert((now + lag, proxy), number);
@@ -118,7 +121,9 @@
     /// The list as it would have been told under the fleet that stands in: shares and operators' words are in the
     /// recorded weights and drains already.
     fn retold(&self, what: &RecordedEvent) -> Option<RecordedEvent> {
-        let (Some(fixed), RecordedEvent::Listed { whole, servers, gone }) = (&self.fixed, what) else {
+        let (Some(fixed), RecordedEvent::EndpointsListed { is_complete: whole, servers, removed: gone }) =
+            (&self.fixed, what)
+        else {
             return None;
         };
         let mut servers = servers.clone();
@@ -131,33 +136,36 @@
             };
             s.weight = now.and_then(|w| w.weight).unwrap_or(base) * fixed.share_of(&s.zone);
             let by_word = was.is_some_and(|w| w.drain);
-            s.draining = (s.draining && !by_word) || now.is_some_and(|w| w.drain);
+            s.is_draining = (s.is_draining && !by_word) || now.is_some_and(|w| w.drain);
         }
-        Some(RecordedEvent::Listed { whole: *whole, servers, gone: gone.clone() })
+        Some(RecordedEvent::EndpointsListed { is_complete: *whole, servers, removed: gone.clone() })
     }
 
     fn take(&mut self, entry: &Entry, lags: &BTreeMap<String, Duration>) -> Result<(), Unusable> {
         self.pass(at(entry), lags);
-        match &entry.what {
+        match &entry.event {
             // These are its own, not the record's.
-            RecordedEvent::Turn { .. } | RecordedEvent::Applied { .. } | RecordedEvent::Lost { .. } => {}
-            RecordedEvent::Refit { fleet: text, seed } => {
+            RecordedEvent::Step { .. }
+            | RecordedEvent::UpdateAcknowledged { .. }
+            | RecordedEvent::EntriesLost { .. } => {}
+            RecordedEvent::Reconfigured { fleet: text, seed } => {
                 self.recorded = fleet(text)?;
                 if self.fixed.is_none() {
                     self.driver.reconfigure(self.recorded.clone(), *seed);
                 }
             }
             what => {
-                if let RecordedEvent::Left { proxy } = what {
+                if let RecordedEvent::ProxyDisconnected { proxy } = what {
                     self.due.retain(|(_, p), _| p != proxy);
                 }
-                let retold = self.retold(what).map(|what| Entry { at: entry.at, what });
+                let retold = self.retold(what).map(|what| Entry { at_us: entry.at_us, event: what });
                 let entry = retold.as_ref().unwrap_or(entry);
-                replay_event(&mut self.driver, at(entry), &entry.what);
+                replay_event(&mut self.driver, at(entry), &entry.event);
                 self.force.happened(entry);
             }
         }
-        if matches!(entry.what, RecordedEvent::Joined { .. } | RecordedEvent::Listed { .. }) {
+        if matches!(entry.event, RecordedEvent::ProxyConnected { .. } | RecordedEvent::EndpointsListed { .. })
+        {
             self.turn(at(entry), lags);
         }
         self.force.look(at(entry));
@@ -178,7 +186,9 @@
 fn side(entries: &[Entry], setting: &Setting) -> Result<Side, Unusable> {
     let mut driver = set_out(entries, setting.fleet.as_ref(), setting.seed)?;
     driver.is_guarded = !setting.unguarded;
-    let epoch = if let Some(RecordedEvent::Start { epoch, .. }) = entries.first().map(|e| &e.what) {
+    let epoch = if let Some(RecordedEvent::PlannerStarted { epoch_ms: epoch, .. }) =
+        entries.first().map(|e| &e.event)
+    {
         *epoch
     } else {
         0
@@ -202,9 +212,9 @@
     for entry in entries[1..].iter().take_while(|e| at(e) < until) {
         was.take(entry, &lags)?;
         would.take(entry, &lags)?;
-        seconds = entry.at as f64 / 1e6;
-        point(&mut lines, entry.at, was.force.lines as f64, would.force.lines as f64);
-        point(&mut refused, entry.at, was.refused as f64, would.refused as f64);
+        seconds = entry.at_us as f64 / 1e6;
+        point(&mut lines, entry.at_us, was.force.lines as f64, would.force.lines as f64);
+        point(&mut refused, entry.at_us, was.refused as f64, would.refused as f64);
         outcomes.take(entry, &was, &would);
     }
     let estimate = outcomes.estimate;
@@ -265,7 +275,7 @@
 
 impl Outcomes {
     fn of(entries: &[Entry], fleet: &Fleet) -> Outcomes {
-        let told = entries.iter().any(|e| matches!(e.what, RecordedEvent::Outcomes { .. }));
+        let told = entries.iter().any(|e| matches!(e.event, RecordedEvent::ClassOutcomes { .. }));
         let classes: Vec<(String, f64)> = fleet.classes.iter().map(|c| (c.name.clone(), c.payoff)).collect();
         let by_class = told.then(|| classes.iter().map(|c| c.0.clone()).collect());
         let estimate = Estimate::new(if told { classes } else { vec![("all".into(), 1.0)] });
@@ -273,13 +283,13 @@
     }
 
     fn take(&mut self, entry: &Entry, was: &Side, would: &Side) {
-        match (&entry.what, &self.by_class) {
-            (RecordedEvent::Outcomes { met, .. }, _) => self.met = met.clone(),
-            (RecordedEvent::Report { proxy, span, came, .. }, Some(classes)) => {
+        match (&entry.event, &self.by_class) {
+            (RecordedEvent::ClassOutcomes { outcomes: met, .. }, _) => self.met = met.clone(),
+            (RecordedEvent::Report { proxy, window_us: span, arrivals: came, .. }, Some(classes)) => {
                 let met = std::mem::take(&mut self.met);
                 let seconds = *span as f64 / 1e6;
                 for (class, name) in classes.iter().enumerate() {
-                    let came = came.iter().filter(|c| c.class == *name).map(|c| c.queries as f64).sum();
+                    let came = came.iter().filter(|c| c.class == *name).map(|c| c.requests as f64).sum();
                     let mut gates = self.gates.entry((proxy.clone(), class)).or_default().iter_mut();
                     let mut pass = |side: &Side| {
                         let level =
@@ -289,7 +299,7 @@
                     let flow = Flow { came, was: pass(was), would: pass(would) };
                     let of = met.iter().filter(|m| m.class == *name);
                     let met: BTreeMap<String, (u64, u64)> =
-                        of.map(|m| (m.server.clone(), (m.tries, m.in_time))).collect();
+                        of.map(|m| (m.server.clone(), (m.attempts, m.within_objective))).collect();
                     let only = BTreeMap::from([(name.as_str(), 1.0)]);
                     let shares = |side: &Side| shares(side, proxy, &only);
                     if let (Some(old), Some(new)) = (shares(was), shares(would)) {
@@ -297,13 +307,13 @@
                     }
                 }
             }
-            (RecordedEvent::Report { proxy, met, came, .. }, None) => {
+            (RecordedEvent::Report { proxy, outcomes: met, arrivals: came, .. }, None) => {
                 let weights: BTreeMap<&str, f64> =
-                    came.iter().map(|c| (c.class.as_str(), c.queries as f64)).collect();
+                    came.iter().map(|c| (c.class.as_str(), c.requests as f64)).collect();
                 let shares = |side: &Side| shares(side, proxy, &weights);
                 if let (Some(old), Some(new)) = (shares(was), shares(would)) {
                     let met: BTreeMap<_, _> =
-                        met.iter().map(|m| (m.server.clone(), (m.tries, m.in_time))).collect();
+                        met.iter().map(|m| (m.server.clone(), (m.attempts, m.within_objective))).collect();
                     let all = met.values().map(|m: &(u64, u64)| m.0 as f64).sum();
                     let flow = Flow { came: all, was: all, would: all };
                     self.estimate.met(at(entry), proxy, 0, &met, (&old, &new), flow);
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -36,11 +36,11 @@
 /// thirtieth; written down as the planner does.
 fn a_day() -> Vec<Entry> {
     let mut driver = ControlSession::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
-    let start = RecordedEvent::Start {
+    let start = RecordedEvent::PlannerStarted {
         build: "test".into(),
         planner: "p".into(),
         seed: 7,
-        epoch: 1_000_000,
+        epoch_ms: 1_000_000,
         fleet: FLEET.into(),
     };
     driver.recorded_events = Some(vec![(Duration::ZERO, start)]);
@@ -82,7 +82,7 @@
             }
         }
         let noted = std::mem::take(driver.recorded_events.as_mut().unwrap());
-        day.extend(noted.into_iter().map(|(at, what)| Entry { at: at.as_micros() as u64, what }));
+        day.extend(noted.into_iter().map(|(at, what)| Entry { at_us: at.as_micros() as u64, event: what }));
     }
     day
 }
@@ -102,17 +102,17 @@
     let place = day
         .iter()
         .position(
-            |e| matches!(&e.what, RecordedEvent::Turn { sent, .. } if e.at > 20_000_000 && !sent.is_empty()),
+            |e| matches!(&e.event, RecordedEvent::Step { sent, .. } if e.at_us > 20_000_000 && !sent.is_empty()),
         )
         .unwrap();
-    if let RecordedEvent::Turn { texts, .. } = &mut day[place].what {
+    if let RecordedEvent::Step { texts, .. } = &mut day[place].event {
         texts[0].push(' ');
     }
     let found = replay(&day, "another").unwrap().first.unwrap();
-    assert_eq!(found.at, day[place].at as f64 / 1e6);
+    assert_eq!(found.at, day[place].at_us as f64 / 1e6);
     assert!(found.what.contains("another text") && found.why.contains("recorded by test"), "{found:?}");
     let mut gap = a_day();
-    gap.insert(place, Entry { at: gap[place].at, what: RecordedEvent::Lost { entries: 3 } });
+    gap.insert(place, Entry { at_us: gap[place].at_us, event: RecordedEvent::EntriesLost { entries: 3 } });
     assert!(replay(&gap, "test").unwrap().first.unwrap().why.contains("gap"));
     assert!(replay(&day[1..], "test").is_err());
 }
@@ -175,25 +175,25 @@
     let mut day = a_day();
     let fleet = crate::fleet(FLEET).unwrap();
     let mut force = crate::force::Force::new(fleet, 1_000_000);
-    day.retain(|e| !(matches!(e.what, RecordedEvent::Turn { .. }) && e.at >= 30_000_000));
+    day.retain(|e| !(matches!(e.event, RecordedEvent::Step { .. }) && e.at_us >= 30_000_000));
     for e in &day {
         force.happened(e);
-        match &e.what {
-            RecordedEvent::Turn { texts, sent, .. } => {
+        match &e.event {
+            RecordedEvent::Step { texts, sent, .. } => {
                 for s in sent {
                     force.sent(
-                        Duration::from_micros(e.at),
+                        Duration::from_micros(e.at_us),
                         &s.proxy,
                         s.number,
-                        &texts[s.text as usize],
-                        s.lines,
+                        &texts[s.text_index as usize],
+                        s.entries,
                     );
                 }
             }
-            RecordedEvent::Applied { proxy, number } => force.applied(proxy, *number),
+            RecordedEvent::UpdateAcknowledged { proxy, number } => force.applied(proxy, *number),
             _ => {}
         }
-        force.look(Duration::from_micros(e.at));
+        force.look(Duration::from_micros(e.at_us));
     }
     assert!(
         force.broken().iter().any(|b| b.starts_with("rule 3") && b.contains("s5")),
@@ -211,38 +211,43 @@
         zone: "a".into(),
         kind: String::new(),
         cell: 0,
-        draining: false,
+        is_draining: false,
         weight: 1.0,
-        started,
+        started_ms: started,
     };
     let outcome = |cold: f64| {
         let mut force = crate::force::Force::new(fleet.clone(), 1_000_000);
         let what = [
-            RecordedEvent::Joined { proxy: "f".into(), zone: "a".into(), rate: 30.0, fresh: true },
-            RecordedEvent::Listed {
-                whole: true,
+            RecordedEvent::ProxyConnected {
+                proxy: "f".into(),
+                zone: "a".into(),
+                request_rate: 30.0,
+                has_no_table: true,
+            },
+            RecordedEvent::EndpointsListed {
+                is_complete: true,
                 servers: vec![listed("w", None), listed("c", Some(1_000_000))],
-                gone: vec![],
+                removed: vec![],
             },
             RecordedEvent::Report {
                 proxy: "f".into(),
-                span: 1_000_000,
-                met: vec![runloom_event_log::entry::RecordedOutcome {
+                window_us: 1_000_000,
+                outcomes: vec![runloom_event_log::entry::RecordedOutcome {
                     server: "w".into(),
-                    tries: 10,
-                    failed: 0,
-                    took: 9,
-                    in_time: 9,
-                    load: vec![],
+                    attempts: 10,
+                    failures: 0,
+                    mean_latency_us: 9,
+                    within_objective: 9,
+                    load_bits: vec![],
                 }],
-                came: vec![runloom_event_log::entry::RecordedArrivals {
+                arrivals: vec![runloom_event_log::entry::RecordedArrivals {
                     class: "q".into(),
-                    queries: 30,
+                    requests: 30,
                     unanswered: 0,
                 }],
             },
         ];
-        what.into_iter().for_each(|what| force.happened(&Entry { at: 0, what }));
+        what.into_iter().for_each(|what| force.happened(&Entry { at_us: 0, event: what }));
         let lines =
             [("w".to_string(), ("127.0.0.1:9".to_string(), 1.0)), ("c".into(), ("127.0.0.1:9".into(), cold))];
         let table = runloom_model::order::TableEdit { lines: lines.into(), ..Default::default() };
@@ -307,7 +312,7 @@
 #[test]
 fn a_record_tells_its_troubles_and_a_clock_that_was_set_back_does_not_turn_them_round() {
     let (first, mut second) = (a_day(), a_day());
-    if let RecordedEvent::Start { epoch, .. } = &mut second[0].what {
+    if let RecordedEvent::PlannerStarted { epoch_ms: epoch, .. } = &mut second[0].event {
         *epoch -= 500_000;
     }
     let told = crate::infer::infer(&[first, second]).unwrap();
@@ -329,7 +334,8 @@
 fn ten_thousand_edits_replay_the_same() {
     let mut driver = ControlSession::new(crate::fleet(FLEET).unwrap(), 7, 1_000_000);
     let (build, planner) = ("test".to_string(), "p".to_string());
-    let start = RecordedEvent::Start { build, planner, seed: 7, epoch: 1_000_000, fleet: FLEET.into() };
+    let start =
+        RecordedEvent::PlannerStarted { build, planner, seed: 7, epoch_ms: 1_000_000, fleet: FLEET.into() };
     driver.recorded_events = Some(vec![(Duration::ZERO, start)]);
     driver.update_endpoints(
         EndpointUpdate::Cached,
@@ -349,7 +355,7 @@
             }
         }
         let noted = std::mem::take(driver.recorded_events.as_mut().unwrap());
-        day.extend(noted.into_iter().map(|(at, what)| Entry { at: at.as_micros() as u64, what }));
+        day.extend(noted.into_iter().map(|(at, what)| Entry { at_us: at.as_micros() as u64, event: what }));
     }
     let same = replay(&day, "test").unwrap();
     assert_eq!(same.first, None);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -180,7 +180,7 @@
 }
 
 fn again(folder: &std::path::Path, back: usize) -> Result<bool, String> {
-    let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
+    let entries = runloom_event_log::read_run(folder, back).map_err(|e| e.to_string())?;
     let same = runloom_replay::exact::replay(&entries, runloom_daemon::planner_runtime::BUILD);
     println!("{}", same.map_err(|e| e.to_string())?.digest);
     Ok(true)
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -479,18 +479,24 @@
 /// Writes a record until it is killed, or for a minute: entries count up from the start's own.
 pub fn writes(folder: &Path) -> Told {
     use runloom_event_log::{RecordedEvent, Recorder, RecorderConfig};
-    let terms =
-        RecorderConfig { segment: 20_000, sync: Duration::from_millis(5), ..RecorderConfig::default() };
+    let terms = RecorderConfig {
+        max_segment_bytes: 20_000,
+        sync_interval: Duration::from_millis(5),
+        ..RecorderConfig::default()
+    };
     let mut recorder = Recorder::open(folder, terms).map_err(|e| e.to_string())?;
     let (build, planner, fleet) = (String::new(), String::new(), String::new());
-    recorder.push(Duration::ZERO, RecordedEvent::Start { build, planner, seed: 0, epoch: 0, fleet });
+    recorder
+        .push(Duration::ZERO, RecordedEvent::PlannerStarted { build, planner, seed: 0, epoch_ms: 0, fleet });
     let start = Instant::now();
     let mut k = 0;
     while start.elapsed() < Duration::from_secs(60) {
         for _ in 0..7 {
             k += 1;
-            recorder
-                .push(Duration::from_micros(k), RecordedEvent::Left { proxy: "f".repeat(k as usize % 90) });
+            recorder.push(
+                Duration::from_micros(k),
+                RecordedEvent::ProxyDisconnected { proxy: "f".repeat(k as usize % 90) },
+            );
         }
         recorder.write(start.elapsed());
     }
--- a/crates/testbed/src/pairs.rs
+++ b/crates/testbed/src/pairs.rs
@@ -2,7 +2,7 @@
 //! record of the first says of the second, against what the second came to, on the same span.
 
 use crate::scenario::SHIPPED;
-use runloom_event_log::{folder, Entry, RecordedEvent};
+use runloom_event_log::{read_run, Entry, RecordedEvent};
 use runloom_replay::other::{compare, Setting};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -49,7 +49,7 @@
     if !record.exists() {
         play(own, day, place, fleet, seed)?;
     }
-    folder::day(&record, 0).map_err(|e| e.to_string())
+    read_run(&record, 0).map_err(|e| e.to_string())
 }
 
 fn play(own: &Path, day: &Path, place: &Path, fleet: Option<&Path>, seed: u64) -> Result<(), String> {
@@ -68,8 +68,8 @@
 }
 
 fn fleet_of(entries: &[Entry]) -> Result<String, String> {
-    match entries.first().map(|e| &e.what) {
-        Some(RecordedEvent::Start { fleet, .. }) => Ok(fleet.clone()),
+    match entries.first().map(|e| &e.event) {
+        Some(RecordedEvent::PlannerStarted { fleet, .. }) => Ok(fleet.clone()),
         _ => Err("the record has no start".into()),
     }
 }
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -279,7 +279,7 @@
     let mut starts = 0;
     for planner in 0..2 {
         let record = folder.0.join(format!("record-{planner}"));
-        let days = runloom_event_log::folder::days(&record).unwrap();
+        let days = runloom_event_log::read_runs(&record).unwrap();
         for (k, entries) in days.iter().enumerate() {
             let same =
                 runloom_replay::exact::replay(entries, runloom_daemon::planner_runtime::BUILD).unwrap();
@@ -377,7 +377,7 @@
 fn a_record_whose_writer_is_killed_two_hundred_times_reads_back_whole() {
     let folder = Folder::new("kills");
     let record = folder.0.join("record");
-    let newest = || runloom_event_log::folder::segments(&record).ok()?.last().map(|s| s.number);
+    let newest = || runloom_event_log::list_segments(&record).ok()?.last().map(|s| s.number);
     for k in 0..200u64 {
         let before = newest().unwrap_or(0);
         let mut child =
@@ -393,14 +393,14 @@
         child.wait().unwrap();
     }
     let (mut starts, mut next, mut all) = (0, 0, 0u64);
-    for segment in runloom_event_log::folder::segments(&record).unwrap() {
-        let (entries, _) = runloom_event_log::folder::read(&segment).unwrap();
+    for segment in runloom_event_log::list_segments(&record).unwrap() {
+        let entries = runloom_event_log::read_segment(&segment).unwrap().entries;
         for entry in entries {
             all += 1;
-            if matches!(entry.what, runloom_event_log::RecordedEvent::Start { .. }) {
+            if matches!(entry.event, runloom_event_log::RecordedEvent::PlannerStarted { .. }) {
                 (starts, next) = (starts + 1, 1);
             } else {
-                assert_eq!(entry.at, next, "{segment:?}");
+                assert_eq!(entry.at_us, next, "{segment:?}");
                 next += 1;
             }
         }
