--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -36,7 +36,7 @@
     /// Dials a planner, and waits until the session stands.
     pub fn open(to: SocketAddr, terms: &TlsPolicy, patience: Duration) -> Result<Client, Failed> {
         let mut turn = EventLoop::new()?;
-        let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
+        let security = Security::Starts(terms.client_config.clone(), server_name(PLANNER));
         let conn = turn.dial(to, &security, BufferLimits::default())?;
         let session = Session::new(Role::Client, &[], SessionBounds::default());
         let (notices, terms) = (VecDeque::new(), terms.clone());
@@ -62,8 +62,8 @@
                 match h {
                     IoEvent::Open { certificate, .. } => {
                         // Edits go to a planner and to nobody else, whoever has a certificate of the same authority.
-                        let who = self.terms.holder(&certificate.unwrap_or_default());
-                        if !who.is_ok_and(|who| who.planner) {
+                        let who = self.terms.identify(&certificate.unwrap_or_default());
+                        if !who.is_ok_and(|who| who.is_planner) {
                             self.turn.cut(self.conn);
                             return Err(Failed::Ended("who answered is not that planner".into()));
                         }
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -1,452 +1,436 @@
-//! The planner's datastore behind NETCONF: what is accepted, by whom, under which id. Free of I/O: the shell
-//! writes what [`Desk::unsaved`] gives to disk before any reply leaves, and takes it back where it can't.
+//! The configuration behind the planner's NETCONF server: `<fleet>`, which operators edit, and `<roster>`, the endpoint
+//! list that the inventory feed edits. Free of I/O: the planner writes what [`ConfigService::take_patch`] returns to
+//! disk before any reply leaves, and rolls it back if that fails.
+
+mod access_control;
+mod data;
+mod endpoint_list;
+mod guard_check;
+mod validation;
 
 use crate::tls_credentials::CertificateHolder;
-use runloom_guard::edit as guard;
-use runloom_identity::access::{decide, Audit, Entry, RequestedAccess, Rule};
+use access_control::AccessControl;
+use data::{fleet_entries, fleet_entry_texts, is_same_part, part, FLEET_PART, ROSTER_PART};
+use endpoint_list::{EndpointList, EndpointListChange};
+use runloom_identity::access::{Entry, RequestedAccess, Rule};
 use runloom_identity::id::Id;
 use runloom_inventory::edit_history::{self, EditHistory};
-use runloom_inventory::merged;
-use runloom_model::fleet::{misfit, Fleet, InvalidSettings, ListedServer};
-use runloom_model::schema::{derive, SchemaValidator};
+use runloom_model::fleet::{misfit, Fleet, ListedServer};
+use runloom_model::schema::derive;
 use runloom_model::{Schema, FLEET, FLEET_XSD, YANG};
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, StatePatch};
-use std::collections::{BTreeMap, BTreeSet};
+use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, ListPiece, StatePatch};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
+use validation::{invalid_value, SchemaCheck};
+
+/// Why a configuration cannot be started from.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The program's own schema cannot be read.
+    #[error("the schema cannot be used: {0}")]
+    Schema(String),
+    /// The data has no fleet.
+    #[error("there is no <fleet>")]
+    MissingFleet,
+    /// The fleet violates the schema.
+    #[error("{0}")]
+    SchemaViolation(String),
+    /// A value does not fit the rest of the configuration.
+    #[error("{path}: {reason}")]
+    InvalidValue {
+        /// The element.
+        path: String,
+        /// What is wrong with its value.
+        reason: String,
+    },
+    /// The endpoint list is not valid.
+    #[error("the endpoint list is not valid: {0}")]
+    EndpointList(String),
+}
 
-/// What edits came to at a time: all data, the fleet in it, and what a confirmed commit goes back to.
-type Point = (Arc<Element>, Fleet, Option<Arc<Element>>);
+/// The schema of what can be edited: `<fleet>` and `<roster>`.
+pub fn schema() -> Result<Schema, ConfigError> {
+    derive(FLEET_XSD, &[FLEET_PART, ROSTER_PART]).map(Schema::root).map_err(ConfigError::Schema)
+}
 
-pub struct Desk {
-    judge: SchemaValidator,
+/// The configuration at one time.
+#[derive(Clone)]
+struct Revision {
     data: Arc<Element>,
+    /// The parsed `<fleet>` of the data.
     fleet: Fleet,
-    /// The roster's entries, and the elements they were read from: unchanged ones are not read again.
-    listed: BTreeMap<String, ListedServer>,
-    read: BTreeMap<String, Arc<Element>>,
-    pub ledger: EditHistory,
-    /// What a confirmed commit goes back to.
+    /// The data that a confirmed commit returns to unless it is confirmed (RFC 6241, section 8.4).
     before: Option<Arc<Element>>,
-    /// As it is on disk.
-    saved: Point,
-    /// As it will be once what is on its way to disk is there, and the edits that this brings.
-    sent: Option<(Point, Vec<String>)>,
-    fresh_ids: Vec<String>,
-    dirty: bool,
-    pub list_changed: bool,
-    pub state: Vec<Element>,
-    pub now: Duration,
-    pub wall: u64,
-    /// Why nothing can be accepted at the moment, if so.
-    pub refuses: Option<String>,
-    proxies: BTreeMap<String, bool>,
-    /// Who may do what, by identities; none: by the kind of certificate alone.
-    pub rules: Vec<Rule>,
-    ids: BTreeMap<String, Id>,
-    /// What was refused for want of a rule; and what of that is to be told.
-    pub audit: Audit,
-    pub audited: Vec<Entry>,
 }
 
-/// The edit's schema: `<fleet>` and `<roster>`.
-pub fn schema() -> Result<Schema, String> {
-    derive(FLEET_XSD, &["fleet", "roster"]).map(Schema::root)
-}
-
-fn invalid(m: InvalidSettings) -> Vec<RpcError> {
-    vec![RpcError::application(Tag::InvalidValue, m.reason).at(m.path)]
-}
-
-fn top<'a>(data: &'a Element, name: &str) -> Option<&'a Arc<Element>> {
-    data.children.iter().find(|c| c.name == name)
+impl Revision {
+    fn fleet_texts_before(&self) -> Option<Vec<String>> {
+        self.before.as_deref().map(fleet_entry_texts)
+    }
 }
 
-/// The fleet's entries.
-fn fleet_of(data: &Element) -> &[Arc<Element>] {
-    top(data, "fleet").map(|f| f.children.as_slice()).unwrap_or_default()
+/// A patch that is being written.
+struct InFlightPatch {
+    /// The configuration once it is written.
+    revision: Revision,
+    /// The edits that it makes durable.
+    edit_ids: Vec<String>,
 }
 
-fn noted(e: &edit_history::Edit) -> AcceptedEdit {
-    AcceptedEdit { id: e.id.clone(), who: e.who.clone(), digest: e.digest.clone(), accepted: e.accepted }
+/// The configuration, and the edits that led to it.
+pub struct ConfigService {
+    schema: SchemaCheck,
+    accepted: Revision,
+    endpoints: EndpointList,
+    pub edit_history: EditHistory,
+    /// The configuration that is on disk.
+    persisted: Revision,
+    in_flight: Option<InFlightPatch>,
+    /// Ids of accepted edits that no patch holds yet.
+    unsaved_edit_ids: Vec<String>,
+    is_unsaved: bool,
+    /// The fleet or the endpoint list has changed since the decisions were told.
+    pub is_list_changed: bool,
+    /// The operational state that the next `<get>` returns.
+    pub state_reply: Vec<Element>,
+    /// Time since the start of the planner.
+    pub now: Duration,
+    /// Milliseconds since 1970.
+    pub wall_ms: u64,
+    /// Why no edit can be accepted at present, if so.
+    pub unavailable_reason: Option<String>,
+    access: AccessControl,
 }
 
-fn same(a: &Element, b: &Element, name: &str) -> bool {
-    match (top(a, name), top(b, name)) {
-        (Some(a), Some(b)) => Arc::ptr_eq(a, b) || a == b,
-        (a, b) => a.is_none() && b.is_none(),
+fn stored_edit(edit: &edit_history::Edit) -> AcceptedEdit {
+    AcceptedEdit {
+        id: edit.id.clone(),
+        who: edit.who.clone(),
+        digest: edit.digest.clone(),
+        accepted: edit.accepted,
     }
 }
 
-/// Entries of the roster that are new or other than before, and the names of those that are gone.
-#[derive(Default)]
-struct RosterChange {
-    put: Vec<(Arc<Element>, (String, ListedServer))>,
-    gone: Vec<String>,
+/// Identifies the content of an edit: SHA-256 in hexadecimal.
+fn digest(content: &str) -> String {
+    let hash = ring::digest::digest(&ring::digest::SHA256, content.as_bytes());
+    hash.as_ref().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-impl Desk {
-    /// Starts from a datastore that is valid; the error says why it is not.
-    pub fn new(data: Arc<Element>, ledger: EditHistory) -> Result<Desk, String> {
-        let judge = SchemaValidator::new(FLEET_XSD)?;
-        let fleet = top(&data, "fleet").ok_or("there is no <fleet>")?;
-        if let Some(fault) = judge.faults(&fleet.to_text()).first() {
-            return Err(fault.to_string());
+impl ConfigService {
+    /// Starts from a configuration, which has to be valid.
+    pub fn new(data: Arc<Element>, edit_history: EditHistory) -> Result<ConfigService, ConfigError> {
+        let schema = SchemaCheck::new()?;
+        let fleet = part(&data, FLEET_PART).ok_or(ConfigError::MissingFleet)?;
+        if let Some(violation) = schema.first_violation(fleet) {
+            return Err(ConfigError::SchemaViolation(violation.to_string()));
         }
-        let fleet = Fleet::read(fleet).map_err(|m| format!("{}: {}", m.path, m.reason))?;
-        let mut desk = Desk {
-            judge,
-            saved: (data.clone(), fleet.clone(), None),
-            sent: None,
-            data,
-            fleet,
-            listed: BTreeMap::new(),
-            read: BTreeMap::new(),
-            ledger,
-            before: None,
-            fresh_ids: vec![],
-            dirty: false,
-            list_changed: true,
-            state: vec![],
+        let fleet = Fleet::read(fleet)
+            .map_err(|invalid| ConfigError::InvalidValue { path: invalid.path, reason: invalid.reason })?;
+        let revision = Revision { data, fleet, before: None };
+        let mut config = ConfigService {
+            schema,
+            accepted: revision.clone(),
+            endpoints: EndpointList::default(),
+            edit_history,
+            persisted: revision,
+            in_flight: None,
+            unsaved_edit_ids: vec![],
+            is_unsaved: false,
+            is_list_changed: true,
+            state_reply: vec![],
             now: Duration::ZERO,
-            wall: 0,
-            refuses: None,
-            proxies: BTreeMap::new(),
-            rules: vec![],
-            ids: BTreeMap::new(),
-            audit: Audit::default(),
-            audited: vec![],
+            wall_ms: 0,
+            unavailable_reason: None,
+            access: AccessControl::default(),
         };
-        let told = |e: Vec<RpcError>| e.first().map_or_else(String::new, |e| e.message.clone());
-        let change = desk.roster_change(&desk.data.clone()).map_err(told)?;
-        if let Some(m) = change.put.iter().find_map(|(_, (name, listed))| misfit(&desk.fleet, name, listed)) {
-            return Err(format!("{}: {}", m.path, m.reason));
+        config.load_endpoints()?;
+        Ok(config)
+    }
+
+    fn load_endpoints(&mut self) -> Result<(), ConfigError> {
+        let first_message =
+            |errors: Vec<RpcError>| errors.first().map_or_else(String::new, |error| error.message.clone());
+        let list = self.endpoints.difference(&self.accepted.data, &self.schema);
+        let list = list.map_err(|errors| ConfigError::EndpointList(first_message(errors)))?;
+        let mut entries = list.changed.iter();
+        let invalid = entries.find_map(|entry| misfit(&self.accepted.fleet, &entry.name, &entry.server));
+        if let Some(invalid) = invalid {
+            return Err(ConfigError::InvalidValue { path: invalid.path, reason: invalid.reason });
         }
-        desk.take_roster(change);
-        desk.list_changed = true;
-        Ok(desk)
+        self.endpoints.apply(list);
+        Ok(())
     }
 
+    /// The fleet as it was accepted last.
     pub fn fleet(&self) -> &Fleet {
-        &self.fleet
+        &self.accepted.fleet
+    }
+
+    /// The fleet that is on disk. The decisions are told of no other.
+    pub fn persisted_fleet(&self) -> &Fleet {
+        &self.persisted.fleet
     }
 
-    /// `<fleet>` as it is on disk, as text.
-    pub fn fleet_text(&self) -> String {
-        top(&self.saved.0, "fleet").map(|f| f.to_text()).unwrap_or_default()
+    /// The `<fleet>` that is on disk, as text.
+    pub fn persisted_fleet_text(&self) -> String {
+        part(&self.persisted.data, FLEET_PART).map(|fleet| fleet.to_text()).unwrap_or_default()
     }
 
+    /// The endpoint list.
     pub fn listed(&self) -> &BTreeMap<String, ListedServer> {
-        &self.listed
+        &self.endpoints.servers
     }
 
-    /// A client's session began: who may edit is known by its certificate.
-    pub fn met(&mut self, holder: &CertificateHolder) {
-        self.proxies.insert(holder.name.clone(), holder.proxy);
-        if let Some((id, _)) = &holder.id {
-            self.ids.insert(holder.name.clone(), id.clone());
-        }
+    /// The endpoint list as an element, for the file that a restart reads.
+    pub fn roster_element(&self) -> Element {
+        let roster = part(&self.accepted.data, ROSTER_PART);
+        roster.map_or_else(|| Element::new(FLEET, ROSTER_PART), |roster| (**roster).clone())
     }
 
-    /// Notes what an identity wished and may not.
-    pub fn refused(&mut self, id: &Id, action: RequestedAccess) {
-        if let Err(why) = decide(&self.rules, id, action) {
-            self.audited.extend(self.audit.note(self.now, id, action, why));
-        }
+    // Access.
+
+    /// Sets who may do what, by identity. Without rules the kind of certificate alone decides.
+    pub fn set_rules(&mut self, rules: Vec<Rule>) {
+        self.access.rules = rules;
     }
 
-    /// Whether one may do something by the rules; where there are none, by what else is asked of it.
-    fn allowed(&mut self, who: &str, actions: &[RequestedAccess]) -> Result<(), RpcError> {
-        if self.rules.is_empty() {
-            return Ok(());
-        }
-        let denied = || RpcError::protocol(Tag::AccessDenied, format!("{who} may not do this here"));
-        let id = self.ids.get(who).cloned().ok_or_else(denied)?;
-        if actions.iter().any(|action| decide(&self.rules, &id, *action).is_ok()) {
-            return Ok(());
-        }
-        actions.first().into_iter().for_each(|action| self.refused(&id, *action));
-        Err(denied())
+    /// Remembers what a client's certificate says of it, when its session begins.
+    pub fn register_client(&mut self, holder: &CertificateHolder) {
+        self.access.register_client(holder);
+    }
+
+    /// Audits an access that the rules deny.
+    pub fn audit_denial(&mut self, id: &Id, access: RequestedAccess) {
+        self.access.audit_denial(self.now, id, access);
     }
 
-    /// The roster as an element, for the file that a restart reads.
-    pub fn roster(&self) -> Element {
-        top(&self.data, "roster").map_or_else(|| Element::new(FLEET, "roster"), |r| (**r).clone())
+    /// Takes the entries of the audit that are to be logged.
+    pub fn take_audit_entries(&mut self) -> Vec<Entry> {
+        std::mem::take(&mut self.access.entries)
     }
 
-    /// The fleet that is on disk: the decisions hear of no other.
-    pub fn kept_fleet(&self) -> &Fleet {
-        &self.saved.1
+    /// Number of denied accesses.
+    pub fn denied_count(&self) -> u64 {
+        self.access.audit.refused
     }
 
-    /// Something was accepted that is not on disk yet, and not on its way there.
-    pub fn is_dirty(&self) -> bool {
-        self.dirty
+    // Persistence.
+
+    /// Whether something was accepted that no patch holds yet.
+    pub fn has_unsaved_changes(&self) -> bool {
+        self.is_unsaved
     }
 
-    /// Something is on its way to disk.
-    pub fn is_sending(&self) -> bool {
-        self.sent.is_some()
+    /// Whether a patch is being written.
+    pub fn has_write_in_flight(&self) -> bool {
+        self.in_flight.is_some()
     }
 
-    /// All that is to be kept, as it stands.
-    pub fn accepted(&self) -> AcceptedState {
-        let entries = fleet_of(&self.data).iter().map(|e| e.to_text()).collect();
-        let before = self.before.as_ref().map(|b| fleet_of(b).iter().map(|e| e.to_text()).collect());
-        AcceptedState { entries, before, noted: self.ledger.edits().map(noted).collect() }
+    /// All that has to be durable, as it stands.
+    pub fn accepted_state(&self) -> AcceptedState {
+        AcceptedState {
+            entries: fleet_entry_texts(&self.accepted.data),
+            before: self.accepted.fleet_texts_before(),
+            noted: self.edit_history.edits().map(stored_edit).collect(),
+        }
     }
 
-    /// What must be on disk before anybody is told that it was accepted: one batch at a time.
-    pub fn unsaved(&mut self) -> Option<StatePatch> {
-        if !self.dirty || self.sent.is_some() {
+    /// What has to be on disk before any client learns that it was accepted. One patch is in flight at a time.
+    pub fn take_patch(&mut self) -> Option<StatePatch> {
+        if !self.is_unsaved || self.in_flight.is_some() {
             return None;
         }
-        let old = fleet_of(&self.saved.0);
-        let places: BTreeMap<*const Element, u32> =
-            old.iter().enumerate().map(|(k, e)| (Arc::as_ptr(e), k as u32)).collect();
-        let new = fleet_of(&self.data);
-        let place = |e: &Arc<Element>| places.get(&Arc::as_ptr(e)).copied().ok_or_else(|| e.to_text());
-        let same = old.len() == new.len() && old.iter().zip(new).all(|(a, b)| Arc::ptr_eq(a, b));
-        let before = |b: &Option<Arc<Element>>| {
-            b.as_ref().map(|b| fleet_of(b).iter().map(|e| e.to_text()).collect::<Vec<_>>())
-        };
-        let ids = std::mem::take(&mut self.fresh_ids);
+        let edit_ids = std::mem::take(&mut self.unsaved_edit_ids);
+        let before = self.accepted.fleet_texts_before();
+        let edits = self.edit_history.edits().filter(|edit| edit_ids.contains(&edit.id));
         let patch = StatePatch {
-            pieces: (!same).then(|| pieces(new.iter().map(place))),
-            noted: self.ledger.edits().filter(|e| ids.contains(&e.id)).map(noted).collect(),
-            before: (before(&self.before) != before(&self.saved.2)).then(|| before(&self.before)),
+            pieces: self.changed_pieces(),
+            noted: edits.map(stored_edit).collect(),
+            before: (before != self.persisted.fleet_texts_before()).then_some(before),
         };
-        self.sent = Some(((self.data.clone(), self.fleet.clone(), self.before.clone()), ids));
-        self.dirty = false;
+        self.in_flight = Some(InFlightPatch { revision: self.accepted.clone(), edit_ids });
+        self.is_unsaved = false;
         Some(patch)
     }
 
-    /// What was on its way is on disk.
-    pub fn saved(&mut self) {
-        if let Some((point, ids)) = self.sent.take() {
-            self.list_changed |= point.1 != self.saved.1 || !ids.is_empty();
-            self.ledger.kept(&ids, self.now);
-            self.saved = point;
-        }
-        self.refuses = None;
-    }
-
-    /// It could not be written: as if it had not been asked, nor what came since. The roster's part needs no disk, and
-    /// stays.
-    pub fn take_back(&mut self, why: String) {
-        let roster = top(&self.data, "roster").cloned();
-        let mut data = (*self.saved.0).clone();
-        data.children.retain(|c| c.name != "roster");
-        data.children.extend(roster);
-        (self.data, self.fleet, self.before) = (Arc::new(data), self.saved.1.clone(), self.saved.2.clone());
-        let sent = self.sent.take().map(|(_, ids)| ids).unwrap_or_default();
-        self.ledger.forget(&sent);
-        self.ledger.forget(&std::mem::take(&mut self.fresh_ids));
-        (self.dirty, self.list_changed, self.refuses) = (false, true, Some(why));
-    }
-
-    /// What of the roster changed; only that is judged and read.
-    fn roster_change(&self, data: &Element) -> Result<RosterChange, Vec<RpcError>> {
-        let (mut put, mut changed, mut kept) = (vec![], Element::new(FLEET, "roster"), 0);
-        let entries = top(data, "roster").map(|r| r.children.as_slice()).unwrap_or_default();
-        for e in entries {
-            let name = e.text_of("name").unwrap_or_default();
-            match self.read.get(name) {
-                Some(old) if Arc::ptr_eq(old, e) => kept += 1,
-                old => {
-                    kept += usize::from(old.is_some());
-                    changed.children.push(e.clone());
-                    put.push((e.clone(), ListedServer::read(e).map_err(invalid)?));
-                }
-            }
-        }
-        if !put.is_empty() {
-            self.valid(&changed)?;
-        }
-        let mut gone = vec![];
-        if kept < self.read.len() {
-            let named: BTreeSet<&str> = entries.iter().filter_map(|e| e.text_of("name")).collect();
-            gone = self.read.keys().filter(|n| !named.contains(n.as_str())).cloned().collect();
+    /// The entries of the fleet as references to those on disk, or as text where they are new; `None` if all are the
+    /// same.
+    fn changed_pieces(&self) -> Option<Vec<ListPiece>> {
+        let old = fleet_entries(&self.persisted.data);
+        let new = fleet_entries(&self.accepted.data);
+        let is_same = old.len() == new.len() && old.iter().zip(new).all(|(old, new)| Arc::ptr_eq(old, new));
+        if is_same {
+            return None;
         }
-        Ok(RosterChange { put, gone })
+        let indexed = old.iter().enumerate().map(|(index, entry)| (Arc::as_ptr(entry), index as u32));
+        let old_indexes: BTreeMap<*const Element, u32> = indexed.collect();
+        let index_or_text = |entry: &Arc<Element>| {
+            old_indexes.get(&Arc::as_ptr(entry)).copied().ok_or_else(|| entry.to_text())
+        };
+        Some(pieces(new.iter().map(index_or_text)))
     }
 
-    fn take_roster(&mut self, change: RosterChange) {
-        for name in change.gone {
-            self.listed.remove(&name);
-            self.read.remove(&name);
-            self.list_changed = true;
-        }
-        for (element, (name, entry)) in change.put {
-            self.list_changed |= self.listed.get(&name) != Some(&entry);
-            self.listed.insert(name.clone(), entry);
-            self.read.insert(name, element);
+    /// The patch in flight is on disk.
+    pub fn patch_written(&mut self) {
+        if let Some(InFlightPatch { revision, edit_ids }) = self.in_flight.take() {
+            self.is_list_changed |= revision.fleet != self.persisted.fleet || !edit_ids.is_empty();
+            self.edit_history.kept(&edit_ids, self.now);
+            self.persisted = revision;
         }
+        self.unavailable_reason = None;
     }
 
-    fn valid(&self, part: &Element) -> Result<(), Vec<RpcError>> {
-        let faults = self.judge.faults(&part.to_text());
-        let error = |f: &runloom_model::schema::SchemaViolation| {
-            let path = format!("/{}//{}", part.name, f.element);
-            RpcError::application(Tag::InvalidValue, f.reason.clone())
-                .at(path)
-                .with("bad-element", f.element.clone())
-        };
-        if faults.is_empty() {
-            Ok(())
-        } else {
-            Err(faults.iter().map(error).collect())
+    /// The patch in flight could not be written: returns to what is on disk, and drops what was accepted since. The
+    /// endpoint list needs no disk and stays.
+    pub fn roll_back(&mut self, why: String) {
+        let roster = part(&self.accepted.data, ROSTER_PART).cloned();
+        let mut data = (*self.persisted.data).clone();
+        data.children.retain(|child| child.name != ROSTER_PART);
+        data.children.extend(roster);
+        self.accepted = Revision { data: Arc::new(data), ..self.persisted.clone() };
+        if let Some(InFlightPatch { edit_ids, .. }) = self.in_flight.take() {
+            self.edit_history.forget(&edit_ids);
         }
+        self.edit_history.forget(&std::mem::take(&mut self.unsaved_edit_ids));
+        self.is_unsaved = false;
+        self.is_list_changed = true;
+        self.unavailable_reason = Some(why);
     }
 
-    /// The fleet without those words on servers that were valid before: the rest is small.
-    fn changed_words(&self, fleet: &Element) -> Element {
-        let old: BTreeSet<*const Element> =
-            top(&self.data, "fleet").into_iter().flat_map(|f| f.named("server")).map(Arc::as_ptr).collect();
-        let kept = |c: &&Arc<Element>| c.name != "server" || !old.contains(&Arc::as_ptr(c));
-        let children = fleet.children.iter().filter(kept).cloned().collect();
-        Element { children, ..Element::new(FLEET, "fleet") }
-    }
+    // Validation.
 
-    /// The fleet, if it changed, and what of the roster did.
-    fn judged(&self, wanted: &Arc<Element>) -> Result<(Option<Fleet>, RosterChange), Vec<RpcError>> {
-        let Some(part) = top(wanted, "fleet") else {
-            return Err(
-                vec![RpcError::application(Tag::DataMissing, "there must be a <fleet>").at("/fleet")],
-            );
+    /// Validates wanted data. Returns the fleet, if it changed, and the change of the endpoint list.
+    fn validate(&self, wanted: &Element) -> Result<(Option<Fleet>, EndpointListChange), Vec<RpcError>> {
+        let Some(fleet_element) = part(wanted, FLEET_PART) else {
+            let error = RpcError::application(Tag::DataMissing, "there must be a <fleet>");
+            return Err(vec![error.at("/fleet")]);
         };
         let mut fleet = None;
-        if !same(wanted, &self.data, "fleet") {
-            self.valid(&self.changed_words(part))?;
-            fleet = Some(Fleet::read(part).map_err(invalid)?);
+        if !is_same_part(wanted, &self.accepted.data, FLEET_PART) {
+            self.schema.check(&self.without_valid_servers(fleet_element))?;
+            fleet = Some(Fleet::read(fleet_element).map_err(invalid_value)?);
         }
-        let change = if same(wanted, &self.data, "roster") {
-            RosterChange::default()
+        let endpoints = if is_same_part(wanted, &self.accepted.data, ROSTER_PART) {
+            EndpointListChange::default()
         } else {
-            self.roster_change(wanted)?
+            self.endpoints.difference(wanted, &self.schema)?
         };
-        let zones = fleet.as_ref().unwrap_or(&self.fleet);
-        let put = change.put.iter().map(|(_, (name, listed))| (name, listed));
-        let stay = self.listed.iter().filter(|(name, _)| fleet.is_some() && !change.gone.contains(name));
-        // One that is put in its place is judged as it is put.
-        let stay = stay.filter(|(name, _)| !change.put.iter().any(|(_, (n, _))| n == *name));
-        if let Some(m) = put.chain(stay).find_map(|(name, listed)| misfit(zones, name, listed)) {
-            return Err(invalid(m));
-        }
+        self.check_endpoints_fit(fleet.as_ref(), &endpoints)?;
         if let Some(fleet) = &fleet {
-            self.guarded(fleet, &change)?;
+            self.check_guard(fleet, &endpoints)?;
         }
-        Ok((fleet, change))
+        Ok((fleet, endpoints))
     }
-}
 
-impl Desk {
-    /// What operators wish passes the guard; what the feed tells is no wish but what is.
-    fn guarded(&self, fleet: &Fleet, change: &RosterChange) -> Result<(), Vec<RpcError>> {
-        if let Some((_, until)) = fleet.raised.filter(|raised| self.fleet.raised != Some(*raised)) {
-            if until > self.wall + RAISED_MOST || until <= self.wall {
-                let error =
-                    RpcError::application(Tag::InvalidValue, "a bound is raised for an hour at the most");
-                return Err(vec![error.at("/fleet/guard/until").app("guard-until")]);
-            }
-        }
-        let after = change.put.iter().map(|(_, (name, listed))| (name, listed));
-        let stays =
-            |name: &String| !change.gone.contains(name) && !change.put.iter().any(|(_, (n, _))| n == name);
-        let after = after.chain(self.listed.iter().filter(|(name, _)| stays(name)));
-        let before = self.seen(&self.fleet, self.listed.iter());
-        guard::judge(&before, &self.seen(fleet, after)).map_err(|empties| {
-            let mut takes = empties.takes.iter();
-            let first = takes.next().cloned().unwrap_or_default();
-            let why =
-                format!("no open server would be left: one of {} has to stay", empties.takes.join(", "));
-            let error = RpcError::application(Tag::OperationFailed, why).app("empties-pool");
-            vec![error.at(format!("/fleet/server[name='{first}']")).with("bad-element", "drain")]
-        })
-    }
-
-    fn seen<'a>(
+    /// The fleet without the `<server>` elements that were validated before: the rest is small.
+    fn without_valid_servers(&self, fleet: &Element) -> Element {
+        let valid = fleet_entries(&self.accepted.data).iter().filter(|entry| entry.name == "server");
+        let valid: std::collections::BTreeSet<*const Element> = valid.map(Arc::as_ptr).collect();
+        let is_unchecked =
+            |entry: &&Arc<Element>| entry.name != "server" || !valid.contains(&Arc::as_ptr(entry));
+        let children = fleet.children.iter().filter(is_unchecked).cloned().collect();
+        Element { children, ..Element::new(FLEET, FLEET_PART) }
+    }
+
+    /// Checks that listed servers fit the fleet. With an unchanged fleet only changed entries can fail.
+    fn check_endpoints_fit(
         &self,
-        fleet: &Fleet,
-        listed: impl Iterator<Item = (&'a String, &'a ListedServer)>,
-    ) -> Vec<guard::Seen> {
-        let warm_after = fleet.warm_after.as_millis() as u64;
-        let seen = listed.map(|(name, listed)| {
-            let server = merged(name, listed, fleet);
-            let warm = server.started.is_none_or(|at| at + warm_after <= self.wall);
-            guard::Seen { name: name.clone(), draining: server.draining, warm, weight: server.weight }
-        });
-        seen.collect()
+        changed_fleet: Option<&Fleet>,
+        endpoints: &EndpointListChange,
+    ) -> Result<(), Vec<RpcError>> {
+        let fleet = changed_fleet.unwrap_or(&self.accepted.fleet);
+        let changed = endpoints.changed.iter().map(|entry| (&entry.name, &entry.server));
+        let kept = self.endpoints.servers.iter();
+        let kept = kept.filter(|(name, _)| changed_fleet.is_some() && endpoints.keeps(name));
+        match changed.chain(kept).find_map(|(name, server)| misfit(fleet, name, server)) {
+            Some(invalid) => Err(invalid_value(invalid)),
+            None => Ok(()),
+        }
     }
-}
 
-/// A raised bound of the guard ends by itself within an hour: a mass restart is over by then.
-const RAISED_MOST: u64 = 3_600_000;
+    /// Checks an edit of operators against the guard's rules. The inventory feed reports facts, which are not checked.
+    fn check_guard(&self, fleet: &Fleet, endpoints: &EndpointListChange) -> Result<(), Vec<RpcError>> {
+        guard_check::check_raised_limit(&self.accepted.fleet, fleet, self.wall_ms)?;
+        let listed = self.endpoints.servers.iter();
+        let before = guard_check::servers_seen(&self.accepted.fleet, listed.clone(), self.wall_ms);
+        let changed = endpoints.changed.iter().map(|entry| (&entry.name, &entry.server));
+        let after = changed.chain(listed.filter(|(name, _)| endpoints.keeps(name)));
+        let after = guard_check::servers_seen(fleet, after, self.wall_ms);
+        guard_check::check_servers_left(&before, &after)
+    }
 
-/// By which the same edit is known again.
-fn digest(content: &str) -> String {
-    let hash = ring::digest::digest(&ring::digest::SHA256, content.as_bytes());
-    hash.as_ref().iter().map(|b| format!("{b:02x}")).collect()
+    fn check_write_access(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
+        for part in [FLEET_PART, ROSTER_PART] {
+            if !is_same_part(change.wanted, &self.accepted.data, part) {
+                let write = [RequestedAccess::Write { part }];
+                self.access.check_any(self.now, change.who, &write).map_err(|error| vec![error])?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Checks that an edit can be made durable. A rollback to what was accepted before is on disk already.
+    fn check_available(&self, change: &Change) -> Result<(), Vec<RpcError>> {
+        let is_rollback = change.content.is_empty() && change.edit_id.is_none();
+        match &self.unavailable_reason {
+            Some(why) if !is_rollback => {
+                let why = format!("edits cannot be kept: {why}");
+                Err(vec![RpcError::application(Tag::ResourceDenied, why).app("not-durable")])
+            }
+            _ => Ok(()),
+        }
+    }
 }
 
-impl Host for Desk {
+impl Host for ConfigService {
     fn running(&self) -> Arc<Element> {
-        self.data.clone()
+        self.accepted.data.clone()
     }
 
     fn state(&mut self) -> Vec<Element> {
-        std::mem::take(&mut self.state)
+        std::mem::take(&mut self.state_reply)
     }
 
     fn check(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
-        self.judged(wanted).map(|_| ())
+        self.validate(wanted).map(|_| ())
     }
 
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        for part in ["fleet", "roster"] {
-            if !same(change.wanted, &self.data, part) {
-                self.allowed(change.who, &[RequestedAccess::Write { part }]).map_err(|e| vec![e])?;
-            }
-        }
-        let (fleet, roster) = self.judged(change.wanted)?;
-        let touched = fleet.is_some();
-        // The feed's list needs no disk: a planner restarts from the last one that it wrote, and asks again.
-        let keeps = touched || change.edit_id.is_some() || change.before.is_some();
-        if keeps {
-            // Going back to what was accepted before is never refused: it is on disk already.
-            let back = change.content.is_empty() && change.edit_id.is_none();
-            if let Some(why) = self.refuses.as_ref().filter(|_| !back) {
-                let error =
-                    RpcError::application(Tag::ResourceDenied, format!("edits cannot be kept: {why}"));
-                return Err(vec![error.app("not-durable")]);
-            }
+        self.check_write_access(change)?;
+        let (fleet, endpoints) = self.validate(change.wanted)?;
+        // The endpoint list needs no disk: a restarted planner uses the last list on disk until the feed connects.
+        let is_durable = fleet.is_some() || change.edit_id.is_some() || change.before.is_some();
+        if is_durable {
+            self.check_available(change)?;
         }
-        self.take_roster(roster);
+        self.is_list_changed |= self.endpoints.apply(endpoints);
         if let Some(fleet) = fleet {
-            // The decisions hear of it once it is on disk.
-            self.fleet = fleet;
+            // The decisions are told once it is on disk.
+            self.accepted.fleet = fleet;
         }
-        self.data = change.wanted.clone();
-        self.before = change.before.cloned();
-        if keeps {
+        self.accepted.data = change.wanted.clone();
+        self.accepted.before = change.before.cloned();
+        if is_durable {
             let digest = digest(change.content);
-            let id = self.ledger.accept(change.edit_id, change.who, &digest, self.wall);
-            self.fresh_ids.push(id);
-            self.dirty = true;
+            let id = self.edit_history.accept(change.edit_id, change.who, &digest, self.wall_ms);
+            self.unsaved_edit_ids.push(id);
+            self.is_unsaved = true;
         }
         Ok(())
     }
 
     fn settled(&mut self) {
-        self.dirty |= self.before.take().is_some();
+        self.is_unsaved |= self.accepted.before.take().is_some();
     }
 
     fn known(&self, edit_id: &str, content: &str) -> EditLookup {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
-        match self.ledger.known(edit_id, &digest) {
+        match self.edit_history.known(edit_id, &digest) {
             edit_history::EditLookup::New => EditLookup::New,
             edit_history::EditLookup::Same => EditLookup::Same,
             edit_history::EditLookup::Other => EditLookup::Other,
@@ -454,18 +438,7 @@
     }
 
     fn may(&mut self, who: &str, access: Access) -> Result<(), RpcError> {
-        let parts = ["fleet", "roster", "state"];
-        match access {
-            Access::Read => self.allowed(who, &parts.map(|part| RequestedAccess::Read { part }))?,
-            // Which part it is shows with the change itself.
-            Access::Edit => self.allowed(who, &parts.map(|part| RequestedAccess::Write { part }))?,
-            Access::Kill => self.allowed(who, &[RequestedAccess::Kill])?,
-        }
-        // A proxy orders nothing; it is the planner that asks it.
-        if access != Access::Read && self.proxies.get(who).copied().unwrap_or(true) {
-            return Err(RpcError::protocol(Tag::AccessDenied, format!("{who} may not edit here")));
-        }
-        Ok(())
+        self.access.check(self.now, who, access)
     }
 
     fn schemas(&self) -> &[(&'static str, &'static str, &'static str)] {
--- /dev/null
+++ b/crates/daemon/src/config_service/validation.rs
@@ -0,0 +1,41 @@
+//! Validation against the schema, and errors as NETCONF returns them.
+
+use super::ConfigError;
+use runloom_model::fleet::InvalidSettings;
+use runloom_model::schema::{SchemaValidator, SchemaViolation};
+use runloom_model::FLEET_XSD;
+use runloom_netconf::error::{RpcError, Tag};
+use runloom_netconf::tree::Element;
+
+/// An invalid value, in RFC 6241's form.
+pub(super) fn invalid_value(invalid: InvalidSettings) -> Vec<RpcError> {
+    vec![RpcError::application(Tag::InvalidValue, invalid.reason).at(invalid.path)]
+}
+
+/// The schema of `<fleet>` and `<roster>`.
+pub(super) struct SchemaCheck(SchemaValidator);
+
+impl SchemaCheck {
+    pub(super) fn new() -> Result<SchemaCheck, ConfigError> {
+        SchemaValidator::new(FLEET_XSD).map(SchemaCheck).map_err(ConfigError::Schema)
+    }
+
+    /// The first violation, if there is one.
+    pub(super) fn first_violation(&self, part: &Element) -> Option<SchemaViolation> {
+        self.0.faults(&part.to_text()).into_iter().next()
+    }
+
+    /// Checks a part of the data; an error for each violation.
+    pub(super) fn check(&self, part: &Element) -> Result<(), Vec<RpcError>> {
+        let violations = self.0.faults(&part.to_text());
+        if violations.is_empty() {
+            return Ok(());
+        }
+        Err(violations.into_iter().map(|violation| violation_error(part, violation)).collect())
+    }
+}
+
+fn violation_error(part: &Element, violation: SchemaViolation) -> RpcError {
+    let path = format!("/{}//{}", part.name, violation.element);
+    RpcError::application(Tag::InvalidValue, violation.reason).at(path).with("bad-element", violation.element)
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,12 +2,12 @@
 
 pub mod client;
 pub mod config_service;
+pub mod error;
 pub mod http;
 pub mod persistence;
 pub mod planner_runtime;
 pub mod platform_runtime;
 pub mod proxy_runtime;
-mod proxy_sessions;
 pub mod run;
 pub mod settings;
 pub mod state;
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -1,50 +1,60 @@
-//! What outlasts the planner, written by a thread of its own: a disk that is slow holds up no turn. One batch of edits is
-//! on its way at a time; the next one gathers meanwhile, so that many edits share one sync.
+//! The planner's persistent state, written by a thread of its own so that a slow disk does not delay the event loop.
+//! One batch of edits is written at a time; the edits accepted meanwhile share the next batch and its sync.
 
-use crate::planner_runtime::Failed;
+use crate::error::StartError;
 use runloom_event_loop::Waker;
 use runloom_store::accepted::{AcceptedState, StatePatch};
 use runloom_store::disk::{Folder, Lock};
 use runloom_store::learned::LearnedServers;
-use runloom_store::{Layout, Store};
-use std::path::Path;
-use std::sync::mpsc::{Receiver, SyncSender, TryRecvError};
+use runloom_store::{Layout, OpenedState, Store, StoreError};
+use std::path::{Path, PathBuf};
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A snapshot after so many bytes of patches: some thousands of edits, read back in milliseconds.
-const JOURNAL_MOST: usize = 1 << 20;
-pub const EDITS: Layout = Layout { name: "edits", version: 1, upgrades: &[], journal_most: JOURNAL_MOST };
+/// Bytes of patches after which a snapshot is written.
+const MAX_JOURNAL_BYTES: usize = 1 << 20;
+/// Accepted edits: a snapshot, and a journal of patches.
+pub const EDITS: Layout =
+    Layout { name: "edits", version: 1, upgrades: &[], journal_most: MAX_JOURNAL_BYTES };
+/// The endpoint list, as snapshots.
 pub const ROSTER: Layout = Layout { name: "roster", version: 1, upgrades: &[], journal_most: 0 };
+/// What was learned of servers, as snapshots.
 pub const LEARNED: Layout = Layout { name: "learned", version: 1, upgrades: &[], journal_most: 0 };
-/// Things that may wait for the thread: one batch, a list, what was learned, and one over.
-const WAITING_MOST: usize = 4;
+/// Tasks that may wait for the thread: a batch of edits, a list, what was learned, and one more.
+const MAX_QUEUED_TASKS: usize = 4;
+/// Time between two looks at a thread that is finishing.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 enum Task {
-    Edits(Box<StatePatch>),
-    Roster(String),
-    Learned(LearnedServers),
-    /// Whether edits can be kept again.
-    Try,
+    WriteEdits(Box<StatePatch>),
+    WriteRoster(String),
+    WriteLearned(LearnedServers),
+    /// Checks whether edits can be written again.
+    Probe,
 }
 
-/// What came of a batch of edits, or of a try.
+/// Result of a task.
 #[derive(Debug)]
 pub enum PersistenceResult {
-    Edits(Result<Duration, String>),
-    Tried(Result<(), String>),
-    /// The list or what was learned could not be written.
-    Lost(&'static str, String),
+    /// A batch of edits was written, in this time; or why it was not.
+    EditsWritten(Result<Duration, String>),
+    /// Whether edits can be written again.
+    Probed(Result<(), String>),
+    /// The endpoint list, or what was learned, could not be written.
+    WriteFailed { what: &'static str, why: String },
 }
 
+/// The thread that writes, and the exclusive right to the state folder.
 pub struct PersistenceWorker {
-    to: Option<SyncSender<Task>>,
-    from: Receiver<PersistenceResult>,
+    /// `None` once the thread is to end.
+    tasks: Option<SyncSender<Task>>,
+    results: Receiver<PersistenceResult>,
     thread: Option<JoinHandle<()>>,
     _lock: Lock,
 }
 
-/// What was kept by an earlier start.
+/// What an earlier start stored.
 #[derive(Debug, Default)]
 pub struct RestoredState {
     pub accepted: Option<AcceptedState>,
@@ -52,22 +62,30 @@
     pub learned: Option<LearnedServers>,
 }
 
-struct Shelves {
+/// An opened state folder, before the thread is started.
+pub struct OpenedFolder {
+    path: PathBuf,
+    lock: Lock,
     edits: Store<Folder>,
-    accepted: AcceptedState,
     roster: Store<Folder>,
     learned: Store<Folder>,
 }
 
-fn opened(folder: &Path, layout: Layout) -> Result<(Store<Folder>, runloom_store::OpenedState), Failed> {
-    let data = |e: runloom_store::StoreError| Failed::Data(format!("{}: {e}", folder.display()));
-    let (store, opened) = Store::open(Folder::open(folder)?, layout).map_err(data)?;
-    opened.notes.iter().for_each(|note| tracing::warn!(folder = %folder.display(), note, "read back"));
+fn open_store(folder: &Path, layout: Layout) -> Result<(Store<Folder>, OpenedState), StartError> {
+    let (store, opened) =
+        Store::open(Folder::open(folder)?, layout).map_err(|error| in_folder(folder, error))?;
+    for note in &opened.notes {
+        tracing::warn!(folder = %folder.display(), note, "read back");
+    }
     Ok((store, opened))
 }
 
-/// All that edits came to, out of a snapshot and what came since.
-pub fn accepted(opened: &runloom_store::OpenedState) -> Result<Option<AcceptedState>, String> {
+fn in_folder(folder: &Path, source: StoreError) -> StartError {
+    StartError::Store { folder: folder.to_path_buf(), source }
+}
+
+/// The accepted state: a snapshot with the patches since then applied.
+pub fn restore_accepted(opened: &OpenedState) -> Result<Option<AcceptedState>, String> {
     let mut accepted = opened.state.as_deref().map(AcceptedState::read).transpose()?;
     for entry in &opened.entries {
         accepted.get_or_insert_default().take(StatePatch::read(entry)?)?;
@@ -76,78 +94,63 @@
 }
 
 impl PersistenceWorker {
-    /// Takes the folder for this process and reads back what is there. `first` makes what is kept of it, which is
-    /// written down before anything else.
-    pub fn open(
-        folder: &Path,
-        waker: Waker,
-        first: impl FnOnce(&mut RestoredState) -> Result<AcceptedState, Failed>,
-    ) -> Result<(PersistenceWorker, RestoredState), Failed> {
+    /// Locks the state folder for this process, and reads what an earlier start stored.
+    pub fn open(folder: &Path) -> Result<(OpenedFolder, RestoredState), StartError> {
         let lock = Lock::take(folder)?;
-        let (edits, was) = opened(folder, EDITS)?;
-        let (roster, list) = opened(folder, ROSTER)?;
-        let (learned, book) = opened(folder, LEARNED)?;
-        let mut found =
-            RestoredState { accepted: accepted(&was).map_err(Failed::Data)?, ..RestoredState::default() };
-        found.roster = list.state.and_then(|text| String::from_utf8(text).ok());
-        // What was learned is a hint: one that cannot be read is none.
-        found.learned = book.state.and_then(|bytes| LearnedServers::read(&bytes).ok());
-        let accepted = first(&mut found)?;
-        let mut shelves = Shelves { edits, accepted, roster, learned };
-        shelves.edits.snapshot(&shelves.accepted.write()).map_err(|e| Failed::Data(e.to_string()))?;
-        let (to, tasks) = std::sync::mpsc::sync_channel(WAITING_MOST);
-        let (done, from) = std::sync::mpsc::sync_channel(WAITING_MOST);
-        let work = move || {
-            while let Ok(task) = tasks.recv() {
-                let sent = shelves.does(task).is_none_or(|what| done.send(what).is_ok());
-                waker.wake();
-                if !sent {
-                    return;
-                }
-            }
+        let (edits, opened_edits) = open_store(folder, EDITS)?;
+        let (roster, opened_roster) = open_store(folder, ROSTER)?;
+        let (learned, opened_learned) = open_store(folder, LEARNED)?;
+        let accepted = restore_accepted(&opened_edits)
+            .map_err(|reason| StartError::StoredEdits { folder: folder.to_path_buf(), reason })?;
+        let restored = RestoredState {
+            accepted,
+            roster: opened_roster.state.and_then(|text| String::from_utf8(text).ok()),
+            // What was learned only serves as hints: without it the planner learns again.
+            learned: opened_learned.state.and_then(|bytes| LearnedServers::read(&bytes).ok()),
         };
-        let thread = std::thread::Builder::new().name("keeper".into()).spawn(work)?;
-        Ok((PersistenceWorker { to: Some(to), from, thread: Some(thread), _lock: lock }, found))
+        Ok((OpenedFolder { path: folder.to_path_buf(), lock, edits, roster, learned }, restored))
     }
 
     fn send(&self, task: Task) -> bool {
-        self.to.as_ref().is_some_and(|to| to.try_send(task).is_ok())
+        self.tasks.as_ref().is_some_and(|tasks| tasks.try_send(task).is_ok())
     }
 
-    /// Keeps what a batch of edits changed; its end comes by [`PersistenceWorker::done`]. False: there is no room now.
-    pub fn edits(&self, patch: StatePatch) -> bool {
-        self.send(Task::Edits(Box::new(patch)))
+    /// Writes a batch of edits; [`PersistenceWorker::poll_result`] returns its result. False if the queue is full.
+    #[must_use]
+    pub fn write_edits(&self, patch: StatePatch) -> bool {
+        self.send(Task::WriteEdits(Box::new(patch)))
     }
 
-    pub fn roster(&self, text: String) -> bool {
-        self.send(Task::Roster(text))
+    /// Writes the endpoint list. False if the queue is full.
+    #[must_use]
+    pub fn write_roster(&self, text: String) -> bool {
+        self.send(Task::WriteRoster(text))
     }
 
-    pub fn learned(&self, book: LearnedServers) -> bool {
-        self.send(Task::Learned(book))
+    /// Writes what was learned. False if the queue is full.
+    #[must_use]
+    pub fn write_learned(&self, learned: LearnedServers) -> bool {
+        self.send(Task::WriteLearned(learned))
     }
 
-    pub fn try_again(&self) -> bool {
-        self.send(Task::Try)
+    /// Checks whether edits can be written again. Does nothing if the queue is full.
+    pub fn probe(&self) {
+        self.send(Task::Probe);
     }
 
-    pub fn done(&self) -> Option<PersistenceResult> {
-        match self.from.try_recv() {
-            Ok(done) => Some(done),
-            Err(TryRecvError::Empty) => None,
-            // It ends with the planner only.
-            Err(TryRecvError::Disconnected) => None,
-        }
+    /// The next result, if there is one.
+    pub fn poll_result(&self) -> Option<PersistenceResult> {
+        self.results.try_recv().ok()
     }
 }
 
 impl Drop for PersistenceWorker {
-    /// What was given to be kept is written before the process ends.
+    /// Waits until all queued tasks are done.
     fn drop(&mut self) {
-        self.to = None;
-        // It may wait for its words to be taken.
-        while self.thread.as_ref().is_some_and(|t| !t.is_finished()) {
-            let _ = self.from.recv_timeout(Duration::from_millis(5));
+        self.tasks = None;
+        // The thread may wait for its results to be taken.
+        while self.thread.as_ref().is_some_and(|thread| !thread.is_finished()) {
+            let _ = self.results.recv_timeout(SHUTDOWN_POLL_INTERVAL);
         }
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -155,38 +158,77 @@
     }
 }
 
-impl Shelves {
-    fn does(&mut self, task: Task) -> Option<PersistenceResult> {
+impl OpenedFolder {
+    /// Writes a snapshot of the state that the planner starts from, and starts the thread. `waker` ends the event
+    /// loop's wait when a task is done.
+    pub fn start(self, accepted: AcceptedState, waker: Waker) -> Result<PersistenceWorker, StartError> {
+        let OpenedFolder { path, lock, edits, roster, learned } = self;
+        let mut stores = Stores { edits, accepted, roster, learned };
+        stores.write_snapshot().map_err(|error| in_folder(&path, error))?;
+        let (tasks, queued_tasks) = sync_channel(MAX_QUEUED_TASKS);
+        let (done, results) = sync_channel(MAX_QUEUED_TASKS);
+        let work = move || {
+            while let Ok(task) = queued_tasks.recv() {
+                let is_received = stores.perform(task).is_none_or(|result| done.send(result).is_ok());
+                waker.wake();
+                if !is_received {
+                    return;
+                }
+            }
+        };
+        let thread = std::thread::Builder::new().name("persistence".into()).spawn(work)?;
+        Ok(PersistenceWorker { tasks: Some(tasks), results, thread: Some(thread), _lock: lock })
+    }
+}
+
+/// What the thread writes to.
+struct Stores {
+    edits: Store<Folder>,
+    /// The state that the edits' snapshot and journal amount to.
+    accepted: AcceptedState,
+    roster: Store<Folder>,
+    learned: Store<Folder>,
+}
+
+impl Stores {
+    fn perform(&mut self, task: Task) -> Option<PersistenceResult> {
         match task {
-            Task::Edits(patch) => {
+            Task::WriteEdits(patch) => {
                 let start = Instant::now();
-                let kept = self.edit(*patch).map(|()| start.elapsed());
-                Some(PersistenceResult::Edits(kept))
+                let written = self.append(*patch).map(|()| start.elapsed());
+                Some(PersistenceResult::EditsWritten(written))
             }
-            Task::Try => Some(PersistenceResult::Tried(self.sound())),
-            Task::Roster(text) => {
-                let kept = self.roster.snapshot(text.as_bytes());
-                kept.err().map(|e| PersistenceResult::Lost("the list", e.to_string()))
+            Task::Probe => {
+                let probed = self.write_snapshot_if_needed();
+                Some(PersistenceResult::Probed(probed.map_err(|error| error.to_string())))
             }
-            Task::Learned(book) => {
-                let kept = self.learned.snapshot(&book.write());
-                kept.err().map(|e| PersistenceResult::Lost("what was learned", e.to_string()))
+            Task::WriteRoster(text) => failure("the list", self.roster.snapshot(text.as_bytes())),
+            Task::WriteLearned(learned) => {
+                failure("what was learned", self.learned.snapshot(&learned.write()))
             }
         }
     }
 
-    /// After a write that failed, all that was accepted is written anew; also where the journal has grown long.
-    fn sound(&mut self) -> Result<(), String> {
+    fn write_snapshot(&mut self) -> Result<(), StoreError> {
+        self.edits.snapshot(&self.accepted.write())
+    }
+
+    /// A snapshot is needed after a failed write, and once the journal has grown long.
+    fn write_snapshot_if_needed(&mut self) -> Result<(), StoreError> {
         if self.edits.wants_snapshot() {
-            self.edits.snapshot(&self.accepted.write()).map_err(|e| e.to_string())?;
+            self.write_snapshot()?;
         }
         Ok(())
     }
 
-    fn edit(&mut self, patch: StatePatch) -> Result<(), String> {
-        self.sound()?;
-        self.edits.append(&[patch.write()]).map_err(|e| e.to_string())?;
-        // A patch is made of the list that was kept last: it fits.
+    fn append(&mut self, patch: StatePatch) -> Result<(), String> {
+        self.write_snapshot_if_needed().map_err(|error| error.to_string())?;
+        self.edits.append(&[patch.write()]).map_err(|error| error.to_string())?;
+        // The patch was made against the state written last, so it applies.
         self.accepted.take(patch)
     }
 }
+
+fn failure(what: &'static str, written: Result<(), StoreError>) -> Option<PersistenceResult> {
+    written.err().map(|error| PersistenceResult::WriteFailed { what, why: error.to_string() })
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -0,0 +1,114 @@
+//! What all sessions of a planner act on: the state machines, which do no I/O, and the identities behind connections.
+
+use super::identities::IdentityTracker;
+use crate::config_service::ConfigService;
+use crate::wall_ms;
+use hdrhistogram::{CreationError, Histogram};
+use runloom_control_session::ControlSession;
+use runloom_distribution::{Distributor, Transport};
+use runloom_event_loop::ConnectionId;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Index of a proxy.
+pub(super) type ProxyId = usize;
+
+/// A proxy that is connected and receives its tables.
+pub(super) struct ConnectedProxy {
+    pub connection: ConnectionId,
+    pub name: String,
+    pub zone: String,
+    /// Requests per second that it expects.
+    pub request_rate: f64,
+    pub transport: Transport,
+}
+
+/// Numbers of the batches in which accepted edits are written to disk.
+#[derive(Default)]
+pub(super) struct EditBatches {
+    /// The last batch handed to the persistence worker.
+    pub submitted: u64,
+    /// The last batch that is on disk.
+    pub durable: u64,
+}
+
+/// Figures for the metrics; all times in microseconds.
+pub(super) struct PlannerStatistics {
+    /// Time to write one batch of edits to disk.
+    pub edit_write_time: Histogram<u64>,
+    /// Time from a decision until its commands are handed to the sockets.
+    pub issue_time: Histogram<u64>,
+    /// Time from sending a message until its acknowledgement.
+    pub acknowledgement_time: Histogram<u64>,
+    /// Reports of proxies that could not be parsed.
+    pub malformed_reports: u64,
+}
+
+/// Longest time that the histograms distinguish, in microseconds.
+const MAX_RECORDED_MICROS: u64 = 60_000_000;
+/// Significant decimal digits of recorded times.
+const HISTOGRAM_DIGITS: u8 = 2;
+
+impl PlannerStatistics {
+    pub(super) fn new() -> Result<PlannerStatistics, CreationError> {
+        let histogram = || Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, HISTOGRAM_DIGITS);
+        Ok(PlannerStatistics {
+            edit_write_time: histogram()?,
+            issue_time: histogram()?,
+            acknowledgement_time: histogram()?,
+            malformed_reports: 0,
+        })
+    }
+}
+
+/// Records a time in a histogram of microseconds.
+pub(super) fn record_micros(histogram: &mut Histogram<u64>, time: Duration) {
+    histogram.saturating_record(time.as_micros() as u64);
+}
+
+/// The planner's state machines.
+pub(super) struct PlannerCore {
+    /// The planner's name.
+    pub name: String,
+    pub control: ControlSession,
+    pub distributor: Distributor,
+    pub config: ConfigService,
+    pub identities: IdentityTracker,
+    pub connected: BTreeMap<ProxyId, ConnectedProxy>,
+    pub edit_batches: EditBatches,
+    pub statistics: PlannerStatistics,
+}
+
+impl PlannerCore {
+    /// Tells the configuration service the time of the events that follow.
+    pub(super) fn set_time(&mut self, now: Duration) {
+        self.config.now = now;
+        self.config.wall_ms = wall_ms();
+    }
+
+    /// Time within which a proxy has to acknowledge what it was sent.
+    pub(super) fn acknowledgement_timeout(&self) -> Duration {
+        self.config.fleet().grace.reply
+    }
+
+    /// The connection over which a proxy is connected.
+    pub(super) fn connection_of(&self, proxy: ProxyId) -> Option<ConnectionId> {
+        self.connected.get(&proxy).map(|connected| connected.connection)
+    }
+
+    /// A message, and so all before it, took effect at a proxy. `update` is the update that this completes.
+    pub(super) fn update_applied(&mut self, now: Duration, proxy: ProxyId, update: Option<u64>) {
+        if let Some(update) = update {
+            self.control.applied(now, proxy, update);
+            self.config.edit_history.applied(proxy, update);
+        }
+    }
+
+    /// A proxy's connection ended.
+    pub(super) fn proxy_disconnected(&mut self, proxy: ProxyId) {
+        self.connected.remove(&proxy);
+        self.control.left(proxy);
+        self.distributor.left(proxy);
+        self.config.edit_history.left(proxy);
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -0,0 +1,169 @@
+//! What outlasts the planner: accepted edits, the endpoint list and what was learned of servers, handed to the
+//! persistence worker and followed until they are on disk.
+
+use super::core::{record_micros, PlannerCore};
+use super::operator_sessions::OperatorSessions;
+use super::test_hooks::CrashPoint;
+use crate::persistence::{PersistenceResult, PersistenceWorker};
+use runloom_event_loop::EventLoop;
+use runloom_inventory::Inventory;
+use runloom_store::learned::{LearnedServer, LearnedServers};
+use std::time::Duration;
+
+/// Shortest time between two writes of the endpoint list.
+const LIST_WRITE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two writes of what was learned of servers.
+const LEARNED_WRITE_INTERVAL: Duration = Duration::from_secs(5);
+/// Time between two attempts to write after a write has failed.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Progress of all that is to be on disk.
+pub(super) struct Durability {
+    worker: PersistenceWorker,
+    /// What was last handed over of what was learned.
+    learned: LearnedServers,
+    next_learned_write: Duration,
+    next_retry: Duration,
+    last_list_write: Option<Duration>,
+    /// The endpoint list has changed since it was last handed over.
+    pub is_list_unsaved: bool,
+    /// A batch of edits was written since replies were last sent.
+    has_written_edits: bool,
+    /// Where the process aborts, in tests.
+    pub crash_point: Option<CrashPoint>,
+}
+
+impl Durability {
+    pub(super) fn new(worker: PersistenceWorker, learned: LearnedServers) -> Durability {
+        Durability {
+            worker,
+            learned,
+            next_learned_write: LEARNED_WRITE_INTERVAL,
+            next_retry: Duration::ZERO,
+            last_list_write: None,
+            is_list_unsaved: false,
+            has_written_edits: false,
+            crash_point: None,
+        }
+    }
+
+    /// When something is to be written next.
+    pub(super) fn wakes_at(&self) -> Duration {
+        let list_write = self.last_list_write.map_or(Duration::ZERO, |at| at + LIST_WRITE_INTERVAL);
+        if self.is_list_unsaved {
+            self.next_learned_write.min(list_write)
+        } else {
+            self.next_learned_write
+        }
+    }
+
+    /// Takes results of earlier writes, and hands over the edits accepted since. Edits that arrive while a batch is
+    /// being written share the next one.
+    pub(super) fn write_edits(
+        &mut self,
+        core: &mut PlannerCore,
+        operators: &mut OperatorSessions,
+        event_loop: &mut EventLoop,
+        now: Duration,
+    ) {
+        while let Some(result) = self.worker.poll_result() {
+            self.handle_result(core, operators, event_loop, result);
+        }
+        if let Some(patch) = core.config.take_patch() {
+            self.crash_at(CrashPoint::BeforeWrite);
+            core.edit_batches.submitted += 1;
+            if !self.worker.write_edits(patch) {
+                roll_back_edits(core, operators, event_loop, "the disk is behind".into());
+            }
+        } else if core.config.unavailable_reason.is_some() && now >= self.next_retry {
+            self.next_retry = now + RETRY_INTERVAL;
+            self.worker.probe();
+        }
+    }
+
+    fn handle_result(
+        &mut self,
+        core: &mut PlannerCore,
+        operators: &mut OperatorSessions,
+        event_loop: &mut EventLoop,
+        result: PersistenceResult,
+    ) {
+        match result {
+            PersistenceResult::EditsWritten(Ok(elapsed)) => {
+                record_micros(&mut core.statistics.edit_write_time, elapsed);
+                core.config.patch_written();
+                core.edit_batches.durable = core.edit_batches.submitted;
+                self.has_written_edits = true;
+                self.crash_at(CrashPoint::Written);
+            }
+            PersistenceResult::EditsWritten(Err(why)) => roll_back_edits(core, operators, event_loop, why),
+            PersistenceResult::Probed(Ok(())) => {
+                if core.config.unavailable_reason.take().is_some() {
+                    tracing::info!("edits can be kept again");
+                }
+            }
+            PersistenceResult::Probed(Err(_)) => {}
+            PersistenceResult::WriteFailed { what, why } => {
+                tracing::warn!(what, why, "could not be written");
+            }
+        }
+    }
+
+    /// Writes what was learned, if that is due.
+    pub(super) fn write_learned_if_due(&mut self, core: &PlannerCore, inventory: &Inventory, now: Duration) {
+        if now >= self.next_learned_write {
+            self.next_learned_write = now + LEARNED_WRITE_INTERVAL;
+            self.write_learned(core, inventory);
+        }
+    }
+
+    /// Writes what the decisions have learned of servers.
+    pub(super) fn write_learned(&mut self, core: &PlannerCore, inventory: &Inventory) {
+        let servers = inventory.servers();
+        let learned = core.control.learned().into_iter().filter_map(|(name, swift, failed, held)| {
+            let server = servers.get(&name)?;
+            let (address, started) = (server.address.to_string(), server.started);
+            Some(LearnedServer { name, address, started, swift, failed, held })
+        });
+        let learned = LearnedServers { written: core.config.wall_ms, servers: learned.collect() };
+        self.learned = learned.renewed(&self.learned);
+        if !self.worker.write_learned(self.learned.clone()) {
+            tracing::warn!("what was learned could not be written: the disk is behind");
+        }
+    }
+
+    /// Writes the endpoint list, if it has changed and was not written just before.
+    pub(super) fn write_list_if_due(&mut self, core: &PlannerCore, now: Duration) {
+        let is_due = self.last_list_write.is_none_or(|at| now >= at + LIST_WRITE_INTERVAL);
+        if self.is_list_unsaved && is_due {
+            self.last_list_write = Some(now);
+            let is_accepted = self.worker.write_roster(core.config.roster_element().to_text());
+            self.is_list_unsaved = !is_accepted;
+        }
+    }
+
+    /// Replies were sent: the end of the way of the edits that were written.
+    pub(super) fn replies_sent(&mut self) {
+        if std::mem::take(&mut self.has_written_edits) {
+            self.crash_at(CrashPoint::Replied);
+        }
+    }
+
+    fn crash_at(&self, point: CrashPoint) {
+        if self.crash_point == Some(point) {
+            std::process::abort();
+        }
+    }
+}
+
+/// Edits could not be written: they count as never accepted, and none is accepted until writing works again.
+fn roll_back_edits(
+    core: &mut PlannerCore,
+    operators: &mut OperatorSessions,
+    event_loop: &mut EventLoop,
+    why: String,
+) {
+    tracing::error!(why, "edits cannot be kept: none is accepted until they can");
+    core.config.roll_back(why);
+    operators.abort_unsaved(core, event_loop);
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -0,0 +1,76 @@
+//! Recording of all that the decisions are told and command, for replay.
+
+use super::BUILD;
+use crate::config_service::ConfigService;
+use runloom_control_session::ControlSession;
+use runloom_event_log::{RecordedEvent, Recorder, RecorderConfig, Writer};
+use runloom_model::fleet::PlannerSettings;
+use std::io;
+use std::time::Duration;
+
+/// The event log of a planner, if its settings name a folder for one.
+pub(super) struct EventRecording {
+    writer: Option<Writer>,
+    /// Whether recording had stopped when last checked, to log each change once.
+    is_stopped: bool,
+}
+
+impl EventRecording {
+    /// Opens the log, if one is wanted, and records the start.
+    pub(super) fn open(
+        settings: &PlannerSettings,
+        control: &mut ControlSession,
+        config: &ConfigService,
+        seed: u64,
+        epoch: u64,
+    ) -> io::Result<EventRecording> {
+        let Some(folder) = &settings.record else {
+            return Ok(EventRecording { writer: None, is_stopped: false });
+        };
+        let recorder_config = RecorderConfig { most: settings.record_bytes, ..RecorderConfig::default() };
+        let recorder = Recorder::open(folder, recorder_config)?;
+        let start = RecordedEvent::Start {
+            build: BUILD.to_string(),
+            planner: settings.name.clone(),
+            seed,
+            epoch,
+            fleet: config.persisted_fleet_text(),
+        };
+        control.witness = Some(vec![(Duration::ZERO, start)]);
+        Ok(EventRecording { writer: Some(Writer::new(recorder)), is_stopped: false })
+    }
+
+    /// Writes what happened in a turn that began at `turn_start`.
+    pub(super) fn write(&mut self, control: &mut ControlSession, now: Duration, turn_start: Duration) {
+        let (Some(writer), Some(witness)) = (&mut self.writer, &mut control.witness) else { return };
+        let mut events = std::mem::take(witness);
+        for (_, event) in &mut events {
+            if let RecordedEvent::Turn { took, .. } = event {
+                *took = now.saturating_sub(turn_start).as_micros() as u64;
+            }
+        }
+        writer.push(now, events);
+        let standing = writer.standing();
+        let is_stopped = standing.stopped.is_some();
+        if is_stopped && !self.is_stopped {
+            tracing::error!(why = standing.stopped, "recording stopped; planning goes on");
+        } else if !is_stopped && self.is_stopped {
+            tracing::info!(lost = standing.lost, "recording goes on");
+        }
+        self.is_stopped = is_stopped;
+    }
+
+    /// Writes what is buffered, and ends the log.
+    pub(super) fn finish(&mut self) {
+        if let Some(writer) = self.writer.take() {
+            writer.finish();
+        }
+    }
+}
+
+/// Adds an event that the decisions are not told of to the log of the turn.
+pub(super) fn note_event(control: &mut ControlSession, now: Duration, event: RecordedEvent) {
+    if let Some(witness) = &mut control.witness {
+        witness.push((now, event));
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/identities.rs
@@ -0,0 +1,108 @@
+//! The identities behind open connections: when they expire, whether their authority is still trusted, and the
+//! planner's own certificate.
+
+use crate::tls_credentials::{CertificateHolder, TlsPolicy};
+use crate::wall_ms;
+use runloom_event_loop::ConnectionId;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Time between two warnings that the planner's own identity expires soon.
+const EXPIRY_WARNING_INTERVAL: Duration = Duration::from_secs(60);
+/// A renewed certificate is due once less than one part in this many of the lifetime is left.
+const RENEWAL_DUE_FRACTION: i64 = 3;
+
+/// A peer's certificate.
+struct PeerCertificate {
+    holder: CertificateHolder,
+    der: Vec<u8>,
+}
+
+/// A connection whose identity is no longer valid.
+pub(super) struct InvalidIdentity {
+    pub connection: ConnectionId,
+    pub holder: String,
+}
+
+/// Identities of connected peers, and the planner's TLS policy.
+pub(super) struct IdentityTracker {
+    tls: TlsPolicy,
+    peers: BTreeMap<ConnectionId, PeerCertificate>,
+    last_expiry_warning: Option<Duration>,
+}
+
+/// Seconds since 1970.
+pub(super) fn wall_seconds() -> i64 {
+    (wall_ms() / 1000) as i64
+}
+
+impl IdentityTracker {
+    pub(super) fn new(tls: TlsPolicy) -> IdentityTracker {
+        IdentityTracker { tls, peers: BTreeMap::new(), last_expiry_warning: None }
+    }
+
+    pub(super) fn tls(&self) -> &TlsPolicy {
+        &self.tls
+    }
+
+    /// Tracks a connection whose certificate holds an identity that expires.
+    pub(super) fn track(&mut self, connection: ConnectionId, holder: &CertificateHolder, der: &[u8]) {
+        if holder.identity.is_some() {
+            let certificate = PeerCertificate { holder: holder.clone(), der: der.to_vec() };
+            self.peers.insert(connection, certificate);
+        }
+    }
+
+    pub(super) fn forget(&mut self, connection: ConnectionId) {
+        self.peers.remove(&connection);
+    }
+
+    /// Whether a connection's identity has expired at `wall`, in seconds since 1970.
+    pub(super) fn has_expired(&self, connection: ConnectionId, wall: i64) -> bool {
+        self.peers.get(&connection).is_some_and(|peer| peer.holder.has_expired(wall))
+    }
+
+    /// Reloads certificates that changed, and returns the connections that have to end: their identity has expired,
+    /// or its authority is no longer trusted.
+    #[must_use]
+    pub(super) fn check(&mut self, now: Duration) -> Vec<InvalidIdentity> {
+        let is_reloaded = self.reload();
+        let wall = wall_seconds();
+        self.warn_of_expiry(now, wall);
+        let is_invalid = |peer: &PeerCertificate| {
+            peer.holder.has_expired(wall) || (is_reloaded && !self.tls.still_trusts(&peer.der))
+        };
+        let invalid = self.peers.iter().filter(|(_, peer)| is_invalid(peer));
+        invalid
+            .map(|(connection, peer)| InvalidIdentity {
+                connection: *connection,
+                holder: peer.holder.name.clone(),
+            })
+            .collect()
+    }
+
+    fn reload(&mut self) -> bool {
+        match self.tls.reload() {
+            Ok(true) => {
+                tracing::info!("new certificates are in force, for connections from now on");
+                true
+            }
+            Ok(false) => false,
+            Err(why) => {
+                tracing::error!(%why, "new certificates cannot be used: the ones before stay in force");
+                false
+            }
+        }
+    }
+
+    fn warn_of_expiry(&mut self, now: Duration, wall: i64) {
+        let Some(own) = self.tls.own_identity() else { return };
+        let seconds_left = own.until - wall;
+        let is_renewal_due = seconds_left < (own.until - own.from) / RENEWAL_DUE_FRACTION;
+        let may_warn = self.last_expiry_warning.is_none_or(|at| now >= at + EXPIRY_WARNING_INTERVAL);
+        if is_renewal_due && may_warn {
+            self.last_expiry_warning = Some(now);
+            tracing::warn!(identity = %own.id, seconds = seconds_left, "this planner's identity ends soon");
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -0,0 +1,123 @@
+//! The addresses at which a planner listens.
+
+use crate::tls_credentials::{server_name, TlsPolicy, PROXY};
+use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
+use runloom_model::fleet::{Fleet, PlannerSettings};
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Operators' sessions that send nothing for this long are closed.
+const OPERATOR_IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
+const MAX_OPERATOR_CONNECTIONS: usize = 64;
+/// A proxy that called home and is silent for this many report periods is gone, and at least this time.
+const SILENT_REPORT_PERIODS: u32 = 4;
+const MIN_PROXY_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Bytes that may wait to be read by a subscriber: its window of update parts.
+const SUBSCRIBER_BUFFER_BYTES: usize = 4 << 20;
+const METRICS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_METRICS_CONNECTIONS: usize = 16;
+
+/// Where a planner can be reached; a port that the settings give as 0 is the one that the system chose.
+#[derive(Debug, Clone, Copy)]
+pub struct ListenAddresses {
+    /// NETCONF sessions of operators.
+    pub edits: SocketAddr,
+    /// Proxies that call home.
+    pub home: SocketAddr,
+    /// Proxies that subscribe.
+    pub pubsub: Option<SocketAddr>,
+    /// Metrics over HTTP.
+    pub metrics: Option<SocketAddr>,
+}
+
+/// Which service a connection belongs to, by the listener that accepted it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ListenerKind {
+    Operators,
+    CallHome,
+    Subscribers,
+    Metrics,
+}
+
+/// The open listeners.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Listeners {
+    operators: ConnectionId,
+    call_home: ConnectionId,
+    subscribers: Option<ConnectionId>,
+    metrics: Option<ConnectionId>,
+    pub addresses: ListenAddresses,
+}
+
+impl Listeners {
+    /// Opens all listeners that the settings name.
+    pub(super) fn open(
+        event_loop: &mut EventLoop,
+        settings: &PlannerSettings,
+        fleet: &Fleet,
+        tls: &TlsPolicy,
+    ) -> io::Result<Listeners> {
+        let server_tls = Security::Answers(tls.server_config.clone());
+        // RFC 8071: the side that calls home is the NETCONF server, and this side starts TLS.
+        let client_tls = Security::Starts(tls.client_config.clone(), server_name(PROXY));
+        let (operators, edits) = event_loop.listen(settings.edits, server_tls.clone(), operator_limits())?;
+        let (call_home, home) = event_loop.listen(settings.home, client_tls, call_home_limits(fleet))?;
+        let mut listen_if_set = |address: Option<SocketAddr>, security: Security, limits: BufferLimits| {
+            address.map(|address| event_loop.listen(address, security, limits)).transpose()
+        };
+        let subscribers = listen_if_set(settings.pubsub, server_tls, subscriber_limits())?;
+        let metrics = listen_if_set(settings.metrics, Security::Plain, metrics_limits())?;
+        let pubsub_address = subscribers.map(|(_, address)| address);
+        let metrics_address = metrics.map(|(_, address)| address);
+        Ok(Listeners {
+            operators,
+            call_home,
+            subscribers: subscribers.map(|(listener, _)| listener),
+            metrics: metrics.map(|(listener, _)| listener),
+            addresses: ListenAddresses { edits, home, pubsub: pubsub_address, metrics: metrics_address },
+        })
+    }
+
+    /// The service behind a listener.
+    pub(super) fn kind(&self, listener: ConnectionId) -> Option<ListenerKind> {
+        if Some(listener) == self.metrics {
+            Some(ListenerKind::Metrics)
+        } else if listener == self.operators {
+            Some(ListenerKind::Operators)
+        } else if listener == self.call_home {
+            Some(ListenerKind::CallHome)
+        } else if Some(listener) == self.subscribers {
+            Some(ListenerKind::Subscribers)
+        } else {
+            None
+        }
+    }
+}
+
+fn operator_limits() -> BufferLimits {
+    BufferLimits {
+        idle: Some(OPERATOR_IDLE_TIMEOUT),
+        connections: MAX_OPERATOR_CONNECTIONS,
+        ..BufferLimits::default()
+    }
+}
+
+/// A proxy that called home reports in each period.
+fn call_home_limits(fleet: &Fleet) -> BufferLimits {
+    let idle_timeout = (fleet.report * SILENT_REPORT_PERIODS).max(MIN_PROXY_IDLE_TIMEOUT);
+    BufferLimits { idle: Some(idle_timeout), ..BufferLimits::default() }
+}
+
+/// MQTT has its own keep-alive.
+fn subscriber_limits() -> BufferLimits {
+    BufferLimits { unread: SUBSCRIBER_BUFFER_BYTES, ..BufferLimits::default() }
+}
+
+fn metrics_limits() -> BufferLimits {
+    BufferLimits {
+        idle: Some(METRICS_IDLE_TIMEOUT),
+        connections: MAX_METRICS_CONNECTIONS,
+        ..BufferLimits::default()
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -0,0 +1,454 @@
+//! Connections of proxies, whether they called home or subscribe: admission, delivery of updates, acknowledgements
+//! and timeouts. Which update a proxy gets is decided by the distributor.
+
+use super::call_home::CallHomeSession;
+use super::core::{record_micros, ConnectedProxy, PlannerCore, ProxyId};
+use super::identities::wall_seconds;
+use super::netconf_sessions::NetconfSessions;
+use super::proxy_event::ProxyEvent;
+use super::subscriber::{BodyCache, SubscriberSession};
+use crate::tls_credentials::CertificateHolder;
+use runloom_distribution::doubt::Verdict;
+use runloom_distribution::{Outgoing, PendingProxy, Transport};
+use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
+use runloom_model::order::Report;
+use runloom_netconf::session::{Session, SessionEvent};
+use runloom_versioned_publisher::Topic;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A proxy's session, by the protocol that it speaks.
+enum ProxySession {
+    CallHome(Box<CallHomeSession>),
+    Subscriber(Box<SubscriberSession>),
+}
+
+impl ProxySession {
+    fn holder(&self) -> &CertificateHolder {
+        match self {
+            ProxySession::CallHome(session) => &session.holder,
+            ProxySession::Subscriber(session) => &session.holder,
+        }
+    }
+
+    fn proxy(&self) -> Option<ProxyId> {
+        match self {
+            ProxySession::CallHome(session) => session.proxy,
+            ProxySession::Subscriber(session) => session.proxy,
+        }
+    }
+
+    fn set_proxy(&mut self, proxy: ProxyId) {
+        match self {
+            ProxySession::CallHome(session) => session.proxy = Some(proxy),
+            ProxySession::Subscriber(session) => session.proxy = Some(proxy),
+        }
+    }
+
+    /// Whether it takes a further message now. One that does not gets the next with its next acknowledgement.
+    fn can_send(&self) -> bool {
+        match self {
+            ProxySession::CallHome(_) => true,
+            ProxySession::Subscriber(session) => session.session.room() > 0,
+        }
+    }
+
+    fn send(&mut self, now: Duration, outgoing: &Outgoing, bodies: &mut BodyCache) {
+        match (self, outgoing) {
+            (ProxySession::CallHome(session), Outgoing::Message { number, text, .. }) => {
+                session.send(now, *number, text);
+            }
+            (ProxySession::Subscriber(session), Outgoing::Part { number, part }) => {
+                session.send(now, *number, part, bodies);
+            }
+            (ProxySession::CallHome(_), Outgoing::Part { .. })
+            | (ProxySession::Subscriber(_), Outgoing::Message { .. }) => {}
+        }
+    }
+}
+
+/// All proxies' sessions.
+#[derive(Default)]
+pub(super) struct ProxySessions {
+    sessions: BTreeMap<ConnectionId, ProxySession>,
+    bodies: BodyCache,
+}
+
+impl ProxySessions {
+    pub(super) fn connections(&self) -> impl Iterator<Item = ConnectionId> + '_ {
+        self.sessions.keys().copied()
+    }
+
+    /// A proxy called home.
+    pub(super) fn open_call_home(
+        &mut self,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        holder: CertificateHolder,
+    ) {
+        let session = ProxySession::CallHome(Box::new(CallHomeSession::new(holder)));
+        self.sessions.insert(connection, session);
+        self.write_netconf_output(event_loop, connection);
+    }
+
+    /// A proxy connected to subscribe.
+    pub(super) fn open_subscriber(
+        &mut self,
+        event_loop: &EventLoop,
+        planner: &str,
+        connection: ConnectionId,
+        holder: CertificateHolder,
+    ) {
+        let session = SubscriberSession::new(event_loop.now(), planner, holder);
+        self.sessions.insert(connection, ProxySession::Subscriber(Box::new(session)));
+    }
+
+    /// Handles bytes that a proxy sent.
+    pub(super) fn handle_bytes(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        bytes: &[u8],
+    ) {
+        let events = match self.sessions.get_mut(&connection) {
+            Some(ProxySession::Subscriber(subscriber)) => subscriber.session.take(event_loop.now(), bytes),
+            _ => return self.handle_netconf_bytes(core, event_loop, connection, bytes),
+        };
+        for event in events {
+            let Some(ProxySession::Subscriber(subscriber)) = self.sessions.get_mut(&connection) else {
+                return;
+            };
+            if let Some(event) = subscriber.handle_event(connection, event) {
+                self.handle_event(core, event_loop, connection, event);
+            }
+        }
+        self.write_output(core, event_loop, connection);
+    }
+
+    fn handle_event(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        event: ProxyEvent,
+    ) {
+        match event {
+            ProxyEvent::OutputReady => self.write_netconf_output(event_loop, connection),
+            ProxyEvent::Introduced(pending) => self.enqueue(core, event_loop, pending),
+            ProxyEvent::Disconnect(reason) => self.disconnect(core, event_loop, connection, reason),
+            ProxyEvent::Finish(reason) => self.finish(core, event_loop, connection, reason),
+            ProxyEvent::Acknowledged { number, sent } => {
+                self.handle_acknowledgement(core, event_loop.now(), connection, number, sent);
+            }
+            ProxyEvent::NotApplicable { number, topic } => {
+                self.handle_not_applicable(core, event_loop, connection, number, topic);
+            }
+            ProxyEvent::Reported(report) => self.handle_report(core, event_loop, connection, &report),
+            ProxyEvent::MalformedReport(why) => self.handle_malformed_report(core, connection, &why),
+        }
+    }
+
+    fn proxy(&self, connection: ConnectionId) -> Option<ProxyId> {
+        self.sessions.get(&connection).and_then(ProxySession::proxy)
+    }
+
+    // Admission.
+
+    /// Puts a proxy that introduced itself into the distributor's queue.
+    fn enqueue(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, pending: PendingProxy) {
+        let connection = pending.conn;
+        if let Some(other) = core.distributor.waits(&pending.name).filter(|other| *other != connection) {
+            self.take_over(event_loop, other);
+        }
+        if !core.distributor.came(event_loop.now(), pending) {
+            tracing::warn!("turned away: too many proxies wait to be let in");
+            self.disconnect(core, event_loop, connection, CloseReason::Refused);
+        }
+    }
+
+    /// Admits the proxies whose turn has come.
+    pub(super) fn admit(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, now: Duration) {
+        while let Some(pending) = core.distributor.admit(now) {
+            self.admit_one(core, event_loop, pending);
+        }
+    }
+
+    fn admit_one(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, pending: PendingProxy) {
+        let connection = pending.conn;
+        let Some(session) = self.sessions.get_mut(&connection) else { return };
+        let connected = ConnectedProxy {
+            connection,
+            name: pending.name.clone(),
+            zone: pending.zone.clone(),
+            request_rate: pending.rate,
+            transport: pending.way,
+        };
+        let has_no_table = pending.fresh;
+        let proxy =
+            core.control.joined(&connected.name, &connected.zone, connected.request_rate, has_no_table);
+        session.set_proxy(proxy);
+        core.distributor.joined(proxy, pending);
+        core.config.edit_history.left(proxy);
+        tracing::info!(
+            proxy = %connected.name,
+            zone = %connected.zone,
+            rate = connected.request_rate,
+            fresh = has_no_table,
+            published = connected.transport == Transport::Parts,
+            "connected"
+        );
+        let previous = core.connected.insert(proxy, connected);
+        if let Some(previous) = previous.filter(|previous| previous.connection != connection) {
+            // The previous connection is half open, or belongs to another holder of the same certificate.
+            self.take_over(event_loop, previous.connection);
+        }
+    }
+
+    /// Ends a connection whose proxy has opened another one.
+    fn take_over(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
+        if let Some(ProxySession::Subscriber(mut subscriber)) = self.sessions.remove(&connection) {
+            tracing::warn!(proxy = %subscriber.holder.name, "another connection of this name took over");
+            subscriber.session.taken_over(event_loop.now());
+            event_loop.write(connection, &subscriber.session.output());
+            event_loop.finish(connection);
+        } else {
+            event_loop.cut(connection);
+        }
+    }
+
+    // Acknowledgements and reports.
+
+    fn handle_acknowledgement(
+        &mut self,
+        core: &mut PlannerCore,
+        now: Duration,
+        connection: ConnectionId,
+        number: u64,
+        sent: Option<Duration>,
+    ) {
+        let Some(proxy) = self.proxy(connection) else { return };
+        if let Some(sent) = sent {
+            record_micros(&mut core.statistics.acknowledgement_time, now.saturating_sub(sent));
+        }
+        let update = core.distributor.confirmed(now, proxy, number);
+        core.update_applied(now, proxy, update);
+    }
+
+    fn handle_not_applicable(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        number: u64,
+        topic: Topic,
+    ) {
+        let now = event_loop.now();
+        let Some(proxy) = self.proxy(connection) else { return };
+        let (update, verdict) = core.distributor.lacks(now, proxy, number, topic);
+        core.update_applied(now, proxy, update);
+        if verdict == Verdict::LetGo {
+            tracing::error!(proxy = core.control.proxy_name(proxy), "let go: it can use no message");
+            self.finish(core, event_loop, connection, CloseReason::Refused);
+        }
+    }
+
+    fn handle_report(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        report: &Report,
+    ) {
+        let now = event_loop.now();
+        let Some(proxy) = self.proxy(connection) else { return };
+        core.control.report(now, proxy, report);
+        let tried = report.met.iter().filter(|outcome| outcome.tries > 0);
+        let tried = tried.map(|outcome| outcome.server.as_str());
+        match core.distributor.reported(now, proxy, report.span, tried) {
+            Verdict::Fine => {}
+            Verdict::Anew => {
+                let proxy = core.control.proxy_name(proxy);
+                tracing::warn!(proxy, "it tries servers that it confirmed to be out: told its tables anew");
+            }
+            Verdict::LetGo => {
+                let proxy = core.control.proxy_name(proxy);
+                tracing::error!(proxy, "let go: it does not do what it confirms");
+                self.disconnect(core, event_loop, connection, CloseReason::Refused);
+            }
+        }
+    }
+
+    fn handle_malformed_report(&self, core: &mut PlannerCore, connection: ConnectionId, why: &str) {
+        core.statistics.malformed_reports += 1;
+        if let Some(session) = self.sessions.get(&connection) {
+            tracing::debug!(proxy = %session.holder().name, why, "a report is malformed");
+        }
+    }
+
+    // Delivery.
+
+    /// Sends proxies the updates that they lack.
+    pub(super) fn deliver_updates(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop) {
+        let now = event_loop.now();
+        for (proxy, update) in core.distributor.take_settled() {
+            core.update_applied(now, proxy, Some(update));
+        }
+        self.bodies.limit_size();
+        let wall = wall_seconds();
+        for proxy in core.distributor.take_ready() {
+            let Some(connection) = core.connection_of(proxy) else { continue };
+            // Nothing is sent on behalf of an identity that has expired, however recently.
+            if core.identities.has_expired(connection, wall) {
+                self.disconnect(core, event_loop, connection, CloseReason::Untrusted);
+                continue;
+            }
+            self.send_updates(core, now, proxy, connection);
+            self.write_output(core, event_loop, connection);
+        }
+    }
+
+    fn send_updates(
+        &mut self,
+        core: &mut PlannerCore,
+        now: Duration,
+        proxy: ProxyId,
+        connection: ConnectionId,
+    ) {
+        let Some(session) = self.sessions.get_mut(&connection) else { return };
+        while session.can_send() {
+            let Some(outgoing) = core.distributor.next(now, proxy) else { return };
+            session.send(now, &outgoing, &mut self.bodies);
+        }
+    }
+
+    /// Writes a session's output, and closes a subscriber's session that has ended.
+    fn write_output(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, connection: ConnectionId) {
+        let Some(ProxySession::Subscriber(subscriber)) = self.sessions.get_mut(&connection) else {
+            return self.write_netconf_output(event_loop, connection);
+        };
+        event_loop.write(connection, &subscriber.session.output());
+        if let Some(reason) = subscriber.close_reason() {
+            self.finish(core, event_loop, connection, reason);
+        }
+    }
+
+    // Timeouts and closing.
+
+    /// Closes subscribers' sessions that have fallen silent.
+    pub(super) fn close_silent(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, now: Duration) {
+        let mut ended = vec![];
+        for (connection, session) in &mut self.sessions {
+            let ProxySession::Subscriber(subscriber) = session else { continue };
+            subscriber.session.wake(now);
+            if subscriber.session.over().is_some() {
+                ended.push(*connection);
+            }
+        }
+        for connection in ended {
+            self.write_output(core, event_loop, connection);
+        }
+    }
+
+    /// Disconnects proxies that have not acknowledged an update in time: others wait for them. They may connect again.
+    pub(super) fn close_unacknowledged_updates(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        now: Duration,
+    ) {
+        let timeout = core.acknowledgement_timeout();
+        let is_late = |age: Duration| age >= timeout;
+        let members = core.control.members().iter();
+        let late = members.filter(|(_, member)| member.oldest(now).is_some_and(is_late));
+        let late: Vec<ProxyId> = late.map(|(proxy, _)| *proxy).collect();
+        for proxy in late {
+            let name = core.control.proxy_name(proxy);
+            tracing::warn!(proxy = name, "let go: it does not confirm its orders");
+            if let Some(connection) = core.connection_of(proxy) {
+                self.disconnect(core, event_loop, connection, CloseReason::Unread);
+            }
+        }
+    }
+
+    /// Disconnects subscribers that have not acknowledged a published message in time.
+    pub(super) fn close_unacknowledged_messages(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        now: Duration,
+    ) {
+        let timeout = core.acknowledgement_timeout();
+        for (name, _) in core.distributor.publisher().overdue(now, timeout) {
+            let connection = core.control.proxy(&name).and_then(|proxy| core.connection_of(proxy));
+            if let Some(connection) = connection {
+                tracing::warn!(proxy = %name, "let go: it does not confirm what it is told");
+                self.disconnect(core, event_loop, connection, CloseReason::Unread);
+            }
+        }
+    }
+
+    /// Ends a connection at once; output that is not written yet is dropped.
+    pub(super) fn disconnect(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        reason: CloseReason,
+    ) {
+        event_loop.cut(connection);
+        self.handle_close(core, event_loop, connection, reason);
+    }
+
+    /// Ends a connection once its output is written.
+    fn finish(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        reason: CloseReason,
+    ) {
+        event_loop.finish(connection);
+        self.handle_close(core, event_loop, connection, reason);
+    }
+}
+
+impl NetconfSessions for ProxySessions {
+    fn netconf_session(&mut self, connection: ConnectionId) -> Option<&mut Session> {
+        match self.sessions.get_mut(&connection)? {
+            ProxySession::CallHome(session) => Some(&mut session.session),
+            ProxySession::Subscriber(_) => None,
+        }
+    }
+
+    fn handle_netconf_event(
+        &mut self,
+        core: &mut PlannerCore,
+        event_loop: &mut EventLoop,
+        connection: ConnectionId,
+        event: SessionEvent,
+    ) {
+        let Some(ProxySession::CallHome(session)) = self.sessions.get_mut(&connection) else { return };
+        if let Some(event) = session.handle_event(connection, event) {
+            self.handle_event(core, event_loop, connection, event);
+        }
+    }
+
+    fn handle_close(
+        &mut self,
+        core: &mut PlannerCore,
+        _: &mut EventLoop,
+        connection: ConnectionId,
+        reason: CloseReason,
+    ) {
+        core.identities.forget(connection);
+        let Some(session) = self.sessions.remove(&connection) else { return };
+        let name = &session.holder().name;
+        core.distributor.gone(name, connection);
+        let proxy = session.proxy().filter(|proxy| core.connection_of(*proxy) == Some(connection));
+        if let Some(proxy) = proxy {
+            tracing::info!(proxy = %name, why = ?reason, "disconnected");
+            core.proxy_disconnected(proxy);
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/rejection_log.rs
@@ -0,0 +1,76 @@
+//! Log of the commands that the guard rejected.
+
+use runloom_control_session::{ControlSession, LEAD};
+use runloom_guard::refusal::Rejection;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Time before the same rejection is logged again: it recurs at each evaluation while its cause lasts.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Identifies a rejection that recurs.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct RejectionKey {
+    reason: &'static str,
+    table: u16,
+    server: Option<usize>,
+}
+
+impl RejectionKey {
+    fn of(rejection: &Rejection) -> RejectionKey {
+        RejectionKey {
+            reason: rejection.reason.word(),
+            table: rejection.table,
+            server: rejection.servers.first().copied(),
+        }
+    }
+}
+
+/// A rejection in words.
+pub(super) struct RejectionText {
+    /// Why the command was rejected.
+    pub why: String,
+    /// What would have been accepted.
+    pub safe: String,
+    /// The case as JSON, for `runloom guard explain`; empty if there is none.
+    pub case: String,
+}
+
+impl RejectionText {
+    pub(super) fn new(control: &ControlSession, rejection: &Rejection) -> RejectionText {
+        let server = |server: usize| control.server_name(server).to_string();
+        let proxy = |proxy: usize| control.proxy_name(proxy).to_string();
+        let case = rejection.case.as_ref().and_then(|case| serde_json::to_string(case).ok());
+        RejectionText {
+            why: rejection.sentence(&server, &proxy),
+            safe: rejection.safe(&server),
+            case: case.unwrap_or_default(),
+        }
+    }
+}
+
+/// Which rejections were logged, and when.
+#[derive(Default)]
+pub(super) struct RejectionLog {
+    logged: BTreeMap<RejectionKey, Duration>,
+    /// Rejections up to this time of the guard were handled.
+    handled_until: Duration,
+}
+
+impl RejectionLog {
+    /// Logs the rejections since the last call.
+    pub(super) fn log_new(&mut self, control: &ControlSession, now: Duration) {
+        let since = std::mem::replace(&mut self.handled_until, LEAD + now);
+        self.logged.retain(|_, at| now < *at + REPEAT_INTERVAL);
+        for rejection in control.guard().refusals().filter(|rejection| rejection.at > since) {
+            let key = RejectionKey::of(rejection);
+            if self.logged.contains_key(&key) {
+                continue;
+            }
+            self.logged.insert(key, now);
+            let RejectionText { why, safe, case } = RejectionText::new(control, rejection);
+            let reason = rejection.reason;
+            tracing::warn!(reason = reason.word(), rule = reason.rule(), why, safe, %case, "refused");
+        }
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -0,0 +1,106 @@
+//! What a planner starts from: the state that an earlier start stored, or the settings.
+
+use crate::config_service::ConfigService;
+use crate::error::StartError;
+use crate::persistence::RestoredState;
+use crate::state_file::StateFile;
+use crate::wall_ms;
+use runloom_inventory::edit_history::EditHistory;
+use runloom_inventory::{Inventory, Server};
+use runloom_model::fleet::PlannerSettings;
+use runloom_model::FLEET;
+use runloom_netconf::tree::Element;
+use runloom_store::accepted::AcceptedState;
+use std::io;
+use std::sync::Arc;
+
+/// File with the epoch of the last start.
+const EPOCH_FILE: &str = "epoch.xml";
+/// Files of the first layout of the state folder.
+const LEGACY_ACCEPTED_FILE: &str = "accepted.xml";
+const LEGACY_ROSTER_FILE: &str = "roster.xml";
+
+/// A number that rises with each start, whatever the clock says. It distinguishes what several starts publish.
+pub(super) fn next_epoch(files: &StateFile) -> io::Result<u64> {
+    let last = files.read(EPOCH_FILE)?.and_then(|epoch| epoch.text.parse::<u64>().ok()).unwrap_or(0);
+    let epoch = wall_ms().max(last + 1);
+    write_epoch(files, epoch)?;
+    Ok(epoch)
+}
+
+/// Stores the epoch.
+pub(super) fn write_epoch(files: &StateFile, epoch: u64) -> io::Result<()> {
+    files.write(EPOCH_FILE, &Element::leaf("", "epoch", epoch))
+}
+
+/// Renames files of the first layout, once the present layout holds what they held.
+pub(super) fn set_legacy_files_aside(files: &StateFile) -> io::Result<()> {
+    files.set_aside(LEGACY_ACCEPTED_FILE)?;
+    files.set_aside(LEGACY_ROSTER_FILE)
+}
+
+/// The configuration as it was accepted before this start; without one, that of the settings. Folders of the first
+/// layout are taken over.
+pub(super) fn restore_config(
+    files: &StateFile,
+    settings: &PlannerSettings,
+    restored: &mut RestoredState,
+) -> Result<ConfigService, StartError> {
+    let mut data = (*settings.data).clone();
+    let mut edit_history = EditHistory::default();
+    if let Some(accepted) = restored.accepted.take() {
+        replace_child(&mut data, "fleet", stored_fleet(&accepted)?);
+        let edits = accepted.noted.into_iter();
+        edit_history = EditHistory::of(edits.map(|edit| (edit.id, edit.who, edit.digest, edit.accepted)));
+    } else if let Some(accepted) = files.read(LEGACY_ACCEPTED_FILE)? {
+        if let Some(fleet) = accepted.child("before").unwrap_or(&accepted).child("fleet") {
+            replace_child(&mut data, "fleet", fleet.clone());
+        }
+        edit_history = legacy_edit_history(&accepted);
+    }
+    let roster = match &restored.roster {
+        Some(text) => Element::parse(text).ok(),
+        None => files.read(LEGACY_ROSTER_FILE)?,
+    };
+    if let Some(roster) = roster {
+        replace_child(&mut data, "roster", roster);
+    }
+    Ok(ConfigService::new(Arc::new(data), edit_history)?)
+}
+
+/// Puts a top-level element in place of the one with its name.
+fn replace_child(data: &mut Element, name: &str, element: Element) {
+    data.children.retain(|child| child.name != name);
+    data.children.push(Arc::new(element));
+}
+
+/// The stored `<fleet>`. A confirmed commit that a restart interrupted is rolled back (RFC 6241, section 8.4.1).
+fn stored_fleet(accepted: &AcceptedState) -> Result<Element, StartError> {
+    if accepted.before.is_some() {
+        tracing::warn!("a confirmed commit was never confirmed: back to what stood before");
+    }
+    let entries = accepted.before.as_ref().unwrap_or(&accepted.entries);
+    let text = format!("<fleet xmlns=\"{FLEET}\">{}</fleet>", entries.concat());
+    Element::parse(&text).map_err(|error| StartError::StoredFleet(error.reason))
+}
+
+fn legacy_edit_history(accepted: &Element) -> EditHistory {
+    let text = |edit: &Element, name: &str| edit.text_of(name).unwrap_or_default().to_string();
+    let read_edit = |edit: &Arc<Element>| {
+        let accepted_at = text(edit, "accepted").parse().unwrap_or(0);
+        (text(edit, "id"), text(edit, "who"), text(edit, "digest"), accepted_at)
+    };
+    let edits =
+        accepted.child("ledger").map(|ledger| ledger.named("edit").map(read_edit).collect::<Vec<_>>());
+    EditHistory::of(edits.unwrap_or_default().into_iter())
+}
+
+/// What an earlier start learned of servers that are listed unchanged, as far as it still counts.
+pub(super) fn warm_start_hints(restored: &RestoredState, inventory: &Inventory) -> Vec<(String, f64, f64)> {
+    let Some(learned) = &restored.learned else { return vec![] };
+    let hint = |(name, server): (&String, &Server)| {
+        let hint = learned.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
+        Some((name.clone(), hint.swift, hint.doubt))
+    };
+    inventory.servers().iter().filter_map(hint).collect()
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/state_report.rs
@@ -0,0 +1,131 @@
+//! The operational state that NETCONF's `<get>` returns: what the planner believes of servers and proxies, the edits,
+//! and what the guard rejected.
+
+use super::core::PlannerCore;
+use super::rejection_log::RejectionText;
+use runloom_control_session::LEAD;
+use runloom_distribution::Transport;
+use runloom_guard::refusal::Rejection;
+use runloom_inventory::edit_history::Edit;
+use runloom_model::STATE;
+use runloom_netconf::tree::Element;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Rejections in the report, the newest first.
+const MAX_REJECTIONS: usize = 20;
+
+/// What the tables hold of a server.
+struct PublishedEntry {
+    table: u16,
+    weight: f64,
+}
+
+fn with_optional_millis(element: Element, name: &str, time: Option<Duration>) -> Element {
+    match time {
+        Some(time) => element.with_leaf(name, time.as_millis()),
+        None => element,
+    }
+}
+
+/// The `<state>` element.
+pub(super) fn state_report(core: &PlannerCore, now: Duration) -> Element {
+    let mut state = Element::new(STATE, "state")
+        .with_leaf("planner", &core.name)
+        .with_leaf("up-ms", now.as_millis())
+        .with_leaf("joined", core.connected.len())
+        .with_leaf("lines-waiting", core.control.lines_waiting());
+    for server in servers(core) {
+        state = state.with(server);
+    }
+    for proxy in proxies(core, now) {
+        state = state.with(proxy);
+    }
+    for edit in core.config.edit_history.edits() {
+        state = state.with(edit_element(edit));
+    }
+    state.with(guard(core, now))
+}
+
+fn servers(core: &PlannerCore) -> Vec<Element> {
+    let mut entries = BTreeMap::new();
+    for (table, published) in core.control.laid() {
+        for (server, weight) in &published.lines {
+            entries.insert(*server, PublishedEntry { table: *table, weight: *weight });
+        }
+    }
+    let server_element = |server: &usize, health: &str| {
+        let element = Element::new(STATE, "server")
+            .with_leaf("name", core.control.server_name(*server))
+            .with_leaf("standing", health);
+        match entries.get(server) {
+            Some(PublishedEntry { table, weight }) => {
+                element.with_leaf("table", table).with_leaf("weight", format!("{weight:.6}"))
+            }
+            None => element,
+        }
+    };
+    core.control.listed().iter().map(|(server, health)| server_element(server, health)).collect()
+}
+
+fn proxies(core: &PlannerCore, now: Duration) -> Vec<Element> {
+    let age = |at: Option<Duration>| at.map(|at| now.saturating_sub(at));
+    let mut elements = vec![];
+    for (proxy, member) in core.control.members() {
+        let transport = core.connected.get(proxy).map(|connected| connected.transport);
+        let told = match transport {
+            Some(Transport::Parts) => "published",
+            Some(Transport::Whole) | None => "edits",
+        };
+        let mut element = Element::new(STATE, "proxy")
+            .with_leaf("name", core.control.proxy_name(*proxy))
+            .with_leaf("zone", &member.zone)
+            .with_leaf("told", told);
+        element = with_optional_millis(element, "ordered-ms", age(member.ordered_at));
+        element = with_optional_millis(element, "applied-ms", age(member.applied_at));
+        element = with_optional_millis(element, "report-ms", age(member.report_at));
+        elements.push(element.with_leaf("waiting", member.waiting()));
+    }
+    elements
+}
+
+fn edit_element(edit: &Edit) -> Element {
+    let elapsed = |at: Option<Duration>| at.map(|at| at.saturating_sub(edit.took.unwrap_or(at)));
+    let mut element = Element::new(STATE, "edit")
+        .with_leaf("id", &edit.id)
+        .with_leaf("who", &edit.who)
+        .with_leaf("accepted", edit.accepted)
+        .with_leaf("state", edit.state());
+    element = with_optional_millis(element, "decided-ms", elapsed(edit.decided));
+    element = with_optional_millis(element, "in-force-ms", elapsed(edit.in_force));
+    element.with_leaf("at", edit.at()).with_leaf("of", edit.of)
+}
+
+fn guard(core: &PlannerCore, now: Duration) -> Element {
+    let guard = core.control.guard();
+    let mut element = Element::new(STATE, "guard").with_leaf("judged", guard.judged);
+    let raised = core.config.fleet().raised;
+    if let Some((_, until)) = raised.filter(|(_, until)| *until > core.config.wall_ms) {
+        element = element.with_leaf("raised-until", until);
+    }
+    for (reason, count) in guard.counts() {
+        let count = Element::new(STATE, "count").with_leaf("reason", reason).with_leaf("refused", count);
+        element = element.with(count);
+    }
+    let rejections: Vec<&Rejection> = guard.refusals().collect();
+    for rejection in rejections.into_iter().rev().take(MAX_REJECTIONS) {
+        element = element.with(rejection_element(core, rejection, now));
+    }
+    element
+}
+
+fn rejection_element(core: &PlannerCore, rejection: &Rejection, now: Duration) -> Element {
+    let RejectionText { why, safe, case } = RejectionText::new(&core.control, rejection);
+    Element::new(STATE, "refusal")
+        .with_leaf("ago-ms", (LEAD + now).saturating_sub(rejection.at).as_millis())
+        .with_leaf("reason", rejection.reason.word())
+        .with_leaf("rule", rejection.reason.rule())
+        .with_leaf("why", why)
+        .with_leaf("safe", safe)
+        .with_leaf("case", case)
+}
--- /dev/null
+++ b/crates/daemon/src/planner_runtime/subscriber.rs
@@ -0,0 +1,148 @@
+//! A proxy that subscribes to its tables over MQTT.
+
+use super::core::ProxyId;
+use super::proxy_event::ProxyEvent;
+use crate::tls_credentials::CertificateHolder;
+use runloom_distribution::{PendingProxy, Transport};
+use runloom_event_loop::{CloseReason, ConnectionId};
+use runloom_mqtt::session::{Hello, Session, SessionEnd, SessionEvent};
+use runloom_mqtt::{body, report};
+use runloom_versioned_publisher::{Topic, TopicFilter, UpdatePart, Version};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Serialized update parts kept at a time.
+const MAX_CACHED_BODIES: usize = 1024;
+
+/// Identifies a serialized update part.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct BodyKey {
+    epoch: u64,
+    topic: Topic,
+    from: Option<Version>,
+    to: Version,
+    part: usize,
+}
+
+/// Serialized update parts, shared by the proxies that receive the same part.
+#[derive(Default)]
+pub(super) struct BodyCache {
+    bodies: BTreeMap<BodyKey, Arc<[u8]>>,
+}
+
+impl BodyCache {
+    /// Drops all bodies once there are too many.
+    pub(super) fn limit_size(&mut self) {
+        if self.bodies.len() > MAX_CACHED_BODIES {
+            self.bodies.clear();
+        }
+    }
+
+    /// The serialized form of an update part.
+    fn body(&mut self, part: &UpdatePart) -> Arc<[u8]> {
+        let key =
+            BodyKey { epoch: part.epoch, topic: part.topic, from: part.from, to: part.to, part: part.part };
+        self.bodies.entry(key).or_insert_with(|| body::write(part).into()).clone()
+    }
+}
+
+/// The session of one subscribing proxy.
+pub(super) struct SubscriberSession {
+    pub holder: CertificateHolder,
+    pub session: Session,
+    /// The proxy's index, once it is admitted.
+    pub proxy: Option<ProxyId>,
+    hello: Hello,
+    wanted: Vec<TopicFilter>,
+    /// Times at which unacknowledged messages were sent, by the distributor's number.
+    sent: BTreeMap<u64, Duration>,
+}
+
+impl SubscriberSession {
+    pub(super) fn new(now: Duration, planner: &str, holder: CertificateHolder) -> SubscriberSession {
+        let session = Session::new(now, planner, &holder.name);
+        SubscriberSession {
+            holder,
+            session,
+            proxy: None,
+            hello: Hello::default(),
+            wanted: vec![],
+            sent: BTreeMap::new(),
+        }
+    }
+
+    /// Sends one update part of the distributor.
+    pub(super) fn send(&mut self, now: Duration, number: u64, part: &UpdatePart, bodies: &mut BodyCache) {
+        self.session.tell(now, number, part.topic, bodies.body(part));
+        self.sent.insert(number, now);
+    }
+
+    /// Why the session has ended, if it has.
+    pub(super) fn close_reason(&self) -> Option<CloseReason> {
+        match self.session.over()? {
+            SessionEnd::Left => Some(CloseReason::Ended),
+            SessionEnd::Silent => Some(CloseReason::Idle),
+            SessionEnd::Refused(reason) => {
+                tracing::warn!(proxy = %self.holder.name, reason, "stream ends");
+                Some(CloseReason::Broken)
+            }
+        }
+    }
+
+    /// Handles an event of the MQTT session; returns what follows for the planner, if anything.
+    pub(super) fn handle_event(
+        &mut self,
+        connection: ConnectionId,
+        event: SessionEvent,
+    ) -> Option<ProxyEvent> {
+        match event {
+            SessionEvent::Connected(hello) => {
+                self.hello = hello;
+                None
+            }
+            SessionEvent::Wants { wanted, holds } => {
+                self.wanted.extend(wanted);
+                self.introduction(connection, holds)
+            }
+            SessionEvent::WantsNoMore { wanted } => {
+                self.wanted.retain(|filter| !wanted.contains(filter));
+                // A proxy without its tables cannot be commanded, and must not count as one that can.
+                tracing::warn!(proxy = %self.holder.name, "let go: it wants its tables no more");
+                Some(ProxyEvent::Finish(CloseReason::Ended))
+            }
+            SessionEvent::Report(bytes) => match report::read(&bytes) {
+                Ok(report) => self.proxy.map(|_| ProxyEvent::Reported(report)),
+                Err(why) => self.proxy.map(|_| ProxyEvent::MalformedReport(why)),
+            },
+            SessionEvent::Confirmed(number) => {
+                let sent = self.sent.remove(&number);
+                self.proxy.map(|_| ProxyEvent::Acknowledged { number, sent })
+            }
+            SessionEvent::Lacks(number, topic) => {
+                self.sent.remove(&number);
+                self.proxy.map(|_| ProxyEvent::NotApplicable { number, topic })
+            }
+        }
+    }
+
+    /// A proxy introduces itself once it subscribes to all that it has to follow.
+    fn introduction(
+        &self,
+        connection: ConnectionId,
+        holds: Vec<(Topic, u64, Version)>,
+    ) -> Option<ProxyEvent> {
+        let pending = PendingProxy {
+            conn: connection,
+            name: self.holder.name.clone(),
+            zone: self.hello.zone.clone(),
+            rate: self.hello.rate,
+            fresh: self.hello.fresh,
+            way: Transport::Parts,
+            wanted: self.wanted.clone(),
+            holds,
+        };
+        let is_complete = self.proxy.is_none() && pending.can_be_ordered();
+        is_complete.then_some(ProxyEvent::Introduced(pending))
+    }
+}
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -1,7 +1,7 @@
 //! The forwarder's shell: queries in and out by HTTP/1.1, tables by NETCONF from a planner that it dials.
 
 use crate::http::{write_answer, write_query, Bad, Message, Reader};
-use crate::tls_credentials::{server_name, CertificateHolder, TlsPolicy, Unusable, PLANNER};
+use crate::tls_credentials::{server_name, CertificateHolder, TlsError, TlsPolicy, PLANNER};
 use crate::{earliest, wall_ms, wall_text};
 use nanorand::{Rng, WyRand};
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
@@ -43,7 +43,7 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
-    Papers(#[from] Unusable),
+    Papers(#[from] TlsError),
     #[error("{0}")]
     Schema(String),
 }
@@ -212,9 +212,9 @@
             service: Service::new(schema, Limits::default()),
             security: match stand.front {
                 // RFC 8071: it dials, and is the server all the same.
-                TableDelivery::Edits => Security::Answers(terms.answers.clone()),
+                TableDelivery::Edits => Security::Answers(terms.server_config.clone()),
                 TableDelivery::Weights | TableDelivery::Subsets => {
-                    Security::Starts(terms.starts.clone(), server_name(PLANNER))
+                    Security::Starts(terms.client_config.clone(), server_name(PLANNER))
                 }
             },
             stand,
@@ -340,8 +340,8 @@
         } else if self.dialling == Some(conn) {
             self.dialling = None;
             let certificate = certificate.unwrap_or_default();
-            let who = self.terms.holder(&certificate);
-            let Some(who) = who.ok().filter(|w| w.planner) else {
+            let who = self.terms.identify(&certificate);
+            let Some(who) = who.ok().filter(|w| w.is_planner) else {
                 // Orders are taken from its own planners only.
                 tracing::warn!(forwarder = %self.stand.name, "who answered is no planner of this forwarder's");
                 turn.cut(conn);
@@ -376,8 +376,8 @@
     /// A stream is made anew at two thirds of the time that is left to it: an issuer has put new files there by then, and no
     /// drain is missed between the old stream and the new one.
     fn anew_at(&self, planner: &CertificateHolder) -> Option<i64> {
-        let own = self.terms.own()?.until;
-        let ends = planner.id.as_ref().map_or(own, |(_, until)| own.min(*until));
+        let own = self.terms.own_identity()?.until;
+        let ends = planner.identity.as_ref().map_or(own, |identity| own.min(identity.expires_at));
         let now = (wall_ms() / 1000) as i64;
         // Not in the very next second, whatever the certificates say.
         Some(now + ((ends - now) * 2 / 3).max(1))
@@ -684,7 +684,8 @@
     fn ended_identity(&mut self, turn: &mut EventLoop, renewed: bool) -> bool {
         let now = (wall_ms() / 1000) as i64;
         let Some(stream) = &self.stream else { return false };
-        let over = stream.holder.has_ended(now) || (renewed && !self.terms.vouches(&stream.certificate));
+        let over =
+            stream.holder.has_expired(now) || (renewed && !self.terms.still_trusts(&stream.certificate));
         if over {
             tracing::warn!(forwarder = %self.stand.name, "the planner's identity has ended, or is trusted no more");
             self.break_stream(turn);
@@ -694,7 +695,7 @@
 
     /// Certificates that changed are read again.
     fn identities(&mut self, turn: &mut EventLoop) {
-        let renewed = match self.terms.renew() {
+        let renewed = match self.terms.reload() {
             Ok(renewed) => renewed,
             Err(why) => {
                 tracing::error!(forwarder = %self.stand.name, %why, "new certificates cannot be used");
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,6 +1,6 @@
 //! Starting a planner or a forwarder from its settings file, until a signal ends it.
 
-use crate::planner_runtime::{Planner, TestHooks};
+use crate::planner_runtime::{PlannerRuntime, TestHooks};
 use crate::proxy_runtime::ProxyRuntime;
 use crate::settings::{read, Settings};
 use crate::wall_ms;
@@ -22,8 +22,8 @@
     };
     let mut turn = looped()?;
     let seed = seed.unwrap_or_else(wall_ms);
-    let (mut planner, at) = Planner::start(&mut turn, &place, seed).map_err(|e| e.to_string())?;
-    planner.try_out(trial);
+    let (mut planner, at) = PlannerRuntime::start(&mut turn, &place, seed).map_err(|e| e.to_string())?;
+    planner.apply_test_hooks(trial);
     println!("edits {}", at.edits);
     println!("home {}", at.home);
     if let Some(pubsub) = at.pubsub {
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -1,6 +1,6 @@
 //! `runloom state`: the folder of a planner, for operators. Only `prune` writes, and only where no planner runs.
 
-use crate::persistence::{accepted, EDITS, LEARNED, ROSTER};
+use crate::persistence::{restore_accepted, EDITS, LEARNED, ROSTER};
 use crate::wall_ms;
 use runloom_store::disk::{Folder, Lock};
 use runloom_store::learned::LearnedServers;
@@ -25,7 +25,7 @@
     let open = |layout| Store::open(Folder::there(folder).map_err(told)?, layout).map_err(told);
     let (_, edits) = open(EDITS)?;
     edits.notes.iter().for_each(|note| println!("note: {note}"));
-    let kept = accepted(&edits)?.unwrap_or_default();
+    let kept = restore_accepted(&edits)?.unwrap_or_default();
     println!(
         "fleet: {} entries, {} changes since the last snapshot",
         kept.entries.len(),
@@ -67,7 +67,7 @@
         let name = layout.name;
         let read = Store::open(Folder::there(folder).map_err(told)?, layout).map_err(told).and_then(
             |(_, opened)| match layout.name {
-                "edits" => accepted(&opened).map(|a| (opened.notes, a.is_some())),
+                "edits" => restore_accepted(&opened).map(|a| (opened.notes, a.is_some())),
                 "learned" => {
                     let book = opened.state.as_deref().map(LearnedServers::read).transpose();
                     book.map(|b| (opened.notes, b.is_some()))
--- /dev/null
+++ b/crates/daemon/src/tls_credentials/verifier.rs
@@ -0,0 +1,191 @@
+//! Credentials that can be replaced while TLS configurations use them.
+
+use super::files::{Authorities, Credentials};
+use runloom_identity::bundle::Trust;
+use runloom_identity::svid;
+use runloom_model::fleet::TlsFiles;
+use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
+use rustls::client::{verify_server_cert_signed_by_trust_anchor, verify_server_name, ResolvesClientCert};
+use rustls::crypto::{verify_tls13_signature, CryptoProvider};
+use rustls::pki_types::{CertificateDer, ServerName, UnixTime};
+use rustls::server::danger::{ClientCertVerified, ClientCertVerifier};
+use rustls::server::{ClientHello, ParsedCertificate, ResolvesServerCert};
+use rustls::sign::CertifiedKey;
+use rustls::{DigitallySignedStruct, DistinguishedName, SignatureScheme};
+use std::sync::{Arc, PoisonError, RwLock};
+
+/// The credentials in force, and the bundles that they were made from.
+#[derive(Debug)]
+struct InForce {
+    credentials: Arc<Credentials>,
+    trust: Trust,
+}
+
+/// The credentials that new connections use: certificate, key and authorities.
+#[derive(Debug)]
+pub(super) struct LiveCredentials {
+    pub files: TlsFiles,
+    pub provider: Arc<CryptoProvider>,
+    in_force: RwLock<InForce>,
+}
+
+impl LiveCredentials {
+    pub(super) fn new(
+        files: TlsFiles,
+        provider: Arc<CryptoProvider>,
+        credentials: Credentials,
+        trust: Trust,
+    ) -> LiveCredentials {
+        let in_force = InForce { credentials: Arc::new(credentials), trust };
+        LiveCredentials { files, provider, in_force: RwLock::new(in_force) }
+    }
+
+    /// The credentials in force.
+    pub(super) fn credentials(&self) -> Arc<Credentials> {
+        self.in_force.read().unwrap_or_else(PoisonError::into_inner).credentials.clone()
+    }
+
+    /// The bundles in force.
+    pub(super) fn trust(&self) -> Trust {
+        self.in_force.read().unwrap_or_else(PoisonError::into_inner).trust.clone()
+    }
+
+    /// Puts other credentials in force, for new connections.
+    pub(super) fn replace(&self, credentials: Credentials, trust: Trust) {
+        let in_force = InForce { credentials: Arc::new(credentials), trust };
+        *self.in_force.write().unwrap_or_else(PoisonError::into_inner) = in_force;
+    }
+
+    /// The authorities that may issue a certificate: those of its identity's trust domain, or with DNS names all.
+    pub(super) fn authorities_for(&self, certificate: &[u8]) -> Result<Authorities, rustls::Error> {
+        let domain = if self.files.by_identity() {
+            let svid = svid::read(certificate).map_err(|error| rustls::Error::General(error.to_string()))?;
+            Some(svid.id.domain().clone())
+        } else {
+            None
+        };
+        let authorities = self.credentials().authorities.get(&domain).cloned();
+        authorities.ok_or_else(|| rustls::Error::General("its trust domain is not known here".into()))
+    }
+
+    fn schemes(&self) -> Vec<SignatureScheme> {
+        self.provider.signature_verification_algorithms.supported_schemes()
+    }
+
+    fn verify_signature(
+        &self,
+        message: &[u8],
+        certificate: &CertificateDer<'_>,
+        signature: &DigitallySignedStruct,
+    ) -> Result<HandshakeSignatureValid, rustls::Error> {
+        let algorithms = &self.provider.signature_verification_algorithms;
+        verify_tls13_signature(message, certificate, signature, algorithms)
+    }
+}
+
+fn tls12_not_supported() -> rustls::Error {
+    rustls::Error::General("TLS 1.2 is not supported".into())
+}
+
+impl ResolvesServerCert for LiveCredentials {
+    fn resolve(&self, _: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
+        Some(self.credentials().key.clone())
+    }
+}
+
+impl ResolvesClientCert for LiveCredentials {
+    fn resolve(&self, _: &[&[u8]], _: &[SignatureScheme]) -> Option<Arc<CertifiedKey>> {
+        Some(self.credentials().key.clone())
+    }
+
+    fn has_certs(&self) -> bool {
+        true
+    }
+}
+
+impl ServerCertVerifier for LiveCredentials {
+    fn verify_server_cert(
+        &self,
+        certificate: &CertificateDer<'_>,
+        intermediates: &[CertificateDer<'_>],
+        name: &ServerName<'_>,
+        _: &[u8],
+        now: UnixTime,
+    ) -> Result<ServerCertVerified, rustls::Error> {
+        let authorities = self.authorities_for(certificate)?;
+        let parsed = ParsedCertificate::try_from(certificate)?;
+        verify_server_cert_signed_by_trust_anchor(
+            &parsed,
+            &authorities.roots,
+            intermediates,
+            now,
+            self.provider.signature_verification_algorithms.all,
+        )?;
+        // A SPIFFE identity is the only name of its certificate; the rules decide whether it is the right one.
+        if !self.files.by_identity() {
+            verify_server_name(&parsed, name)?;
+        }
+        Ok(ServerCertVerified::assertion())
+    }
+
+    fn verify_tls12_signature(
+        &self,
+        _: &[u8],
+        _: &CertificateDer<'_>,
+        _: &DigitallySignedStruct,
+    ) -> Result<HandshakeSignatureValid, rustls::Error> {
+        Err(tls12_not_supported())
+    }
+
+    fn verify_tls13_signature(
+        &self,
+        message: &[u8],
+        certificate: &CertificateDer<'_>,
+        signature: &DigitallySignedStruct,
+    ) -> Result<HandshakeSignatureValid, rustls::Error> {
+        self.verify_signature(message, certificate, signature)
+    }
+
+    fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
+        self.schemes()
+    }
+}
+
+impl ClientCertVerifier for LiveCredentials {
+    /// No hints: authorities change while the process runs.
+    fn root_hint_subjects(&self) -> &[DistinguishedName] {
+        &[]
+    }
+
+    fn verify_client_cert(
+        &self,
+        certificate: &CertificateDer<'_>,
+        intermediates: &[CertificateDer<'_>],
+        now: UnixTime,
+    ) -> Result<ClientCertVerified, rustls::Error> {
+        let authorities = self.authorities_for(certificate)?;
+        authorities.client_verifier.verify_client_cert(certificate, intermediates, now)
+    }
+
+    fn verify_tls12_signature(
+        &self,
+        _: &[u8],
+        _: &CertificateDer<'_>,
+        _: &DigitallySignedStruct,
+    ) -> Result<HandshakeSignatureValid, rustls::Error> {
+        Err(tls12_not_supported())
+    }
+
+    fn verify_tls13_signature(
+        &self,
+        message: &[u8],
+        certificate: &CertificateDer<'_>,
+        signature: &DigitallySignedStruct,
+    ) -> Result<HandshakeSignatureValid, rustls::Error> {
+        self.verify_signature(message, certificate, signature)
+    }
+
+    fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
+        self.schemes()
+    }
+}
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -116,9 +116,9 @@
         Command::Again { folder, back } => again(&folder, back),
         Command::Writes { folder } => runloom_testbed::measure::writes(&folder).map(|()| true),
         Command::Planner { settings, seed, dies, spoil, unguarded } => {
-            let dies = dies.as_deref().and_then(CrashPoint::named);
+            let dies = dies.as_deref().and_then(CrashPoint::from_name);
             let spoil = spoil.as_deref().and_then(runloom_testbed::command_corruption::named);
-            let trial = TestHooks { dies, unguarded, spoil };
+            let trial = TestHooks { crash_point: dies, skip_guard: unguarded, command_tamper: spoil };
             runloom_daemon::run::planner(&settings, Some(seed), trial).map(|()| true)
         }
     };
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use runloom_daemon::config_service::{schema, Desk};
+use runloom_daemon::config_service::{schema, ConfigService};
 use runloom_daemon::proxy_runtime::ProxyRuntime;
 use runloom_daemon::tls_credentials::{CertificateHolder, PROXY};
 use runloom_event_loop::{EventLoop, IoEvent};
@@ -180,9 +180,10 @@
     );
     let data = Arc::new(Element::parse(&text).map_err(|e| e.reason)?);
     for (name, top, count) in [("feed", "roster", 10_000u32), ("operator", "fleet", 3_000)] {
-        let mut desk = Desk::new(data.clone(), EditHistory::default())?;
-        desk.met(&CertificateHolder { name: "feed".into(), ..CertificateHolder::default() });
-        let mut service = Service::new(schema()?, Limits { edits: 1e9, ..Limits::default() });
+        let mut desk = ConfigService::new(data.clone(), EditHistory::default()).map_err(|e| e.to_string())?;
+        desk.register_client(&CertificateHolder { name: "feed".into(), ..CertificateHolder::default() });
+        let mut service =
+            Service::new(schema().map_err(|e| e.to_string())?, Limits { edits: 1e9, ..Limits::default() });
         let id = service.open("feed", Duration::ZERO).ok_or("no session")?;
         let mut near = Session::new(Role::Client, &[], SessionBounds::default());
         let mut far = Session::new(Role::Server { id }, &[], SessionBounds::default());
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -56,7 +56,7 @@
 fn joins(desk: &Desk, papers: &TlsFiles, name: &str) -> bool {
     let Ok(terms) = TlsPolicy::load(papers) else { return false };
     let mut turn = EventLoop::new().unwrap();
-    let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
+    let security = Security::Starts(terms.client_config.clone(), server_name(PLANNER));
     let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
     let hello = Hello { zone: "a".into(), rate: 1.0, fresh: true };
     let mut client = Subscription::new(turn.now(), "p", name, &hello, Wish::Weights, vec![]);
@@ -308,20 +308,20 @@
     let papers =
         trusting(desk.issuer.identity("x", "spiffe://valle.example/staff/x", HOUR, |_| {}).unwrap(), OWN);
     let mut terms = TlsPolicy::load(&papers).unwrap();
-    let own = terms.own().unwrap();
-    assert!(!terms.renew().unwrap());
+    let own = terms.own_identity().unwrap();
+    assert!(!terms.reload().unwrap());
     let write = |path: &std::path::Path, text: &[u8]| std::fs::write(path, text).unwrap();
     let (certificate, key) =
         (std::fs::read(&papers.certificate).unwrap(), std::fs::read(&papers.key).unwrap());
     write(&papers.certificate, &certificate[..certificate.len() / 2]);
-    assert!(terms.renew().is_err(), "half of a file");
+    assert!(terms.reload().is_err(), "half of a file");
     write(&papers.certificate, &certificate);
     let others = std::fs::read(desk.issuer.identity("y", OWN, HOUR, |_| {}).unwrap().key).unwrap();
     write(&papers.key, &others);
-    assert!(terms.renew().is_err(), "another's key");
-    assert_eq!(terms.own().unwrap(), own);
+    assert!(terms.reload().is_err(), "another's key");
+    assert_eq!(terms.own_identity().unwrap(), own);
     write(&papers.key, &key);
-    assert!(terms.renew().unwrap());
+    assert!(terms.reload().unwrap());
     use std::os::unix::fs::PermissionsExt;
     std::fs::set_permissions(&papers.key, std::fs::Permissions::from_mode(0o644)).unwrap();
     assert!(TlsPolicy::load(&papers).err().unwrap().to_string().contains("others may read"));
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -35,7 +35,7 @@
     /// Dials, greets, and subscribes; `planner` and `proxy` as it says them.
     fn new(desk: &Desk, terms: &TlsPolicy, planner: &str, proxy: &str, reader: UpdateReader) -> Subscriber {
         let mut turn = EventLoop::new().unwrap();
-        let security = Security::Starts(terms.starts.clone(), server_name(PLANNER));
+        let security = Security::Starts(terms.client_config.clone(), server_name(PLANNER));
         let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
         let hello = Hello { zone: "a".into(), rate: 5.0, fresh: reader.topics().next().is_none() };
         let holds = reader.topics().filter_map(|t| reader.holds(t).map(|(e, v)| (t, e, v))).collect();
