--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,8 +1,8 @@
-//! An operator's NETCONF client: one session, operations one after the other, answers waited for.
+//! A NETCONF client: one session with a planner, operations one after the other, replies waited for.
 
 use crate::tls_credentials::{server_name, TlsPolicy, PLANNER};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
-use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
+use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 use std::collections::VecDeque;
@@ -10,148 +10,178 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Why an operation failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
-    #[error("{0}")]
+pub enum ClientError {
+    /// The event loop or the connection failed.
+    #[error(transparent)]
     Io(#[from] io::Error),
-    /// Whether the last operation took is not known: ask again under the same edit-id.
+    /// The session ended. Whether the last edit was accepted is not known: it may be sent again under its id.
     #[error("the session ended: {0}")]
     Ended(String),
+    /// No reply came in time.
     #[error("no answer within {0:?}")]
-    Late(Duration),
-    #[error("refused: {0}")]
-    Refused(String),
+    Timeout(Duration),
+    /// The planner replied with an error.
+    #[error("rejected: {0}")]
+    Rejected(String),
 }
 
+/// A NETCONF session with a planner.
 pub struct Client {
-    turn: EventLoop,
-    conn: ConnectionId,
+    event_loop: EventLoop,
+    connection: ConnectionId,
     session: Session,
-    patience: Duration,
-    notices: VecDeque<Element>,
-    terms: TlsPolicy,
+    /// Time to wait for each reply.
+    timeout: Duration,
+    /// Notifications that were not waited for yet.
+    notifications: VecDeque<Element>,
+    tls: TlsPolicy,
 }
 
 impl Client {
-    /// Dials a planner, and waits until the session stands.
-    pub fn open(to: SocketAddr, terms: &TlsPolicy, patience: Duration) -> Result<Client, Failed> {
-        let mut turn = EventLoop::new()?;
-        let security = Security::Starts(terms.client_config.clone(), server_name(PLANNER));
-        let conn = turn.dial(to, &security, BufferLimits::default())?;
-        let session = Session::new(Role::Client, &[], SessionBounds::default());
-        let (notices, terms) = (VecDeque::new(), terms.clone());
-        let mut client = Client { turn, conn, session, patience, notices, terms };
+    /// Connects to a planner, and waits until the session is open.
+    pub fn open(address: SocketAddr, tls: &TlsPolicy, timeout: Duration) -> Result<Client, ClientError> {
+        let mut event_loop = EventLoop::new()?;
+        let security = Security::Starts(tls.client_config.clone(), server_name(PLANNER));
+        let connection = event_loop.dial(address, &security, BufferLimits::default())?;
+        let mut client = Client {
+            event_loop,
+            connection,
+            session: Session::new(Role::Client, &[], SessionLimits::default()),
+            timeout,
+            notifications: VecDeque::new(),
+            tls: tls.clone(),
+        };
         client.flush();
-        client.until(|heard| matches!(heard, SessionEvent::Open { .. }).then(|| Element::new("", "open")))?;
+        client.wait_for(|event| matches!(event, SessionEvent::Open { .. }).then_some(()))?;
         Ok(client)
     }
 
     fn flush(&mut self) {
         let bytes = self.session.output(usize::MAX);
-        self.turn.write(self.conn, &bytes);
+        self.event_loop.write(self.connection, &bytes);
     }
 
-    fn until(&mut self, mut wanted: impl FnMut(&SessionEvent) -> Option<Element>) -> Result<Element, Failed> {
-        let end = self.turn.now() + self.patience;
-        let mut found = None;
-        while found.is_none() {
-            if self.turn.now() >= end {
-                return Err(Failed::Late(self.patience));
-            }
-            for h in self.turn.wait(Some(end))? {
-                match h {
+    /// Waits for the first event from which `select` takes something.
+    fn wait_for<T>(&mut self, mut select: impl FnMut(&SessionEvent) -> Option<T>) -> Result<T, ClientError> {
+        let deadline = self.event_loop.now() + self.timeout;
+        while self.event_loop.now() < deadline {
+            let mut found = None;
+            for event in self.event_loop.wait(Some(deadline))? {
+                match event {
                     IoEvent::Open { certificate, .. } => {
-                        // Edits go to a planner and to nobody else, whoever has a certificate of the same authority.
-                        let who = self.terms.identify(&certificate.unwrap_or_default());
-                        if !who.is_ok_and(|who| who.is_planner) {
-                            self.turn.cut(self.conn);
-                            return Err(Failed::Ended("who answered is not that planner".into()));
-                        }
+                        self.check_planner(&certificate.unwrap_or_default())?;
                     }
                     IoEvent::Bytes { bytes, .. } => {
-                        for heard in self.session.take(&bytes).map_err(|b| Failed::Ended(b.to_string()))? {
-                            if let SessionEvent::Notified(event) = &heard {
-                                self.notices.push_back(event.clone());
-                            }
-                            found = found.or_else(|| wanted(&heard));
+                        for event in self.receive(&bytes)? {
+                            found = found.or_else(|| select(&event));
                         }
                     }
                     IoEvent::Closed { why, .. } if found.is_none() => {
-                        return Err(Failed::Ended(format!("{why:?}")))
+                        return Err(ClientError::Ended(format!("{why:?}")));
                     }
-                    _ => {}
+                    IoEvent::Closed { .. } | IoEvent::Signal(_) => {}
                 }
             }
+            if let Some(found) = found {
+                return Ok(found);
+            }
         }
-        found.ok_or(Failed::Late(self.patience))
+        Err(ClientError::Timeout(self.timeout))
     }
 
-    /// Sends one operation without waiting; gives its message-id.
+    /// Edits go to a planner only, not to any holder of a certificate of the same authority.
+    fn check_planner(&mut self, certificate: &[u8]) -> Result<(), ClientError> {
+        if self.tls.identify(certificate).is_ok_and(|holder| holder.is_planner) {
+            return Ok(());
+        }
+        self.event_loop.cut(self.connection);
+        Err(ClientError::Ended("who answered is not that planner".into()))
+    }
+
+    fn receive(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, ClientError> {
+        let events = self.session.take(bytes).map_err(|error| ClientError::Ended(error.to_string()))?;
+        for event in &events {
+            if let SessionEvent::Notified(notification) = event {
+                self.notifications.push_back(notification.clone());
+            }
+        }
+        Ok(events)
+    }
+
+    /// Sends an operation without waiting; returns its message id.
     pub fn send(&mut self, operation: Element, edit_id: Option<&str>) -> String {
-        let id = self.session.ask_with(operation, edit_id);
+        let message_id = self.session.ask_with(operation, edit_id);
         self.flush();
-        id
+        message_id
     }
 
     /// Waits for the reply to a message; an `<rpc-error>` is an error.
-    pub fn reply(&mut self, id: &str) -> Result<Element, Failed> {
-        let reply = self.until(|heard| match heard {
+    pub fn reply(&mut self, id: &str) -> Result<Element, ClientError> {
+        let reply = self.wait_for(|event| match event {
             SessionEvent::Reply { message_id, reply } if message_id == id => Some(reply.clone()),
             _ => None,
         })?;
         match reply.child("rpc-error") {
             None => Ok(reply),
-            Some(error) => {
-                let part = |name| error.text_of(name).unwrap_or("-").to_string();
-                let (tag, app, path) = (part("error-tag"), part("error-app-tag"), part("error-path"));
-                Err(Failed::Refused(format!("{tag} ({app}) at {path}: {}", part("error-message"))))
-            }
+            Some(error) => Err(ClientError::Rejected(rpc_error_text(error))),
         }
     }
 
-    pub fn ask(&mut self, operation: Element, edit_id: Option<&str>) -> Result<Element, Failed> {
-        let id = self.send(operation, edit_id);
-        self.reply(&id)
+    /// Sends an operation, and waits for its reply.
+    pub fn ask(&mut self, operation: Element, edit_id: Option<&str>) -> Result<Element, ClientError> {
+        let message_id = self.send(operation, edit_id);
+        self.reply(&message_id)
     }
 
-    /// `<edit-config>` on running.
-    pub fn edit(&mut self, config: Element, edit_id: Option<&str>) -> Result<Element, Failed> {
+    /// `<edit-config>` on the running datastore.
+    pub fn edit(&mut self, config: Element, edit_id: Option<&str>) -> Result<Element, ClientError> {
         self.ask(edit_config("running", config), edit_id)
     }
 
-    /// `<get>` of one top node.
-    pub fn get(&mut self, wish: Element) -> Result<Element, Failed> {
-        let filter = Element::new(BASE, "filter").with(wish);
+    /// `<get>` with a subtree filter.
+    pub fn get(&mut self, filter: Element) -> Result<Element, ClientError> {
+        let filter = Element::new(BASE, "filter").with(filter);
         self.ask(Element::new(BASE, "get").with(filter), None)
     }
 
-    /// Waits for a notification that `wanted` accepts.
-    pub fn notice(&mut self, wanted: impl Fn(&Element) -> bool) -> Result<Element, Failed> {
-        if let Some(place) = self.notices.iter().position(&wanted) {
-            return Ok(self.notices.remove(place).unwrap_or_default());
+    /// Waits for a notification that `is_wanted` accepts.
+    pub fn notice(&mut self, is_wanted: impl Fn(&Element) -> bool) -> Result<Element, ClientError> {
+        if let Some(index) = self.notifications.iter().position(&is_wanted) {
+            return Ok(self.notifications.remove(index).unwrap_or_default());
         }
-        let found = self.until(|heard| match heard {
-            SessionEvent::Notified(event) if wanted(event) => Some(event.clone()),
+        let notification = self.wait_for(|event| match event {
+            SessionEvent::Notified(notification) if is_wanted(notification) => Some(notification.clone()),
             _ => None,
         })?;
-        self.notices.clear();
-        Ok(found)
+        self.notifications.clear();
+        Ok(notification)
     }
 
     /// Sends bytes as they are, well-formed or not.
     pub fn send_raw(&mut self, bytes: &[u8]) {
-        self.turn.write(self.conn, bytes);
+        self.event_loop.write(self.connection, bytes);
     }
 
-    /// Ends the session in order.
-    pub fn close(mut self) -> Result<(), Failed> {
+    /// Closes the session in order.
+    pub fn close(mut self) -> Result<(), ClientError> {
         self.ask(Element::new(BASE, "close-session"), None).map(|_| ())
     }
 }
 
-/// `<edit-config>` on a datastore, the config's top nodes as given.
-pub fn edit_config(target: &str, top: Element) -> Element {
-    let config = Element::new(BASE, "config").with(top);
+fn rpc_error_text(error: &Element) -> String {
+    let field = |name| error.text_of(name).unwrap_or("-");
+    let tag = field("error-tag");
+    let app_tag = field("error-app-tag");
+    let path = field("error-path");
+    let message = field("error-message");
+    format!("{tag} ({app_tag}) at {path}: {message}")
+}
+
+/// `<edit-config>` on a datastore, with one top-level element.
+pub fn edit_config(target: &str, content: Element) -> Element {
+    let config = Element::new(BASE, "config").with(content);
     let target = Element::new(BASE, "target").with(Element::new(BASE, target));
     Element::new(BASE, "edit-config").with(target).with(config)
 }
--- /dev/null
+++ b/crates/daemon/src/commands/connection.rs
@@ -0,0 +1,48 @@
+//! The connection of an operator's command to a planner.
+
+use super::CommandError;
+use crate::client::Client;
+use crate::tls_credentials::TlsPolicy;
+use runloom_identity::access::{Permission, Principal, Rule};
+use runloom_identity::id::Id;
+use runloom_model::fleet::TlsFiles;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// How to connect to a planner.
+#[derive(Debug, Clone)]
+pub struct ConnectionOptions {
+    /// The planner's NETCONF address.
+    pub planner: SocketAddr,
+    /// The client's certificate chain, PEM.
+    pub certificate: PathBuf,
+    /// The client's key, PEM.
+    pub key: PathBuf,
+    /// Certificates of trusted authorities, PEM.
+    pub trust: PathBuf,
+    /// The planner's SPIFFE identity; without it certificates name their holders by DNS names.
+    pub planner_id: Option<String>,
+    /// Time to wait for each answer.
+    pub timeout: Duration,
+}
+
+impl ConnectionOptions {
+    /// Connects, and opens a NETCONF session.
+    pub fn open(&self) -> Result<Client, CommandError> {
+        let mut rules = vec![];
+        if let Some(planner_id) = &self.planner_id {
+            let id = Id::read(planner_id).map_err(|error| CommandError::PlannerId(error.to_string()))?;
+            rules.push(Rule { whom: Principal::One(id), may: Permission::Order });
+        }
+        let files = TlsFiles {
+            certificate: self.certificate.clone(),
+            key: self.key.clone(),
+            trust: self.trust.clone(),
+            rules,
+            federated: vec![],
+        };
+        let tls = TlsPolicy::load(&files)?;
+        Ok(Client::open(self.planner, &tls, self.timeout)?)
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/commands/record.rs
@@ -0,0 +1,110 @@
+//! `runloom record`: prints a planner's event log.
+
+use super::{file_error, CommandError};
+use runloom_event_log::{columns, folder, Entry, Segment};
+use std::io::{self, Write};
+use std::path::Path;
+
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// What is printed of an event log.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum RecordView {
+    /// The segments, a line each.
+    Segments,
+    /// The entries, a line each.
+    Entries {
+        /// Only of this kind.
+        kind: Option<String>,
+        /// Only about this proxy, server or edit.
+        name: Option<String>,
+    },
+    /// The entries as JSON, a line each.
+    Json,
+}
+
+/// Prints an event log. Fails if any segment is corrupt, once all others are printed.
+pub fn record(folder: &Path, view: &RecordView) -> Result<(), CommandError> {
+    match write_record(folder, view, &mut io::stdout().lock()) {
+        // The reader of the output has seen enough.
+        Err(CommandError::Io(error)) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
+        result => result,
+    }
+}
+
+fn write_record(folder: &Path, view: &RecordView, out: &mut impl Write) -> Result<(), CommandError> {
+    let mut corrupt = 0;
+    for segment in folder::segments(folder).map_err(file_error(folder))? {
+        match folder::read(&segment) {
+            Ok((entries, torn_bytes)) => write_segment(&segment, &entries, torn_bytes, view, out)?,
+            Err(error) => {
+                corrupt += 1;
+                writeln!(out, "{error}")?;
+            }
+        }
+    }
+    if corrupt == 0 {
+        Ok(())
+    } else {
+        Err(CommandError::CorruptSegments { count: corrupt })
+    }
+}
+
+fn write_segment(
+    segment: &Segment,
+    entries: &[Entry],
+    torn_bytes: usize,
+    view: &RecordView,
+    out: &mut impl Write,
+) -> Result<(), CommandError> {
+    match view {
+        RecordView::Segments => write_summary(segment, entries, torn_bytes, out)?,
+        RecordView::Entries { kind, name } => {
+            let matches = |entry: &&Entry| {
+                kind.as_ref().is_none_or(|kind| entry.what.kind() == kind)
+                    && name.as_ref().is_none_or(|name| entry.what.name() == name)
+            };
+            for entry in entries.iter().filter(matches) {
+                write_entry(entry, out)?;
+            }
+        }
+        RecordView::Json => {
+            for entry in entries {
+                writeln!(out, "{}", serde_json::to_string(entry)?)?;
+            }
+        }
+    }
+    Ok(())
+}
+
+fn seconds(micros: u64) -> f64 {
+    micros as f64 / MICROS_PER_SECOND
+}
+
+fn write_summary(
+    segment: &Segment,
+    entries: &[Entry],
+    torn_bytes: usize,
+    out: &mut impl Write,
+) -> io::Result<()> {
+    let kind = if segment.columnar { "parquet" } else { "journal" };
+    let from = entries.first().map_or(0.0, |entry| seconds(entry.at));
+    let to = entries.last().map_or(0.0, |entry| seconds(entry.at));
+    let tail = match torn_bytes {
+        0 => String::new(),
+        bytes => format!(", a torn tail of {bytes} bytes left out"),
+    };
+    writeln!(
+        out,
+        "{:08} {kind} {} bytes, {} entries, {from:.1} to {to:.1} s{tail}",
+        segment.number,
+        segment.bytes,
+        entries.len()
+    )
+}
+
+fn write_entry(entry: &Entry, out: &mut impl Write) -> io::Result<()> {
+    let (requests, failed, table_entries) = columns::sums(&entry.what);
+    let sums = format!("queries {requests} failed {failed} lines {table_entries}");
+    writeln!(out, "{:>12.6} {:8} {:16} {sums}", seconds(entry.at), entry.what.kind(), entry.what.name())
+}
--- /dev/null
+++ b/crates/daemon/src/commands/replay.rs
@@ -0,0 +1,175 @@
+//! `runloom replay`: replays a recorded day with its own settings or with others, or turns it into a scenario of the
+//! testbed.
+
+use super::{file_error, CommandError};
+use crate::planner_runtime::BUILD;
+use runloom_event_log::{folder, Entry};
+use runloom_replay::exact::{Replay, Same};
+use runloom_replay::other::{compare, Came, Compared, Setting};
+use runloom_replay::page::page;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// What a replay changes of the recorded settings.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Alternative {
+    /// A file with another `<fleet>`.
+    pub fleet: Option<PathBuf>,
+    /// Another seed of the random choices.
+    pub seed: Option<u64>,
+    /// Commands are not checked by the guard.
+    pub skip_guard: bool,
+    /// The replay ends at this time of the record.
+    pub until: Option<Duration>,
+}
+
+/// Options of a replay.
+#[derive(Debug, Clone)]
+pub struct ReplayOptions {
+    /// The event log.
+    pub folder: PathBuf,
+    /// Which start of the planner: 0 for the last, 1 for the one before.
+    pub starts_back: usize,
+    /// What is changed.
+    pub alternative: Alternative,
+    /// A file for a page with plots of the comparison.
+    pub page: Option<PathBuf>,
+    /// Prints JSON.
+    pub json: bool,
+}
+
+fn replay_error(error: impl ToString) -> CommandError {
+    CommandError::Replay(error.to_string())
+}
+
+fn log_error(error: impl ToString) -> CommandError {
+    CommandError::EventLog(error.to_string())
+}
+
+/// Writes an event log as a scenario of the testbed.
+pub fn infer_scenario(folder: &Path, file: &Path) -> Result<(), CommandError> {
+    let days = folder::days(folder).map_err(log_error)?;
+    let scenario = runloom_replay::infer::infer(&days).map_err(replay_error)?;
+    std::fs::write(file, scenario.xml()).map_err(file_error(file))?;
+    println!("{}: {} troubles, {} edits", file.display(), scenario.troubles.len(), scenario.edits.len());
+    for left_out in &scenario.left_out {
+        println!("left out: {left_out}");
+    }
+    Ok(())
+}
+
+/// Replays a recorded day: with its own settings its commands have to be the same, with others they are compared.
+pub fn replay(options: &ReplayOptions) -> Result<(), CommandError> {
+    if options.alternative == Alternative::default() && options.page.is_none() {
+        verify(options)
+    } else {
+        compare_alternative(options)
+    }
+}
+
+/// Replays with the recorded settings, and fails if a command differs.
+fn verify(options: &ReplayOptions) -> Result<(), CommandError> {
+    let same = replay_exactly(&options.folder, options.starts_back)?;
+    if options.json {
+        println!("{}", serde_json::to_value(&same)?);
+    } else if let Some(difference) = &same.first {
+        println!(
+            "other from {:.3} s on, after {} turns: {} ({})",
+            difference.at, difference.turns, difference.what, difference.why
+        );
+    } else {
+        println!("the same: {} turns, {} messages, byte for byte", same.turns, same.messages);
+        println!("sha-256 {}", same.digest);
+    }
+    match same.first {
+        None => Ok(()),
+        Some(difference) => Err(CommandError::Diverged(difference.what)),
+    }
+}
+
+/// Replays with one segment in memory at a time.
+fn replay_exactly(folder: &Path, starts_back: usize) -> Result<Same, CommandError> {
+    let mut replay: Option<Replay> = None;
+    let mut failure = None;
+    let mut take_entry = |entry: Entry| {
+        let result = match &mut replay {
+            Some(replay) => replay.take(&entry),
+            None => Replay::new(&entry, BUILD).map(|started| {
+                replay = Some(started);
+                true
+            }),
+        };
+        result.unwrap_or_else(|error| {
+            failure = Some(replay_error(error));
+            false
+        })
+    };
+    folder::each(folder, starts_back, &mut take_entry).map_err(log_error)?;
+    match (failure, replay) {
+        (Some(error), _) => Err(error),
+        (None, Some(replay)) => Ok(replay.done()),
+        (None, None) => Err(CommandError::NoSuchStart),
+    }
+}
+
+/// Replays with other settings, and prints how commands and service would have differed.
+fn compare_alternative(options: &ReplayOptions) -> Result<(), CommandError> {
+    let entries = folder::day(&options.folder, options.starts_back).map_err(log_error)?;
+    let setting = read_setting(&options.alternative)?;
+    let compared = compare(&entries, &setting).map_err(replay_error)?;
+    if let Some(file) = &options.page {
+        let title = format!("{}, start {}", options.folder.display(), options.starts_back);
+        let page = page(&title, &compared).map_err(replay_error)?;
+        std::fs::write(file, page).map_err(file_error(file))?;
+    }
+    if options.json {
+        println!("{}", serde_json::to_value(&compared)?);
+    } else {
+        print_commands("as it was", &compared.was);
+        print_commands("as it would be", &compared.would);
+        print_service(&compared);
+    }
+    Ok(())
+}
+
+fn read_setting(alternative: &Alternative) -> Result<Setting, CommandError> {
+    let fleet = match &alternative.fleet {
+        Some(file) => {
+            let text = std::fs::read_to_string(file).map_err(file_error(file))?;
+            Some(runloom_replay::fleet(&text).map_err(replay_error)?)
+        }
+        None => None,
+    };
+    Ok(Setting { fleet, seed: alternative.seed, unguarded: alternative.skip_guard, until: alternative.until })
+}
+
+fn print_commands(name: &str, came: &Came) {
+    println!(
+        "{name}: {} messages, {} lines, {} waiting at the most, {} refused",
+        came.messages, came.lines, came.lines_waiting_most, came.refused
+    );
+    if came.rules_broken.is_empty() {
+        println!("  rules kept");
+    } else {
+        println!("  {}", came.rules_broken.join("; "));
+    }
+}
+
+fn print_service(compared: &Compared) {
+    let service = &compared.service;
+    println!("service, queries answered within their soft limit, by payoff: was {:.4}", service.was);
+    match service.would {
+        Some((value, low, high)) => {
+            println!("  would be {value:.4}, 95% of such days from {low:.4} to {high:.4}");
+        }
+        None => println!("  would be unknown: the record does not say"),
+    }
+    for class in &service.classes {
+        let would = class.would.map_or("unknown".into(), |would| format!("{would:.4}"));
+        println!("  {}: was {:.4}, would be {would}, of {} queries", class.class, class.was, class.queries);
+    }
+    println!(
+        "  support {:.3}; the estimate carries {:.0} of {:.0} s",
+        service.support, service.carries, compared.seconds
+    );
+}
--- /dev/null
+++ b/crates/daemon/src/commands/state.rs
@@ -0,0 +1,144 @@
+//! `runloom state`: a planner's state folder. Only [`prune`] writes, and only where no planner runs.
+
+use super::CommandError;
+use crate::persistence::{restore_accepted, EDITS, LEARNED, ROSTER};
+use crate::wall_ms;
+use runloom_store::accepted::AcceptedState;
+use runloom_store::disk::{Folder, Lock};
+use runloom_store::learned::{LearnedServer, LearnedServers};
+use runloom_store::{describe, Layout, OpenedState, Store};
+use std::path::Path;
+
+const LAYOUTS: [Layout; 3] = [EDITS, ROSTER, LEARNED];
+
+fn open(folder: &Path, layout: Layout) -> Result<OpenedState, CommandError> {
+    let (_, opened) = Store::open(Folder::there(folder)?, layout)?;
+    Ok(opened)
+}
+
+/// Prints the files, a line each.
+pub fn list(folder: &Path) -> Result<(), CommandError> {
+    for file in describe(&Folder::there(folder)?)? {
+        let head = match file.head {
+            Some((version, generation, entries)) => {
+                format!("version {version}  generation {generation}  entries {entries}")
+            }
+            None => "cannot be read".to_string(),
+        };
+        println!("{}  {} bytes  {head}  rest {}", file.file, file.bytes, file.rest);
+    }
+    Ok(())
+}
+
+/// Prints the stored fleet, the edits, and what was learned of servers.
+pub fn show(folder: &Path) -> Result<(), CommandError> {
+    let edits = open(folder, EDITS)?;
+    for note in &edits.notes {
+        println!("note: {note}");
+    }
+    let accepted = restore_accepted(&edits).map_err(CommandError::StoredState)?.unwrap_or_default();
+    print_accepted(&accepted, edits.entries.len());
+    let learned = open(folder, LEARNED)?;
+    match learned.state.and_then(|bytes| LearnedServers::read(&bytes).ok()) {
+        Some(learned) => print_learned(&learned),
+        None => println!("nothing learned"),
+    }
+    Ok(())
+}
+
+fn print_accepted(accepted: &AcceptedState, journal_entries: usize) {
+    println!("fleet: {} entries, {journal_entries} changes since the last snapshot", accepted.entries.len());
+    if accepted.before.is_some() {
+        println!("a confirmed commit waits for its confirmation: a restart goes back to what stood before");
+    }
+    for entry in &accepted.entries {
+        println!("  {entry}");
+    }
+    for edit in &accepted.noted {
+        println!("edit {}  by {}  accepted {}  {}", edit.id, edit.who, edit.accepted, edit.digest);
+    }
+}
+
+fn print_learned(learned: &LearnedServers) {
+    let now_ms = wall_ms();
+    println!("learned {} s ago:", seconds_between(learned.written, now_ms));
+    for server in &learned.servers {
+        print_learned_server(learned, server, now_ms);
+    }
+}
+
+fn print_learned_server(learned: &LearnedServers, server: &LearnedServer, now_ms: u64) {
+    let hint = learned.hint(now_ms, &server.name, &server.address, server.started);
+    let counts = match hint {
+        Some(hint) => format!("counts now: swiftness {:.2}, doubt {:.2}", hint.swift, hint.doubt),
+        None => "counts no more".to_string(),
+    };
+    let failed = match server.failed {
+        Some(at) => format!("{} s ago", seconds_between(at, now_ms)),
+        None => "-".to_string(),
+    };
+    println!(
+        "  {} at {}  swiftness {:.2}  failed {failed}  held {}  {counts}",
+        server.name, server.address, server.swift, server.held
+    );
+}
+
+/// Complete seconds between two times in milliseconds.
+fn seconds_between(from_ms: u64, to_ms: u64) -> u64 {
+    to_ms.saturating_sub(from_ms) / 1000
+}
+
+/// What was read back of one layout.
+struct ReadBack {
+    has_content: bool,
+    /// What had to be left out.
+    notes: Vec<String>,
+}
+
+/// Reads everything back, and prints the result. Returns whether nothing is corrupt.
+pub fn verify(folder: &Path) -> Result<bool, CommandError> {
+    let mut is_sound = true;
+    for layout in LAYOUTS {
+        let name = layout.name;
+        match read_back(folder, layout) {
+            Ok(ReadBack { has_content, notes }) => {
+                println!("{name}: {}", if has_content { "reads back" } else { "nothing there" });
+                is_sound &= notes.is_empty();
+                for note in notes {
+                    println!("{name}: {note}");
+                }
+            }
+            Err(why) => {
+                is_sound = false;
+                println!("{name}: {why}");
+            }
+        }
+    }
+    Ok(is_sound)
+}
+
+fn read_back(folder: &Path, layout: Layout) -> Result<ReadBack, CommandError> {
+    let name = layout.name;
+    let opened = open(folder, layout)?;
+    let has_content = if name == EDITS.name {
+        restore_accepted(&opened).map_err(CommandError::StoredState)?.is_some()
+    } else if name == LEARNED.name {
+        let learned = opened.state.as_deref().map(LearnedServers::read).transpose();
+        learned.map_err(CommandError::StoredState)?.is_some()
+    } else {
+        opened.state.is_some()
+    };
+    Ok(ReadBack { has_content, notes: opened.notes })
+}
+
+/// Removes all but the newest generations, and prints the removed files.
+pub fn prune(folder: &Path) -> Result<(), CommandError> {
+    let _lock = Lock::take(folder)?;
+    for layout in LAYOUTS {
+        let (mut store, _) = Store::open(Folder::open(folder)?, layout)?;
+        for file in store.prune()? {
+            println!("removed {file}");
+        }
+    }
+    Ok(())
+}
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,143 +1,193 @@
-//! HTTP/1.1 heads and bodies with a length, free of I/O; enough for a plain proxy and a probe.
-
-/// A head larger than this is refused: twice what any client here sends.
-pub const HEAD_MOST: usize = 16 << 10;
-/// A body larger than this is refused: queries and answers are small.
-pub const BODY_MOST: usize = 1 << 20;
-
-/// A message: its first line's parts, its headers, its body.
+//! HTTP/1.1 messages with a `content-length` (RFC 9112), free of I/O: what a proxy, a health check and the metrics need.
+
+/// Longest head that is accepted, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Longest body that is accepted, in bytes.
+pub const MAX_BODY_BYTES: usize = 1 << 20;
+/// Most headers that are accepted.
+const MAX_HEADERS: usize = 48;
+/// Most numbers that are read from one header.
+const MAX_HEADER_NUMBERS: usize = 4;
+/// Headers of one connection only, which are not passed on (RFC 9110, section 7.6.1), and the length, which is written
+/// anew.
+const HOP_BY_HOP_HEADERS: [&str; 4] = ["connection", "content-length", "keep-alive", "transfer-encoding"];
+
+/// A header: its name in lower case, and its value.
+pub type Header = (String, String);
+
+/// A request or a response.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Message {
-    /// A query's method and path; empty in an answer.
+    /// A request's method; empty in a response.
     pub method: String,
+    /// A request's path; empty in a response.
     pub path: String,
-    /// An answer's code; 0 in a query.
+    /// A response's status code; 0 in a request.
     pub code: u16,
-    /// Names in lower case.
-    pub headers: Vec<(String, String)>,
+    /// Its headers.
+    pub headers: Vec<Header>,
+    /// Its body.
     pub body: Vec<u8>,
-    /// The connection is closed behind it.
+    /// The connection is to be closed after it.
     pub close: bool,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
+/// Why a message is rejected.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum HttpError {
+    /// It is no HTTP/1.1.
+    #[error("the message is malformed")]
     Malformed,
-    TooBig,
-    /// Bodies without a length are not taken.
-    NoLength,
+    /// Its head or its body is too long.
+    #[error("the message is too long")]
+    TooLarge,
+    /// It has a transfer encoding; only bodies with a length are supported.
+    #[error("the message has a transfer encoding")]
+    LengthRequired,
 }
 
 impl Message {
+    /// The value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// Numbers in a header, separated by commas; what is none reads as NaN.
+    /// The numbers in a header, separated by commas; NaN for what is no number.
     pub fn numbers(&self, name: &str) -> Vec<f64> {
-        let text = self.header(name).unwrap_or_default();
-        text.split(',')
-            .filter(|t| !t.is_empty())
-            .take(4)
-            .map(|t| t.trim().parse().unwrap_or(f64::NAN))
-            .collect()
+        let values = self.header(name).unwrap_or_default().split(',').filter(|value| !value.is_empty());
+        let number = |value: &str| value.trim().parse().unwrap_or(f64::NAN);
+        values.take(MAX_HEADER_NUMBERS).map(number).collect()
+    }
+
+    /// The length of the body. Lengths that differ are rejected: they would smuggle a request past a proxy (RFC 9112,
+    /// section 11.2).
+    fn body_length(&self) -> Result<usize, HttpError> {
+        if self.header("transfer-encoding").is_some() {
+            return Err(HttpError::LengthRequired);
+        }
+        let lengths = self.headers.iter().filter(|(name, _)| name == "content-length");
+        let mut lengths = lengths.map(|(_, value)| value.as_str());
+        let Some(length) = lengths.next() else { return Ok(0) };
+        if lengths.any(|other| other != length) {
+            return Err(HttpError::Malformed);
+        }
+        length.parse().map_err(|_| HttpError::Malformed)
     }
 }
 
-/// Reads messages from a stream of bytes, queries or answers.
-#[derive(Debug, Default)]
-pub struct Reader {
-    answers: bool,
+/// Which kind of message a reader reads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum MessageKind {
+    Request,
+    Response,
+}
+
+/// Reads requests or responses from a stream of bytes.
+#[derive(Debug)]
+pub struct MessageReader {
+    kind: MessageKind,
     input: Vec<u8>,
 }
 
-impl Reader {
-    pub fn queries() -> Reader {
-        Reader::default()
+/// A parsed head, and its length in bytes.
+struct Head {
+    message: Message,
+    length: usize,
+}
+
+impl MessageReader {
+    /// A reader of requests.
+    pub fn requests() -> MessageReader {
+        MessageReader { kind: MessageKind::Request, input: vec![] }
     }
 
-    pub fn answers() -> Reader {
-        Reader { answers: true, input: vec![] }
+    /// A reader of responses.
+    pub fn responses() -> MessageReader {
+        MessageReader { kind: MessageKind::Response, input: vec![] }
     }
 
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    pub fn held(&self) -> usize {
+    /// Received bytes that belong to no message yet.
+    pub fn buffered_bytes(&self) -> usize {
         self.input.len()
     }
 
-    /// The next whole message.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Bad> {
-        let mut headers = [httparse::EMPTY_HEADER; 48];
-        let mut message = Message::default();
-        let head = if self.answers {
-            let mut parsed = httparse::Response::new(&mut headers);
-            let status = parsed.parse(&self.input).map_err(|_| Bad::Malformed)?;
-            message.code = parsed.code.unwrap_or(0);
-            message.headers = named(parsed.headers);
-            status
-        } else {
-            let mut parsed = httparse::Request::new(&mut headers);
-            let status = parsed.parse(&self.input).map_err(|_| Bad::Malformed)?;
-            message.method = parsed.method.unwrap_or_default().to_string();
-            message.path = parsed.path.unwrap_or_default().to_string();
-            message.headers = named(parsed.headers);
-            status
-        };
-        let httparse::Status::Complete(head) = head else {
-            return if self.input.len() > HEAD_MOST { Err(Bad::TooBig) } else { Ok(None) };
+    /// The next complete message, if there is one. After an error the stream cannot be read on.
+    pub fn next_message(&mut self) -> Result<Option<Message>, HttpError> {
+        let Some(Head { mut message, length: head_length }) = self.parse_head()? else {
+            return if self.input.len() > MAX_HEAD_BYTES { Err(HttpError::TooLarge) } else { Ok(None) };
         };
-        if message.header("transfer-encoding").is_some() {
-            return Err(Bad::NoLength);
-        }
-        let lengths: Vec<&str> =
-            message.headers.iter().filter(|(n, _)| n == "content-length").map(|(_, v)| v.as_str()).collect();
-        // Two lengths that differ are a way to smuggle a query past a proxy.
-        if lengths.windows(2).any(|w| w[0] != w[1]) {
-            return Err(Bad::Malformed);
+        let body_length = message.body_length()?;
+        if body_length > MAX_BODY_BYTES || head_length > MAX_HEAD_BYTES {
+            return Err(HttpError::TooLarge);
         }
-        let length: usize = lengths.first().map_or(Ok(0), |l| l.parse()).map_err(|_| Bad::Malformed)?;
-        if length > BODY_MOST || head > HEAD_MOST {
-            return Err(Bad::TooBig);
-        }
-        if self.input.len() < head + length {
+        let end = head_length + body_length;
+        if self.input.len() < end {
             return Ok(None);
         }
-        message.close = message.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-        message.body = self.input[head..head + length].to_vec();
-        self.input.drain(..head + length);
+        message.close = message.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        message.body = self.input[head_length..end].to_vec();
+        self.input.drain(..end);
         Ok(Some(message))
     }
-}
 
-fn named(headers: &[httparse::Header]) -> Vec<(String, String)> {
-    let text =
-        |h: &httparse::Header| (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).into_owned());
-    headers.iter().map(text).collect()
+    /// Parses the head, if it is complete.
+    fn parse_head(&self) -> Result<Option<Head>, HttpError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut message = Message::default();
+        let status = match self.kind {
+            MessageKind::Response => {
+                let mut response = httparse::Response::new(&mut headers);
+                let status = response.parse(&self.input).map_err(|_| HttpError::Malformed)?;
+                message.code = response.code.unwrap_or(0);
+                message.headers = owned_headers(response.headers);
+                status
+            }
+            MessageKind::Request => {
+                let mut request = httparse::Request::new(&mut headers);
+                let status = request.parse(&self.input).map_err(|_| HttpError::Malformed)?;
+                message.method = request.method.unwrap_or_default().to_string();
+                message.path = request.path.unwrap_or_default().to_string();
+                message.headers = owned_headers(request.headers);
+                status
+            }
+        };
+        match status {
+            httparse::Status::Complete(length) => Ok(Some(Head { message, length })),
+            httparse::Status::Partial => Ok(None),
+        }
+    }
 }
 
-/// Headers that concern one connection only, and are not passed on.
-const OWN: [&str; 4] = ["connection", "content-length", "keep-alive", "transfer-encoding"];
+fn owned_headers(headers: &[httparse::Header]) -> Vec<Header> {
+    let owned = |header: &httparse::Header| {
+        (header.name.to_ascii_lowercase(), String::from_utf8_lossy(header.value).into_owned())
+    };
+    headers.iter().map(owned).collect()
+}
 
-fn write_rest(headers: &[(String, String)], body: &[u8], out: &mut Vec<u8>) {
-    for (name, value) in headers.iter().filter(|(n, _)| !OWN.contains(&n.as_str())) {
+/// Writes headers and body after the first line.
+fn write_headers_and_body(headers: &[Header], body: &[u8], out: &mut Vec<u8>) {
+    for (name, value) in headers.iter().filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str())) {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     }
     out.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
     out.extend_from_slice(body);
 }
 
-/// Writes a query as it came, for the next connection.
-pub fn write_query(query: &Message) -> Vec<u8> {
-    let mut out = format!("{} {} HTTP/1.1\r\n", query.method, query.path).into_bytes();
-    write_rest(&query.headers, &query.body, &mut out);
+/// A request as it is passed on to another connection.
+pub fn serialize_request(request: &Message) -> Vec<u8> {
+    let mut out = format!("{} {} HTTP/1.1\r\n", request.method, request.path).into_bytes();
+    write_headers_and_body(&request.headers, &request.body, &mut out);
     out
 }
 
-/// Writes an answer.
-pub fn write_answer(code: u16, headers: &[(String, String)], body: &[u8]) -> Vec<u8> {
+/// A response.
+pub fn serialize_response(code: u16, headers: &[Header], body: &[u8]) -> Vec<u8> {
     let reason = match code {
         200 => "OK",
         400 => "Bad Request",
@@ -147,6 +197,6 @@
         _ => "Answer",
     };
     let mut out = format!("HTTP/1.1 {code} {reason}\r\n").into_bytes();
-    write_rest(headers, body, &mut out);
+    write_headers_and_body(headers, body, &mut out);
     out
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,8 @@
-//! The program's shells: sockets, files and clocks round the cores. Nothing here decides on servers.
+//! The drivers of the program: sockets, files and clocks around the state machines of the other packages, which do no
+//! I/O. No decision about servers is made here.
 
 pub mod client;
+pub mod commands;
 pub mod config_service;
 pub mod error;
 pub mod http;
@@ -10,7 +12,6 @@
 pub mod proxy_runtime;
 pub mod run;
 pub mod settings;
-pub mod state;
 pub mod state_file;
 pub mod tls_credentials;
 
@@ -21,7 +22,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The time now as RFC 3339 has it.
+/// The time now in RFC 3339's form.
 pub fn wall_text() -> String {
     humantime::format_rfc3339_millis(SystemTime::now()).to_string()
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,32 +1,25 @@
-//! The command line.
+//! The command line: its arguments, and which command they run.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::planner_runtime::{TestHooks, BUILD};
-use runloom_daemon::settings::read;
-use runloom_daemon::state;
-use runloom_daemon::tls_credentials::TlsPolicy;
-use runloom_daemon::{run, wall_ms};
-use runloom_event_log::Entry;
-use runloom_guard::case::RejectionCase;
-use runloom_identity::access::{Permission, Principal, Rule};
-use runloom_identity::id::Id;
-use runloom_model::fleet::TlsFiles;
-use runloom_model::{FLEET, STATE};
-use runloom_netconf::tree::Element;
-use runloom_netconf::{BASE, NOTIFY};
-use std::io::Write;
+use runloom_daemon::commands::connection::ConnectionOptions;
+use runloom_daemon::commands::edit::{self, FleetChange};
+use runloom_daemon::commands::record::{self, RecordView};
+use runloom_daemon::commands::replay::{self, Alternative, ReplayOptions};
+use runloom_daemon::commands::{check, guard, show, state, CommandError};
+use runloom_daemon::planner_runtime::TestHooks;
+use runloom_daemon::{platform_runtime, run};
+use std::error::Error;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 #[derive(Parser)]
 #[command(name = "runloom", version, about = "A control plane for a service's proxies")]
-struct Line {
-    /// How the log is written.
-    #[arg(long, global = true, value_enum, default_value_t = Log::Text)]
-    log: Log,
+struct Arguments {
+    /// Format of the log.
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
     /// What is logged: error, warn, info, debug or trace.
     #[arg(long, global = true, default_value = "info")]
     log_level: String,
@@ -35,7 +28,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Log {
+enum LogFormat {
     Json,
     Text,
 }
@@ -46,117 +39,126 @@
     Planner {
         #[arg(long)]
         settings: PathBuf,
-        /// For the decisions' draws; without it, by the time of the start.
+        /// Seed of the decisions' random choices; by default the time of the start.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Runs a planner on the platform: what it needs is told by `EDGE_CONFIG`, `EDGE_NAME`, `EDGE_LISTEN` and
-    /// `EDGE_DISCOVERY`.
+    /// Runs a planner on the platform, configured by `EDGE_CONFIG`, `EDGE_NAME`, `EDGE_LISTEN` and `EDGE_DISCOVERY`.
     Platform,
-    /// Runs a forwarder.
-    Forwarder {
+    /// Runs a proxy.
+    #[command(name = "forwarder")]
+    Proxy {
         #[arg(long)]
         settings: PathBuf,
+        /// Seed of the random choices; by default the time of the start.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Says of each file whether it is valid: one line a fault, code 1 if there is any.
+    /// Validates settings files: prints a line for each fault, and exits with 1 if there is any.
     Check { files: Vec<PathBuf> },
     /// Edits a planner's fleet: `--file` holds what `<config>` holds, or one of the short forms.
-    Edit {
-        #[command(flatten)]
-        to: To,
-        /// The edit's id: the same id again is answered as before, and takes effect once.
-        #[arg(long)]
-        id: Option<String>,
-        /// A `<fleet>` with what to change; `nc:operation` attributes are taken.
-        #[arg(long)]
-        file: Option<PathBuf>,
-        /// A server to drain.
-        #[arg(long)]
-        drain: Option<String>,
-        /// A server whose drain ends.
-        #[arg(long)]
-        undrain: Option<String>,
-        /// A zone and its share, as `zone=0.5`.
-        #[arg(long)]
-        share: Option<String>,
-        /// Waits until it is in force.
-        #[arg(long)]
-        wait: bool,
-    },
-    /// What the guard refused.
+    Edit(EditArguments),
+    /// Explains what the guard rejected.
     Guard {
         #[command(subcommand)]
         command: GuardCommand,
     },
-    /// What a planner recorded.
+    /// Prints a planner's event log.
     Record {
         #[command(subcommand)]
         command: RecordCommand,
     },
-    /// What outlasts a planner, in its folder.
+    /// Prints or prunes a planner's state folder.
     State {
         #[command(subcommand)]
         command: StateCommand,
     },
-    /// A recorded day again: the same orders, or those under another setting.
-    Replay {
-        /// The record's folder.
-        #[arg(long)]
-        folder: PathBuf,
-        /// The planner's last start but so many.
-        #[arg(long, default_value_t = 0)]
-        back: usize,
-        /// Another `<fleet>`, in place of the recorded one.
-        #[arg(long)]
-        fleet: Option<PathBuf>,
-        #[arg(long)]
-        seed: Option<u64>,
-        /// Without the guard.
-        #[arg(long)]
-        unguarded: bool,
-        #[arg(long)]
-        json: bool,
-        /// Writes the comparison as a page with plots.
-        #[arg(long)]
-        page: Option<PathBuf>,
-        /// Looks at the day up to this second.
-        #[arg(long)]
-        until: Option<f64>,
-        /// Writes the whole record as a day that runloom-testbed plays: sizes, traffic, edits, and the troubles it shows.
-        #[arg(long)]
-        day: Option<PathBuf>,
-    },
+    /// Replays a recorded day: the same commands, or those under other settings.
+    Replay(ReplayArguments),
     /// Shows a planner's `state`, `fleet` or `roster`, or one edit.
     Show {
         #[command(flatten)]
-        to: To,
-        #[arg(default_value = "state")]
-        what: String,
-        /// One edit by its id.
-        #[arg(long)]
-        edit: Option<String>,
+        connection: ConnectionArguments,
+        #[arg(value_name = "WHAT", default_value = "state")]
+        subject: String,
+        /// Id of one edit.
+        #[arg(long = "edit", value_name = "EDIT")]
+        edit_id: Option<String>,
     },
 }
 
+#[derive(Args)]
+struct EditArguments {
+    #[command(flatten)]
+    connection: ConnectionArguments,
+    /// Id of the edit: sent again under the same id, it takes effect once.
+    #[arg(long)]
+    id: Option<String>,
+    /// A `<fleet>` with what to change; `nc:operation` attributes are supported.
+    #[arg(long)]
+    file: Option<PathBuf>,
+    /// A server to drain.
+    #[arg(long)]
+    drain: Option<String>,
+    /// A server whose drain ends.
+    #[arg(long)]
+    undrain: Option<String>,
+    /// A zone and its share, as `zone=0.5`.
+    #[arg(long)]
+    share: Option<String>,
+    /// Waits until the edit is in force.
+    #[arg(long)]
+    wait: bool,
+}
+
+#[derive(Args)]
+struct ReplayArguments {
+    /// Folder of the event log.
+    #[arg(long)]
+    folder: PathBuf,
+    /// Which start of the planner: 0 for the last, 1 for the one before.
+    #[arg(long = "back", value_name = "BACK", default_value_t = 0)]
+    starts_back: usize,
+    /// File with another `<fleet>`, in place of the recorded one.
+    #[arg(long)]
+    fleet: Option<PathBuf>,
+    /// Another seed of the random choices.
+    #[arg(long)]
+    seed: Option<u64>,
+    /// Without the guard.
+    #[arg(long)]
+    unguarded: bool,
+    /// Prints JSON.
+    #[arg(long)]
+    json: bool,
+    /// Writes the comparison as a page with plots.
+    #[arg(long)]
+    page: Option<PathBuf>,
+    /// Ends at this second of the record.
+    #[arg(long = "until", value_name = "UNTIL")]
+    until_seconds: Option<f64>,
+    /// Writes the event log as a scenario of runloom-testbed: sizes, traffic, edits, and the faults that it shows.
+    #[arg(long = "day", value_name = "DAY")]
+    scenario: Option<PathBuf>,
+}
+
 #[derive(Subcommand)]
 enum StateCommand {
-    /// The files: version, generation, entries, and bytes that cannot be read.
+    /// Lists the files: version, generation, entries, and bytes that cannot be read.
     Ls { folder: PathBuf },
-    /// The fleet and the edits as they are kept, and what is learned, with how much of it counts now.
+    /// Shows the stored fleet and edits, and what was learned, with how much of it counts now.
     Show { folder: PathBuf },
-    /// Code 1 if something cannot be read back.
+    /// Exits with 1 if something cannot be read back.
     Verify { folder: PathBuf },
-    /// Removes all but the newest generations. Not while a planner has the folder.
+    /// Removes all but the newest generations. Not while a planner uses the folder.
     Prune { folder: PathBuf },
 }
 
 #[derive(Subcommand)]
 enum RecordCommand {
-    /// The segments.
+    /// Lists the segments.
     Ls { folder: PathBuf },
-    /// The entries, a line each.
+    /// Prints the entries, a line each.
     Show {
         folder: PathBuf,
         /// Only of this kind: start, listed, refit, joined, left, applied, report, probed, edit, turn, lost.
@@ -166,27 +168,27 @@
         #[arg(long)]
         name: Option<String>,
     },
-    /// All entries as JSON, a line each.
+    /// Prints all entries as JSON, a line each.
     Export { folder: PathBuf },
-    /// Reads all of it: code 1 if anything cannot be read.
+    /// Reads all of it, and exits with 1 if anything cannot be read.
     Verify { folder: PathBuf },
 }
 
 #[derive(Subcommand)]
 enum GuardCommand {
-    /// Judges a refusal of a log anew, step by step.
+    /// Checks a rejection of a log again, step by step.
     Explain {
         /// A planner's log, text or JSON; `-` for standard input.
         #[arg(long)]
         log: PathBuf,
-        /// Which of its refusals, from 1; without it, the last.
+        /// Number of the rejection in the log, from 1; by default the last.
         #[arg(long)]
         number: Option<usize>,
     },
 }
 
 #[derive(Args)]
-struct To {
+struct ConnectionArguments {
     /// The planner's address for edits.
     #[arg(long)]
     planner: SocketAddr,
@@ -200,416 +202,120 @@
     #[arg(long)]
     planner_id: Option<String>,
     /// Seconds to wait for an answer.
-    #[arg(long, default_value_t = 10)]
-    patience: u64,
+    #[arg(long = "patience", value_name = "PATIENCE", default_value_t = 10)]
+    timeout_seconds: u64,
 }
 
-impl To {
-    fn open(&self) -> Result<Client, String> {
-        let (certificate, key, trust) = (self.certificate.clone(), self.key.clone(), self.trust.clone());
-        let rule =
-            |id: &String| Id::read(id).map(|id| Rule { whom: Principal::One(id), may: Permission::Order });
-        let rules = self.planner_id.iter().map(rule).collect::<Result<_, _>>().map_err(|e| e.to_string())?;
-        let papers = TlsFiles { certificate, key, trust, rules, federated: vec![] };
-        let terms = TlsPolicy::load(&papers).map_err(|e| e.to_string())?;
-        let patience = Duration::from_secs(self.patience);
-        Client::open(self.planner, &terms, patience).map_err(|e| e.to_string())
-    }
-}
-
-fn main() -> ExitCode {
-    let line = Line::parse();
-    let filter = tracing_subscriber::EnvFilter::new(&line.log_level);
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    match line.log {
-        Log::Json => log.json().init(),
-        Log::Text => log.with_ansi(false).init(),
-    }
-    let outcome = match line.command {
-        Command::Planner { settings, seed } => run::planner(&settings, seed, TestHooks::default()),
-        Command::Platform => runloom_daemon::platform_runtime::run(),
-        Command::Forwarder { settings, seed } => run::forwarder(&settings, seed),
-        Command::Check { files } => return check(&files),
-        Command::Edit { to, id, file, drain, undrain, share, wait } => {
-            change(file.as_deref(), drain.as_deref(), undrain.as_deref(), share.as_deref())
-                .and_then(|config| edit(&to, id.as_deref(), config, wait))
-        }
-        Command::Guard { command: GuardCommand::Explain { log, number } } => explain(&log, number),
-        Command::Record { command } => record(&command),
-        Command::State { command: StateCommand::Ls { folder } } => state::ls(&folder),
-        Command::State { command: StateCommand::Show { folder } } => state::show(&folder),
-        Command::State { command: StateCommand::Verify { folder } } => match state::verify(&folder) {
-            Ok(false) => return ExitCode::FAILURE,
-            read => read.map(|_| ()),
-        },
-        Command::State { command: StateCommand::Prune { folder } } => state::prune(&folder),
-        Command::Replay { folder, day: Some(file), .. } => inferred(&folder, &file),
-        Command::Replay { folder, back, fleet, seed, unguarded, json, page, until, .. } => {
-            let until = until.map(|s| Duration::from_secs_f64(s.max(0.0)));
-            replayed(&folder, back, Other { fleet, seed, unguarded, page, until }, json)
+impl From<ConnectionArguments> for ConnectionOptions {
+    fn from(arguments: ConnectionArguments) -> ConnectionOptions {
+        ConnectionOptions {
+            planner: arguments.planner,
+            certificate: arguments.certificate,
+            key: arguments.key,
+            trust: arguments.trust,
+            planner_id: arguments.planner_id,
+            timeout: Duration::from_secs(arguments.timeout_seconds),
         }
-        Command::Show { to, what, edit } => show(&to, &what, edit.as_deref()),
-    };
-    match outcome {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("runloom: {why}");
-            ExitCode::FAILURE
-        }
-    }
-}
-
-fn record(command: &RecordCommand) -> Result<(), String> {
-    match told_record(command, &mut std::io::stdout().lock()) {
-        // Who read it has seen enough.
-        Err(Told::Out(e)) if e.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
-        Err(Told::Out(e)) => Err(e.to_string()),
-        Err(Told::Record(why)) => Err(why),
-        Ok(()) => Ok(()),
     }
 }
 
-enum Told {
-    Out(std::io::Error),
-    Record(String),
-}
-
-impl From<std::io::Error> for Told {
-    fn from(e: std::io::Error) -> Told {
-        Told::Out(e)
+impl From<ReplayArguments> for ReplayOptions {
+    fn from(arguments: ReplayArguments) -> ReplayOptions {
+        let until = arguments.until_seconds;
+        ReplayOptions {
+            folder: arguments.folder,
+            starts_back: arguments.starts_back,
+            alternative: Alternative {
+                fleet: arguments.fleet,
+                seed: arguments.seed,
+                skip_guard: arguments.unguarded,
+                until: until.map(|seconds| Duration::from_secs_f64(seconds.max(0.0))),
+            },
+            page: arguments.page,
+            json: arguments.json,
+        }
     }
 }
 
-fn told_record(command: &RecordCommand, out: &mut impl Write) -> Result<(), Told> {
-    let (RecordCommand::Ls { folder }
-    | RecordCommand::Show { folder, .. }
-    | RecordCommand::Export { folder }
-    | RecordCommand::Verify { folder }) = command;
-    let told = |e: std::io::Error| Told::Record(format!("{}: {e}", folder.display()));
-    let mut bad = 0;
-    for segment in runloom_event_log::folder::segments(folder).map_err(told)? {
-        let (entries, torn) = match runloom_event_log::folder::read(&segment) {
-            Ok(read) => read,
-            Err(e) => {
-                bad += 1;
-                writeln!(out, "{e}")?;
-                continue;
-            }
-        };
-        let span = entries.first().zip(entries.last()).map_or((0, 0), |(a, b)| (a.at, b.at));
-        let seconds = |at: u64| at as f64 / 1e6;
-        match command {
-            RecordCommand::Ls { .. } | RecordCommand::Verify { .. } => {
-                let kind = if segment.columnar { "parquet" } else { "journal" };
-                let (from, to) = (seconds(span.0), seconds(span.1));
-                let tail =
-                    if torn > 0 { format!(", a torn tail of {torn} bytes left out") } else { String::new() };
-                writeln!(
-                    out,
-                    "{:08} {kind} {} bytes, {} entries, {from:.1} to {to:.1} s{tail}",
-                    segment.number,
-                    segment.bytes,
-                    entries.len()
-                )?;
-            }
-            RecordCommand::Show { kind, name, .. } => {
-                let fits = |e: &&Entry| {
-                    kind.as_ref().is_none_or(|k| e.what.kind() == k)
-                        && name.as_ref().is_none_or(|n| e.what.name() == n)
-                };
-                for e in entries.iter().filter(fits) {
-                    let (queries, failed, lines) = runloom_event_log::columns::sums(&e.what);
-                    let sums = format!("queries {queries} failed {failed} lines {lines}");
-                    writeln!(out, "{:>12.6} {:8} {:16} {sums}", seconds(e.at), e.what.kind(), e.what.name())?;
-                }
-            }
-            RecordCommand::Export { .. } => {
-                for e in &entries {
-                    writeln!(out, "{}", serde_json::to_string(e).map_err(|e| Told::Record(e.to_string()))?)?;
-                }
-            }
+fn main() -> ExitCode {
+    let arguments = Arguments::parse();
+    start_log(arguments.log, &arguments.log_level);
+    match run_command(arguments.command) {
+        Ok(code) => code,
+        Err(error) => {
+            eprintln!("runloom: {error}");
+            ExitCode::FAILURE
         }
     }
-    if bad == 0 {
-        Ok(())
-    } else {
-        Err(Told::Record(format!("{bad} segments cannot be read")))
-    }
-}
-
-/// What is other than recorded, and where the page goes.
-struct Other {
-    fleet: Option<PathBuf>,
-    seed: Option<u64>,
-    unguarded: bool,
-    page: Option<PathBuf>,
-    until: Option<Duration>,
-}
-
-/// The record as a day of the rig.
-fn inferred(folder: &Path, file: &Path) -> Result<(), String> {
-    let days = runloom_event_log::folder::days(folder).map_err(|e| e.to_string())?;
-    let found = runloom_replay::infer::infer(&days).map_err(|e| e.to_string())?;
-    std::fs::write(file, found.xml()).map_err(|e| format!("{}: {e}", file.display()))?;
-    println!("{}: {} troubles, {} edits", file.display(), found.troubles.len(), found.edits.len());
-    found.left_out.iter().for_each(|what| println!("left out: {what}"));
-    Ok(())
 }
 
-/// Replays a day with its own setting, a segment in memory at a time.
-fn same_again(folder: &Path, back: usize) -> Result<runloom_replay::exact::Same, String> {
-    use runloom_replay::exact::Replay;
-    let (mut replay, mut broken) = (None, None);
-    let mut take = |entry: Entry| {
-        let went = match &mut replay {
-            None => Replay::new(&entry, BUILD).map(|fresh| replay = Some(fresh)).map(|()| true),
-            Some(replay) => replay.take(&entry),
-        };
-        went.unwrap_or_else(|e| {
-            broken = Some(e.to_string());
-            false
-        })
-    };
-    runloom_event_log::folder::each(folder, back, &mut take).map_err(|e| e.to_string())?;
-    match (broken, replay) {
-        (Some(why), _) => Err(why),
-        (None, Some(replay)) => Ok(replay.done()),
-        (None, None) => Err("there is no such start in the record".into()),
+fn start_log(format: LogFormat, level: &str) {
+    let filter = tracing_subscriber::EnvFilter::new(level);
+    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    match format {
+        LogFormat::Json => log.json().init(),
+        LogFormat::Text => log.with_ansi(false).init(),
     }
 }
 
-fn replayed(folder: &Path, back: usize, other: Other, json: bool) -> Result<(), String> {
-    let Other { fleet, seed, unguarded, page, until } = other;
-    let print = |value: serde_json::Value| println!("{value}");
-    if fleet.is_none() && seed.is_none() && !unguarded && page.is_none() && until.is_none() {
-        let same = same_again(folder, back)?;
-        match (&same.first, json) {
-            (_, true) => print(serde_json::to_value(&same).map_err(|e| e.to_string())?),
-            (None, _) => {
-                println!("the same: {} turns, {} messages, byte for byte", same.turns, same.messages);
-                println!("sha-256 {}", same.digest);
-            }
-            (Some(d), _) => {
-                println!("other from {:.3} s on, after {} turns: {} ({})", d.at, d.turns, d.what, d.why)
-            }
-        }
-        return same.first.map_or(Ok(()), |d| Err(format!("it differs: {}", d.what)));
-    }
-    let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
-    let read = |f: &PathBuf| std::fs::read_to_string(f).map_err(|e| format!("{}: {e}", f.display()));
-    let text = fleet.as_ref().map(read).transpose()?;
-    let fleet = text.map(|t| runloom_replay::fleet(&t)).transpose().map_err(|e| e.to_string())?;
-    let setting = runloom_replay::other::Setting { fleet, seed, unguarded, until };
-    let compared = runloom_replay::other::compare(&entries, &setting).map_err(|e| e.to_string())?;
-    if let Some(file) = page {
-        let page = runloom_replay::page::page(&format!("{}, start {back}", folder.display()), &compared)?;
-        std::fs::write(&file, page).map_err(|e| format!("{}: {e}", file.display()))?;
-    }
-    if json {
-        print(serde_json::to_value(&compared).map_err(|e| e.to_string())?);
-        return Ok(());
-    }
-    for (name, came) in [("as it was", &compared.was), ("as it would be", &compared.would)] {
-        println!(
-            "{name}: {} messages, {} lines, {} waiting at the most, {} refused",
-            came.messages, came.lines, came.lines_waiting_most, came.refused
-        );
-        let broken = &came.rules_broken;
-        println!("  {}", if broken.is_empty() { "rules kept".into() } else { broken.join("; ") });
-    }
-    let s = &compared.service;
-    println!("service, queries answered within their soft limit, by payoff: was {:.4}", s.was);
-    match s.would {
-        Some((value, low, high)) => {
-            println!("  would be {value:.4}, 95% of such days from {low:.4} to {high:.4}")
-        }
-        None => println!("  would be unknown: the record does not say"),
-    }
-    for c in &s.classes {
-        let would = c.would.map_or("unknown".into(), |w| format!("{w:.4}"));
-        println!("  {}: was {:.4}, would be {would}, of {} queries", c.class, c.was, c.queries);
+/// Code 0, or 1 for a check that found faults.
+fn exit_code(is_valid: bool) -> ExitCode {
+    if is_valid {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
     }
-    println!(
-        "  support {:.3}; the estimate carries {:.0} of {:.0} s",
-        s.support, s.carries, compared.seconds
-    );
-    Ok(())
 }
 
-/// Cases stand in the log as JSON, in a JSON log once more escaped.
-fn cases(log: &str) -> Vec<RejectionCase> {
-    let case = |line: &str| {
-        let plain = line.replace("\\\"", "\"");
-        let from = plain.find("{\"reason\"")?;
-        serde_json::Deserializer::from_str(&plain[from..]).into_iter::<RejectionCase>().next()?.ok()
-    };
-    log.lines().filter_map(case).collect()
-}
-
-fn explain(log: &Path, number: Option<usize>) -> Result<(), String> {
-    let text = if log == Path::new("-") {
-        std::io::read_to_string(std::io::stdin())
-    } else {
-        std::fs::read_to_string(log)
-    };
-    let cases = cases(&text.map_err(|e| format!("{}: {e}", log.display()))?);
-    let place = number.unwrap_or(cases.len()).checked_sub(1);
-    let case =
-        place.and_then(|p| cases.get(p)).ok_or_else(|| format!("{} refusals are in it", cases.len()))?;
-    println!("refused: {} ({})", case.what, case.reason);
-    println!(
-        "table {}, {:.1} queries/s on it; a unit of weight is known to take {:.2}",
-        case.table, case.rate, case.can
-    );
-    for line in &case.lines {
-        let state = if line.open { "open" } else { "not open" };
-        let age = line.age.map_or("warm".into(), |a| format!("{a:.1} s old"));
-        println!(
-            "  server {}: weight {}, {state}, listed at {}, {age}",
-            line.server, line.weight, line.listed
-        );
-    }
-    let name = |s: usize| format!("server {s}");
-    match case.replay() {
-        Some(r) => {
-            println!("judged anew: {}\nsafe: {}", r.sentence(&name, &|p| format!("proxy {p}")), r.safe(&name))
+fn run_command(command: Command) -> Result<ExitCode, Box<dyn Error>> {
+    match command {
+        Command::Planner { settings, seed } => run::planner(&settings, seed, TestHooks::default())?,
+        Command::Platform => platform_runtime::run()?,
+        Command::Proxy { settings, seed } => run::proxy(&settings, seed)?,
+        Command::Check { files } => return Ok(exit_code(check::check(&files))),
+        Command::Edit(arguments) => run_edit(arguments)?,
+        Command::Guard { command: GuardCommand::Explain { log, number } } => guard::explain(&log, number)?,
+        Command::Record { command } => run_record(command)?,
+        Command::State { command } => return Ok(run_state(command)?),
+        Command::Replay(arguments) => run_replay(arguments)?,
+        Command::Show { connection, subject, edit_id } => {
+            show::show(&connection.into(), &subject, edit_id.as_deref())?;
         }
-        None => println!(
-            "judged anew on this table alone it would pass: other tables or orders of the batch weighed in"
-        ),
     }
-    Ok(())
+    Ok(ExitCode::SUCCESS)
 }
 
-fn check(files: &[PathBuf]) -> ExitCode {
-    let mut bad = false;
-    for file in files {
-        match read(file) {
-            Ok(_) => println!("{}: valid", file.display()),
-            Err(faults) => {
-                bad = true;
-                faults.iter().for_each(|f| println!("{f}"));
-            }
-        }
-    }
-    ExitCode::from(u8::from(bad))
+fn run_edit(arguments: EditArguments) -> Result<(), CommandError> {
+    let EditArguments { connection, id, file, drain, undrain, share, wait } = arguments;
+    let change = FleetChange::from_options(file, drain, undrain, share)?;
+    edit::edit(&connection.into(), id, &change, wait)
 }
 
-/// What `<config>` is to hold.
-fn change(
-    file: Option<&Path>,
-    drain: Option<&str>,
-    undrain: Option<&str>,
-    share: Option<&str>,
-) -> Result<Element, String> {
-    let fleet = Element::new(FLEET, "fleet");
-    let server =
-        |name: &str, drain| Element::new(FLEET, "server").with_leaf("name", name).with_leaf("drain", drain);
-    match (file, drain, undrain, share) {
-        (Some(file), None, None, None) => {
-            let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            Element::parse(&text)
-                .map_err(|e| format!("{}:{}:{}: {}", file.display(), e.line, e.column, e.reason))
+fn run_record(command: RecordCommand) -> Result<(), CommandError> {
+    match command {
+        RecordCommand::Ls { folder } | RecordCommand::Verify { folder } => {
+            record::record(&folder, &RecordView::Segments)
         }
-        (None, Some(name), None, None) => Ok(fleet.with(server(name, true))),
-        (None, None, Some(name), None) => Ok(fleet.with(server(name, false))),
-        (None, None, None, Some(share)) => {
-            let (zone, share) = share.split_once('=').ok_or("a share is told as zone=0.5")?;
-            Ok(fleet.with(Element::new(FLEET, "zone").with_leaf("name", zone).with_leaf("share", share)))
+        RecordCommand::Show { folder, kind, name } => {
+            record::record(&folder, &RecordView::Entries { kind, name })
         }
-        _ => Err("one of --file, --drain, --undrain and --share is wanted".into()),
+        RecordCommand::Export { folder } => record::record(&folder, &RecordView::Json),
     }
 }
 
-fn edit(to: &To, id: Option<&str>, config: Element, wait: bool) -> Result<(), String> {
-    let told = |e: runloom_daemon::client::Failed| e.to_string();
-    let mut client = to.open()?;
-    if wait {
-        client.ask(Element::new(NOTIFY, "create-subscription"), None).map_err(told)?;
+fn run_state(command: StateCommand) -> Result<ExitCode, CommandError> {
+    match command {
+        StateCommand::Ls { folder } => state::list(&folder)?,
+        StateCommand::Show { folder } => state::show(&folder)?,
+        StateCommand::Verify { folder } => return Ok(exit_code(state::verify(&folder)?)),
+        StateCommand::Prune { folder } => state::prune(&folder)?,
     }
-    // To wait for it, it must have a name.
-    let made = format!("{}-{}", std::process::id(), wall_ms());
-    let id = id.or(wait.then_some(made.as_str()));
-    client.ask(edit_config("running", config), id).map_err(|e| match (&e, id) {
-        (runloom_daemon::client::Failed::Refused(_), _) | (_, None) => e.to_string(),
-        (_, Some(id)) => format!("{e}; whether it took is not known: send it again with --id {id}"),
-    })?;
-    println!("accepted{}", id.map(|id| format!(" {id}")).unwrap_or_default());
-    if wait {
-        let event = client
-            .notice(|e| e.name == "edit-in-force" && e.text_of("id") == id)
-            .or_else(|e| settled_before(&mut client, id).ok_or(e))
-            .map_err(told)?;
-        let part = |name| event.text_of(name).unwrap_or("?").to_string();
-        println!("in force at {} of {} proxies", part("at"), part("of"));
-    }
-    client.close().map_err(told)
-}
-
-/// An edit that was in force before: no event comes of it any more.
-fn settled_before(client: &mut Client, id: Option<&str>) -> Option<Element> {
-    let state = client.get(Element::new(STATE, "state")).ok()?;
-    let state = state.child("data")?.child("state")?;
-    let found = state.named("edit").find(|e| e.text_of("id") == id && e.text_of("state") == Some("in-force"));
-    found.map(|e| (**e).clone())
+    Ok(ExitCode::SUCCESS)
 }
 
-fn show(to: &To, what: &str, edit: Option<&str>) -> Result<(), String> {
-    let wish = match what {
-        "state" => Element::new(STATE, "state"),
-        "fleet" | "roster" => Element::new(FLEET, what),
-        other => return Err(format!("there is no {other} to show")),
-    };
-    let mut client = to.open()?;
-    let reply = client.get(wish).map_err(|e| e.to_string())?;
-    let data = reply.child("data").cloned().unwrap_or_else(|| Element::new(BASE, "data"));
-    for top in &data.children {
-        match edit {
-            None => print!("{}", top.to_pretty()),
-            Some(id) => {
-                let found = top.named("edit").find(|e| e.text_of("id") == Some(id));
-                print!("{}", found.ok_or_else(|| format!("no edit {id} is known"))?.to_pretty());
-            }
-        }
-    }
-    client.close().map_err(|e| e.to_string())
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use runloom_controller::{Command, ListedState};
-    use runloom_guard::{GuardConfig as GuardTerms, SafetyGuard};
-
-    /// A refusal stands in a text log as it is, in a JSON log once more escaped; both are found and judged anew.
-    #[test]
-    fn refusals_are_found_in_logs_of_both_kinds_and_judged_anew() {
-        let mut guard = SafetyGuard::new(GuardTerms {
-            classes: 1,
-            planners: 1.0,
-            cold_from: 0.2,
-            warm_after: Duration::from_secs(9),
-            multiple: 4.0,
-            only_drains_bind: false,
-        });
-        guard.listed(0, ListedState::Ready, 1.0, None);
-        guard.joined(0, 5.0);
-        let line = |weight| Command::SetEntry { table: 1, server: 0, weight };
-        guard.judge(
-            Duration::ZERO,
-            vec![line(1.0), Command::AssignTable { proxy: 0, table: 1, class_mask: 0 }],
-        );
-        guard.judge(Duration::ZERO, vec![line(0.0)]);
-        let case = serde_json::to_string(guard.refusals().last().unwrap().case.as_ref().unwrap()).unwrap();
-        let text =
-            format!("2026-12-01T00:00:00Z  WARN runloom: refused reason=\"empties-table\" case={case}");
-        let json = format!(
-            "{{\"level\":\"WARN\",\"fields\":{{\"case\":{}}}}}",
-            serde_json::to_string(&case).unwrap()
-        );
-        let found = cases(&format!("another line\n{text}\n{json}\n"));
-        assert_eq!(found.len(), 2);
-        assert_eq!(found[0], found[1]);
-        assert_eq!(found[0].replay().map(|r| r.reason.word()), Some("empties-table"));
+fn run_replay(mut arguments: ReplayArguments) -> Result<(), CommandError> {
+    match arguments.scenario.take() {
+        Some(file) => replay::infer_scenario(&arguments.folder, &file),
+        None => replay::replay(&arguments.into()),
     }
 }
--- a/crates/daemon/src/planner_runtime/health_checks.rs
+++ b/crates/daemon/src/planner_runtime/health_checks.rs
@@ -1,6 +1,6 @@
 //! Health checks: one HTTP request to a server for each that the decisions ask for.
 
-use crate::http::Reader;
+use crate::http::MessageReader;
 use runloom_control_session::ControlSession;
 use runloom_controller::HealthCheckResult;
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, Security};
@@ -21,7 +21,7 @@
 struct HealthCheck {
     server: usize,
     sent: Duration,
-    reader: Reader,
+    reader: MessageReader,
 }
 
 impl HealthCheck {
@@ -61,7 +61,7 @@
         };
         match connection {
             Some(connection) => {
-                let check = HealthCheck { server, sent, reader: Reader::answers() };
+                let check = HealthCheck { server, sent, reader: MessageReader::responses() };
                 self.in_flight.insert(connection, check);
             }
             None => control.probed(server, HealthCheckResult::Inconclusive, Duration::ZERO, vec![]),
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -1,7 +1,7 @@
 //! The metrics in Prometheus' text format, over plain HTTP.
 
 use super::core::PlannerCore;
-use crate::http::{write_answer, Reader};
+use crate::http::{serialize_response, MessageReader};
 use crate::wall_ms;
 use hdrhistogram::Histogram;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle, PrometheusRecorder};
@@ -16,7 +16,7 @@
 pub(super) struct MetricsEndpoint {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
-    clients: BTreeMap<ConnectionId, Reader>,
+    clients: BTreeMap<ConnectionId, MessageReader>,
 }
 
 impl MetricsEndpoint {
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn open(&mut self, connection: ConnectionId) {
-        self.clients.insert(connection, Reader::queries());
+        self.clients.insert(connection, MessageReader::requests());
     }
 
     pub(super) fn handle_close(&mut self, connection: ConnectionId) {
@@ -56,10 +56,10 @@
             Ok(None) => return,
             Ok(Some(request)) if request.path == "/metrics" => {
                 let headers = [("content-type".to_string(), CONTENT_TYPE.to_string())];
-                write_answer(200, &headers, self.render(core, event_loop).as_bytes())
+                serialize_response(200, &headers, self.render(core, event_loop).as_bytes())
             }
-            Ok(Some(_)) => write_answer(404, &[], b""),
-            Err(_) => write_answer(400, &[], b""),
+            Ok(Some(_)) => serialize_response(404, &[], b""),
+            Err(_) => serialize_response(400, &[], b""),
         };
         event_loop.write(connection, &response);
         event_loop.finish(connection);
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -1,6 +1,6 @@
 //! The forwarder's shell: queries in and out by HTTP/1.1, tables by NETCONF from a planner that it dials.
 
-use crate::http::{write_answer, write_query, Bad, Message, Reader};
+use crate::http::{serialize_request, serialize_response, HttpError, Message, MessageReader};
 use crate::tls_credentials::{server_name, CertificateHolder, TlsError, TlsPolicy, PLANNER};
 use crate::{earliest, wall_ms, wall_text};
 use nanorand::{Rng, WyRand};
@@ -96,7 +96,7 @@
 }
 
 struct Caller {
-    reader: Reader,
+    reader: MessageReader,
     query: Option<RequestId>,
     close: bool,
 }
@@ -104,7 +104,7 @@
 /// A try on its way: what is sent once the connection stands, and what was.
 struct Upstream {
     address: SocketAddr,
-    reader: Reader,
+    reader: MessageReader,
     query: Option<RequestId>,
     open: bool,
     dialled: Duration,
@@ -335,7 +335,8 @@
         certificate: Option<Vec<u8>>,
     ) {
         if listener == Some(self.listener) {
-            self.callers.insert(conn, Caller { reader: Reader::queries(), query: None, close: false });
+            self.callers
+                .insert(conn, Caller { reader: MessageReader::requests(), query: None, close: false });
             self.made.push(conn);
         } else if self.dialling == Some(conn) {
             self.dialling = None;
@@ -437,7 +438,7 @@
         let Some(caller) = self.callers.get_mut(&conn) else { return };
         if caller.query.is_some() {
             // One query at a time; what comes early waits, within a bound.
-            if caller.reader.held() > AHEAD_MOST {
+            if caller.reader.buffered_bytes() > AHEAD_MOST {
                 turn.hold(conn, true);
             }
             return;
@@ -446,8 +447,8 @@
             Ok(None) => {}
             Ok(Some(query)) => self.came(turn, conn, query),
             Err(bad) => {
-                let code = if bad == Bad::Malformed { 400 } else { 413 };
-                turn.write(conn, &write_answer(code, &[], b""));
+                let code = if bad == HttpError::Malformed { 400 } else { 413 };
+                turn.write(conn, &serialize_response(code, &[], b""));
                 turn.finish(conn);
                 self.callers.remove(&conn);
             }
@@ -462,12 +463,12 @@
         }
         let class = query.path.split('/').nth(1).and_then(|name| self.proxy.class(name));
         let Some(class) = class else {
-            return self.answer(turn, conn, &write_answer(404, &[], b"no such class\n"));
+            return self.answer(turn, conn, &serialize_response(404, &[], b"no such class\n"));
         };
         self.next_query += 1;
         let id = self.next_query;
         query.headers.push(("runloom-proxy".into(), self.stand.name.clone()));
-        let text = write_query(&query);
+        let text = serialize_request(&query);
         match self.proxy.arrived(now, id, class) {
             Step::Send { address, until, .. } => {
                 if let Some(caller) = self.callers.get_mut(&conn) {
@@ -495,7 +496,7 @@
                 };
                 match turn.dial(address, &Security::Plain, bounds) {
                     Ok(conn) => {
-                        let reader = Reader::answers();
+                        let reader = MessageReader::responses();
                         let dialled = turn.now();
                         self.upstreams
                             .insert(conn, Upstream { address, reader, query: None, open: false, dialled });
@@ -531,7 +532,8 @@
             Ok(None) => {}
             Ok(Some(answer)) => {
                 upstream.query = None;
-                let (address, reusable) = (upstream.address, !answer.close && upstream.reader.held() == 0);
+                let (address, reusable) =
+                    (upstream.address, !answer.close && upstream.reader.buffered_bytes() == 0);
                 let pool = self.pool.entry(address).or_default();
                 if reusable && pool.len() < POOL_MOST {
                     pool.push(conn);
@@ -547,7 +549,7 @@
                     500..=599 => AttemptOutcome::Error { load },
                     _ => AttemptOutcome::Answered { load },
                 };
-                let text = write_answer(answer.code, &answer.headers, &answer.body);
+                let text = serialize_response(answer.code, &answer.headers, &answer.body);
                 self.ended_with(turn, id, how, Some(text));
             }
             Err(_) => {
@@ -610,7 +612,7 @@
             headers.push(("retry-after-ms".into(), after.as_millis().to_string()));
         }
         let code = if why == Refusal::Late { 504 } else { 503 };
-        self.answer(turn, caller, &write_answer(code, &headers, b""));
+        self.answer(turn, caller, &serialize_response(code, &headers, b""));
     }
 
     fn answer(&mut self, turn: &mut EventLoop, conn: ConnectionId, text: &[u8]) {
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,48 +1,77 @@
-//! Starting a planner or a forwarder from its settings file, until a signal ends it.
+//! Runs a planner or a proxy from its settings file until a signal ends it.
 
+use crate::error::StartError;
 use crate::planner_runtime::{PlannerRuntime, TestHooks};
-use crate::proxy_runtime::ProxyRuntime;
-use crate::settings::{read, Settings};
+use crate::proxy_runtime::{self, ProxyRuntime};
+use crate::settings::{self, InvalidFile, Settings};
 use crate::wall_ms;
 use runloom_event_loop::EventLoop;
-use std::path::Path;
+use signal_hook::consts::{SIGINT, SIGTERM};
+use std::io;
+use std::path::{Path, PathBuf};
 
-fn looped() -> Result<EventLoop, String> {
-    let mut turn = EventLoop::new().map_err(|e| e.to_string())?;
-    for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
-        turn.signal(signal).map_err(|e| e.to_string())?;
+/// Why a planner or a proxy could not be started, or ended otherwise than by a signal.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The settings are not valid.
+    #[error(transparent)]
+    Settings(#[from] InvalidFile),
+    /// The settings are for something else.
+    #[error("{path}: <{wanted}> is wanted here", path = path.display())]
+    WrongSettings {
+        /// The file.
+        path: PathBuf,
+        /// The element that it should hold.
+        wanted: &'static str,
+    },
+    /// The event loop failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The planner could not start.
+    #[error(transparent)]
+    PlannerStart(#[from] StartError),
+    /// The proxy could not start.
+    #[error(transparent)]
+    ProxyStart(#[from] proxy_runtime::Failed),
+}
+
+/// An event loop that SIGTERM and SIGINT end.
+fn event_loop() -> io::Result<EventLoop> {
+    let mut event_loop = EventLoop::new()?;
+    for signal in [SIGTERM, SIGINT] {
+        event_loop.signal(signal)?;
     }
-    Ok(turn)
+    Ok(event_loop)
 }
 
-/// Runs a planner; its addresses are told on standard output, a line each.
-pub fn planner(settings: &Path, seed: Option<u64>, trial: TestHooks) -> Result<(), String> {
-    let Settings::Planner(place) = read(settings).map_err(|f| f.join("\n"))? else {
-        return Err(format!("{}: <planner> is wanted here", settings.display()));
+/// Runs a planner, and prints its addresses, a line each. Without a seed, the time of the start is one.
+pub fn planner(settings: &Path, seed: Option<u64>, hooks: TestHooks) -> Result<(), RunError> {
+    let Settings::Planner(planner_settings) = settings::read(settings)? else {
+        return Err(RunError::WrongSettings { path: settings.to_path_buf(), wanted: "planner" });
     };
-    let mut turn = looped()?;
+    let mut event_loop = event_loop()?;
     let seed = seed.unwrap_or_else(wall_ms);
-    let (mut planner, at) = PlannerRuntime::start(&mut turn, &place, seed).map_err(|e| e.to_string())?;
-    planner.apply_test_hooks(trial);
-    println!("edits {}", at.edits);
-    println!("home {}", at.home);
-    if let Some(pubsub) = at.pubsub {
+    let (mut planner, addresses) = PlannerRuntime::start(&mut event_loop, &planner_settings, seed)?;
+    planner.apply_test_hooks(hooks);
+    println!("edits {}", addresses.edits);
+    println!("home {}", addresses.home);
+    if let Some(pubsub) = addresses.pubsub {
         println!("pubsub {pubsub}");
     }
-    if let Some(metrics) = at.metrics {
+    if let Some(metrics) = addresses.metrics {
         println!("metrics {metrics}");
     }
-    planner.run(&mut turn).map_err(|e| e.to_string())
+    Ok(planner.run(&mut event_loop)?)
 }
 
-/// Runs a forwarder; its address is told on standard output.
-pub fn forwarder(settings: &Path, seed: Option<u64>) -> Result<(), String> {
-    let Settings::Forwarder(stand) = read(settings).map_err(|f| f.join("\n"))? else {
-        return Err(format!("{}: <forwarder> is wanted here", settings.display()));
+/// Runs a proxy, and prints its address. Without a seed, the time of the start is one.
+pub fn proxy(settings: &Path, seed: Option<u64>) -> Result<(), RunError> {
+    let Settings::Proxy(proxy_settings) = settings::read(settings)? else {
+        return Err(RunError::WrongSettings { path: settings.to_path_buf(), wanted: "forwarder" });
     };
-    let mut turn = looped()?;
+    let mut event_loop = event_loop()?;
     let seed = seed.unwrap_or_else(wall_ms);
-    let (mut forwarder, at) = ProxyRuntime::start(&mut turn, *stand, seed).map_err(|e| e.to_string())?;
-    println!("listen {at}");
-    forwarder.run(&mut turn).map_err(|e| e.to_string())
+    let (mut proxy, address) = ProxyRuntime::start(&mut event_loop, *proxy_settings, seed)?;
+    println!("listen {address}");
+    Ok(proxy.run(&mut event_loop)?)
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,50 +1,127 @@
-//! Settings files: read whole, judged by the schema, told with file, line, element and reason.
+//! Settings files, validated against the schema. Faults name file, line, element and reason.
 
 use runloom_model::fleet::{InvalidSettings, PlannerSettings};
 use runloom_model::forwarder::ProxySettings;
 use runloom_model::schema::SchemaValidator;
 use runloom_model::FLEET_XSD;
 use runloom_netconf::tree::Element;
-use std::path::Path;
+use std::fmt;
+use std::path::{Path, PathBuf};
 
-/// Larger files are no settings.
-const FILE_MOST: u64 = 16 << 20;
+/// Larger files are not read, in bytes.
+const MAX_FILE_BYTES: u64 = 16 << 20;
+/// The element of a fault that concerns no particular element.
+const UNKNOWN_ELEMENT: &str = "?";
 
-/// What a settings file is for.
+/// Valid settings, by what they are for.
 #[derive(Debug, Clone)]
 pub enum Settings {
+    /// A planner's.
     Planner(Box<PlannerSettings>),
-    Forwarder(Box<ProxySettings>),
-    /// A part on its own: valid, and for nothing to start with.
+    /// A proxy's.
+    Proxy(Box<ProxySettings>),
+    /// A part on its own: valid, but nothing can be started with it. The name of its element.
     Part(String),
 }
 
-/// Reads a file; on faults, one line for each: `file:line:column: <element>: reason`.
-pub fn read(path: &Path) -> Result<Settings, Vec<String>> {
-    let told = |line: usize, column: usize, element: &str, reason: &str| {
-        vec![format!("{}:{line}:{column}: <{element}>: {reason}", path.display())]
-    };
-    let size = std::fs::metadata(path).map_err(|e| told(0, 0, "?", &e.to_string()))?.len();
-    if size > FILE_MOST {
-        return Err(told(0, 0, "?", "the file is too large"));
+/// One fault of a settings file.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct SettingsFault {
+    /// Line from 1; 0 if it is not known.
+    pub line: usize,
+    /// Column from 1; 0 if it is not known.
+    pub column: usize,
+    /// The name of the element.
+    pub element: String,
+    /// What is wrong with it.
+    pub reason: String,
+}
+
+impl SettingsFault {
+    /// A fault of the file as a whole.
+    fn of_file(reason: impl ToString) -> SettingsFault {
+        SettingsFault { line: 0, column: 0, element: UNKNOWN_ELEMENT.into(), reason: reason.to_string() }
     }
-    let text = std::fs::read_to_string(path).map_err(|e| told(0, 0, "?", &e.to_string()))?;
-    let judge = SchemaValidator::new(FLEET_XSD).map_err(|e| told(0, 0, "schema", &e))?;
-    let faults = judge.faults(&text);
-    if !faults.is_empty() {
-        return Err(faults.iter().map(|f| format!("{}:{f}", path.display())).collect());
+}
+
+/// All faults of a settings file; displayed one on a line, as `file:line:column: <element>: reason`.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct InvalidFile {
+    /// The file.
+    pub path: PathBuf,
+    /// At least one.
+    pub faults: Vec<SettingsFault>,
+}
+
+impl fmt::Display for InvalidFile {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (index, fault) in self.faults.iter().enumerate() {
+            if index > 0 {
+                writeln!(f)?;
+            }
+            let SettingsFault { line, column, element, reason } = fault;
+            write!(f, "{}:{line}:{column}: <{element}>: {reason}", self.path.display())?;
+        }
+        Ok(())
     }
-    let root = Element::parse(&text).map_err(|e| told(e.line, e.column, "?", &e.reason))?;
-    let misfit = |m: InvalidSettings| {
-        let element = m.path.rsplit('/').next().unwrap_or_default().to_string();
-        // The schema's places are gone by now: the first place where the name of the entry stands.
-        let entry = m.path.split('\'').nth(1).unwrap_or(&element);
-        let line = text.lines().position(|l| l.contains(entry)).map_or(0, |k| k + 1);
-        told(line, 1, &element, &format!("{} ({})", m.reason, m.path))
+}
+
+impl std::error::Error for InvalidFile {}
+
+/// Reads and validates a file.
+pub fn read(path: &Path) -> Result<Settings, InvalidFile> {
+    read_settings(path).map_err(|faults| InvalidFile { path: path.to_path_buf(), faults })
+}
+
+fn read_settings(path: &Path) -> Result<Settings, Vec<SettingsFault>> {
+    let text = read_text(path).map_err(|fault| vec![fault])?;
+    check_schema(&text)?;
+    let root = Element::parse(&text).map_err(|malformed| {
+        vec![SettingsFault {
+            line: malformed.line,
+            column: malformed.column,
+            element: UNKNOWN_ELEMENT.into(),
+            reason: malformed.reason,
+        }]
+    })?;
+    let settings = match root.name.as_str() {
+        "planner" => PlannerSettings::read(&root).map(|settings| Settings::Planner(Box::new(settings))),
+        "forwarder" => ProxySettings::read(&root).map(|settings| Settings::Proxy(Box::new(settings))),
+        part => Ok(Settings::Part(part.to_string())),
     };
-    match root.name.as_str() {
-        "planner" => PlannerSettings::read(&root).map(|p| Settings::Planner(Box::new(p))).map_err(misfit),
-        "forwarder" => ProxySettings::read(&root).map(|s| Settings::Forwarder(Box::new(s))).map_err(misfit),
-        other => Ok(Settings::Part(other.to_string())),
+    settings.map_err(|invalid| vec![locate(&text, invalid)])
+}
+
+fn read_text(path: &Path) -> Result<String, SettingsFault> {
+    let bytes = std::fs::metadata(path).map_err(SettingsFault::of_file)?.len();
+    if bytes > MAX_FILE_BYTES {
+        return Err(SettingsFault::of_file("the file is too large"));
     }
+    std::fs::read_to_string(path).map_err(SettingsFault::of_file)
+}
+
+fn check_schema(text: &str) -> Result<(), Vec<SettingsFault>> {
+    let schema = SchemaValidator::new(FLEET_XSD).map_err(|reason| {
+        vec![SettingsFault { element: "schema".into(), ..SettingsFault::of_file(reason) }]
+    })?;
+    let violations = schema.faults(text);
+    if violations.is_empty() {
+        return Ok(());
+    }
+    let faults = violations.into_iter().map(|violation| SettingsFault {
+        line: violation.line,
+        column: violation.column,
+        element: violation.element,
+        reason: violation.reason,
+    });
+    Err(faults.collect())
+}
+
+/// Places in the text are no longer known here: takes the first line that holds the name of the entry.
+fn locate(text: &str, invalid: InvalidSettings) -> SettingsFault {
+    let element = invalid.path.rsplit('/').next().unwrap_or_default().to_string();
+    let entry = invalid.path.split('\'').nth(1).unwrap_or(&element);
+    let line = text.lines().position(|line| line.contains(entry)).map_or(0, |index| index + 1);
+    let reason = format!("{} ({})", invalid.reason, invalid.path);
+    SettingsFault { line, column: 1, element, reason }
 }
--- a/crates/daemon/src/state_file.rs
+++ b/crates/daemon/src/state_file.rs
@@ -1,53 +1,56 @@
-//! Single small files that outlast a planner's process: its epoch, and what folders of an earlier form held. A file is
-//! written beside, synced and renamed, so that it is the old one or the new one, never a half of one.
+//! Small files of the state folder: the epoch, and files of the folder's first layout. A file is written under another
+//! name, synced and renamed, so that after a crash it holds the old or the new content.
 
 use runloom_netconf::tree::Element;
 use std::fs::{self, File};
-use std::io::{self, Write};
+use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
+/// A folder of small XML files.
 pub struct StateFile {
     folder: PathBuf,
 }
 
 impl StateFile {
+    /// Opens the folder, which is created if it does not exist.
     pub fn open(folder: &Path) -> io::Result<StateFile> {
         fs::create_dir_all(folder)?;
         Ok(StateFile { folder: folder.to_path_buf() })
     }
 
-    /// Writes one file; once this returns, it is there after a power cut.
+    /// Writes a file. Once this returns, the content survives a power failure.
     pub fn write(&self, name: &str, content: &Element) -> io::Result<()> {
-        let (beside, place) = (self.folder.join(format!("{name}.new")), self.folder.join(name));
-        let mut file = File::create(&beside)?;
+        let temporary = self.folder.join(format!("{name}.new"));
+        let mut file = File::create(&temporary)?;
         file.write_all(content.to_text().as_bytes())?;
         file.sync_all()?;
-        fs::rename(&beside, &place)?;
+        fs::rename(&temporary, self.folder.join(name))?;
         File::open(&self.folder)?.sync_all()
     }
 
-    /// Puts a file of an earlier form under another name, once what it held is kept otherwise.
+    /// Renames a file of the first layout, if there is one.
     pub fn set_aside(&self, name: &str) -> io::Result<()> {
         match fs::rename(self.folder.join(name), self.folder.join(format!("{name}.old"))) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
+            Err(error) if error.kind() != ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// Reads one file. One that is broken is set aside under another name, and told.
+    /// Reads a file, if there is one. A malformed file is renamed and logged.
     pub fn read(&self, name: &str) -> io::Result<Option<Element>> {
-        let place = self.folder.join(name);
-        let text = match fs::read_to_string(&place) {
+        let path = self.folder.join(name);
+        let text = match fs::read_to_string(&path) {
             Ok(text) => text,
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
+            Err(error) => return Err(error),
         };
         match Element::parse(&text) {
             Ok(element) => Ok(Some(element)),
-            Err(e) => {
+            Err(malformed) => {
                 let aside = self.folder.join(format!("{name}.broken"));
-                fs::rename(&place, &aside)?;
-                tracing::error!(file = %place.display(), aside = %aside.display(), reason = %e.reason, "broken file");
+                fs::rename(&path, &aside)?;
+                let reason = malformed.reason;
+                tracing::error!(file = %path.display(), aside = %aside.display(), %reason, "malformed file");
                 Ok(None)
             }
         }
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
-use runloom_daemon::http::{write_answer, Message, Reader};
+use runloom_daemon::http::{serialize_response, Message, MessageReader};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -54,7 +54,7 @@
     /// Started cold: not at the very beginning of the day.
     pub cold: bool,
     pub fell: Option<Duration>,
-    readers: BTreeMap<ConnectionId, Reader>,
+    readers: BTreeMap<ConnectionId, MessageReader>,
     running: Vec<(Duration, Job)>,
     queue: VecDeque<Job>,
     arrivals: VecDeque<(Duration, f64)>,
@@ -164,7 +164,7 @@
             turn.hold(conn, true);
         }
         self.of.insert(conn, id);
-        self.all[id].readers.insert(conn, Reader::queries());
+        self.all[id].readers.insert(conn, MessageReader::requests());
     }
 
     pub fn closed(&mut self, conn: ConnectionId) {
@@ -177,7 +177,8 @@
         let Some(id) = self.of.get(&conn).copied() else { return };
         let Some(reader) = self.all[id].readers.get_mut(&conn) else { return };
         reader.push(bytes);
-        while let Some(Ok(Some(query))) = self.all[id].readers.get_mut(&conn).map(Reader::next_message) {
+        while let Some(Ok(Some(query))) = self.all[id].readers.get_mut(&conn).map(MessageReader::next_message)
+        {
             self.came(turn, id, conn, &query, chance);
         }
     }
@@ -193,7 +194,7 @@
         let now = turn.now();
         if query.path == "/health" {
             if !matches!(self.all[id].health, Health::Hangs | Health::Silent) {
-                turn.write(conn, &write_answer(200, &self.load(id), b"well\n"));
+                turn.write(conn, &serialize_response(200, &self.load(id), b"well\n"));
             }
             return;
         }
@@ -220,7 +221,7 @@
         match server.health {
             Health::Hangs | Health::Silent => return,
             Health::Fails(part) if rand::Rng::random::<f64>(chance) < part => {
-                return turn.write(conn, &write_answer(500, &[], b""));
+                return turn.write(conn, &serialize_response(500, &[], b""));
             }
             _ => {}
         }
@@ -231,7 +232,7 @@
             server.queue.push_back(job);
         } else {
             // An explicit word that it never began.
-            turn.write(conn, &write_answer(503, &[("runloom-turned-away".into(), "1".into())], b""));
+            turn.write(conn, &serialize_response(503, &[("runloom-turned-away".into(), "1".into())], b""));
         }
     }
 
@@ -276,7 +277,7 @@
                 let busy = self.all[id].running.len() as f64 / self.cores as f64;
                 self.all[id].util += (busy - self.all[id].util) * share.max(0.05);
                 if !matches!(self.all[id].health, Health::Hangs | Health::Silent) {
-                    turn.write(job.conn, &write_answer(200, &self.load(id), b"done\n"));
+                    turn.write(job.conn, &serialize_response(200, &self.load(id), b"done\n"));
                     self.handled += 1;
                 }
                 if let Some(next) = self.all[id].queue.pop_front() {
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
-use runloom_daemon::http::{write_query, Message, Reader};
+use runloom_daemon::http::{serialize_request, Message, MessageReader};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 
 struct Line {
     forwarder: usize,
-    reader: Reader,
+    reader: MessageReader,
     query: Option<Query>,
 }
 
@@ -127,7 +127,8 @@
             Some(conn) => conn,
             None => match turn.dial(self.forwarders[f], &Security::Plain, BufferLimits::default()) {
                 Ok(conn) => {
-                    self.lines.insert(conn, Line { forwarder: f, reader: Reader::answers(), query: None });
+                    self.lines
+                        .insert(conn, Line { forwarder: f, reader: MessageReader::responses(), query: None });
                     conn
                 }
                 Err(_) => return self.failed(turn.now(), query, "connect"),
@@ -135,7 +136,7 @@
         };
         let path = format!("/{}/{}", CLASSES[query.class].0, query.key);
         let text = Message { method: "POST".into(), path, ..Message::default() };
-        turn.write(conn, &write_query(&text));
+        turn.write(conn, &serialize_request(&text));
         if let Some(line) = self.lines.get_mut(&conn) {
             line.query = Some(query);
         }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -119,7 +119,9 @@
             let dies = dies.as_deref().and_then(CrashPoint::from_name);
             let spoil = spoil.as_deref().and_then(runloom_testbed::command_corruption::named);
             let trial = TestHooks { crash_point: dies, skip_guard: unguarded, command_tamper: spoil };
-            runloom_daemon::run::planner(&settings, Some(seed), trial).map(|()| true)
+            runloom_daemon::run::planner(&settings, Some(seed), trial)
+                .map(|()| true)
+                .map_err(|e| e.to_string())
         }
     };
     match outcome {
--- a/crates/testbed/src/staff.rs
+++ b/crates/testbed/src/staff.rs
@@ -1,7 +1,7 @@
 //! The feed and the staff: NETCONF clients on threads of their own, one session after the other.
 
 use crate::scenario::Edit;
-use runloom_daemon::client::{edit_config, Client, Failed};
+use runloom_daemon::client::{edit_config, Client, ClientError};
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::fleet::{ListedServer, TlsFiles};
 use runloom_model::{FLEET, STATE};
@@ -98,7 +98,7 @@
     terms: &TlsPolicy,
     shared: &Shared,
     start: Instant,
-) -> Result<(), Failed> {
+) -> Result<(), ClientError> {
     let mut client = Client::open(at, terms, PATIENCE)?;
     let mut known: Option<List> = None;
     while !shared.done.load(Ordering::Relaxed) {
@@ -179,7 +179,7 @@
     while !shared.done.load(Ordering::Relaxed) && !outcome.in_force && outcome.refused.is_none() {
         match session(planner, at, terms, edit, shared, start, &mut outcome) {
             Ok(()) => {}
-            Err(Failed::Refused(why)) => outcome.refused = Some(why),
+            Err(ClientError::Rejected(why)) => outcome.refused = Some(why),
             Err(e) => tracing::debug!(edit = %edit.id, error = %e, "asked again under the same id"),
         }
         std::thread::sleep(AGAIN);
@@ -196,7 +196,7 @@
     shared: &Shared,
     start: Instant,
     outcome: &mut Outcome,
-) -> Result<(), Failed> {
+) -> Result<(), ClientError> {
     let mut client = Client::open(at, terms, PATIENCE)?;
     if outcome.accepted.is_none() {
         outcome.tries += 1;
@@ -204,7 +204,7 @@
         if edit.dropped && outcome.tries == 1 {
             // The session drops between the edit and its reply.
             client.send(operation, Some(&edit.id));
-            return Err(Failed::Ended("dropped on purpose".into()));
+            return Err(ClientError::Ended("dropped on purpose".into()));
         }
         client.ask(operation, Some(&edit.id))?;
         let now = start.elapsed();
--- a/crates/testbed/tests/kept.rs
+++ b/crates/testbed/tests/kept.rs
@@ -4,7 +4,7 @@
 
 use help::Desk;
 use runloom_daemon::client::edit_config;
-use runloom_daemon::state;
+use runloom_daemon::commands::state;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_store::disk::Lock;
@@ -76,7 +76,7 @@
             assert!(set.iter().filter(|n| !known.contains(**n)).all(|n| **n == format!("e{next}")));
         }
         let folder = desk.folder.0.join("state");
-        assert_eq!(state::verify(&folder), Ok(true), "round {round}");
+        assert!(state::verify(&folder).unwrap(), "round {round}");
         assert!(Lock::take(&folder).is_err(), "the planner has the folder");
     }
     assert!(answered.len() as u64 > kills() / 2, "{} edits in all", answered.len());
