--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -102,7 +102,7 @@
         let mut inventory = Inventory::default();
         let listed = inventory.update(config.fleet(), config.listed());
         let recording = EventRecording::open(settings, &mut control, &config, seed, started_at_ms)?;
-        control.list(EndpointUpdate::Cached, listed);
+        control.update_endpoints(EndpointUpdate::Cached, listed);
         restore_learned(&mut control, &restored, &inventory);
 
         let core = PlannerCore {
@@ -144,8 +144,8 @@
     /// Injects faults, for tests.
     pub fn apply_test_hooks(&mut self, hooks: TestHooks) {
         self.durability.crash_point = hooks.crash_point;
-        self.core.control.guarded = !hooks.skip_guard;
-        self.core.control.spoil = hooks.command_tamper;
+        self.core.control.is_guarded = !hooks.skip_guard;
+        self.core.control.tamper = hooks.command_tamper;
     }
 
     /// Runs until a signal asks the planner to stop.
@@ -184,7 +184,7 @@
 
     fn wakes_at(&self) -> Option<Duration> {
         earliest([
-            self.core.control.wakes_at(),
+            self.core.control.next_wakeup(),
             self.core.distributor.wakes_at(),
             self.operators.wakes_at(),
             self.core.config.edit_history.wakes_at(),
@@ -306,8 +306,8 @@
 
     /// Steps the decisions, and sends what they command.
     fn decide(&mut self, event_loop: &mut EventLoop, now: Duration) {
-        let (actions, issued) = self.core.control.turn(now);
-        self.core.config.edit_history.ordered(&issued.servers, &issued.proxies);
+        let (actions, issued) = self.core.control.step(now);
+        self.core.config.edit_history.ordered(&issued.servers, &issued.messages);
         let has_commands = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         for action in actions {
             self.perform(event_loop, action);
@@ -321,13 +321,13 @@
 
     fn perform(&mut self, event_loop: &mut EventLoop, action: Action) {
         match action {
-            Action::Table { table, edit } => self.core.distributor.table(table, &edit),
-            Action::Withdrawn { servers } => self.core.distributor.withdrawn(&servers),
-            Action::Send { proxy, number, message, lines } => {
-                tracing::debug!(proxy, number, lines, "issued");
+            Action::UpdateTable { table, edit } => self.core.distributor.table(table, &edit),
+            Action::UpdateEjections { servers } => self.core.distributor.withdrawn(&servers),
+            Action::Send { proxy, number, message, entries } => {
+                tracing::debug!(proxy, number, lines = entries, "issued");
                 self.core.distributor.ordered(proxy, number, &message);
             }
-            Action::Probe { server, address } => {
+            Action::CheckHealth { server, address } => {
                 self.health_checks.start(&mut self.core.control, event_loop, server, address);
             }
             Action::Log { text } => tracing::info!("{text}"),
@@ -348,10 +348,10 @@
         self.seed = self.seed.wrapping_add(1);
         self.record_reconfiguration(now);
         let fleet = self.core.config.persisted_fleet().clone();
-        if self.core.control.refit(fleet, self.seed) {
+        if self.core.control.reconfigure(fleet, self.seed) {
             self.restart_decisions();
         } else if !changes.is_empty() {
-            self.core.control.list(EndpointUpdate::Delta, changes);
+            self.core.control.update_endpoints(EndpointUpdate::Delta, changes);
         }
         self.core.config.edit_history.decided(now, &changed_servers);
     }
@@ -370,7 +370,7 @@
         let core = &mut self.core;
         let servers = self.inventory.servers().iter();
         let servers = servers.map(|(name, server)| (name.clone(), Change::Is(server.clone()))).collect();
-        core.control.list(EndpointUpdate::Cached, servers);
+        core.control.update_endpoints(EndpointUpdate::Cached, servers);
         let fleet = core.config.persisted_fleet();
         let epoch = core.distributor.publisher().epoch() + 1;
         core.distributor.restart(epoch, fleet.grace.drain, max_deadline(fleet));
@@ -380,7 +380,7 @@
         let has_no_table = false;
         for (proxy, connected) in &core.connected {
             let (name, zone) = (&connected.name, &connected.zone);
-            core.control.joined(name, zone, connected.request_rate, has_no_table);
+            core.control.connect_proxy(name, zone, connected.request_rate, has_no_table);
             core.config.edit_history.left(*proxy);
         }
     }
@@ -466,7 +466,7 @@
     let hints = restore::warm_start_hints(restored, inventory);
     if !hints.is_empty() {
         tracing::info!(servers = hints.len(), "what an earlier start learned is taken as hints");
-        control.remembered(&hints);
+        control.warm_start(&hints);
     }
 }
 
--- a/crates/daemon/src/planner_runtime/core.rs
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -99,7 +99,7 @@
     /// A message, and so all before it, took effect at a proxy. `update` is the update that this completes.
     pub(super) fn update_applied(&mut self, now: Duration, proxy: ProxyId, update: Option<u64>) {
         if let Some(update) = update {
-            self.control.applied(now, proxy, update);
+            self.control.acknowledge(now, proxy, update);
             self.config.edit_history.applied(proxy, update);
         }
     }
@@ -107,7 +107,7 @@
     /// A proxy's connection ended.
     pub(super) fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.connected.remove(&proxy);
-        self.control.left(proxy);
+        self.control.disconnect_proxy(proxy);
         self.distributor.left(proxy);
         self.config.edit_history.left(proxy);
     }
--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -120,10 +120,16 @@
     /// Writes what the decisions have learned of servers.
     pub(super) fn write_learned(&mut self, core: &PlannerCore, inventory: &Inventory) {
         let servers = inventory.servers();
-        let learned = core.control.learned().into_iter().filter_map(|(name, swift, failed, held)| {
-            let server = servers.get(&name)?;
-            let (address, started) = (server.address.to_string(), server.started);
-            Some(LearnedServer { name, address, started, swift, failed, held })
+        let learned = core.control.learned_states().into_iter().filter_map(|state| {
+            let server = servers.get(&state.name)?;
+            Some(LearnedServer {
+                name: state.name,
+                address: server.address.to_string(),
+                started: server.started,
+                swift: state.speed_factor,
+                failed: state.last_ejected_ms,
+                held: state.is_long_ejected,
+            })
         });
         let learned = LearnedServers { written: core.config.wall_ms, servers: learned.collect() };
         self.learned = learned.renewed(&self.learned);
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -36,13 +36,13 @@
             epoch,
             fleet: config.persisted_fleet_text(),
         };
-        control.witness = Some(vec![(Duration::ZERO, start)]);
+        control.recorded_events = Some(vec![(Duration::ZERO, start)]);
         Ok(EventRecording { writer: Some(Writer::new(recorder)), is_stopped: false })
     }
 
     /// Writes what happened in a turn that began at `turn_start`.
     pub(super) fn write(&mut self, control: &mut ControlSession, now: Duration, turn_start: Duration) {
-        let (Some(writer), Some(witness)) = (&mut self.writer, &mut control.witness) else { return };
+        let (Some(writer), Some(witness)) = (&mut self.writer, &mut control.recorded_events) else { return };
         let mut events = std::mem::take(witness);
         for (_, event) in &mut events {
             if let RecordedEvent::Turn { took, .. } = event {
@@ -70,7 +70,7 @@
 
 /// Adds an event that the decisions are not told of to the log of the turn.
 pub(super) fn note_event(control: &mut ControlSession, now: Duration, event: RecordedEvent) {
-    if let Some(witness) = &mut control.witness {
+    if let Some(witness) = &mut control.recorded_events {
         witness.push((now, event));
     }
 }
--- a/crates/daemon/src/planner_runtime/health_checks.rs
+++ b/crates/daemon/src/planner_runtime/health_checks.rs
@@ -26,7 +26,7 @@
 
 impl HealthCheck {
     fn report(&self, control: &mut ControlSession, result: HealthCheckResult, now: Duration, load: Vec<f64>) {
-        control.probed(self.server, result, now.saturating_sub(self.sent), load);
+        control.record_health_check(self.server, result, now.saturating_sub(self.sent), load);
     }
 }
 
@@ -64,7 +64,9 @@
                 let check = HealthCheck { server, sent, reader: MessageReader::responses() };
                 self.in_flight.insert(connection, check);
             }
-            None => control.probed(server, HealthCheckResult::Inconclusive, Duration::ZERO, vec![]),
+            None => {
+                control.record_health_check(server, HealthCheckResult::Inconclusive, Duration::ZERO, vec![])
+            }
         }
     }
 
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -99,9 +99,9 @@
 
 fn record_delivery(core: &PlannerCore) {
     gauge("runloom_messages_flying", core.distributor.publisher().waiting() as f64);
-    gauge("runloom_lines_waiting", core.control.lines_waiting() as f64);
-    gauge("runloom_lines_waiting_most", core.control.most_waiting as f64);
-    metrics::counter!("runloom_lines_sent_total").absolute(core.control.lines_sent);
+    gauge("runloom_lines_waiting", core.control.queued_entries() as f64);
+    gauge("runloom_lines_waiting_most", core.control.max_queued_entries as f64);
+    metrics::counter!("runloom_lines_sent_total").absolute(core.control.entries_sent);
     metrics::counter!("runloom_messages_sent_total").absolute(core.control.messages_sent);
 }
 
@@ -127,7 +127,7 @@
         metrics::counter!("runloom_refused_total", "reason" => *reason).absolute(*count);
     }
     let mut servers_by_health: BTreeMap<&'static str, f64> = BTreeMap::new();
-    for health in core.control.listed().values() {
+    for health in core.control.endpoint_states().values() {
         *servers_by_health.entry(*health).or_default() += 1.0;
     }
     for (health, count) in servers_by_health {
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -185,8 +185,12 @@
             transport: pending.way,
         };
         let has_no_table = pending.fresh;
-        let proxy =
-            core.control.joined(&connected.name, &connected.zone, connected.request_rate, has_no_table);
+        let proxy = core.control.connect_proxy(
+            &connected.name,
+            &connected.zone,
+            connected.request_rate,
+            has_no_table,
+        );
         session.set_proxy(proxy);
         core.distributor.joined(proxy, pending);
         core.config.edit_history.left(proxy);
@@ -262,7 +266,7 @@
     ) {
         let now = event_loop.now();
         let Some(proxy) = self.proxy(connection) else { return };
-        core.control.report(now, proxy, report);
+        core.control.handle_report(now, proxy, report);
         let tried = report.met.iter().filter(|outcome| outcome.tries > 0);
         let tried = tried.map(|outcome| outcome.server.as_str());
         match core.distributor.reported(now, proxy, report.span, tried) {
@@ -360,7 +364,7 @@
         let timeout = core.acknowledgement_timeout();
         let is_late = |age: Duration| age >= timeout;
         let members = core.control.members().iter();
-        let late = members.filter(|(_, member)| member.oldest(now).is_some_and(is_late));
+        let late = members.filter(|(_, member)| member.oldest_in_flight(now).is_some_and(is_late));
         let late: Vec<ProxyId> = late.map(|(proxy, _)| *proxy).collect();
         for proxy in late {
             let name = core.control.proxy_name(proxy);
--- a/crates/daemon/src/planner_runtime/rejection_log.rs
+++ b/crates/daemon/src/planner_runtime/rejection_log.rs
@@ -1,6 +1,6 @@
 //! Log of the commands that the guard rejected.
 
-use runloom_control_session::{ControlSession, LEAD};
+use runloom_control_session::{ControlSession, CLOCK_LEAD};
 use runloom_guard::refusal::Rejection;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -60,7 +60,7 @@
 impl RejectionLog {
     /// Logs the rejections since the last call.
     pub(super) fn log_new(&mut self, control: &ControlSession, now: Duration) {
-        let since = std::mem::replace(&mut self.handled_until, LEAD + now);
+        let since = std::mem::replace(&mut self.handled_until, CLOCK_LEAD + now);
         self.logged.retain(|_, at| now < *at + REPEAT_INTERVAL);
         for rejection in control.guard().refusals().filter(|rejection| rejection.at > since) {
             let key = RejectionKey::of(rejection);
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -5,6 +5,7 @@
 use crate::persistence::RestoredState;
 use crate::state_file::StateFile;
 use crate::wall_ms;
+use runloom_control_session::ServerHint;
 use runloom_inventory::edit_history::EditHistory;
 use runloom_inventory::{Inventory, Server};
 use runloom_model::fleet::PlannerSettings;
@@ -96,11 +97,11 @@
 }
 
 /// What an earlier start learned of servers that are listed unchanged, as far as it still counts.
-pub(super) fn warm_start_hints(restored: &RestoredState, inventory: &Inventory) -> Vec<(String, f64, f64)> {
+pub(super) fn warm_start_hints(restored: &RestoredState, inventory: &Inventory) -> Vec<ServerHint> {
     let Some(learned) = &restored.learned else { return vec![] };
     let hint = |(name, server): (&String, &Server)| {
         let hint = learned.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
-        Some((name.clone(), hint.swift, hint.doubt))
+        Some(ServerHint { name: name.clone(), speed_factor: hint.swift, suspicion: hint.doubt })
     };
     inventory.servers().iter().filter_map(hint).collect()
 }
--- a/crates/daemon/src/planner_runtime/state_report.rs
+++ b/crates/daemon/src/planner_runtime/state_report.rs
@@ -3,7 +3,7 @@
 
 use super::core::PlannerCore;
 use super::rejection_log::RejectionText;
-use runloom_control_session::LEAD;
+use runloom_control_session::CLOCK_LEAD;
 use runloom_distribution::Transport;
 use runloom_guard::refusal::Rejection;
 use runloom_inventory::edit_history::Edit;
@@ -34,7 +34,7 @@
         .with_leaf("planner", &core.name)
         .with_leaf("up-ms", now.as_millis())
         .with_leaf("joined", core.connected.len())
-        .with_leaf("lines-waiting", core.control.lines_waiting());
+        .with_leaf("lines-waiting", core.control.queued_entries());
     for server in servers(core) {
         state = state.with(server);
     }
@@ -49,8 +49,8 @@
 
 fn servers(core: &PlannerCore) -> Vec<Element> {
     let mut entries = BTreeMap::new();
-    for (table, published) in core.control.laid() {
-        for (server, weight) in &published.lines {
+    for (table, published) in core.control.published_tables() {
+        for (server, weight) in &published.entries {
             entries.insert(*server, PublishedEntry { table: *table, weight: *weight });
         }
     }
@@ -65,7 +65,7 @@
             None => element,
         }
     };
-    core.control.listed().iter().map(|(server, health)| server_element(server, health)).collect()
+    core.control.endpoint_states().iter().map(|(server, health)| server_element(server, health)).collect()
 }
 
 fn proxies(core: &PlannerCore, now: Duration) -> Vec<Element> {
@@ -81,10 +81,10 @@
             .with_leaf("name", core.control.proxy_name(*proxy))
             .with_leaf("zone", &member.zone)
             .with_leaf("told", told);
-        element = with_optional_millis(element, "ordered-ms", age(member.ordered_at));
-        element = with_optional_millis(element, "applied-ms", age(member.applied_at));
-        element = with_optional_millis(element, "report-ms", age(member.report_at));
-        elements.push(element.with_leaf("waiting", member.waiting()));
+        element = with_optional_millis(element, "ordered-ms", age(member.last_sent_at));
+        element = with_optional_millis(element, "applied-ms", age(member.last_acknowledged_at));
+        element = with_optional_millis(element, "report-ms", age(member.last_report_at));
+        elements.push(element.with_leaf("waiting", member.in_flight_messages()));
     }
     elements
 }
@@ -122,7 +122,7 @@
 fn rejection_element(core: &PlannerCore, rejection: &Rejection, now: Duration) -> Element {
     let RejectionText { why, safe, case } = RejectionText::new(&core.control, rejection);
     Element::new(STATE, "refusal")
-        .with_leaf("ago-ms", (LEAD + now).saturating_sub(rejection.at).as_millis())
+        .with_leaf("ago-ms", (CLOCK_LEAD + now).saturating_sub(rejection.at).as_millis())
         .with_leaf("reason", rejection.reason.word())
         .with_leaf("rule", rejection.reason.rule())
         .with_leaf("why", why)
