--- a/crates/daemon/src/commands.rs
+++ b/crates/daemon/src/commands.rs
@@ -44,9 +44,9 @@
     /// Certificates and keys of the client cannot be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// The identity of the planner cannot be read.
-    #[error("{0}")]
-    PlannerId(String),
+    /// The identity of the planner is no SPIFFE id.
+    #[error(transparent)]
+    PlannerId(#[from] runloom_identity::id::NotAnId),
     /// The planner cannot be reached, or rejected an operation.
     #[error(transparent)]
     Client(#[from] ClientError),
@@ -78,11 +78,14 @@
         count: usize,
     },
     /// An event log cannot be read.
-    #[error("{0}")]
-    EventLog(String),
+    #[error(transparent)]
+    EventLog(#[from] runloom_event_log::folder::Unreadable),
     /// A recorded day cannot be replayed.
+    #[error(transparent)]
+    Replay(#[from] runloom_replay::Unusable),
+    /// The page of a comparison cannot be drawn.
     #[error("{0}")]
-    Replay(String),
+    Page(String),
     /// The event log holds fewer starts.
     #[error("there is no such start in the record")]
     NoSuchStart,
--- a/crates/daemon/src/commands/connection.rs
+++ b/crates/daemon/src/commands/connection.rs
@@ -32,7 +32,7 @@
     pub fn open(&self) -> Result<Client, CommandError> {
         let mut rules = vec![];
         if let Some(planner_id) = &self.planner_id {
-            let id = Id::read(planner_id).map_err(|error| CommandError::PlannerId(error.to_string()))?;
+            let id = Id::read(planner_id)?;
             rules.push(Rule { whom: Principal::One(id), may: Permission::Order });
         }
         let files = TlsFiles {
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -38,18 +38,10 @@
     pub json: bool,
 }
 
-fn replay_error(error: impl ToString) -> CommandError {
-    CommandError::Replay(error.to_string())
-}
-
-fn log_error(error: impl ToString) -> CommandError {
-    CommandError::EventLog(error.to_string())
-}
-
 /// Writes an event log as a scenario of the testbed.
 pub fn infer_scenario(folder: &Path, file: &Path) -> Result<(), CommandError> {
-    let days = folder::days(folder).map_err(log_error)?;
-    let scenario = runloom_replay::infer::infer(&days).map_err(replay_error)?;
+    let days = folder::days(folder)?;
+    let scenario = runloom_replay::infer::infer(&days)?;
     std::fs::write(file, scenario.xml()).map_err(file_error(file))?;
     println!("{}: {} troubles, {} edits", file.display(), scenario.troubles.len(), scenario.edits.len());
     for left_out in &scenario.left_out {
@@ -100,13 +92,13 @@
             }),
         };
         result.unwrap_or_else(|error| {
-            failure = Some(replay_error(error));
+            failure = Some(error);
             false
         })
     };
-    folder::each(folder, starts_back, &mut take_entry).map_err(log_error)?;
+    folder::each(folder, starts_back, &mut take_entry)?;
     match (failure, replay) {
-        (Some(error), _) => Err(error),
+        (Some(error), _) => Err(error.into()),
         (None, Some(replay)) => Ok(replay.done()),
         (None, None) => Err(CommandError::NoSuchStart),
     }
@@ -114,12 +106,12 @@
 
 /// Replays with other settings, and prints how commands and service would have differed.
 fn compare_alternative(options: &ReplayOptions) -> Result<(), CommandError> {
-    let entries = folder::day(&options.folder, options.starts_back).map_err(log_error)?;
+    let entries = folder::day(&options.folder, options.starts_back)?;
     let setting = read_setting(&options.alternative)?;
-    let compared = compare(&entries, &setting).map_err(replay_error)?;
+    let compared = compare(&entries, &setting)?;
     if let Some(file) = &options.page {
         let title = format!("{}, start {}", options.folder.display(), options.starts_back);
-        let page = page(&title, &compared).map_err(replay_error)?;
+        let page = page(&title, &compared).map_err(CommandError::Page)?;
         std::fs::write(file, page).map_err(file_error(file))?;
     }
     if options.json {
@@ -136,7 +128,7 @@
     let fleet = match &alternative.fleet {
         Some(file) => {
             let text = std::fs::read_to_string(file).map_err(file_error(file))?;
-            Some(runloom_replay::fleet(&text).map_err(replay_error)?)
+            Some(runloom_replay::fleet(&text)?)
         }
         None => None,
     };
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -12,9 +12,12 @@
 mod netconf_sessions;
 mod operator_sessions;
 mod proxy_event;
+mod proxy_session;
 mod proxy_sessions;
+mod reconfiguration;
 mod rejection_log;
 mod restore;
+mod startup;
 mod state_report;
 mod subscriber;
 mod test_hooks;
@@ -22,32 +25,27 @@
 pub use listeners::ListenAddresses;
 pub use test_hooks::{CrashPoint, TestHooks};
 
-use self::core::{record_micros, EditBatches, PlannerCore, PlannerStatistics};
-use crate::config_service::{schema, ConfigService};
+use self::core::{record_micros, PlannerCore};
+use crate::config_service::schema;
+use crate::earliest;
 use crate::error::StartError;
-use crate::persistence::{PersistenceWorker, RestoredState};
-use crate::state_file::StateFile;
-use crate::tls_credentials::{CertificateHolder, TlsPolicy};
-use crate::{earliest, wall_ms};
+use crate::tls_credentials::CertificateHolder;
 use durability::Durability;
 use event_recording::{note_event, EventRecording};
 use health_checks::HealthChecks;
-use identities::IdentityTracker;
 use listeners::{ListenerKind, Listeners};
 use metrics_endpoint::MetricsEndpoint;
 use netconf_sessions::NetconfSessions;
 use operator_sessions::OperatorSessions;
 use proxy_sessions::ProxySessions;
+use reconfiguration::Reconfiguration;
 use rejection_log::RejectionLog;
-use runloom_control_session::{Action, ControlSession};
-use runloom_controller::EndpointUpdate;
-use runloom_distribution::Distributor;
+use runloom_control_session::Action;
 use runloom_event_log::RecordedEvent;
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop, IoEvent};
 use runloom_identity::access::RequestedAccess;
 use runloom_inventory::edit_history::Edit;
-use runloom_inventory::{Change, Inventory};
-use runloom_model::fleet::{Fleet, PlannerSettings};
+use runloom_model::fleet::PlannerSettings;
 use runloom_model::STATE;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeSet;
@@ -65,8 +63,7 @@
 /// A running planner.
 pub struct PlannerRuntime {
     core: PlannerCore,
-    inventory: Inventory,
-    files: StateFile,
+    reconfiguration: Reconfiguration,
     listeners: Listeners,
     operators: OperatorSessions,
     proxies: ProxySessions,
@@ -75,8 +72,6 @@
     durability: Durability,
     recording: EventRecording,
     rejection_log: RejectionLog,
-    /// Seed of the decisions' random choices; another one after each change of the configuration.
-    seed: u64,
     last_session_check: Duration,
     is_stopping: bool,
 }
@@ -88,50 +83,22 @@
         settings: &PlannerSettings,
         seed: u64,
     ) -> Result<(PlannerRuntime, ListenAddresses), StartError> {
-        let files = StateFile::open(&settings.folder)?;
-        let tls = TlsPolicy::load(&settings.papers)?;
-        let (worker, mut restored, mut config) = open_state(event_loop, &files, settings)?;
-        config.set_rules(settings.papers.rules.clone());
-        restore::set_legacy_files_aside(&files)?;
-        let listeners = Listeners::open(event_loop, settings, config.fleet(), &tls)?;
-
-        let started_at_ms = wall_ms().saturating_sub(event_loop.now().as_millis() as u64);
-        let epoch = restore::next_epoch(&files)?;
-        let distributor = Distributor::new(epoch, config.fleet().grace.drain, max_deadline(config.fleet()));
-        let mut control = ControlSession::new(config.fleet().clone(), seed, started_at_ms);
-        let mut inventory = Inventory::default();
-        let listed = inventory.update(config.fleet(), config.listed());
-        let recording = EventRecording::open(settings, &mut control, &config, seed, started_at_ms)?;
-        control.update_endpoints(EndpointUpdate::Cached, listed);
-        restore_learned(&mut control, &restored, &inventory);
-
-        let core = PlannerCore {
-            name: settings.name.clone(),
-            control,
-            distributor,
-            config,
-            identities: IdentityTracker::new(tls),
-            connected: Default::default(),
-            edit_batches: EditBatches::default(),
-            statistics: PlannerStatistics::new()?,
-        };
+        let started = startup::start(event_loop, settings, seed)?;
+        let addresses = started.listeners.addresses;
         let planner = PlannerRuntime {
-            core,
-            inventory,
-            files,
-            listeners,
+            core: started.core,
+            reconfiguration: started.reconfiguration,
+            listeners: started.listeners,
             operators: OperatorSessions::new(schema()?),
             proxies: ProxySessions::default(),
             health_checks: HealthChecks::default(),
             metrics: MetricsEndpoint::new(),
-            durability: Durability::new(worker, restored.learned.take().unwrap_or_default()),
-            recording,
+            durability: started.durability,
+            recording: started.recording,
             rejection_log: RejectionLog::default(),
-            seed,
             last_session_check: Duration::ZERO,
             is_stopping: false,
         };
-        let addresses = listeners.addresses;
         tracing::info!(
             planner = %settings.name,
             edits = %addresses.edits,
@@ -161,7 +128,7 @@
                 stop_by = Some(event_loop.now() + SHUTDOWN_TIMEOUT);
             }
             if stop_by.is_some_and(|end| event_loop.now() >= end || self.connections().is_empty()) {
-                self.durability.write_learned(&self.core, &self.inventory);
+                self.durability.write_learned(&self.core, self.reconfiguration.inventory());
                 self.recording.finish();
                 return Ok(());
             }
@@ -290,8 +257,8 @@
         self.core.set_time(now);
         self.operators.handle_timeouts(&mut self.core, now);
         self.durability.write_edits(&mut self.core, &mut self.operators, event_loop, now);
-        self.durability.write_learned_if_due(&self.core, &self.inventory, now);
-        self.apply_config_changes(now);
+        self.durability.write_learned_if_due(&self.core, self.reconfiguration.inventory(), now);
+        self.reconfiguration.apply(&mut self.core, &mut self.durability, now);
         self.close_unresponsive(event_loop, now);
         self.proxies.admit(&mut self.core, event_loop, now);
         self.decide(event_loop, now);
@@ -334,57 +301,6 @@
         }
     }
 
-    /// Tells the decisions of changes of the configuration and of the endpoint list.
-    fn apply_config_changes(&mut self, now: Duration) {
-        if !std::mem::take(&mut self.core.config.is_list_changed) {
-            // An edit that changes nothing is complete without a decision.
-            self.core.config.edit_history.decided(now, &BTreeSet::new());
-            return;
-        }
-        let config = &self.core.config;
-        let changes = self.inventory.update(config.persisted_fleet(), config.listed());
-        let changed_servers: BTreeSet<String> = changes.iter().map(|(name, _)| name.clone()).collect();
-        self.durability.is_list_unsaved |= !changes.is_empty();
-        self.seed = self.seed.wrapping_add(1);
-        self.record_reconfiguration(now);
-        let fleet = self.core.config.persisted_fleet().clone();
-        if self.core.control.reconfigure(fleet, self.seed) {
-            self.restart_decisions();
-        } else if !changes.is_empty() {
-            self.core.control.update_endpoints(EndpointUpdate::Delta, changes);
-        }
-        self.core.config.edit_history.decided(now, &changed_servers);
-    }
-
-    fn record_reconfiguration(&mut self, now: Duration) {
-        let core = &mut self.core;
-        if core.control.fleet() != core.config.persisted_fleet() {
-            let event = RecordedEvent::Refit { fleet: core.config.persisted_fleet_text(), seed: self.seed };
-            note_event(&mut core.control, now, event);
-        }
-    }
-
-    /// The decisions started over with another configuration: they are told again of all servers and proxies.
-    fn restart_decisions(&mut self) {
-        tracing::warn!("new facts: the decisions start over, proxies keep their tables until bound again");
-        let core = &mut self.core;
-        let servers = self.inventory.servers().iter();
-        let servers = servers.map(|(name, server)| (name.clone(), Change::Is(server.clone()))).collect();
-        core.control.update_endpoints(EndpointUpdate::Cached, servers);
-        let fleet = core.config.persisted_fleet();
-        let epoch = core.distributor.publisher().epoch() + 1;
-        core.distributor.restart(epoch, fleet.grace.drain, max_deadline(fleet));
-        if let Err(error) = restore::write_epoch(&self.files, core.distributor.publisher().epoch()) {
-            tracing::warn!(%error, "the epoch could not be written");
-        }
-        let has_no_table = false;
-        for (proxy, connected) in &core.connected {
-            let (name, zone) = (&connected.name, &connected.zone);
-            core.control.connect_proxy(name, zone, connected.request_rate, has_no_table);
-            core.config.edit_history.left(*proxy);
-        }
-    }
-
     /// Ends sessions of peers that do not acknowledge or answer in time, or whose identity is no longer valid.
     fn close_unresponsive(&mut self, event_loop: &mut EventLoop, now: Duration) {
         self.proxies.close_unacknowledged_updates(&mut self.core, event_loop, now);
@@ -448,29 +364,3 @@
         .with_leaf("of", edit.of)
         .with_leaf("after-ms", elapsed.as_millis())
 }
-
-/// Opens the state folder, and the configuration that it holds.
-fn open_state(
-    event_loop: &EventLoop,
-    files: &StateFile,
-    settings: &PlannerSettings,
-) -> Result<(PersistenceWorker, RestoredState, ConfigService), StartError> {
-    let (opened, mut restored) = PersistenceWorker::open(&settings.folder)?;
-    let config = restore::restore_config(files, settings, &mut restored)?;
-    let worker = opened.start(config.accepted_state(), event_loop.waker())?;
-    Ok((worker, restored, config))
-}
-
-/// Tells the decisions what an earlier start learned.
-fn restore_learned(control: &mut ControlSession, restored: &RestoredState, inventory: &Inventory) {
-    let hints = restore::warm_start_hints(restored, inventory);
-    if !hints.is_empty() {
-        tracing::info!(servers = hints.len(), "what an earlier start learned is taken as hints");
-        control.warm_start(&hints);
-    }
-}
-
-/// The longest deadline of any traffic class.
-fn max_deadline(fleet: &Fleet) -> Duration {
-    fleet.classes.iter().map(|class| class.outer_limit).max().unwrap_or_default()
-}
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -6,10 +6,11 @@
 use super::identities::wall_seconds;
 use super::netconf_sessions::NetconfSessions;
 use super::proxy_event::ProxyEvent;
+use super::proxy_session::ProxySession;
 use super::subscriber::{BodyCache, SubscriberSession};
 use crate::tls_credentials::CertificateHolder;
 use runloom_distribution::doubt::Verdict;
-use runloom_distribution::{Outgoing, PendingProxy, Transport};
+use runloom_distribution::{PendingProxy, Transport};
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_model::order::Report;
 use runloom_netconf::session::{Session, SessionEvent};
@@ -17,56 +18,6 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A proxy's session, by the protocol that it speaks.
-enum ProxySession {
-    CallHome(Box<CallHomeSession>),
-    Subscriber(Box<SubscriberSession>),
-}
-
-impl ProxySession {
-    fn holder(&self) -> &CertificateHolder {
-        match self {
-            ProxySession::CallHome(session) => &session.holder,
-            ProxySession::Subscriber(session) => &session.holder,
-        }
-    }
-
-    fn proxy(&self) -> Option<ProxyId> {
-        match self {
-            ProxySession::CallHome(session) => session.proxy,
-            ProxySession::Subscriber(session) => session.proxy,
-        }
-    }
-
-    fn set_proxy(&mut self, proxy: ProxyId) {
-        match self {
-            ProxySession::CallHome(session) => session.proxy = Some(proxy),
-            ProxySession::Subscriber(session) => session.proxy = Some(proxy),
-        }
-    }
-
-    /// Whether it takes a further message now. One that does not gets the next with its next acknowledgement.
-    fn can_send(&self) -> bool {
-        match self {
-            ProxySession::CallHome(_) => true,
-            ProxySession::Subscriber(session) => session.session.room() > 0,
-        }
-    }
-
-    fn send(&mut self, now: Duration, outgoing: &Outgoing, bodies: &mut BodyCache) {
-        match (self, outgoing) {
-            (ProxySession::CallHome(session), Outgoing::Message { number, text, .. }) => {
-                session.send(now, *number, text);
-            }
-            (ProxySession::Subscriber(session), Outgoing::Part { number, part }) => {
-                session.send(now, *number, part, bodies);
-            }
-            (ProxySession::CallHome(_), Outgoing::Part { .. })
-            | (ProxySession::Subscriber(_), Outgoing::Message { .. }) => {}
-        }
-    }
-}
-
 /// All proxies' sessions.
 #[derive(Default)]
 pub(super) struct ProxySessions {
