--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -43,7 +43,7 @@
     /// Connects to a planner, and waits until the session is open.
     pub fn open(address: SocketAddr, tls: &TlsPolicy, timeout: Duration) -> Result<Client, ClientError> {
         let mut event_loop = EventLoop::new()?;
-        let security = Security::Starts(tls.client_config.clone(), server_name(PLANNER));
+        let security = Security::TlsClient(tls.client_config.clone(), server_name(PLANNER));
         let connection = event_loop.dial(address, &security, BufferLimits::default())?;
         let mut client = Client {
             event_loop,
@@ -78,8 +78,8 @@
                             found = found.or_else(|| select(&event));
                         }
                     }
-                    IoEvent::Closed { why, .. } if found.is_none() => {
-                        return Err(ClientError::Ended(format!("{why:?}")));
+                    IoEvent::Closed { reason, .. } if found.is_none() => {
+                        return Err(ClientError::Ended(format!("{reason:?}")));
                     }
                     IoEvent::Closed { .. } | IoEvent::Signal(_) => {}
                 }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -168,7 +168,7 @@
                 self.handle_open(event_loop, conn, listener, certificate);
             }
             IoEvent::Bytes { conn, bytes } => self.handle_bytes(event_loop, conn, &bytes),
-            IoEvent::Closed { conn, why } => self.handle_close(event_loop, conn, why),
+            IoEvent::Closed { conn, reason } => self.handle_close(event_loop, conn, reason),
         }
     }
 
--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -58,9 +58,9 @@
         fleet: &Fleet,
         tls: &TlsPolicy,
     ) -> io::Result<Listeners> {
-        let server_tls = Security::Answers(tls.server_config.clone());
+        let server_tls = Security::TlsServer(tls.server_config.clone());
         // RFC 8071: the side that calls home is the NETCONF server, and this side starts TLS.
-        let client_tls = Security::Starts(tls.client_config.clone(), server_name(PROXY));
+        let client_tls = Security::TlsClient(tls.client_config.clone(), server_name(PROXY));
         let (operators, edits) = event_loop.listen(settings.edits, server_tls.clone(), operator_limits())?;
         let (call_home, home) = event_loop.listen(settings.home, client_tls, call_home_limits(fleet))?;
         let mut listen_if_set = |address: Option<SocketAddr>, security: Security, limits: BufferLimits| {
@@ -97,8 +97,8 @@
 
 fn operator_limits() -> BufferLimits {
     BufferLimits {
-        idle: Some(OPERATOR_IDLE_TIMEOUT),
-        connections: MAX_OPERATOR_CONNECTIONS,
+        idle_timeout: Some(OPERATOR_IDLE_TIMEOUT),
+        max_connections: MAX_OPERATOR_CONNECTIONS,
         ..BufferLimits::default()
     }
 }
@@ -106,18 +106,18 @@
 /// A proxy that called home reports in each period.
 fn call_home_limits(fleet: &Fleet) -> BufferLimits {
     let idle_timeout = (fleet.report * SILENT_REPORT_PERIODS).max(MIN_PROXY_IDLE_TIMEOUT);
-    BufferLimits { idle: Some(idle_timeout), ..BufferLimits::default() }
+    BufferLimits { idle_timeout: Some(idle_timeout), ..BufferLimits::default() }
 }
 
 /// MQTT has its own keep-alive.
 fn subscriber_limits() -> BufferLimits {
-    BufferLimits { unread: SUBSCRIBER_BUFFER_BYTES, ..BufferLimits::default() }
+    BufferLimits { max_unsent_bytes: SUBSCRIBER_BUFFER_BYTES, ..BufferLimits::default() }
 }
 
 fn metrics_limits() -> BufferLimits {
     BufferLimits {
-        idle: Some(METRICS_IDLE_TIMEOUT),
-        connections: MAX_METRICS_CONNECTIONS,
+        idle_timeout: Some(METRICS_IDLE_TIMEOUT),
+        max_connections: MAX_METRICS_CONNECTIONS,
         ..BufferLimits::default()
     }
 }
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -118,8 +118,8 @@
     gauge("runloom_order_written_seconds_p99", quantile_seconds(&statistics.issue_time, 0.99));
     gauge("runloom_order_confirmed_seconds_p50", acknowledgement_seconds(0.5));
     gauge("runloom_order_confirmed_seconds_p99", acknowledgement_seconds(0.99));
-    gauge("runloom_turn_seconds_p99", quantile_seconds(&event_loop.lengths, 0.99));
-    gauge("runloom_turn_seconds_max", event_loop.lengths.max() as f64 / MICROS_PER_SECOND);
+    gauge("runloom_turn_seconds_p99", quantile_seconds(&event_loop.iteration_micros, 0.99));
+    gauge("runloom_turn_seconds_max", event_loop.iteration_micros.max() as f64 / MICROS_PER_SECOND);
 }
 
 fn record_decisions(core: &PlannerCore) {
