--- a/crates/daemon/src/commands.rs
+++ b/crates/daemon/src/commands.rs
@@ -23,6 +23,7 @@
     File {
         /// The file or folder.
         path: PathBuf,
+        /// Why.
         source: io::Error,
     },
     /// A file is no XML.
@@ -30,9 +31,11 @@
     MalformedXml {
         /// The file.
         path: PathBuf,
-        /// The place, from 1.
+        /// The line, from 1.
         line: usize,
+        /// The column, from 1.
         column: usize,
+        /// What is wrong there.
         reason: String,
     },
     /// Standard output, or the state folder.
@@ -52,7 +55,12 @@
     Client(#[from] ClientError),
     /// The connection failed before the planner answered an edit.
     #[error("{source}; whether it took is not known: send it again with --id {id}")]
-    UnknownOutcome { id: String, source: ClientError },
+    UnknownOutcome {
+        /// The edit's id.
+        id: String,
+        /// How the connection failed.
+        source: ClientError,
+    },
     /// The options of `edit` do not say what to change.
     #[error("one of --file, --drain, --undrain and --share is wanted")]
     AmbiguousEdit,
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -86,6 +86,7 @@
     schema: SchemaCheck,
     accepted: Revision,
     endpoints: EndpointList,
+    /// The edits, and where they are in force.
     pub edit_history: EditHistory,
     /// The configuration that is on disk.
     persisted: Revision,
@@ -379,7 +380,7 @@
         let is_rollback = change.content.is_empty() && change.edit_id.is_none();
         match &self.unavailable_reason {
             Some(why) if !is_rollback => {
-                let why = format!("edits cannot be kept: {why}");
+                let why = format!("edits cannot be written: {why}");
                 Err(vec![RpcError::application(Tag::ResourceDenied, why).app("not-durable")])
             }
             _ => Ok(()),
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -20,6 +20,7 @@
     Store {
         /// The state folder.
         folder: PathBuf,
+        /// What is wrong with the file.
         source: StoreError,
     },
     /// Stored edits cannot be read back.
@@ -27,6 +28,7 @@
     StoredEdits {
         /// The state folder.
         folder: PathBuf,
+        /// What is wrong with them.
         reason: String,
     },
     /// The stored fleet is no XML.
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -42,7 +42,12 @@
     /// Whether edits can be written again.
     Probed(Result<(), String>),
     /// The endpoint list, or what was learned, could not be written.
-    WriteFailed { what: &'static str, why: String },
+    WriteFailed {
+        /// Which of the two.
+        what: &'static str,
+        /// Why.
+        why: String,
+    },
 }
 
 /// The thread that writes, and the exclusive right to the state folder.
@@ -57,8 +62,11 @@
 /// What an earlier start stored.
 #[derive(Debug, Default)]
 pub struct RestoredState {
+    /// Accepted edits.
     pub accepted: Option<AcceptedState>,
+    /// The endpoint list, as XML.
     pub roster: Option<String>,
+    /// What was learned of servers.
     pub learned: Option<LearnedServers>,
 }
 
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -122,7 +122,7 @@
             for event in event_loop.wait(earliest([self.wakes_at(), stop_by]))? {
                 self.handle_event(event_loop, event);
             }
-            self.finish_turn(event_loop);
+            self.finish_iteration(event_loop);
             if self.is_stopping && stop_by.is_none() {
                 self.close_connections(event_loop);
                 stop_by = Some(event_loop.now() + SHUTDOWN_TIMEOUT);
@@ -181,7 +181,7 @@
     ) {
         let holder = match certificate.as_deref().map(|der| self.core.identities.tls().identify(der)) {
             Some(Err(why)) => {
-                tracing::warn!(%why, "turned away: the certificate names nobody");
+                tracing::warn!(%why, "connection rejected: the certificate names no holder");
                 return event_loop.cut(connection);
             }
             Some(Ok(holder)) => Some(holder),
@@ -219,7 +219,7 @@
             let name = identity.id.name().unwrap_or_default();
             self.core.config.audit_denial(&identity.id, RequestedAccess::Join { name });
         }
-        tracing::warn!(who = ?holder, "turned away: the certificate names nobody who has business here");
+        tracing::warn!(who = ?holder, "connection rejected: the certificate's holder may not connect here");
         self.core.identities.forget(connection);
         event_loop.cut(connection);
     }
@@ -249,10 +249,10 @@
         }
     }
 
-    // The steps after the events of a turn.
+    // The steps after the events of an iteration.
 
-    /// Acts on all events of a turn: stores what was accepted, decides, sends commands, and replies.
-    fn finish_turn(&mut self, event_loop: &mut EventLoop) {
+    /// Acts on all events of an iteration of the event loop: stores what was accepted, decides, sends commands, and replies.
+    fn finish_iteration(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         self.core.set_time(now);
         self.operators.handle_timeouts(&mut self.core, now);
@@ -350,7 +350,7 @@
                 wish = %entry.wish,
                 reason = entry.reason,
                 more = entry.more,
-                "not allowed"
+                "access denied"
             );
         }
     }
--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -90,7 +90,7 @@
         let description = reply.child("data").and_then(|data| data.child("proxy")).unwrap_or(&empty);
         let name = description.text_of("name").unwrap_or_default();
         if name != self.holder.name {
-            tracing::warn!(holder = %self.holder.name, name, "a proxy goes by another's name");
+            tracing::warn!(holder = %self.holder.name, name, "a proxy's name is not that of its certificate");
             return ProxyEvent::Disconnect(CloseReason::Untrusted);
         }
         let rate = description.text_of("rate").and_then(|rate| rate.parse().ok());
@@ -113,7 +113,7 @@
         self.proxy?;
         if let Some(error) = reply.child("rpc-error") {
             let why = error.text_of("error-message").unwrap_or_default();
-            tracing::error!(proxy = %self.holder.name, why, "a proxy refused an order");
+            tracing::error!(proxy = %self.holder.name, why, "a proxy rejected an update");
             return Some(ProxyEvent::Disconnect(CloseReason::Broken));
         }
         Some(ProxyEvent::Acknowledged { number: message.number, sent: Some(message.sent) })
--- a/crates/daemon/src/planner_runtime/core.rs
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -17,9 +17,11 @@
 pub(super) struct ConnectedProxy {
     pub connection: ConnectionId,
     pub name: String,
+    /// Its zone.
     pub zone: String,
     /// Requests per second that it expects.
     pub request_rate: f64,
+    /// How it receives its tables.
     pub transport: Transport,
 }
 
@@ -70,10 +72,15 @@
 pub(super) struct PlannerCore {
     /// The planner's name.
     pub name: String,
+    /// The decisions.
     pub control: ControlSession,
+    /// Which update each proxy gets next.
     pub distributor: Distributor,
+    /// The configuration and its edits.
     pub config: ConfigService,
+    /// Identities of connected peers.
     pub identities: IdentityTracker,
+    /// Admitted proxies.
     pub connected: BTreeMap<ProxyId, ConnectedProxy>,
     pub edit_batches: EditBatches,
     pub statistics: PlannerStatistics,
--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -73,7 +73,7 @@
             self.crash_at(CrashPoint::BeforeWrite);
             core.edit_batches.submitted += 1;
             if !self.worker.write_edits(patch) {
-                roll_back_edits(core, operators, event_loop, "the disk is behind".into());
+                roll_back_edits(core, operators, event_loop, "the write queue is full".into());
             }
         } else if core.config.unavailable_reason.is_some() && now >= self.next_retry {
             self.next_retry = now + RETRY_INTERVAL;
@@ -99,7 +99,7 @@
             PersistenceResult::EditsWritten(Err(why)) => roll_back_edits(core, operators, event_loop, why),
             PersistenceResult::Probed(Ok(())) => {
                 if core.config.unavailable_reason.take().is_some() {
-                    tracing::info!("edits can be kept again");
+                    tracing::info!("edits can be written again");
                 }
             }
             PersistenceResult::Probed(Err(_)) => {}
@@ -134,7 +134,7 @@
         let learned = LearnedServers { written: core.config.wall_ms, servers: learned.collect() };
         self.learned = learned.renewed(&self.learned);
         if !self.worker.write_learned(self.learned.clone()) {
-            tracing::warn!("what was learned could not be written: the disk is behind");
+            tracing::warn!("what was learned could not be written: the write queue is full");
         }
     }
 
@@ -169,7 +169,7 @@
     event_loop: &mut EventLoop,
     why: String,
 ) {
-    tracing::error!(why, "edits cannot be kept: none is accepted until they can");
+    tracing::error!(why, "edits cannot be written: none is accepted until they can");
     core.config.roll_back(why);
     operators.abort_unsaved(core, event_loop);
 }
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -40,13 +40,13 @@
         Ok(EventRecording { writer: Some(Writer::new(recorder)), is_stopped: false })
     }
 
-    /// Writes what happened in a turn that began at `turn_start`.
-    pub(super) fn write(&mut self, control: &mut ControlSession, now: Duration, turn_start: Duration) {
+    /// Writes what happened in an iteration that began at `iteration_start`.
+    pub(super) fn write(&mut self, control: &mut ControlSession, now: Duration, iteration_start: Duration) {
         let (Some(writer), Some(witness)) = (&mut self.writer, &mut control.recorded_events) else { return };
         let mut events = std::mem::take(witness);
         for (_, event) in &mut events {
             if let RecordedEvent::Turn { took, .. } = event {
-                *took = now.saturating_sub(turn_start).as_micros() as u64;
+                *took = now.saturating_sub(iteration_start).as_micros() as u64;
             }
         }
         writer.push(now, events);
@@ -68,7 +68,7 @@
     }
 }
 
-/// Adds an event that the decisions are not told of to the log of the turn.
+/// Adds an event that the decisions are not told of to the log of the iteration.
 pub(super) fn note_event(control: &mut ControlSession, now: Duration, event: RecordedEvent) {
     if let Some(witness) = &mut control.recorded_events {
         witness.push((now, event));
--- a/crates/daemon/src/planner_runtime/identities.rs
+++ b/crates/daemon/src/planner_runtime/identities.rs
@@ -102,7 +102,7 @@
         let may_warn = self.last_expiry_warning.is_none_or(|at| now >= at + EXPIRY_WARNING_INTERVAL);
         if is_renewal_due && may_warn {
             self.last_expiry_warning = Some(now);
-            tracing::warn!(identity = %own.id, seconds = seconds_left, "this planner's identity ends soon");
+            tracing::warn!(identity = %own.id, seconds = seconds_left, "this planner's identity expires soon");
         }
     }
 }
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -74,7 +74,7 @@
         holder: &CertificateHolder,
     ) {
         let Some(id) = self.service.open(&holder.name, event_loop.now()) else {
-            tracing::warn!(who = %holder.name, "turned away: too many sessions");
+            tracing::warn!(who = %holder.name, "session rejected: too many sessions");
             event_loop.cut(connection);
             return;
         };
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -113,7 +113,7 @@
             self.take_over(event_loop, other);
         }
         if !core.distributor.came(event_loop.now(), pending) {
-            tracing::warn!("turned away: too many proxies wait to be let in");
+            tracing::warn!("proxy rejected: too many proxies wait for admission");
             self.disconnect(core, event_loop, connection, CloseReason::Refused);
         }
     }
@@ -163,7 +163,7 @@
     /// Ends a connection whose proxy has opened another one.
     fn take_over(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         if let Some(ProxySession::Subscriber(mut subscriber)) = self.sessions.remove(&connection) {
-            tracing::warn!(proxy = %subscriber.holder.name, "another connection of this name took over");
+            tracing::warn!(proxy = %subscriber.holder.name, "another connection of this proxy took over");
             subscriber.session.taken_over(event_loop.now());
             event_loop.write(connection, &subscriber.session.output());
             event_loop.finish(connection);
@@ -203,7 +203,10 @@
         let (update, verdict) = core.distributor.lacks(now, proxy, number, topic);
         core.update_applied(now, proxy, update);
         if verdict == Verdict::LetGo {
-            tracing::error!(proxy = core.control.proxy_name(proxy), "let go: it can use no message");
+            tracing::error!(
+                proxy = core.control.proxy_name(proxy),
+                "disconnected: the proxy cannot apply any update"
+            );
             self.finish(core, event_loop, connection, CloseReason::Refused);
         }
     }
@@ -224,11 +227,17 @@
             Verdict::Fine => {}
             Verdict::Anew => {
                 let proxy = core.control.proxy_name(proxy);
-                tracing::warn!(proxy, "it tries servers that it confirmed to be out: told its tables anew");
+                tracing::warn!(
+                    proxy,
+                    "the proxy tries servers that it acknowledged as ejected: its tables are sent again"
+                );
             }
             Verdict::LetGo => {
                 let proxy = core.control.proxy_name(proxy);
-                tracing::error!(proxy, "let go: it does not do what it confirms");
+                tracing::error!(
+                    proxy,
+                    "disconnected: the proxy does not follow the tables that it acknowledged"
+                );
                 self.disconnect(core, event_loop, connection, CloseReason::Refused);
             }
         }
@@ -319,7 +328,7 @@
         let late: Vec<ProxyId> = late.map(|(proxy, _)| *proxy).collect();
         for proxy in late {
             let name = core.control.proxy_name(proxy);
-            tracing::warn!(proxy = name, "let go: it does not confirm its orders");
+            tracing::warn!(proxy = name, "disconnected: the proxy does not acknowledge its updates");
             if let Some(connection) = core.connection_of(proxy) {
                 self.disconnect(core, event_loop, connection, CloseReason::Unread);
             }
@@ -337,7 +346,7 @@
         for (name, _) in core.distributor.publisher().overdue(now, timeout) {
             let connection = core.control.proxy(&name).and_then(|proxy| core.connection_of(proxy));
             if let Some(connection) = connection {
-                tracing::warn!(proxy = %name, "let go: it does not confirm what it is told");
+                tracing::warn!(proxy = %name, "disconnected: the proxy does not acknowledge what was published");
                 self.disconnect(core, event_loop, connection, CloseReason::Unread);
             }
         }
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -60,7 +60,7 @@
 
     /// The decisions started over with another configuration: they are told again of all servers and proxies.
     fn restart_decisions(&self, core: &mut PlannerCore) {
-        tracing::warn!("new facts: the decisions start over, proxies keep their tables until bound again");
+        tracing::warn!("the configuration changed: the decisions start over, proxies keep their tables until new ones are assigned");
         let servers = self.inventory.servers().iter();
         let servers = servers.map(|(name, server)| (name.clone(), Change::Is(server.clone()))).collect();
         core.control.update_endpoints(EndpointUpdate::Cached, servers);
--- a/crates/daemon/src/planner_runtime/rejection_log.rs
+++ b/crates/daemon/src/planner_runtime/rejection_log.rs
@@ -70,7 +70,7 @@
             self.logged.insert(key, now);
             let RejectionText { why, safe, case } = RejectionText::new(control, rejection);
             let reason = rejection.reason;
-            tracing::warn!(reason = reason.word(), rule = reason.rule(), why, safe, %case, "refused");
+            tracing::warn!(reason = reason.word(), rule = reason.rule(), why, safe, %case, "rejected");
         }
     }
 }
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -78,7 +78,7 @@
 /// The stored `<fleet>`. A confirmed commit that a restart interrupted is rolled back (RFC 6241, section 8.4.1).
 fn stored_fleet(accepted: &AcceptedState) -> Result<Element, StartError> {
     if accepted.before.is_some() {
-        tracing::warn!("a confirmed commit was never confirmed: back to what stood before");
+        tracing::warn!("a confirmed commit was never confirmed: it is rolled back");
     }
     let entries = accepted.before.as_ref().unwrap_or(&accepted.entries);
     let text = format!("<fleet xmlns=\"{FLEET}\">{}</fleet>", entries.concat());
--- a/crates/daemon/src/planner_runtime/startup.rs
+++ b/crates/daemon/src/planner_runtime/startup.rs
@@ -96,7 +96,7 @@
 fn restore_learned(control: &mut ControlSession, restored: &RestoredState, inventory: &Inventory) {
     let hints = restore::warm_start_hints(restored, inventory);
     if !hints.is_empty() {
-        tracing::info!(servers = hints.len(), "what an earlier start learned is taken as hints");
+        tracing::info!(servers = hints.len(), "what an earlier start learned serves as hints");
         control.warm_start(&hints);
     }
 }
--- a/crates/daemon/src/planner_runtime/subscriber.rs
+++ b/crates/daemon/src/planner_runtime/subscriber.rs
@@ -108,7 +108,7 @@
             SessionEvent::WantsNoMore { wanted } => {
                 self.wanted.retain(|filter| !wanted.contains(filter));
                 // A proxy without its tables cannot be commanded, and must not count as one that can.
-                tracing::warn!(proxy = %self.holder.name, "let go: it wants its tables no more");
+                tracing::warn!(proxy = %self.holder.name, "disconnected: the proxy unsubscribed from its tables");
                 Some(ProxyEvent::Finish(CloseReason::Ended))
             }
             SessionEvent::Report(bytes) => match report::read(&bytes) {
