--- a/crates/daemon/src/commands/guard.rs
+++ b/crates/daemon/src/commands/guard.rs
@@ -1,7 +1,7 @@
 //! `runloom guard explain`: checks a rejection of a planner's log again, step by step.
 
 use super::{file_error, CommandError};
-use runloom_guard::case::{RejectionCase, RejectionCaseEntry};
+use runloom_guard::{replay_case, RejectionCase, RejectionCaseEntry};
 use std::path::Path;
 
 #[cfg(test)]
@@ -39,22 +39,22 @@
     let index = number.unwrap_or(cases.len()).checked_sub(1);
     let case = index.and_then(|index| cases.get(index));
     let case = case.ok_or(CommandError::NoSuchRejection { count: cases.len() })?;
-    println!("refused: {} ({})", case.what, case.reason);
+    println!("refused: {} ({})", case.command, case.reason);
     println!(
         "table {}, {:.1} queries/s on it; a unit of weight is known to take {:.2}",
-        case.table, case.rate, case.can
+        case.table, case.request_rate, case.capacity_per_weight
     );
-    case.lines.iter().for_each(print_entry);
+    case.entries.iter().for_each(print_entry);
     print_verdict(case);
     Ok(())
 }
 
 fn print_entry(entry: &RejectionCaseEntry) {
-    let state = if entry.open { "open" } else { "not open" };
-    let age = entry.age.map_or("warm".into(), |seconds| format!("{seconds:.1} s old"));
+    let state = if entry.is_open { "open" } else { "not open" };
+    let age = entry.age_seconds.map_or("warm".into(), |seconds| format!("{seconds:.1} s old"));
     println!(
         "  server {}: weight {}, {state}, listed at {}, {age}",
-        entry.server, entry.weight, entry.listed
+        entry.server, entry.weight, entry.configured_weight
     );
 }
 
@@ -62,10 +62,10 @@
 fn print_verdict(case: &RejectionCase) {
     let server = |server: usize| format!("server {server}");
     let proxy = |proxy: usize| format!("proxy {proxy}");
-    match case.replay() {
+    match replay_case(case) {
         Some(rejection) => {
-            println!("judged anew: {}", rejection.sentence(&server, &proxy));
-            println!("safe: {}", rejection.safe(&server));
+            println!("judged anew: {}", rejection.describe(&server, &proxy));
+            println!("safe: {}", rejection.suggest_safe_change(&server));
         }
         None => println!(
             "judged anew on this table alone it would pass: other tables or orders of the batch weighed in"
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -108,12 +108,8 @@
 }
 
 fn stored_edit(edit: &edit_history::Edit) -> AcceptedEdit {
-    AcceptedEdit {
-        id: edit.id.clone(),
-        who: edit.who.clone(),
-        digest: edit.digest.clone(),
-        accepted: edit.accepted,
-    }
+    let stored = edit.stored.clone();
+    AcceptedEdit { id: stored.id, who: stored.author, digest: stored.digest, accepted: stored.accepted_ms }
 }
 
 /// Identifies the content of an edit: SHA-256 in hexadecimal.
@@ -248,7 +244,7 @@
         }
         let edit_ids = std::mem::take(&mut self.unsaved_edit_ids);
         let before = self.accepted.fleet_texts_before();
-        let edits = self.edit_history.edits().filter(|edit| edit_ids.contains(&edit.id));
+        let edits = self.edit_history.edits().filter(|edit| edit_ids.contains(&edit.stored.id));
         let patch = StatePatch {
             pieces: self.changed_pieces(),
             noted: edits.map(stored_edit).collect(),
@@ -280,7 +276,7 @@
     pub fn patch_written(&mut self) {
         if let Some(InFlightPatch { revision, edit_ids }) = self.in_flight.take() {
             self.is_list_changed |= revision.fleet != self.persisted.fleet || !edit_ids.is_empty();
-            self.edit_history.kept(&edit_ids, self.now);
+            self.edit_history.record_stored(&edit_ids, self.now);
             self.persisted = revision;
         }
         self.unavailable_reason = None;
@@ -295,9 +291,9 @@
         data.children.extend(roster);
         self.accepted = Revision { data: Arc::new(data), ..self.persisted.clone() };
         if let Some(InFlightPatch { edit_ids, .. }) = self.in_flight.take() {
-            self.edit_history.forget(&edit_ids);
+            self.edit_history.remove(&edit_ids);
         }
-        self.edit_history.forget(&std::mem::take(&mut self.unsaved_edit_ids));
+        self.edit_history.remove(&std::mem::take(&mut self.unsaved_edit_ids));
         self.is_unsaved = false;
         self.is_list_changed = true;
         self.unavailable_reason = Some(why);
@@ -431,10 +427,10 @@
 
     fn known(&self, edit_id: &str, content: &str) -> EditLookup {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
-        match self.edit_history.known(edit_id, &digest) {
+        match self.edit_history.lookup(edit_id, &digest) {
             edit_history::EditLookup::New => EditLookup::New,
-            edit_history::EditLookup::Same => EditLookup::Same,
-            edit_history::EditLookup::Other => EditLookup::Other,
+            edit_history::EditLookup::Repeated => EditLookup::Same,
+            edit_history::EditLookup::Conflicting => EditLookup::Other,
         }
     }
 
--- a/crates/daemon/src/config_service/guard_check.rs
+++ b/crates/daemon/src/config_service/guard_check.rs
@@ -1,7 +1,7 @@
 //! The guard's view of an edit: whether it leaves servers in service, and for how long it raises a limit.
 
-use runloom_guard::edit::{self, Seen};
-use runloom_inventory::merged;
+use runloom_guard::edit_validation::{validate_edit, PoolServer};
+use runloom_inventory::merge_overrides;
 use runloom_model::fleet::{Fleet, ListedServer};
 use runloom_netconf::error::{RpcError, Tag};
 
@@ -20,10 +20,13 @@
 }
 
 /// Checks that an edit leaves at least one server in service.
-pub(super) fn check_servers_left(before: &[Seen], after: &[Seen]) -> Result<(), Vec<RpcError>> {
-    edit::judge(before, after).map_err(|empties| {
-        let first = empties.takes.first().cloned().unwrap_or_default();
-        let why = format!("no open server would be left: one of {} has to stay", empties.takes.join(", "));
+pub(super) fn check_servers_left(before: &[PoolServer], after: &[PoolServer]) -> Result<(), Vec<RpcError>> {
+    validate_edit(before, after).map_err(|empties| {
+        let first = empties.removed_servers.first().cloned().unwrap_or_default();
+        let why = format!(
+            "no open server would be left: one of {} has to stay",
+            empties.removed_servers.join(", ")
+        );
         let error = RpcError::application(Tag::OperationFailed, why).app("empties-pool");
         vec![error.at(format!("/fleet/server[name='{first}']")).with("bad-element", "drain")]
     })
@@ -34,12 +37,12 @@
     fleet: &Fleet,
     listed: impl Iterator<Item = (&'a String, &'a ListedServer)>,
     wall_ms: u64,
-) -> Vec<Seen> {
+) -> Vec<PoolServer> {
     let warm_after_ms = fleet.warm_after.as_millis() as u64;
     let seen = listed.map(|(name, listed)| {
-        let server = merged(name, listed, fleet);
-        let is_warm = server.started.is_none_or(|at| at + warm_after_ms <= wall_ms);
-        Seen { name: name.clone(), draining: server.draining, warm: is_warm, weight: server.weight }
+        let server = merge_overrides(name, listed, fleet);
+        let is_warm = server.started_ms.is_none_or(|at| at + warm_after_ms <= wall_ms);
+        PoolServer { name: name.clone(), is_draining: server.is_draining, is_warm, weight: server.weight }
     });
     seen.collect()
 }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -154,7 +154,7 @@
             self.core.control.next_wakeup(),
             self.core.distributor.wakes_at(),
             self.operators.wakes_at(),
-            self.core.config.edit_history.wakes_at(),
+            self.core.config.edit_history.next_wakeup(),
             Some(self.durability.wakes_at()),
         ])
     }
@@ -274,7 +274,7 @@
     /// Steps the decisions, and sends what they command.
     fn decide(&mut self, event_loop: &mut EventLoop, now: Duration) {
         let (actions, issued) = self.core.control.step(now);
-        self.core.config.edit_history.ordered(&issued.servers, &issued.messages);
+        self.core.config.edit_history.record_published(&issued.servers, &issued.messages);
         let has_commands = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         for action in actions {
             self.perform(event_loop, action);
@@ -327,15 +327,15 @@
     /// Notifies subscribed operators of edits that are in force at all proxies.
     fn announce_edits_in_force(&mut self) {
         let now = self.core.config.now;
-        for edit in self.core.config.edit_history.settle(now) {
-            let event = RecordedEvent::Edit { id: edit.id.clone(), who: edit.who.clone() };
+        for edit in self.core.config.edit_history.take_completed(now) {
+            let event = RecordedEvent::Edit { id: edit.stored.id.clone(), who: edit.stored.author.clone() };
             note_event(&mut self.core.control, now, event);
-            let elapsed = now.saturating_sub(edit.took.unwrap_or(now));
+            let elapsed = now.saturating_sub(edit.stored_at.unwrap_or(now));
             tracing::info!(
-                edit = %edit.id,
-                who = %edit.who,
-                at = edit.at(),
-                of = edit.of,
+                edit = %edit.stored.id,
+                who = %edit.stored.author,
+                at = edit.acknowledged_count(),
+                of = edit.proxy_count,
                 after_ms = elapsed.as_millis() as u64,
                 "in force"
             );
@@ -359,8 +359,8 @@
 /// The notification of an edit that is in force.
 fn edit_in_force(edit: &Edit, elapsed: Duration) -> Element {
     Element::new(STATE, "edit-in-force")
-        .with_leaf("id", &edit.id)
-        .with_leaf("at", edit.at())
-        .with_leaf("of", edit.of)
+        .with_leaf("id", &edit.stored.id)
+        .with_leaf("at", edit.acknowledged_count())
+        .with_leaf("of", edit.proxy_count)
         .with_leaf("after-ms", elapsed.as_millis())
 }
--- a/crates/daemon/src/planner_runtime/core.rs
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -107,7 +107,7 @@
     pub(super) fn update_applied(&mut self, now: Duration, proxy: ProxyId, update: Option<u64>) {
         if let Some(update) = update {
             self.control.acknowledge(now, proxy, update);
-            self.config.edit_history.applied(proxy, update);
+            self.config.edit_history.acknowledge(proxy, update);
         }
     }
 
@@ -116,6 +116,6 @@
         self.connected.remove(&proxy);
         self.control.disconnect_proxy(proxy);
         self.distributor.left(proxy);
-        self.config.edit_history.left(proxy);
+        self.config.edit_history.disconnect_proxy(proxy);
     }
 }
--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -125,7 +125,7 @@
             Some(LearnedServer {
                 name: state.name,
                 address: server.address.to_string(),
-                started: server.started,
+                started: server.started_ms,
                 swift: state.speed_factor,
                 failed: state.last_ejected_ms,
                 held: state.is_long_ejected,
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -123,7 +123,7 @@
 }
 
 fn record_decisions(core: &PlannerCore) {
-    for (reason, count) in core.control.guard().counts() {
+    for (reason, count) in core.control.guard().rejection_counts() {
         metrics::counter!("runloom_refused_total", "reason" => *reason).absolute(*count);
     }
     let mut servers_by_health: BTreeMap<&'static str, f64> = BTreeMap::new();
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -144,7 +144,7 @@
         );
         session.set_proxy(proxy);
         core.distributor.joined(proxy, pending);
-        core.config.edit_history.left(proxy);
+        core.config.edit_history.disconnect_proxy(proxy);
         tracing::info!(
             proxy = %connected.name,
             zone = %connected.zone,
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -34,7 +34,7 @@
     pub(super) fn apply(&mut self, core: &mut PlannerCore, durability: &mut Durability, now: Duration) {
         if !std::mem::take(&mut core.config.is_list_changed) {
             // An edit that changes nothing is complete without a decision.
-            core.config.edit_history.decided(now, &BTreeSet::new());
+            core.config.edit_history.record_decided(now, &BTreeSet::new());
             return;
         }
         let changes = self.inventory.update(core.config.persisted_fleet(), core.config.listed());
@@ -48,7 +48,7 @@
         } else if !changes.is_empty() {
             core.control.update_endpoints(EndpointUpdate::Delta, changes);
         }
-        core.config.edit_history.decided(now, &changed_servers);
+        core.config.edit_history.record_decided(now, &changed_servers);
     }
 
     fn record(&self, core: &mut PlannerCore, now: Duration) {
@@ -62,7 +62,7 @@
     fn restart_decisions(&self, core: &mut PlannerCore) {
         tracing::warn!("the configuration changed: the decisions start over, proxies keep their tables until new ones are assigned");
         let servers = self.inventory.servers().iter();
-        let servers = servers.map(|(name, server)| (name.clone(), Change::Is(server.clone()))).collect();
+        let servers = servers.map(|(name, server)| (name.clone(), Change::Updated(server.clone()))).collect();
         core.control.update_endpoints(EndpointUpdate::Cached, servers);
         let fleet = core.config.persisted_fleet();
         let epoch = core.distributor.publisher().epoch() + 1;
@@ -74,7 +74,7 @@
         for (proxy, connected) in &core.connected {
             let (name, zone) = (&connected.name, &connected.zone);
             core.control.connect_proxy(name, zone, connected.request_rate, has_no_table);
-            core.config.edit_history.left(*proxy);
+            core.config.edit_history.disconnect_proxy(*proxy);
         }
     }
 }
--- a/crates/daemon/src/planner_runtime/rejection_log.rs
+++ b/crates/daemon/src/planner_runtime/rejection_log.rs
@@ -1,7 +1,7 @@
 //! Log of the commands that the guard rejected.
 
 use runloom_control_session::{ControlSession, CLOCK_LEAD};
-use runloom_guard::refusal::Rejection;
+use runloom_guard::Rejection;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 impl RejectionKey {
     fn of(rejection: &Rejection) -> RejectionKey {
         RejectionKey {
-            reason: rejection.reason.word(),
+            reason: rejection.reason.tag(),
             table: rejection.table,
             server: rejection.servers.first().copied(),
         }
@@ -42,8 +42,8 @@
         let proxy = |proxy: usize| control.proxy_name(proxy).to_string();
         let case = rejection.case.as_ref().and_then(|case| serde_json::to_string(case).ok());
         RejectionText {
-            why: rejection.sentence(&server, &proxy),
-            safe: rejection.safe(&server),
+            why: rejection.describe(&server, &proxy),
+            safe: rejection.suggest_safe_change(&server),
             case: case.unwrap_or_default(),
         }
     }
@@ -62,7 +62,7 @@
     pub(super) fn log_new(&mut self, control: &ControlSession, now: Duration) {
         let since = std::mem::replace(&mut self.handled_until, CLOCK_LEAD + now);
         self.logged.retain(|_, at| now < *at + REPEAT_INTERVAL);
-        for rejection in control.guard().refusals().filter(|rejection| rejection.at > since) {
+        for rejection in control.guard().rejections().filter(|rejection| rejection.at > since) {
             let key = RejectionKey::of(rejection);
             if self.logged.contains_key(&key) {
                 continue;
@@ -70,7 +70,7 @@
             self.logged.insert(key, now);
             let RejectionText { why, safe, case } = RejectionText::new(control, rejection);
             let reason = rejection.reason;
-            tracing::warn!(reason = reason.word(), rule = reason.rule(), why, safe, %case, "rejected");
+            tracing::warn!(reason = reason.tag(), rule = reason.rule(), why, safe, %case, "rejected");
         }
     }
 }
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -6,12 +6,12 @@
 use crate::state_file::StateFile;
 use crate::wall_ms;
 use runloom_control_session::ServerHint;
-use runloom_inventory::edit_history::EditHistory;
+use runloom_inventory::edit_history::{EditHistory, StoredEdit};
 use runloom_inventory::{Inventory, Server};
 use runloom_model::fleet::PlannerSettings;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::AcceptedState;
+use runloom_store::accepted::{AcceptedEdit, AcceptedState};
 use std::io;
 use std::sync::Arc;
 
@@ -52,7 +52,7 @@
     if let Some(accepted) = restored.accepted.take() {
         replace_child(&mut data, "fleet", stored_fleet(&accepted)?);
         let edits = accepted.noted.into_iter();
-        edit_history = EditHistory::of(edits.map(|edit| (edit.id, edit.who, edit.digest, edit.accepted)));
+        edit_history = EditHistory::restore(edits.map(restored_edit));
     } else if let Some(accepted) = files.read(LEGACY_ACCEPTED_FILE)? {
         if let Some(fleet) = accepted.child("before").unwrap_or(&accepted).child("fleet") {
             replace_child(&mut data, "fleet", fleet.clone());
@@ -85,22 +85,28 @@
     Element::parse(&text).map_err(|error| StartError::StoredFleet(error.reason))
 }
 
+fn restored_edit(edit: AcceptedEdit) -> StoredEdit {
+    StoredEdit { id: edit.id, author: edit.who, digest: edit.digest, accepted_ms: edit.accepted }
+}
+
 fn legacy_edit_history(accepted: &Element) -> EditHistory {
     let text = |edit: &Element, name: &str| edit.text_of(name).unwrap_or_default().to_string();
-    let read_edit = |edit: &Arc<Element>| {
-        let accepted_at = text(edit, "accepted").parse().unwrap_or(0);
-        (text(edit, "id"), text(edit, "who"), text(edit, "digest"), accepted_at)
+    let read_edit = |edit: &Arc<Element>| StoredEdit {
+        id: text(edit, "id"),
+        author: text(edit, "who"),
+        digest: text(edit, "digest"),
+        accepted_ms: text(edit, "accepted").parse().unwrap_or(0),
     };
     let edits =
         accepted.child("ledger").map(|ledger| ledger.named("edit").map(read_edit).collect::<Vec<_>>());
-    EditHistory::of(edits.unwrap_or_default().into_iter())
+    EditHistory::restore(edits.unwrap_or_default().into_iter())
 }
 
 /// What an earlier start learned of servers that are listed unchanged, as far as it still counts.
 pub(super) fn warm_start_hints(restored: &RestoredState, inventory: &Inventory) -> Vec<ServerHint> {
     let Some(learned) = &restored.learned else { return vec![] };
     let hint = |(name, server): (&String, &Server)| {
-        let hint = learned.hint(wall_ms(), name, &server.address.to_string(), server.started)?;
+        let hint = learned.hint(wall_ms(), name, &server.address.to_string(), server.started_ms)?;
         Some(ServerHint { name: name.clone(), speed_factor: hint.swift, suspicion: hint.doubt })
     };
     inventory.servers().iter().filter_map(hint).collect()
--- a/crates/daemon/src/planner_runtime/state_report.rs
+++ b/crates/daemon/src/planner_runtime/state_report.rs
@@ -5,7 +5,7 @@
 use super::rejection_log::RejectionText;
 use runloom_control_session::CLOCK_LEAD;
 use runloom_distribution::Transport;
-use runloom_guard::refusal::Rejection;
+use runloom_guard::Rejection;
 use runloom_inventory::edit_history::Edit;
 use runloom_model::STATE;
 use runloom_netconf::tree::Element;
@@ -90,29 +90,29 @@
 }
 
 fn edit_element(edit: &Edit) -> Element {
-    let elapsed = |at: Option<Duration>| at.map(|at| at.saturating_sub(edit.took.unwrap_or(at)));
+    let elapsed = |at: Option<Duration>| at.map(|at| at.saturating_sub(edit.stored_at.unwrap_or(at)));
     let mut element = Element::new(STATE, "edit")
-        .with_leaf("id", &edit.id)
-        .with_leaf("who", &edit.who)
-        .with_leaf("accepted", edit.accepted)
+        .with_leaf("id", &edit.stored.id)
+        .with_leaf("who", &edit.stored.author)
+        .with_leaf("accepted", edit.stored.accepted_ms)
         .with_leaf("state", edit.state());
-    element = with_optional_millis(element, "decided-ms", elapsed(edit.decided));
-    element = with_optional_millis(element, "in-force-ms", elapsed(edit.in_force));
-    element.with_leaf("at", edit.at()).with_leaf("of", edit.of)
+    element = with_optional_millis(element, "decided-ms", elapsed(edit.decided_at));
+    element = with_optional_millis(element, "in-force-ms", elapsed(edit.in_force_at));
+    element.with_leaf("at", edit.acknowledged_count()).with_leaf("of", edit.proxy_count)
 }
 
 fn guard(core: &PlannerCore, now: Duration) -> Element {
     let guard = core.control.guard();
-    let mut element = Element::new(STATE, "guard").with_leaf("judged", guard.judged);
+    let mut element = Element::new(STATE, "guard").with_leaf("judged", guard.validated_batches);
     let raised = core.config.fleet().raised;
     if let Some((_, until)) = raised.filter(|(_, until)| *until > core.config.wall_ms) {
         element = element.with_leaf("raised-until", until);
     }
-    for (reason, count) in guard.counts() {
+    for (reason, count) in guard.rejection_counts() {
         let count = Element::new(STATE, "count").with_leaf("reason", reason).with_leaf("refused", count);
         element = element.with(count);
     }
-    let rejections: Vec<&Rejection> = guard.refusals().collect();
+    let rejections: Vec<&Rejection> = guard.rejections().collect();
     for rejection in rejections.into_iter().rev().take(MAX_REJECTIONS) {
         element = element.with(rejection_element(core, rejection, now));
     }
@@ -123,7 +123,7 @@
     let RejectionText { why, safe, case } = RejectionText::new(&core.control, rejection);
     Element::new(STATE, "refusal")
         .with_leaf("ago-ms", (CLOCK_LEAD + now).saturating_sub(rejection.at).as_millis())
-        .with_leaf("reason", rejection.reason.word())
+        .with_leaf("reason", rejection.reason.tag())
         .with_leaf("rule", rejection.reason.rule())
         .with_leaf("why", why)
         .with_leaf("safe", safe)
