--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -288,11 +288,11 @@
 
     fn perform(&mut self, event_loop: &mut EventLoop, action: Action) {
         match action {
-            Action::UpdateTable { table, edit } => self.core.distributor.table(table, &edit),
-            Action::UpdateEjections { servers } => self.core.distributor.withdrawn(&servers),
+            Action::UpdateTable { table, edit } => self.core.distributor.update_table(table, &edit),
+            Action::UpdateEjections { servers } => self.core.distributor.update_ejections(&servers),
             Action::Send { proxy, number, message, entries } => {
                 tracing::debug!(proxy, number, lines = entries, "issued");
-                self.core.distributor.ordered(proxy, number, &message);
+                self.core.distributor.issue_command(proxy, number, &message);
             }
             Action::CheckHealth { server, address } => {
                 self.health_checks.start(&mut self.core.control, event_loop, server, address);
--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -95,14 +95,14 @@
         }
         let rate = description.text_of("rate").and_then(|rate| rate.parse().ok());
         ProxyEvent::Introduced(PendingProxy {
-            conn: connection,
+            connection,
             name: name.to_string(),
             zone: description.text_of("zone").unwrap_or_default().to_string(),
-            rate: rate.unwrap_or(0.0),
-            fresh: description.text_of("fresh") == Some("true"),
-            way: Transport::Whole,
-            wanted: vec![TopicFilter::ALL],
-            holds: vec![],
+            request_rate: rate.unwrap_or(0.0),
+            has_no_table: description.text_of("fresh") == Some("true"),
+            transport: Transport::Edits,
+            filters: vec![TopicFilter::ALL],
+            held: vec![],
         })
     }
 
--- a/crates/daemon/src/planner_runtime/core.rs
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -115,7 +115,7 @@
     pub(super) fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.connected.remove(&proxy);
         self.control.disconnect_proxy(proxy);
-        self.distributor.left(proxy);
+        self.distributor.disconnect(proxy);
         self.config.edit_history.disconnect_proxy(proxy);
     }
 }
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -86,11 +86,11 @@
 }
 
 fn record_proxies(core: &PlannerCore) {
-    let subscribers = core.connected.values().filter(|proxy| proxy.transport == Transport::Parts).count();
+    let subscribers = core.connected.values().filter(|proxy| proxy.transport == Transport::Published).count();
     gauge("runloom_proxies_joined", core.connected.len() as f64);
     gauge("runloom_proxies_published_to", subscribers as f64);
-    gauge("runloom_proxies_to_be_let_in", core.distributor.waiting() as f64);
-    metrics::counter!("runloom_proxies_doubted_total").absolute(core.distributor.doubted);
+    gauge("runloom_proxies_to_be_let_in", core.distributor.waiting_count() as f64);
+    metrics::counter!("runloom_proxies_doubted_total").absolute(core.distributor.resync_count());
     metrics::counter!("runloom_reports_unread_total").absolute(core.statistics.malformed_reports);
     if let Some(own) = core.identities.tls().own_identity() {
         gauge("runloom_identity_ends_seconds", (own.until - (wall_ms() / 1000) as i64) as f64);
@@ -98,7 +98,7 @@
 }
 
 fn record_delivery(core: &PlannerCore) {
-    gauge("runloom_messages_flying", core.distributor.publisher().waiting() as f64);
+    gauge("runloom_messages_flying", core.distributor.publisher().messages_in_flight() as f64);
     gauge("runloom_lines_waiting", core.control.queued_entries() as f64);
     gauge("runloom_lines_waiting_most", core.control.max_queued_entries as f64);
     metrics::counter!("runloom_lines_sent_total").absolute(core.control.entries_sent);
--- a/crates/daemon/src/planner_runtime/proxy_session.rs
+++ b/crates/daemon/src/planner_runtime/proxy_session.rs
@@ -42,21 +42,21 @@
     pub(super) fn can_send(&self) -> bool {
         match self {
             ProxySession::CallHome(_) => true,
-            ProxySession::Subscriber(session) => session.session.room() > 0,
+            ProxySession::Subscriber(session) => session.session.available_messages() > 0,
         }
     }
 
     /// Sends a message of the distributor.
     pub(super) fn send(&mut self, now: Duration, outgoing: &Outgoing, bodies: &mut BodyCache) {
         match (self, outgoing) {
-            (ProxySession::CallHome(session), Outgoing::Message { number, text, .. }) => {
+            (ProxySession::CallHome(session), Outgoing::Edit { number, text, .. }) => {
                 session.send(now, *number, text);
             }
             (ProxySession::Subscriber(session), Outgoing::Part { number, part }) => {
                 session.send(now, *number, part, bodies);
             }
             (ProxySession::CallHome(_), Outgoing::Part { .. })
-            | (ProxySession::Subscriber(_), Outgoing::Message { .. }) => {}
+            | (ProxySession::Subscriber(_), Outgoing::Edit { .. }) => {}
         }
     }
 }
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -9,7 +9,7 @@
 use super::proxy_session::ProxySession;
 use super::subscriber::{BodyCache, SubscriberSession};
 use crate::tls_credentials::CertificateHolder;
-use runloom_distribution::doubt::Verdict;
+use runloom_distribution::suspicion::Verdict;
 use runloom_distribution::{PendingProxy, Transport};
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_model::order::Report;
@@ -63,7 +63,7 @@
         bytes: &[u8],
     ) {
         let events = match self.sessions.get_mut(&connection) {
-            Some(ProxySession::Subscriber(subscriber)) => subscriber.session.take(event_loop.now(), bytes),
+            Some(ProxySession::Subscriber(subscriber)) => subscriber.session.receive(event_loop.now(), bytes),
             _ => return self.handle_netconf_bytes(core, event_loop, connection, bytes),
         };
         for event in events {
@@ -108,11 +108,13 @@
 
     /// Puts a proxy that introduced itself into the distributor's queue.
     fn enqueue(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, pending: PendingProxy) {
-        let connection = pending.conn;
-        if let Some(other) = core.distributor.waits(&pending.name).filter(|other| *other != connection) {
+        let connection = pending.connection;
+        if let Some(other) =
+            core.distributor.waiting_connection(&pending.name).filter(|other| *other != connection)
+        {
             self.take_over(event_loop, other);
         }
-        if !core.distributor.came(event_loop.now(), pending) {
+        if !core.distributor.enqueue(event_loop.now(), pending) {
             tracing::warn!("proxy rejected: too many proxies wait for admission");
             self.disconnect(core, event_loop, connection, CloseReason::Refused);
         }
@@ -120,22 +122,22 @@
 
     /// Admits the proxies whose turn has come.
     pub(super) fn admit(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, now: Duration) {
-        while let Some(pending) = core.distributor.admit(now) {
+        while let Some(pending) = core.distributor.admit_next(now) {
             self.admit_one(core, event_loop, pending);
         }
     }
 
     fn admit_one(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, pending: PendingProxy) {
-        let connection = pending.conn;
+        let connection = pending.connection;
         let Some(session) = self.sessions.get_mut(&connection) else { return };
         let connected = ConnectedProxy {
             connection,
             name: pending.name.clone(),
             zone: pending.zone.clone(),
-            request_rate: pending.rate,
-            transport: pending.way,
+            request_rate: pending.request_rate,
+            transport: pending.transport,
         };
-        let has_no_table = pending.fresh;
+        let has_no_table = pending.has_no_table;
         let proxy = core.control.connect_proxy(
             &connected.name,
             &connected.zone,
@@ -143,14 +145,14 @@
             has_no_table,
         );
         session.set_proxy(proxy);
-        core.distributor.joined(proxy, pending);
+        core.distributor.connect(proxy, pending);
         core.config.edit_history.disconnect_proxy(proxy);
         tracing::info!(
             proxy = %connected.name,
             zone = %connected.zone,
             rate = connected.request_rate,
             fresh = has_no_table,
-            published = connected.transport == Transport::Parts,
+            published = connected.transport == Transport::Published,
             "connected"
         );
         let previous = core.connected.insert(proxy, connected);
@@ -164,7 +166,7 @@
     fn take_over(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         if let Some(ProxySession::Subscriber(mut subscriber)) = self.sessions.remove(&connection) {
             tracing::warn!(proxy = %subscriber.holder.name, "another connection of this proxy took over");
-            subscriber.session.taken_over(event_loop.now());
+            subscriber.session.take_over(event_loop.now());
             event_loop.write(connection, &subscriber.session.output());
             event_loop.finish(connection);
         } else {
@@ -186,7 +188,7 @@
         if let Some(sent) = sent {
             record_micros(&mut core.statistics.acknowledgement_time, now.saturating_sub(sent));
         }
-        let update = core.distributor.confirmed(now, proxy, number);
+        let update = core.distributor.acknowledged(now, proxy, number);
         core.update_applied(now, proxy, update);
     }
 
@@ -200,9 +202,9 @@
     ) {
         let now = event_loop.now();
         let Some(proxy) = self.proxy(connection) else { return };
-        let (update, verdict) = core.distributor.lacks(now, proxy, number, topic);
-        core.update_applied(now, proxy, update);
-        if verdict == Verdict::LetGo {
+        let rejection = core.distributor.rejected(now, proxy, number, topic);
+        core.update_applied(now, proxy, rejection.in_force);
+        if rejection.verdict == Verdict::Disconnect {
             tracing::error!(
                 proxy = core.control.proxy_name(proxy),
                 "disconnected: the proxy cannot apply any update"
@@ -223,16 +225,16 @@
         core.control.handle_report(now, proxy, report);
         let tried = report.met.iter().filter(|outcome| outcome.tries > 0);
         let tried = tried.map(|outcome| outcome.server.as_str());
-        match core.distributor.reported(now, proxy, report.span, tried) {
-            Verdict::Fine => {}
-            Verdict::Anew => {
+        match core.distributor.check_report(now, proxy, report.span, tried) {
+            Verdict::Trusted => {}
+            Verdict::Resync => {
                 let proxy = core.control.proxy_name(proxy);
                 tracing::warn!(
                     proxy,
                     "the proxy tries servers that it acknowledged as ejected: its tables are sent again"
                 );
             }
-            Verdict::LetGo => {
+            Verdict::Disconnect => {
                 let proxy = core.control.proxy_name(proxy);
                 tracing::error!(
                     proxy,
@@ -255,7 +257,7 @@
     /// Sends proxies the updates that they lack.
     pub(super) fn deliver_updates(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop) {
         let now = event_loop.now();
-        for (proxy, update) in core.distributor.take_settled() {
+        for (proxy, update) in core.distributor.take_completed() {
             core.update_applied(now, proxy, Some(update));
         }
         self.bodies.limit_size();
@@ -281,7 +283,7 @@
     ) {
         let Some(session) = self.sessions.get_mut(&connection) else { return };
         while session.can_send() {
-            let Some(outgoing) = core.distributor.next(now, proxy) else { return };
+            let Some(outgoing) = core.distributor.next_message(now, proxy) else { return };
             session.send(now, &outgoing, &mut self.bodies);
         }
     }
@@ -304,8 +306,8 @@
         let mut ended = vec![];
         for (connection, session) in &mut self.sessions {
             let ProxySession::Subscriber(subscriber) = session else { continue };
-            subscriber.session.wake(now);
-            if subscriber.session.over().is_some() {
+            subscriber.session.handle_timeout(now);
+            if subscriber.session.end().is_some() {
                 ended.push(*connection);
             }
         }
@@ -408,7 +410,7 @@
         core.identities.forget(connection);
         let Some(session) = self.sessions.remove(&connection) else { return };
         let name = &session.holder().name;
-        core.distributor.gone(name, connection);
+        core.distributor.cancel_waiting(name, connection);
         let proxy = session.proxy().filter(|proxy| core.connection_of(*proxy) == Some(connection));
         if let Some(proxy) = proxy {
             tracing::info!(proxy = %name, why = ?reason, "disconnected");
--- a/crates/daemon/src/planner_runtime/state_report.rs
+++ b/crates/daemon/src/planner_runtime/state_report.rs
@@ -74,8 +74,8 @@
     for (proxy, member) in core.control.members() {
         let transport = core.connected.get(proxy).map(|connected| connected.transport);
         let told = match transport {
-            Some(Transport::Parts) => "published",
-            Some(Transport::Whole) | None => "edits",
+            Some(Transport::Published) => "published",
+            Some(Transport::Edits) | None => "edits",
         };
         let mut element = Element::new(STATE, "proxy")
             .with_leaf("name", core.control.proxy_name(*proxy))
--- a/crates/daemon/src/planner_runtime/subscriber.rs
+++ b/crates/daemon/src/planner_runtime/subscriber.rs
@@ -5,9 +5,9 @@
 use crate::tls_credentials::CertificateHolder;
 use runloom_distribution::{PendingProxy, Transport};
 use runloom_event_loop::{CloseReason, ConnectionId};
-use runloom_mqtt::session::{Hello, Session, SessionEnd, SessionEvent};
-use runloom_mqtt::{body, report};
-use runloom_versioned_publisher::{Topic, TopicFilter, UpdatePart, Version};
+use runloom_mqtt::session::{Session, SessionEvent};
+use runloom_mqtt::{body, report, ConnectionEnd, ProxyInfo};
+use runloom_versioned_publisher::{HeldVersion, Topic, TopicFilter, UpdatePart, Version};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,8 +20,8 @@
 struct BodyKey {
     epoch: u64,
     topic: Topic,
-    from: Option<Version>,
-    to: Version,
+    base_version: Option<Version>,
+    version: Version,
     part: usize,
 }
 
@@ -41,9 +41,14 @@
 
     /// The serialized form of an update part.
     fn body(&mut self, part: &UpdatePart) -> Arc<[u8]> {
-        let key =
-            BodyKey { epoch: part.epoch, topic: part.topic, from: part.from, to: part.to, part: part.part };
-        self.bodies.entry(key).or_insert_with(|| body::write(part).into()).clone()
+        let key = BodyKey {
+            epoch: part.epoch,
+            topic: part.topic,
+            base_version: part.base_version,
+            version: part.version,
+            part: part.part,
+        };
+        self.bodies.entry(key).or_insert_with(|| body::encode(part).into()).clone()
     }
 }
 
@@ -53,8 +58,8 @@
     pub session: Session,
     /// The proxy's index, once it is admitted.
     pub proxy: Option<ProxyId>,
-    hello: Hello,
-    wanted: Vec<TopicFilter>,
+    info: ProxyInfo,
+    filters: Vec<TopicFilter>,
     /// Times at which unacknowledged messages were sent, by the distributor's number.
     sent: BTreeMap<u64, Duration>,
 }
@@ -66,24 +71,24 @@
             holder,
             session,
             proxy: None,
-            hello: Hello::default(),
-            wanted: vec![],
+            info: ProxyInfo::default(),
+            filters: vec![],
             sent: BTreeMap::new(),
         }
     }
 
     /// Sends one update part of the distributor.
     pub(super) fn send(&mut self, now: Duration, number: u64, part: &UpdatePart, bodies: &mut BodyCache) {
-        self.session.tell(now, number, part.topic, bodies.body(part));
+        self.session.publish(now, number, part.topic, bodies.body(part));
         self.sent.insert(number, now);
     }
 
     /// Why the session has ended, if it has.
     pub(super) fn close_reason(&self) -> Option<CloseReason> {
-        match self.session.over()? {
-            SessionEnd::Left => Some(CloseReason::Ended),
-            SessionEnd::Silent => Some(CloseReason::Idle),
-            SessionEnd::Refused(reason) => {
+        match self.session.end()? {
+            ConnectionEnd::Disconnected => Some(CloseReason::Ended),
+            ConnectionEnd::TimedOut => Some(CloseReason::Idle),
+            ConnectionEnd::Rejected(reason) => {
                 tracing::warn!(proxy = %self.holder.name, reason, "stream ends");
                 Some(CloseReason::Broken)
             }
@@ -97,29 +102,29 @@
         event: SessionEvent,
     ) -> Option<ProxyEvent> {
         match event {
-            SessionEvent::Connected(hello) => {
-                self.hello = hello;
+            SessionEvent::Connected(info) => {
+                self.info = info;
                 None
             }
-            SessionEvent::Wants { wanted, holds } => {
-                self.wanted.extend(wanted);
-                self.introduction(connection, holds)
+            SessionEvent::Subscribed { filters, held } => {
+                self.filters.extend(filters);
+                self.introduction(connection, held)
             }
-            SessionEvent::WantsNoMore { wanted } => {
-                self.wanted.retain(|filter| !wanted.contains(filter));
+            SessionEvent::Unsubscribed { filters } => {
+                self.filters.retain(|filter| !filters.contains(filter));
                 // A proxy without its tables cannot be commanded, and must not count as one that can.
                 tracing::warn!(proxy = %self.holder.name, "disconnected: the proxy unsubscribed from its tables");
                 Some(ProxyEvent::Finish(CloseReason::Ended))
             }
-            SessionEvent::Report(bytes) => match report::read(&bytes) {
+            SessionEvent::Report(bytes) => match report::decode(&bytes) {
                 Ok(report) => self.proxy.map(|_| ProxyEvent::Reported(report)),
-                Err(why) => self.proxy.map(|_| ProxyEvent::MalformedReport(why)),
+                Err(why) => self.proxy.map(|_| ProxyEvent::MalformedReport(why.to_string())),
             },
-            SessionEvent::Confirmed(number) => {
+            SessionEvent::Acknowledged(number) => {
                 let sent = self.sent.remove(&number);
                 self.proxy.map(|_| ProxyEvent::Acknowledged { number, sent })
             }
-            SessionEvent::Lacks(number, topic) => {
+            SessionEvent::Rejected(number, topic) => {
                 self.sent.remove(&number);
                 self.proxy.map(|_| ProxyEvent::NotApplicable { number, topic })
             }
@@ -127,22 +132,18 @@
     }
 
     /// A proxy introduces itself once it subscribes to all that it has to follow.
-    fn introduction(
-        &self,
-        connection: ConnectionId,
-        holds: Vec<(Topic, u64, Version)>,
-    ) -> Option<ProxyEvent> {
+    fn introduction(&self, connection: ConnectionId, held: Vec<(Topic, HeldVersion)>) -> Option<ProxyEvent> {
         let pending = PendingProxy {
-            conn: connection,
+            connection,
             name: self.holder.name.clone(),
-            zone: self.hello.zone.clone(),
-            rate: self.hello.rate,
-            fresh: self.hello.fresh,
-            way: Transport::Parts,
-            wanted: self.wanted.clone(),
-            holds,
+            zone: self.info.zone.clone(),
+            request_rate: self.info.request_rate,
+            has_no_table: self.info.has_no_table,
+            transport: Transport::Published,
+            filters: self.filters.clone(),
+            held,
         };
-        let is_complete = self.proxy.is_none() && pending.can_be_ordered();
+        let is_complete = self.proxy.is_none() && pending.can_apply_tables();
         is_complete.then_some(ProxyEvent::Introduced(pending))
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -32,7 +32,7 @@
     PlannerStart(#[from] StartError),
     /// The proxy could not start.
     #[error(transparent)]
-    ProxyStart(#[from] proxy_runtime::Failed),
+    ProxyStart(#[from] proxy_runtime::ProxyStartError),
 }
 
 /// An event loop that SIGTERM and SIGINT end.
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -3,7 +3,7 @@
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
 use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
-use runloom_mqtt::{body, names, report};
+use runloom_mqtt::{body, report, topics};
 use runloom_versioned_publisher::{Change, Key, Topic, TopicKind, UpdatePart};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,24 +23,35 @@
 #[test]
 fn tables_and_their_topics_are_as_they_were() {
     let mut seen = String::new();
-    for kind in
-        [TopicKind::Weights, TopicKind::Subset, TopicKind::Range, TopicKind::Withdrawn, TopicKind::Binds]
-    {
+    for kind in [
+        TopicKind::Weights,
+        TopicKind::Subset,
+        TopicKind::Range,
+        TopicKind::Ejections,
+        TopicKind::Assignments,
+    ] {
         let topic = Topic { kind, table: 3 };
         let changes = [
-            change(Key::Withdrawn("s7".into()), Some("out")),
-            change(Key::Line("s\"1".into()), Some("127.0.0.1:81 0.75")),
-            change(Key::Line("s2".into()), None),
-            change(Key::Level("lookup".into()), Some("12.5 unrun")),
-            change(Key::Bind("order".into()), Some("3")),
+            change(Key::Ejection("s7".into()), Some("out")),
+            change(Key::Entry("s\"1".into()), Some("127.0.0.1:81 0.75")),
+            change(Key::Entry("s2".into()), None),
+            change(Key::AdmissionLimit("lookup".into()), Some("12.5 unrun")),
+            change(Key::Assignment("order".into()), Some("3")),
         ];
         for from in [None, Some(4)] {
-            let part =
-                UpdatePart { topic, epoch: 77, from, to: 9, part: 0, of: 2, changes: changes.clone().into() };
+            let part = UpdatePart {
+                topic,
+                epoch: 77,
+                base_version: from,
+                version: 9,
+                part: 0,
+                part_count: 2,
+                changes: changes.clone().into(),
+            };
             seen += &format!(
                 "{} {}\n",
-                names::table("p1", "f1", topic),
-                String::from_utf8(body::write(&part)).unwrap()
+                topics::table_topic("p1", "f1", topic),
+                String::from_utf8(body::encode(&part)).unwrap()
             );
         }
     }
@@ -67,6 +78,6 @@
     let came = ClassArrivals { class: "order".into(), queries: 30, unanswered: 1 };
     let met = vec![met(vec![]), met(vec![0.5, f64::NAN])];
     let sent = Report { span: Duration::from_millis(1000), met, came: vec![came] };
-    let seen = String::from_utf8(report::write(&sent)).unwrap();
+    let seen = String::from_utf8(report::encode(&sent)).unwrap();
     assert_unchanged("mqtt-report.txt", &(seen + "\n"));
 }
