--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
 /// Longer than anything here takes on any machine; no assertion depends on it.
@@ -30,33 +30,50 @@
     String::from_utf8(head).unwrap()
 }
 
-/// A discovery agent: reports the path of each watch, and writes the lines that it is given to the newest one.
-pub fn discovery() -> (SocketAddr, Receiver<String>, Sender<Value>) {
-    let (listener, at) = listen();
-    let (sender, paths) = channel();
-    let (lines, given) = channel::<Value>();
-    std::thread::spawn(move || {
-        for stream in listener.incoming() {
-            let mut stream = stream.unwrap();
-            let path = read_head(&mut stream).split(' ').nth(1).unwrap_or_default().to_string();
-            stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
-            let _ = sender.send(path);
-            loop {
-                let line = match given.recv_timeout(Duration::from_millis(500)) {
-                    Ok(line) => format!("{line}\n"),
-                    Err(std::sync::mpsc::RecvTimeoutError::Timeout) => "\n".into(),
-                    Err(_) => return,
-                };
-                // In two segments, as on a bad network.
-                let chunk = format!("{:x}\r\n{line}\r\n", line.len());
-                let (a, b) = chunk.split_at(chunk.len() / 2);
-                if stream.write_all(a.as_bytes()).and_then(|()| stream.write_all(b.as_bytes())).is_err() {
-                    break;
+/// A discovery agent that answers by itself.
+pub struct Discovery {
+    pub address: SocketAddr,
+    /// The path of each watch that it was asked for.
+    pub paths: Receiver<String>,
+    /// Lines for the newest watch.
+    pub lines: Sender<Value>,
+}
+
+impl Discovery {
+    pub fn start() -> Discovery {
+        let (listener, address) = listen();
+        let (path_sender, paths) = channel();
+        let (lines, line_receiver) = channel::<Value>();
+        std::thread::spawn(move || {
+            for stream in listener.incoming() {
+                let mut stream = stream.unwrap();
+                let path = read_head(&mut stream).split(' ').nth(1).unwrap_or_default().to_string();
+                stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+                let _ = path_sender.send(path);
+                if serve_watch(&mut stream, &line_receiver).is_err() {
+                    return;
                 }
             }
+        });
+        Discovery { address, paths, lines }
+    }
+}
+
+/// Writes lines to a watch, and empty ones meanwhile, until its connection ends; an error once the test has ended.
+fn serve_watch(stream: &mut TcpStream, lines: &Receiver<Value>) -> Result<(), RecvTimeoutError> {
+    loop {
+        let line = match lines.recv_timeout(Duration::from_millis(500)) {
+            Ok(line) => format!("{line}\n"),
+            Err(RecvTimeoutError::Timeout) => "\n".into(),
+            Err(disconnected) => return Err(disconnected),
+        };
+        // In two segments, as on a bad network.
+        let chunk = format!("{:x}\r\n{line}\r\n", line.len());
+        let (first, second) = chunk.split_at(chunk.len() / 2);
+        if stream.write_all(first.as_bytes()).and_then(|()| stream.write_all(second.as_bytes())).is_err() {
+            return Ok(());
         }
-    });
-    (at, paths, lines)
+    }
 }
 
 /// A server that answers every health check and reports its request head.
@@ -219,7 +236,7 @@
 
     pub fn send(&mut self, messages: &[Value]) {
         let mut bytes = Vec::new();
-        messages.iter().for_each(|m| write_frame(&mut bytes, m.to_string().as_bytes()));
+        messages.iter().for_each(|message| write_frame(&mut bytes, message.to_string().as_bytes()));
         self.stream.write_all(&bytes).unwrap();
     }
 
--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -13,11 +13,11 @@
 #[test]
 fn a_proxy_is_served_through_a_drain_a_takeover_a_moved_discovery_and_the_shutdown() {
     let (server, health_checks) = server();
-    let (first, paths, lines) = discovery();
-    let mut planner = Planner::start("led", &bootstrap(first, server));
+    let discovery = Discovery::start();
+    let mut planner = Planner::start("led", &bootstrap(discovery.address, server));
     let mut unidentified = Client::open(&planner, &[json!({"t": "PING"})]);
     assert_eq!(unidentified.next(), Some(json!({"t": "PONG"})));
-    assert_eq!(paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=41");
+    assert_eq!(discovery.paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=41");
 
     let mut proxy = Client::open(&planner, &[connect_message(2, true)]);
     let updates = proxy.read_until_entry(2, json!(["s-2", 1.0]));
@@ -30,7 +30,7 @@
     };
     collector.send(&[report("s-1"), report("nobody"), json!({"t": "LOAD"}), report("s-2")]);
 
-    lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
+    discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
     proxy.read_until_entry(2, json!(["s-2", 0.0]));
 
     // A new stream, while the old one is still open.
@@ -40,15 +40,15 @@
     while proxy.next().is_some() {}
 
     // Discovery moves and continues from the held revision; an invalid file before that changes nothing.
-    let (second, moved_paths, moved) = discovery();
+    let moved_discovery = Discovery::start();
     std::fs::write(&planner.file, "{").unwrap();
     planner.signal("HUP");
-    std::fs::write(&planner.file, bootstrap(second, server).to_string()).unwrap();
+    std::fs::write(&planner.file, bootstrap(moved_discovery.address, server).to_string()).unwrap();
     planner.signal("HUP");
-    assert_eq!(moved_paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=42");
+    assert_eq!(moved_discovery.paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=42");
     // The same file once more: nothing starts over, and the next update changes the table without replacing it.
     planner.signal("HUP");
-    moved.send(list(43, &[member("s-3", server, "DRAINING")])).unwrap();
+    moved_discovery.lines.send(list(43, &[member("s-3", server, "DRAINING")])).unwrap();
     let updates = again.read_until_entry(2, json!(["s-3", 0.0]));
     assert!(updates.iter().all(|update| update.get("replace").is_none()), "{updates:?}");
 
@@ -60,8 +60,8 @@
 #[test]
 fn invalid_clients_are_rejected_and_keep_nobody_out() {
     let (server, _health_checks) = server();
-    let (at, _paths, _lines) = discovery();
-    let planner = Planner::start("bad", &bootstrap(at, server));
+    let discovery = Discovery::start();
+    let planner = Planner::start("bad", &bootstrap(discovery.address, server));
     let silent: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(planner.at).unwrap()).collect();
     let mut proxy = Client::open(&planner, &[connect_message(1, true)]);
     proxy.read_until_entry(1, json!(["s-1", 1.0]));
@@ -88,8 +88,8 @@
 #[test]
 fn all_proxies_of_a_fleet_fit_one_planner_with_the_minimum_of_descriptors() {
     let (server, _health_checks) = server();
-    let (at, _paths, _lines) = discovery();
-    let mut bootstrap = bootstrap(at, server);
+    let discovery = Discovery::start();
+    let mut bootstrap = bootstrap(discovery.address, server);
     bootstrap["settings"]["familyInfo"]["proxies"] = json!(150);
     let planner = Planner::start("storm", &bootstrap);
     // All connect first, as after a restart; then each reads its table.
@@ -106,8 +106,8 @@
 #[test]
 fn a_proxy_that_does_not_read_is_disconnected_and_delays_nobody() {
     let (server, _health_checks) = server();
-    let (at, _paths, lines) = discovery();
-    let planner = Planner::start("deaf", &bootstrap(at, server));
+    let discovery = Discovery::start();
+    let planner = Planner::start("deaf", &bootstrap(discovery.address, server));
     let mut other = Client::open(&planner, &[connect_message(1, true)]);
     other.read_until_entry(1, json!(["s-1", 1.0]));
     let mut stalled = Client::open(&planner, &[connect_message(2, true)]);
@@ -116,7 +116,7 @@
     // The system buffers some megabytes of answers for a connection, never a hundred.
     let sent = (0..1600).take_while(|_| stalled.stream.write_all(&pings).is_ok()).count();
     assert!(sent < 1600, "a hundred megabytes of answers were taken in");
-    lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
+    discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
     other.read_until_entry(1, json!(["s-2", 0.0]));
     let mut again = Client::open(&planner, &[connect_message(2, false)]);
     let updates = again.read_until_entry(2, json!(["s-3", 1.0]));
@@ -127,8 +127,8 @@
 #[test]
 fn a_planner_restarted_after_a_kill_keeps_a_drain() {
     let (server, _health_checks) = server();
-    let (at, _paths, _lines) = discovery();
-    let mut bootstrap = bootstrap(at, server);
+    let discovery = Discovery::start();
+    let mut bootstrap = bootstrap(discovery.address, server);
     let mut planner = Planner::start("killed", &bootstrap);
     let mut proxy = Client::open(&planner, &[connect_message(1, true)]);
     proxy.read_until_entry(1, json!(["s-2", 1.0]));
@@ -158,8 +158,8 @@
             let _ = sender.send(());
         }
     });
-    let (at, _paths, _lines) = discovery();
-    let mut bootstrap = bootstrap(at, server);
+    let discovery = Discovery::start();
+    let mut bootstrap = bootstrap(discovery.address, server);
     let members: Vec<Value> = (0..120).map(|k| member(&format!("s-{k}"), server, "SERVING")).collect();
     bootstrap["known"]["members"] = json!(members);
     let planner = Planner::start("probes", &bootstrap);
--- a/crates/daemon/tests/race_conditions.rs
+++ b/crates/daemon/tests/race_conditions.rs
@@ -194,8 +194,8 @@
 #[test]
 fn a_half_closed_client_gets_the_answer_to_its_ping() {
     let (server, _health_checks) = server();
-    let (at, _paths, _lines) = discovery();
-    let planner = Planner::start("halfclosed", &bootstrap(at, server));
+    let discovery = Discovery::start();
+    let planner = Planner::start("halfclosed", &bootstrap(discovery.address, server));
     let mut asking = Client::open(&planner, &[json!({"t": "PING"})]);
     asking.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!((asking.next(), asking.next()), (Some(json!({"t": "PONG"})), None));
@@ -204,9 +204,9 @@
 #[test]
 fn a_planner_waits_for_an_address_that_is_in_use() {
     let (server, _health_checks) = server();
-    let (at, _paths, _lines) = discovery();
+    let discovery = Discovery::start();
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut bootstrap = bootstrap(at, server);
+    let mut bootstrap = bootstrap(discovery.address, server);
     bootstrap["listen"] = json!(held.local_addr().unwrap().to_string());
     let planner = Planner::start_with_address_in_use("held", &bootstrap, held);
     connected_proxy(&planner, 1);
@@ -245,8 +245,8 @@
 #[test]
 fn clients_in_the_accept_queue_see_the_kill_and_connect_to_the_next_process() {
     let (server, _health_checks) = server();
-    let (at, _paths, _lines) = discovery();
-    let mut bootstrap = bootstrap(at, server);
+    let discovery = Discovery::start();
+    let mut bootstrap = bootstrap(discovery.address, server);
     bootstrap["settings"]["familyInfo"]["proxies"] = json!(60);
     let mut planner = Planner::start("behind", &bootstrap);
     planner.stop();
@@ -281,8 +281,8 @@
             let _ = sender.send(k);
         }
     });
-    let (at, _paths, _lines) = discovery();
-    let mut bootstrap = bootstrap(at, server);
+    let discovery = Discovery::start();
+    let mut bootstrap = bootstrap(discovery.address, server);
     bootstrap["known"]["members"] =
         json!([member("s-3", server, "SERVING"), member("s-4", server, "SERVING")]);
     let planner = Planner::start("cut", &bootstrap);
@@ -328,8 +328,8 @@
 #[test]
 fn of_two_simultaneous_streams_one_gets_the_table_and_the_other_is_closed() {
     let (server, _health_checks) = server();
-    let (at, _paths, _lines) = discovery();
-    let planner = Planner::start("both", &bootstrap(at, server));
+    let discovery = Discovery::start();
+    let planner = Planner::start("both", &bootstrap(discovery.address, server));
     planner.stop();
     let mut both = [0, 1].map(|_| Client::open(&planner, &[connect_message(1, true)]));
     planner.signal("CONT");
@@ -363,8 +363,8 @@
 #[test]
 fn a_stream_with_an_overdue_ack_or_a_partial_message_is_closed_and_others_go_on() {
     let (server, _health_checks) = server();
-    let (at, _paths, lines) = discovery();
-    let mut bootstrap = bootstrap(at, server);
+    let discovery = Discovery::start();
+    let mut bootstrap = bootstrap(discovery.address, server);
     // A short queue and transit time make the acknowledgement timeout short.
     bootstrap["settings"]["familyInfo"]["backlog"] = json!(2000.0);
     bootstrap["settings"]["familyInfo"]["lateMostS"] = json!(0.1);
@@ -377,6 +377,6 @@
     assert_eq!(unresponsive.next().unwrap()["replace"], json!(true));
     while unresponsive.next().is_some() {}
     while half.next().is_some() {}
-    lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
+    discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
     other.read_until_entry(1, json!(["s-2", 0.0]));
 }
--- a/crates/platform-protocol/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -47,7 +47,7 @@
 
 fn framed(messages: &[Value]) -> Vec<u8> {
     let mut out = Vec::new();
-    messages.iter().for_each(|m| write_frame(&mut out, m.to_string().as_bytes()));
+    messages.iter().for_each(|message| write_frame(&mut out, message.to_string().as_bytes()));
     out
 }
 
@@ -96,12 +96,54 @@
     json!({"t": "SUBSCRIBE", "id": id, "site": "a", "rps": 2.0, "new": true})
 }
 
+/// Connects a proxy; returns the actions of the step.
 fn connect(platform: &mut Platform, conn: ConnectionId, id: u64, now: Duration) -> Vec<Action> {
-    platform.handle_opened(conn, now);
-    platform.handle_bytes(conn, &framed(&[connect_message(id)]), now);
+    open(platform, conn, &[connect_message(id)], now);
     platform.step_at(now)
 }
 
+/// Opens a connection that sends these messages.
+fn open(platform: &mut Platform, conn: ConnectionId, messages: &[Value], now: Duration) {
+    platform.handle_opened(conn, now);
+    receive(platform, conn, messages, now);
+}
+
+/// Hands over messages of an open connection.
+fn receive(platform: &mut Platform, conn: ConnectionId, messages: &[Value], now: Duration) {
+    platform.handle_bytes(conn, &framed(messages), now);
+}
+
+/// Hands over a complete list.
+fn receive_list(platform: &mut Platform, revision: u64, members: &[Value], now: Duration) {
+    platform.handle_list_line(&list(revision, true, members), now).unwrap();
+}
+
+/// Hands over changes of the list.
+fn receive_changes(platform: &mut Platform, revision: u64, members: &[Value], now: Duration) {
+    platform.handle_list_line(&list(revision, false, members), now).unwrap();
+}
+
+fn collector_message(zone: &str) -> Value {
+    json!({"t": "SOURCE", "site": zone})
+}
+
+fn acknowledgement(proxy: u64, ack_token: u64) -> Value {
+    json!({"t": "ACK", "id": proxy, "seq": ack_token, "ms": 12.0})
+}
+
+fn arrivals(proxy: u64) -> Value {
+    json!({"t": "RATE", "id": proxy, "lane": "lookup", "count": 1, "fail": 0, "over": 9.0})
+}
+
+fn ack_token(update: &Value) -> Option<u64> {
+    update["stamp"].as_u64()
+}
+
+fn last_ack_token(updates: &[Value]) -> u64 {
+    updates.last().and_then(ack_token).unwrap()
+}
+
+/// The messages written to a connection.
 fn written(actions: &[Action], to: ConnectionId) -> Vec<Value> {
     let bytes = actions.iter().filter_map(|action| match action {
         Action::Write { conn, bytes } if *conn == to => Some(bytes.as_slice()),
@@ -132,7 +174,7 @@
         prop_oneof![
             prop::collection::vec(inner.clone(), 0..4).prop_map(Value::from),
             prop::collection::btree_map(key, inner, 0..6)
-                .prop_map(|m| Value::Object(m.into_iter().collect())),
+                .prop_map(|fields| Value::Object(fields.into_iter().collect())),
         ]
     })
 }
--- a/crates/platform-protocol/src/tests/endpoint_list.rs
+++ b/crates/platform-protocol/src/tests/endpoint_list.rs
@@ -44,8 +44,8 @@
 #[test]
 fn older_revisions_and_malformed_lines_change_nothing() {
     let mut platform = platform();
-    platform.handle_list_line(&list(39, true, &[]), START).unwrap();
-    platform.handle_list_line(&list(40, false, &[member("s-1", "DELETED")]), START).unwrap();
+    receive_list(&mut platform, 39, &[], START);
+    receive_changes(&mut platform, 40, &[member("s-1", "DELETED")], START);
     assert!(platform.handle_list_line(b"{\"revision\": 50", START).is_err());
     assert!(platform
         .handle_list_line(br#"{"revision": "50", "complete": true, "members": []}"#, START)
@@ -58,12 +58,12 @@
 fn the_last_of_duplicate_entries_holds_and_malformed_entries_are_skipped() {
     let mut platform = platform();
     let malformed = json!({"id": "s-9", "phase": "ASLEEP"});
-    platform
-        .handle_list_line(
-            &list(41, false, &[member("s-1", "SERVING"), malformed, member("s-1", "DRAINING")]),
-            START,
-        )
-        .unwrap();
+    receive_changes(
+        &mut platform,
+        41,
+        &[member("s-1", "SERVING"), malformed, member("s-1", "DRAINING")],
+        START,
+    );
     let Event::EndpointsListed { update, records } = &platform.list_events[0] else {
         panic!("{:?}", platform.list_events)
     };
@@ -88,7 +88,7 @@
     let mut platform = platform();
     let mut moved = member("s-1", "SERVING");
     moved["host_port"] = json!("127.0.0.1:77");
-    platform.handle_list_line(&list(41, false, &[moved]), START).unwrap();
+    receive_changes(&mut platform, 41, &[moved], START);
     let actions: Vec<Action> = (0..30).flat_map(|k| platform.step_at(START + ms(250 * k))).collect();
     let check_count = |port| {
         let expected = SocketAddr::from(([127, 0, 0, 1], port));
--- a/crates/platform-protocol/src/tests/session.rs
+++ b/crates/platform-protocol/src/tests/session.rs
@@ -7,8 +7,7 @@
     let mut platform = platform();
     platform.handle_opened(1, START);
     connect(&mut platform, 2, 7, START);
-    platform.handle_opened(3, START);
-    platform.handle_bytes(3, &framed(&[json!({"t": "PING"})]), START);
+    open(&mut platform, 3, &[json!({"t": "PING"})], START);
     let actions = platform.step_at(START + ms(10));
     assert_eq!(written(&actions, 3), [json!({"t": "PONG"})]);
     let actions = platform.step_at(START + IDENTIFICATION_TIMEOUT);
@@ -74,8 +73,7 @@
     let mut platform = platform();
     let mut actions = Vec::new();
     for conn in 1..4 {
-        platform.handle_opened(conn, START);
-        platform.handle_bytes(conn, &framed(&[json!({"t": "SOURCE", "site": "a"})]), START);
+        open(&mut platform, conn, &[collector_message("a")], START);
         actions = platform.step_at(START);
     }
     assert!(is_closed(&actions, 1) && !is_closed(&actions, 2) && !is_closed(&actions, 3));
--- a/crates/platform-protocol/src/tests/termination.rs
+++ b/crates/platform-protocol/src/tests/termination.rs
@@ -14,7 +14,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A watch on connection 1 whose answer has interrupted.
+/// A watch on connection 1 that has received a response head.
 fn open_watch() -> EndpointWatch {
     let mut watch = EndpointWatch::new(address(1));
     assert!(watch.should_dial(START));
@@ -35,7 +35,7 @@
     // The process was suspended: input that arrived meanwhile is not read yet.
     let actions = platform.step(late, before);
     assert!(!is_closed(&actions, 1) && !is_closed(&actions, 2));
-    platform.handle_bytes(2, &framed(&[connect_message(8)]), late);
+    receive(&mut platform, 2, &[connect_message(8)], late);
     let actions = platform.step(late, late);
     assert!(is_closed(&actions, 1) && !is_closed(&actions, 2));
 }
@@ -129,16 +129,16 @@
 #[test]
 fn a_lagging_agent_is_ignored_and_reset_revisions_are_accepted() {
     let mut platform = platform();
-    platform.handle_list_line(&list(7, true, &[member("s-1", "SERVING")]), START).unwrap();
-    platform.handle_list_line(&list(8, false, &[member("s-1", "DRAINING")]), START + ms(5000)).unwrap();
+    receive_list(&mut platform, 7, &[member("s-1", "SERVING")], START);
+    receive_changes(&mut platform, 8, &[member("s-1", "DRAINING")], START + ms(5000));
     assert!(
         (platform.list_revision(), platform.list_events.len()) == (40, 0)
             && !platform.reset_outdated_revision(START + ms(5999))
     );
     // It reached the held revision: it lagged.
-    platform.handle_list_line(&list(40, false, &[]), START + ms(5999)).unwrap();
+    receive_changes(&mut platform, 40, &[], START + ms(5999));
     assert!(!platform.reset_outdated_revision(START + ms(60_000)));
-    platform.handle_list_line(&list(8, false, &[]), START + ms(60_000)).unwrap();
+    receive_changes(&mut platform, 8, &[], START + ms(60_000));
     // The reset has a timeout of its own.
     platform.step_at(START + ms(60_000));
     assert!(platform.next_timeout().is_some_and(|at| at <= START + ms(66_000)));
@@ -147,7 +147,7 @@
             && !platform.reset_outdated_revision(START + ms(66_001))
     );
     assert_eq!(platform.list_revision(), 0);
-    platform.handle_list_line(&list(9, true, &[member("s-1", "DRAINING")]), START + ms(66_100)).unwrap();
+    receive_list(&mut platform, 9, &[member("s-1", "DRAINING")], START + ms(66_100));
     assert_eq!(platform.list_revision(), 9);
 }
 
@@ -172,14 +172,13 @@
 fn a_proxy_that_connects_twice_in_a_step_gets_one_table_on_its_last_stream() {
     let mut platform = platform();
     for conn in [1, 2] {
-        platform.handle_opened(conn, START);
-        platform.handle_bytes(conn, &framed(&[connect_message(7)]), START);
+        open(&mut platform, conn, &[connect_message(7)], START);
     }
     let actions = platform.step_at(START);
     assert!(is_closed(&actions, 1) && !is_closed(&actions, 2));
     assert_eq!((written(&actions, 1).len(), written(&actions, 2).len()), (0, 1));
     // Late input of the old stream, and its end, are ignored.
-    platform.handle_bytes(1, &framed(&[json!({"t": "ACK", "id": 7, "seq": 1, "ms": 1.0})]), START);
+    receive(&mut platform, 1, &[json!({"t": "ACK", "id": 7, "seq": 1, "ms": 1.0})], START);
     platform.handle_closed(1);
     assert_eq!(
         (platform.events.len(), platform.session_counts()),
@@ -193,12 +192,11 @@
     let before = connect(&mut platform, 1, 7, START);
     let owed = written(&before, 1).last().unwrap()["stamp"].clone();
     platform.handle_closed(1);
-    platform.handle_opened(2, START);
-    platform.handle_bytes(2, &framed(&[connect_message(7)]), START);
+    open(&mut platform, 2, &[connect_message(7)], START);
     let actions = platform.step_at(START);
     assert_eq!(written(&actions, 2)[0]["replace"], json!(true));
     // An acknowledgement of the old stream arrives on the new one: it is not pending there.
-    platform.handle_bytes(2, &framed(&[json!({"t": "ACK", "id": 7, "seq": owed, "ms": 1.0})]), START);
+    receive(&mut platform, 2, &[json!({"t": "ACK", "id": 7, "seq": owed, "ms": 1.0})], START);
     assert_eq!((platform.counters.unexpected_acks, platform.counters.disconnected), (1, 1));
 }
 
@@ -207,7 +205,7 @@
     let mut platform = platform();
     connect(&mut platform, 1, 7, START);
     let last = json!({"t": "RATE", "id": 7, "lane": "lookup", "count": 9, "fail": 0, "over": 9.0});
-    platform.handle_bytes(1, &framed(&[last]), START);
+    receive(&mut platform, 1, &[last], START);
     platform.handle_closed(1);
     assert!(matches!(
         platform.events[..],
@@ -220,12 +218,11 @@
     let mut bootstrap = bootstrap();
     bootstrap.cached_list = Value::Null;
     let mut platform = Platform::new(&bootstrap, EPOCH, 100);
-    platform.handle_opened(1, START);
-    platform.handle_bytes(1, &framed(&[json!({"t": "PING"})]), START);
+    open(&mut platform, 1, &[json!({"t": "PING"})], START);
     assert_eq!(written(&platform.step_at(START), 1), vec![json!({"t": "PONG"})]);
     assert_eq!(written(&connect(&mut platform, 2, 7, START), 2), Vec::<Value>::new());
     assert_eq!(platform.list_revision(), 0);
-    platform.handle_list_line(&list(9, true, &[member("s-1", "SERVING")]), START + ms(100)).unwrap();
+    receive_list(&mut platform, 9, &[member("s-1", "SERVING")], START + ms(100));
     let update = written(&platform.step_at(START + ms(100)), 2);
     assert_eq!((&update[0]["replace"], &update[0]["rows"]), (&json!(true), &json!([["s-1", 1.0]])));
 }
@@ -235,7 +232,7 @@
     let mut platform = platform();
     connect(&mut platform, 1, 7, START);
     platform.handle_closed(1);
-    platform.handle_list_line(&list(41, false, &[member("s-2", "DRAINING")]), START + ms(10)).unwrap();
+    receive_changes(&mut platform, 41, &[member("s-2", "DRAINING")], START + ms(10));
     platform.step_at(START + ms(10));
     let update = written(&connect(&mut platform, 2, 7, START + ms(300)), 2);
     assert_eq!(
--- a/crates/platform-protocol/src/tests/untrusted_input.rs
+++ b/crates/platform-protocol/src/tests/untrusted_input.rs
@@ -23,10 +23,13 @@
 fn value_paths(value: &Value, at: String, found: &mut Vec<String>) {
     found.push(at.clone());
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, v)| value_paths(v, format!("{at}/{key}"), found)),
-        Value::Array(list) => {
-            list.iter().enumerate().for_each(|(k, v)| value_paths(v, format!("{at}/{k}"), found))
+        Value::Object(map) => {
+            map.iter().for_each(|(key, value)| value_paths(value, format!("{at}/{key}"), found))
         }
+        Value::Array(list) => list
+            .iter()
+            .enumerate()
+            .for_each(|(index, value)| value_paths(value, format!("{at}/{index}"), found)),
         _ => {}
     }
 }
@@ -36,13 +39,17 @@
     let ends = [0.0, -0.0, -1.0, 1e-9, 0.5, 63.0, 64.0, 65.0, 1e6, 1e19, 1e300, -1e300, f64::MIN_POSITIVE];
     let lists = vec![json!([]), json!({}), json!([null, -1]), json!(vec![json!({"name": "x"}); 70])];
     prop_oneof![
-        3 => prop::sample::select(ends.to_vec()).prop_map(|n| json!(n)),
+        3 => prop::sample::select(ends.to_vec()).prop_map(Value::from),
         1 => prop::sample::select(lists),
         1 => any_json(),
         1 => Just(json!("pace")),
     ]
 }
 
+const COLLECTOR: ConnectionId = 100;
+/// This connection never acknowledges an update.
+const SILENT_PROXY: ConnectionId = 4;
+
 /// Runs a short scenario and returns the number of tables sent: lists with drains and new servers, connections,
 /// reports, health checks, some acknowledgements.
 fn run_scenario(settings: Value) -> usize {
@@ -50,63 +57,57 @@
     bootstrap.settings = settings;
     let mut platform = Platform::new(&bootstrap, EPOCH, 100);
     let mut tables = 0;
-    for k in 0u64..40 {
-        let now = START + ms(400 * k);
-        match k {
-            2..=6 => {
-                platform.handle_opened(k as ConnectionId, now);
-                platform.handle_bytes(k as ConnectionId, &framed(&[connect_message(k)]), now);
-            }
-            9 => platform.handle_closed(3),
-            12 => platform
-                .handle_list_line(
-                    &list(44, false, &[member("s-1", "DRAINING"), member("s-9", "SERVING")]),
-                    now,
-                )
-                .unwrap(),
-            15 => platform
-                .handle_list_line(&list(45, true, &[member("s-2", "SERVING"), member("s-9", "SERVING")]), now)
-                .unwrap(),
-            1 => {
-                platform.handle_opened(100, now);
-                platform.handle_bytes(100, &framed(&[json!({"t": "SOURCE", "site": "a"})]), now);
-            }
-            _ => {
-                let report = |target: &str, fail: u64| {
-                    json!({"t": "LOAD", "site": "a", "target": target, "count": 30, "fail": fail, "mean": 900.0,
-                        "over": 1000.0, "util": {"inflight": 3, "util": 0.9, "latency_ms": 80.0}})
-                };
-                let usage = json!({"t": "RATE", "id": 2, "lane": "lookup", "count": 50, "fail": 4,
-                    "over": 1000.0});
-                platform.handle_bytes(
-                    100,
-                    &framed(&[report("s-1", 5), report("s-2", k.min(30)), usage]),
-                    now,
-                );
-            }
-        }
+    for step in 0u64..40 {
+        let now = START + ms(400 * step);
+        drive(&mut platform, step, now);
         for action in platform.step_at(now) {
-            match action {
-                Action::CheckHealth { ticket, .. } => {
-                    let found = [
-                        HealthCheckResult::Success,
-                        HealthCheckResult::Timeout,
-                        HealthCheckResult::ConnectionFailed,
-                    ][ticket as usize % 3];
-                    platform.handle_health_check(ticket, found.into(), ms(3));
-                }
-                Action::Write { conn, bytes } => {
-                    for update in unframed(&bytes) {
-                        tables += usize::from(update["replace"] == json!(true));
-                        let ack = json!({"t": "ACK", "id": conn, "seq": update["stamp"], "ms": 5.0});
-                        if update["stamp"].is_u64() && conn != 4 {
-                            platform.handle_bytes(conn, &framed(&[ack]), now);
-                        }
-                    }
+            tables += answer(&mut platform, action, now);
+        }
+    }
+    tables
+}
+
+/// What happens in a step, whatever the core has asked for.
+fn drive(platform: &mut Platform, step: u64, now: Duration) {
+    match step {
+        1 => open(platform, COLLECTOR, &[collector_message("a")], now),
+        2..=6 => open(platform, step as ConnectionId, &[connect_message(step)], now),
+        9 => platform.handle_closed(3),
+        12 => receive_changes(platform, 44, &[member("s-1", "DRAINING"), member("s-9", "SERVING")], now),
+        15 => receive_list(platform, 45, &[member("s-2", "SERVING"), member("s-9", "SERVING")], now),
+        _ => {
+            let outcome = |target: &str, failures: u64| {
+                json!({"t": "LOAD", "site": "a", "target": target, "count": 30, "fail": failures, "mean": 900.0,
+                    "over": 1000.0, "util": {"inflight": 3, "util": 0.9, "latency_ms": 80.0}})
+            };
+            let arrivals =
+                json!({"t": "RATE", "id": 2, "lane": "lookup", "count": 50, "fail": 4, "over": 1000.0});
+            let reports = [outcome("s-1", 5), outcome("s-2", step.min(30)), arrivals];
+            receive(platform, COLLECTOR, &reports, now);
+        }
+    }
+}
+
+/// Answers an action as the platform would; returns how many tables it carries.
+fn answer(platform: &mut Platform, action: Action, now: Duration) -> usize {
+    let mut tables = 0;
+    match action {
+        Action::CheckHealth { ticket, .. } => {
+            let results =
+                [HealthCheckResult::Success, HealthCheckResult::Timeout, HealthCheckResult::ConnectionFailed];
+            let result = results[ticket as usize % results.len()];
+            platform.handle_health_check(ticket, result.into(), ms(3));
+        }
+        Action::Write { conn, bytes } => {
+            for update in unframed(&bytes) {
+                tables += usize::from(update["replace"] == json!(true));
+                if update["stamp"].is_u64() && conn != SILENT_PROXY {
+                    let ack = json!({"t": "ACK", "id": conn, "seq": update["stamp"], "ms": 5.0});
+                    receive(platform, conn, &[ack], now);
                 }
-                _ => {}
             }
         }
+        Action::Close { .. } | Action::Log { .. } => {}
     }
     tables
 }
@@ -164,7 +165,7 @@
     }
     // After the last retry the line is skipped.
     platform.handle_list_line(b"{\"revision\": 41, \"compl", START).unwrap();
-    platform.handle_list_line(&list(42, false, &[member("s-2", "DRAINING")]), START).unwrap();
+    receive_changes(&mut platform, 42, &[member("s-2", "DRAINING")], START);
     assert_eq!((platform.list_revision(), platform.list.malformed), (42, 4));
     // The next unreadable line is retried again.
     assert!(platform.handle_list_line(b"nothing", START).is_err());
@@ -175,7 +176,7 @@
     let mut platform = platform();
     let malformed = json!({"id": "s-2", "host_port": "127.0.0.1:9", "phase": 3});
     let unknown = json!({"id": "s-8", "phase": "ASLEEP"});
-    platform.handle_list_line(&list(41, false, &[member("s-3", "DRAINING")]), START).unwrap();
+    receive_changes(&mut platform, 41, &[member("s-3", "DRAINING")], START);
     let complete = [member("s-1", "SERVING"), malformed, json!({"id": "s-3"}), unknown];
     platform.handle_list_line(&list(42, true, &complete), START).unwrap();
     let Some(Event::EndpointsListed { update, records }) = platform.list_events.last() else {
@@ -189,7 +190,7 @@
     );
     assert_eq!(platform.list.malformed, 3);
     // A server that a complete list leaves out is gone, and a malformed entry does not restore it.
-    platform.handle_list_line(&list(43, true, &[member("s-1", "SERVING")]), START).unwrap();
+    receive_list(&mut platform, 43, &[member("s-1", "SERVING")], START);
     platform.handle_list_line(&list(44, true, &complete), START).unwrap();
     let Some(Event::EndpointsListed { records, .. }) = platform.list_events.last() else { panic!("no list") };
     assert_eq!(records.len(), 1);
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -123,13 +123,18 @@
         _ => {}
     }
     if step > 12 && step % 4 == 0 {
-        (0..8).for_each(|id| platform.handle_bytes(COLLECTOR, &framed(&report(id, step)), now));
-        let load = if (200..260).contains(&step) { 150 } else { 30 };
-        for proxy in [4, 5, 8, 9] {
-            let rate = json!({"t": "RATE", "id": proxy, "lane": CLASSES[(step / 4 % 2) as usize],
-                "count": load, "fail": 1, "over": 1000.0});
-            platform.handle_bytes(proxy, &framed(&rate), now);
-        }
+        send_reports(platform, step, now);
+    }
+}
+
+/// Outcome and arrival reports of one step.
+fn send_reports(platform: &mut Platform, step: u64, now: Duration) {
+    (0..8).for_each(|id| platform.handle_bytes(COLLECTOR, &framed(&report(id, step)), now));
+    let load = if (200..260).contains(&step) { 150 } else { 30 };
+    for proxy in [4, 5, 8, 9] {
+        let rate = json!({"t": "RATE", "id": proxy, "lane": CLASSES[(step / 4 % 2) as usize],
+            "count": load, "fail": 1, "over": 1000.0});
+        platform.handle_bytes(proxy, &framed(&rate), now);
     }
 }
 
