--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -16,13 +16,16 @@
     let discovery = Discovery::start();
     let mut planner = Planner::start("led", &bootstrap(discovery.address, server));
     let mut unidentified = Client::open(&planner, &[json!({"t": "PING"})]);
+
     assert_eq!(unidentified.next(), Some(json!({"t": "PONG"})));
     assert_eq!(discovery.paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=41");
 
     let mut proxy = Client::open(&planner, &[connect_message(2, true)]);
     let updates = proxy.read_until_entry(2, json!(["s-2", 1.0]));
+
     assert_eq!(updates[0]["replace"], json!(true));
     assert_eq!(updates[0]["rows"].as_array().unwrap().len(), 3);
+
     let mut collector = Client::open(&planner, &[json!({"t": "SOURCE", "site": "a"})]);
     let report = |target: &str| {
         json!({"t": "LOAD", "site": "a", "target": target, "count": 2, "fail": 0, "mean": 40.0,
@@ -36,7 +39,9 @@
     // A new stream, while the old one is still open.
     let mut again = Client::open(&planner, &[connect_message(2, false)]);
     let updates = again.read_until_entry(2, json!(["s-3", 1.0]));
+
     assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
+
     while proxy.next().is_some() {}
 
     // Discovery moves and continues from the held revision; an invalid file before that changes nothing.
@@ -45,15 +50,20 @@
     planner.signal("HUP");
     std::fs::write(&planner.file, bootstrap(moved_discovery.address, server).to_string()).unwrap();
     planner.signal("HUP");
+
     assert_eq!(moved_discovery.paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=42");
+
     // The same file once more: nothing starts over, and the next update changes the table without replacing it.
     planner.signal("HUP");
     moved_discovery.lines.send(list(43, &[member("s-3", server, "DRAINING")])).unwrap();
     let updates = again.read_until_entry(2, json!(["s-3", 0.0]));
+
     assert!(updates.iter().all(|update| update.get("replace").is_none()), "{updates:?}");
 
     assert!(health_checks.recv_timeout(LONG).unwrap().starts_with("GET /metrics/load HTTP/1.1"));
+
     planner.signal("TERM");
+
     assert_eq!(planner.child.wait().unwrap().code(), Some(0));
 }
 
@@ -65,8 +75,10 @@
     let silent: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(planner.at).unwrap()).collect();
     let mut proxy = Client::open(&planner, &[connect_message(1, true)]);
     proxy.read_until_entry(1, json!(["s-1", 1.0]));
+
     // The listener is paused while descriptors are short: never more than the bootstrap file allows.
     assert!(planner.descriptors() <= 256);
+
     let bad = [b"GET / HTTP/1.1\r\n\r\n".to_vec(), vec![0xee; 64], b"\x04\0\0\0{:}}".to_vec()];
     for bytes in bad {
         let mut client = Client::open(&planner, &[]);
@@ -99,6 +111,7 @@
         let updates = proxy.read_until_entry(id as u64, json!(["s-3", 1.0]));
         assert_eq!(updates[0]["rows"].as_array().unwrap().len(), 3);
     }
+
     assert!((150..=256).contains(&planner.descriptors()), "{}", planner.descriptors());
     assert!(planner.peak_kib() < 32 << 10, "{} KiB", planner.peak_kib());
 }
@@ -115,11 +128,14 @@
     (0..4096).for_each(|_| write_frame(&mut pings, br#"{"t":"PING"}"#));
     // The system buffers some megabytes of answers for a connection, never a hundred.
     let sent = (0..1600).take_while(|_| stalled.stream.write_all(&pings).is_ok()).count();
+
     assert!(sent < 1600, "a hundred megabytes of answers were taken in");
+
     discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
     other.read_until_entry(1, json!(["s-2", 0.0]));
     let mut again = Client::open(&planner, &[connect_message(2, false)]);
     let updates = again.read_until_entry(2, json!(["s-3", 1.0]));
+
     assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
     assert!(planner.peak_kib() < 32 << 10, "{} KiB", planner.peak_kib());
 }
@@ -133,13 +149,16 @@
     let mut proxy = Client::open(&planner, &[connect_message(1, true)]);
     proxy.read_until_entry(1, json!(["s-2", 1.0]));
     planner.signal("KILL");
+
     assert_eq!(planner.child.wait().unwrap().code(), None);
+
     while proxy.next().is_some() {}
     bootstrap["known"]["members"][1]["phase"] = json!("DRAINING");
     let planner = Planner::start("killed-again", &bootstrap);
     // It connects with its earlier table.
     let mut proxy = Client::open(&planner, &[connect_message(1, false)]);
     let updates = proxy.read_until_entry(1, json!(["s-3", 1.0]));
+
     assert_eq!(
         (&updates[0]["replace"], &updates[0]["rows"]),
         (&json!(true), &json!([["s-1", 1.0], ["s-3", 1.0]]))
--- a/crates/daemon/tests/race_conditions.rs
+++ b/crates/daemon/tests/race_conditions.rs
@@ -69,7 +69,9 @@
     log_lines.find(|line| line.contains("watching")).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
     let mut unidentified = Client::open(&planner, &[json!({"t": "PING"})]);
+
     assert_eq!(unidentified.next(), Some(json!({"t": "PONG"})));
+
     // The log is not read, and the planner writes a line: it is blocked within an iteration.
     fill_log(&mut far);
     planner.signal("HUP");
@@ -82,6 +84,7 @@
     // Neither the watch nor the connection is closed with its input unread.
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
     let updates = unidentified.read_until_entry(2, json!(["s-3", 1.0]));
+
     assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
     assert!(watches.try_recv().is_err(), "the watch was dialed again");
 }
@@ -102,7 +105,9 @@
     planner.signal("HUP");
     // The planner watches the new agent, which holds the list back; the old one completes its line.
     let (path, mut moved) = new_watches.recv_timeout(LONG).unwrap();
+
     assert_eq!(path, watch_path(41));
+
     watch.write_all(rest).unwrap();
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
     drop(watch);
@@ -125,6 +130,7 @@
     planner.wait_for_log("kept as it is");
     // No second signal comes.
     std::fs::write(&planner.file, &text).unwrap();
+
     assert_eq!(new_watches.recv_timeout(LONG).unwrap().0, watch_path(41));
 }
 
@@ -143,6 +149,7 @@
         planner.signal("HUP");
     }
     planner.signal("CONT");
+
     assert_eq!(new_watches.recv_timeout(LONG).unwrap().0, watch_path(41));
     assert!(between_watches.try_recv().is_err());
 }
@@ -160,7 +167,9 @@
     let behind = list(43, &[member("s-9", server, "SERVING")]).to_string();
     watch.write_all(&[chunk(&malformed), chunk(&behind)].concat()).unwrap();
     let (path, mut again) = watches.recv_timeout(LONG).unwrap();
+
     assert_eq!(path, watch_path(41));
+
     let drain = list(43, &[member("s-2", server, "DRAINING"), member("s-9", server, "SERVING")]);
     again.write_all(WATCH).unwrap();
     again.write_all(&chunk(&drain.to_string())).unwrap();
@@ -185,7 +194,9 @@
             Err(_) => watch.write_all(&chunk("")).unwrap(),
         }
     };
+
     assert_eq!(path, watch_path(0));
+
     again.write_all(WATCH).unwrap();
     again.write_all(&chunk(&complete.to_string())).unwrap();
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
@@ -198,6 +209,7 @@
     let planner = Planner::start("halfclosed", &bootstrap(discovery.address, server));
     let mut asking = Client::open(&planner, &[json!({"t": "PING"})]);
     asking.stream.shutdown(Shutdown::Write).unwrap();
+
     assert_eq!((asking.next(), asking.next()), (Some(json!({"t": "PONG"})), None));
 }
 
@@ -214,6 +226,7 @@
     let mut second = Planner::spawn("held-too", &bootstrap);
     second.wait_for_log("in use");
     second.signal("TERM");
+
     assert_eq!(second.child.wait().unwrap().code(), Some(0));
 }
 
@@ -235,7 +248,9 @@
     planner.signal("HUP");
     planner.signal("TERM");
     planner.signal("CONT");
+
     assert_eq!(planner.child.wait().unwrap().code(), Some(0));
+
     // Proxies connect elsewhere now: each sees the end at once, whatever was pending.
     for client in joins.iter_mut().chain([&mut proxy]) {
         while client.next().is_some() {}
@@ -253,8 +268,10 @@
     let mut waiting: Vec<Client> =
         (0..60).map(|id| Client::open(&planner, &[connect_message(id, true)])).collect();
     planner.signal("KILL");
+
     assert_eq!(planner.child.wait().unwrap().code(), None);
     assert!(waiting.iter_mut().all(|client| client.next().is_none()));
+
     // At the same address, while the system still closes those connections.
     bootstrap["listen"] = json!(planner.at.to_string());
     let again = Planner::start("behind-again", &bootstrap);
@@ -293,7 +310,9 @@
     }
     let mut second = Client::open(&planner, &[connect_message(2, true)]);
     let updates = second.read_until_entry(2, json!(["s-4", 1.0]));
+
     assert_eq!(updates[0]["rows"].as_array().map(Vec::len), Some(2));
+
     let mut bytes = Vec::new();
     write_frame(&mut bytes, br#"{"t":"PING"}"#);
     proxy.stream.write_all(&bytes).unwrap();
@@ -301,6 +320,7 @@
     while received.last() != Some(&json!({"t": "PONG"})) {
         received.push(proxy.next().unwrap());
     }
+
     assert!(received.iter().all(|update| !update.to_string().contains("0.0")), "{received:?}");
 }
 
@@ -319,6 +339,7 @@
     let mut again = Client::open(&planner, &[connect_message(1, false)]);
     planner.signal("CONT");
     let updates = again.read_until_entry(1, json!(["s-3", 1.0]));
+
     assert_eq!(
         (&updates[0]["replace"], &updates[0]["rows"]),
         (&json!(true), &json!([["s-1", 1.0], ["s-3", 1.0]]))
@@ -334,6 +355,7 @@
     let mut both = [0, 1].map(|_| Client::open(&planner, &[connect_message(1, true)]));
     planner.signal("CONT");
     let told: Vec<Option<Value>> = both.iter_mut().map(Client::next).collect();
+
     assert_eq!(told.iter().filter(|first| first.is_none()).count(), 1, "{told:?}");
     assert!(told.iter().flatten().all(|first| first["replace"] == json!(true)), "{told:?}");
 }
@@ -357,6 +379,7 @@
     let drain = chunk(&list(44, &[member("s-3", server, "DRAINING")]).to_string());
     watch.write_all(&[complete(42), complete(43), drain].concat()).unwrap();
     let updates = proxy.read_until_entry(1, json!(["s-3", 0.0]));
+
     assert!(updates.iter().all(|update| !update.to_string().contains("s-2")), "{updates:?}");
 }
 
@@ -374,7 +397,9 @@
     half.stream.write_all(b"\x40\0\0\0{").unwrap();
     // It has its table and sends nothing more, as a machine that vanished.
     let mut unresponsive = Client::open(&planner, &[connect_message(3, true)]);
+
     assert_eq!(unresponsive.next().unwrap()["replace"], json!(true));
+
     while unresponsive.next().is_some() {}
     while half.next().is_some() {}
     discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
--- a/crates/event-loop/src/tests.rs
+++ b/crates/event-loop/src/tests.rs
@@ -115,6 +115,7 @@
         IoEvent::Bytes { bytes, .. } => (bytes == b"thanks").then_some(()),
         _ => None,
     });
+
     assert!(received == long);
 }
 
@@ -128,7 +129,9 @@
         IoEvent::Closed { conn, reason } if *conn != near => Some(*reason),
         _ => None,
     });
+
     assert_eq!(reason, CloseReason::Untrusted);
+
     let mut plain = TcpStream::connect(at).unwrap();
     plain.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     let closed = |_: &mut EventLoop, event: &IoEvent| match event {
@@ -148,6 +151,7 @@
     };
     let (_, at) = event_loop.listen(any(), Security::Plain, limits).unwrap();
     let _silent = TcpStream::connect(at).unwrap();
+
     assert_eq!(until(&mut event_loop, closed), CloseReason::Idle);
 
     let limits = BufferLimits { idle_timeout: None, ..limits };
@@ -158,6 +162,7 @@
         event_loop.write(conn, &[7; 100_000]);
         assert!(event_loop.waiting(conn) <= 1 << 20);
     }
+
     assert_eq!(until(&mut event_loop, closed), CloseReason::Unread);
 }
 
@@ -168,12 +173,15 @@
     let limits = BufferLimits { handshake_timeout: Duration::from_millis(50), ..BufferLimits::default() };
     let (_, at) = event_loop.listen(any(), server, limits).unwrap();
     let _stalled = TcpStream::connect(at).unwrap();
+
     assert_eq!(until(&mut event_loop, closed), CloseReason::Slow);
+
     // Bound and not listening: it refuses connections, and no other process can get the port.
     let refusing = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     refusing.bind(&any().into()).unwrap();
     let refusing_address = refusing.local_addr().unwrap().as_socket().unwrap();
     event_loop.dial(refusing_address, &client, BufferLimits::default()).unwrap();
+
     assert_eq!(until(&mut event_loop, closed), CloseReason::Refused);
 }
 
@@ -193,6 +201,7 @@
     until(&mut event_loop, |_, event| {
         matches!(event, IoEvent::Closed { reason: CloseReason::Finished, .. }).then_some(())
     });
+
     assert_eq!(reader.join().unwrap().unwrap(), 200_000);
 }
 
@@ -207,7 +216,9 @@
     while event_loop.rejected_connections == 0 {
         event_loop.wait(None).unwrap();
     }
+
     assert!(matches!(second.read(&mut [0; 8]), Ok(0) | Err(_)));
+
     event_loop.hold(conn, true);
     first.write_all(b"x").unwrap();
     let bytes = |event: &IoEvent| matches!(event, IoEvent::Bytes { .. });
@@ -238,6 +249,7 @@
         assert!(opened <= DEFAULT_MAX_HANDSHAKES, "{opened} handshakes in one iteration");
         open += opened;
     }
+
     assert_eq!(open, 2 * count, "both sides of each");
 }
 
@@ -258,7 +270,9 @@
         IoEvent::Closed { conn, reason } => Some((*conn, *reason)),
         _ => None,
     });
+
     assert_eq!((request.as_slice(), ended.1), (&b"well?"[..], CloseReason::Ended));
+
     event_loop.write(ended.0, b"well.");
     let response = std::thread::spawn(move || {
         let mut response = Vec::new();
@@ -268,6 +282,7 @@
     while event_loop.is_open(ended.0) {
         assert_eq!(event_loop.wait(Some(event_loop.now())).unwrap(), vec![]);
     }
+
     assert_eq!(response.join().unwrap().unwrap(), b"well.");
 }
 
@@ -289,6 +304,7 @@
         matches!(event, IoEvent::Closed { .. }).then_some(())
     });
     let bytes = IoEvent::Bytes { conn, bytes: b"last words".to_vec() };
+
     assert_eq!(events, vec![bytes, IoEvent::Closed { conn, reason: CloseReason::Broken }]);
 }
 
@@ -318,7 +334,9 @@
     }
     // A backoff lasts fifty milliseconds: a loop without one would iterate thousands of times.
     let max_idle = event_loop.now().as_millis() / 20 + 20;
+
     assert!((idle as u128) < max_idle, "{idle} idle iterations in {:?}", event_loop.now());
+
     println!("took {total}");
 }
 
--- a/crates/platform-protocol/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -2,6 +2,7 @@
 
 mod bootstrap;
 mod endpoint_list;
+mod endpoint_watch;
 mod framing;
 mod health_check;
 mod message;
--- a/crates/platform-protocol/src/tests/endpoint_list.rs
+++ b/crates/platform-protocol/src/tests/endpoint_list.rs
@@ -16,7 +16,9 @@
                 }
             }
         }
-        let (mut watch, mut read, mut rest) = (WatchReader::default(), Vec::new(), bytes.as_slice());
+        let mut watch = WatchReader::default();
+        let mut read = Vec::new();
+        let mut rest = bytes.as_slice();
         for cut in cuts.iter().cycle() {
             let (segment, after) = rest.split_at((*cut).min(rest.len()));
             read.extend(watch.push(segment).unwrap());
@@ -25,7 +27,7 @@
                 break;
             }
         }
-        let read: Vec<&[u8]> = read.iter().map(|l| l.trim_ascii_end()).collect();
+        let read: Vec<&[u8]> = read.iter().map(|line| line.trim_ascii_end()).collect();
         prop_assert_eq!(read, lines);
     }
 
@@ -44,43 +46,46 @@
 #[test]
 fn older_revisions_and_malformed_lines_change_nothing() {
     let mut platform = platform();
+
     receive_list(&mut platform, 39, &[], START);
     receive_changes(&mut platform, 40, &[member("s-1", "DELETED")], START);
-    assert!(platform.handle_list_line(b"{\"revision\": 50", START).is_err());
-    assert!(platform
-        .handle_list_line(br#"{"revision": "50", "complete": true, "members": []}"#, START)
-        .is_err());
-    platform.handle_list_line(b"\r\n", START).unwrap();
-    assert_eq!((platform.list_revision(), platform.list_events.len(), platform.list.malformed), (40, 0, 2));
+    let truncated = platform.handle_list_line(b"{\"revision\": 50", START);
+    let mistyped =
+        platform.handle_list_line(br#"{"revision": "50", "complete": true, "members": []}"#, START);
+    let empty = platform.handle_list_line(b"\r\n", START);
+
+    assert!(truncated.is_err() && mistyped.is_err() && empty.is_ok());
+    assert_eq!(platform.list_revision(), 40);
+    assert_eq!((platform.list_events.len(), platform.list.malformed), (0, 2));
 }
 
 #[test]
 fn the_last_of_duplicate_entries_holds_and_malformed_entries_are_skipped() {
     let mut platform = platform();
     let malformed = json!({"id": "s-9", "phase": "ASLEEP"});
-    receive_changes(
-        &mut platform,
-        41,
-        &[member("s-1", "SERVING"), malformed, member("s-1", "DRAINING")],
-        START,
-    );
+
+    let members = [member("s-1", "SERVING"), malformed, member("s-1", "DRAINING")];
+    receive_changes(&mut platform, 41, &members, START);
+
     let Event::EndpointsListed { update, records } = &platform.list_events[0] else {
         panic!("{:?}", platform.list_events)
     };
-    assert_eq!((*update, records.len(), records[0].state), (EndpointUpdate::Delta, 1, ListedState::Draining));
+    assert_eq!(*update, EndpointUpdate::Delta);
+    assert_eq!((records.len(), records[0].state), (1, ListedState::Draining));
 }
 
 #[test]
 fn a_server_start_before_the_planner_start_is_on_the_clock() {
     let mut list = EndpointList::new(EPOCH);
-    let mut up = member("s-1", "SERVING");
-    let mut started = |since: u64| {
-        up["up_since_ms"] = json!(since);
-        let line = json!({"revision": 1, "complete": true, "members": [up]});
+    let mut started_at = |unix_ms: u64| {
+        let mut server = member("s-1", "SERVING");
+        server["up_since_ms"] = json!(unix_ms);
+        let line = json!({"revision": 1, "complete": true, "members": [server]});
         list.apply(&line, ListSource::Watch, &mut names(), START).unwrap().unwrap().records[0].started
     };
-    assert_eq!(started(EPOCH + 3_590_000), Some(START - ms(10_000)));
-    assert_eq!((started(0), started(EPOCH - 5)), (None, None));
+
+    assert_eq!(started_at(EPOCH + 3_590_000), Some(START - ms(10_000)));
+    assert_eq!((started_at(0), started_at(EPOCH - 5)), (None, None));
 }
 
 #[test]
@@ -88,24 +93,85 @@
     let mut platform = platform();
     let mut moved = member("s-1", "SERVING");
     moved["host_port"] = json!("127.0.0.1:77");
+
     receive_changes(&mut platform, 41, &[moved], START);
-    let actions: Vec<Action> = (0..30).flat_map(|k| platform.step_at(START + ms(250 * k))).collect();
+    let actions: Vec<Action> = (0..30).flat_map(|step| platform.step_at(START + ms(250 * step))).collect();
+
     let check_count = |port| {
         let expected = SocketAddr::from(([127, 0, 0, 1], port));
-        actions
-            .iter()
-            .filter(|action| matches!(action, Action::CheckHealth { address, .. } if *address == expected))
-            .count()
+        let is_expected =
+            |action: &&Action| matches!(action, Action::CheckHealth { address, .. } if *address == expected);
+        actions.iter().filter(is_expected).count()
     };
     assert!(check_count(77) > 0 && check_count(9) > 0);
 }
 
+#[test]
+fn a_lagging_agent_is_ignored_and_reset_revisions_are_accepted() {
+    let mut platform = platform();
+
+    receive_list(&mut platform, 7, &[member("s-1", "SERVING")], START);
+    receive_changes(&mut platform, 8, &[member("s-1", "DRAINING")], START + ms(5000));
+
+    assert_eq!((platform.list_revision(), platform.list_events.len()), (40, 0));
+    assert!(!platform.reset_outdated_revision(START + ms(5999)));
+
+    // It reaches the held revision: it lagged.
+    receive_changes(&mut platform, 40, &[], START + ms(5999));
+
+    assert!(!platform.reset_outdated_revision(START + ms(60_000)));
+
+    receive_changes(&mut platform, 8, &[], START + ms(60_000));
+    platform.step_at(START + ms(60_000));
+
+    // The reset has a timeout of its own.
+    assert!(platform.next_timeout().is_some_and(|at| at <= START + ms(66_000)));
+    assert!(platform.reset_outdated_revision(START + ms(66_000)));
+    assert!(!platform.reset_outdated_revision(START + ms(66_001)));
+    assert_eq!(platform.list_revision(), 0);
+
+    receive_list(&mut platform, 9, &[member("s-1", "DRAINING")], START + ms(66_100));
+
+    assert_eq!(platform.list_revision(), 9);
+}
+
+#[test]
+fn a_repeated_complete_list_removes_a_missing_server_once() {
+    let mut platform = platform();
+    connect(&mut platform, 1, 7, START);
+    let members = [member("s-1", "SERVING"), member("s-3", "SERVING")];
+
+    receive_list(&mut platform, 41, &members, START);
+
+    let removal = json!(["s-2", 0.0]);
+    let updates = written(&platform.step_at(START), 1);
+    assert!(updates
+        .iter()
+        .filter_map(|update| update["rows"].as_array())
+        .any(|rows| rows.contains(&removal)));
+
+    for revision in [41, 42] {
+        receive_list(&mut platform, revision, &members, START + ms(10));
+
+        let updates = written(&platform.step_at(START + ms(10)), 1);
+        assert!(updates.iter().all(|update| !update.to_string().contains("s-2")), "{updates:?}");
+    }
+}
+
 #[test]
 fn a_response_that_is_no_list_is_unreadable() {
-    let fails = |bytes: &[u8]| WatchReader::default().push(bytes).is_err();
-    assert!(fails(b"HTTP/1.1 503 No\r\n\r\n") && fails(b"SSH-2.0-x\r\n"));
-    assert!(fails(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n"));
+    let is_unreadable = |bytes: &[u8]| WatchReader::default().push(bytes).is_err();
+
+    assert!(is_unreadable(b"HTTP/1.1 503 No\r\n\r\n"));
+    assert!(is_unreadable(b"SSH-2.0-x\r\n"));
+    assert!(is_unreadable(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n"));
+}
+
+#[test]
+fn a_response_without_lines_is_complete() {
     let mut watch = WatchReader::default();
+
     let lines = watch.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n").unwrap();
+
     assert!(lines.is_empty() && watch.is_complete());
 }
--- a/crates/platform-protocol/src/tests/framing.rs
+++ b/crates/platform-protocol/src/tests/framing.rs
@@ -50,6 +50,7 @@
         reader.push(bytes);
         reader.next_message().unwrap_err()
     };
+
     assert_eq!(unreadable(b"GET / HTTP/1.1"), FrameError::InvalidLength);
     assert_eq!(unreadable(&[0, 0, 0, 0]), FrameError::InvalidLength);
     assert_eq!(unreadable(&((1u32 << 20) + 1).to_le_bytes()), FrameError::InvalidLength);
--- a/crates/platform-protocol/src/tests/health_check.rs
+++ b/crates/platform-protocol/src/tests/health_check.rs
@@ -9,6 +9,7 @@
     let result_of = |text: &str| outcome_of(text).map(|outcome| outcome.result);
     let body = r#"{"queue":2,"latency_ms":61}"#;
     let complete = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+
     assert_eq!(
         outcome_of(&complete),
         Some(HealthCheckOutcome { result: HealthCheckResult::Success, load: vec![2.0, 61.0] })
@@ -28,16 +29,21 @@
 fn a_health_check_fails_after_its_second_lost_connection() {
     let fields = ["q".to_string()];
     let mut check = HealthCheck::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
+
     assert_eq!(check.timeout_outcome().result, HealthCheckResult::ConnectionFailed);
+
     check.is_connected = true;
+
     assert_eq!(check.timeout_outcome().result, HealthCheckResult::Timeout);
     assert_eq!((check.handle_closed(), check.is_connected), (None, false));
     assert_eq!(
         check.handle_closed().map(|outcome| outcome.result),
         Some(HealthCheckResult::ConnectionFailed)
     );
+
     // Nothing received on the first connection is part of the response on the second.
     let mut interrupted = HealthCheck::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
+
     assert_eq!(interrupted.handle_bytes(b"HTTP/1.1 2", &fields), None);
     assert_eq!((interrupted.handle_closed(), interrupted.is_connected), (None, false));
     assert_eq!(interrupted.handle_bytes(b"HTTP/1.1 200 OK\r\nContent-Le", &fields), None);
@@ -46,3 +52,32 @@
         Some(HealthCheckResult::ConnectionFailed)
     );
 }
+
+fn tickets(actions: &[Action]) -> Vec<u64> {
+    let ticket = |action: &Action| match action {
+        Action::CheckHealth { ticket, .. } => Some(*ticket),
+        _ => None,
+    };
+    actions.iter().filter_map(ticket).collect()
+}
+
+/// The tickets of all health checks asked for in some steps of half a second.
+fn tickets_within(platform: &mut Platform, steps: std::ops::Range<u64>) -> Vec<u64> {
+    steps.flat_map(|step| tickets(&platform.step_at(START + ms(step * 500)))).collect()
+}
+
+#[test]
+fn a_server_has_at_most_one_pending_health_check() {
+    let mut platform = platform();
+
+    let first = tickets_within(&mut platform, 0..40);
+
+    assert_eq!(first.len(), 3, "twenty seconds, and no health check has ended");
+
+    for ticket in first {
+        platform.handle_health_check(ticket, HealthCheckResult::Success.into(), ms(3));
+    }
+    let again = tickets_within(&mut platform, 40..52);
+
+    assert_eq!(again.len(), 3);
+}
--- a/crates/platform-protocol/src/tests/message.rs
+++ b/crates/platform-protocol/src/tests/message.rs
@@ -31,6 +31,7 @@
         window,
         load: vec![7.0, 61.0],
     });
+
     assert_eq!(parsed[0], report);
     assert_eq!(
         parsed[1],
@@ -74,6 +75,7 @@
             assert!(parse(&malformed, &names).is_err(), "{malformed}");
         }
     }
+
     assert_eq!(cases, 7 * 24 - 1);
 }
 
@@ -92,6 +94,7 @@
             panic!("{message:?}")
         }
     };
+
     assert!(load_of(with(Value::Null)).is_empty());
     assert_eq!(load_of(with(json!({"queue": 2, "latency_ms": 4.5, "more": "x"}))), [2.0, 4.5]);
     assert!(load_of(with(json!({"queue": 2})))[1].is_nan());
@@ -106,7 +109,10 @@
     let names = names();
     let mut message = valid_messages().remove(0);
     message["note"] = json!("x");
+
     assert!(parse(&message, &names).is_ok());
+
     message["fail"] = json!(13);
+
     assert_eq!(parse(&message, &names), Err(MalformedMessage::InvalidField("fail")));
 }
--- a/crates/platform-protocol/src/tests/session.rs
+++ b/crates/platform-protocol/src/tests/session.rs
@@ -9,8 +9,11 @@
     connect(&mut platform, 2, 7, START);
     open(&mut platform, 3, &[json!({"t": "PING"})], START);
     let actions = platform.step_at(START + ms(10));
+
     assert_eq!(written(&actions, 3), [json!({"t": "PONG"})]);
+
     let actions = platform.step_at(START + IDENTIFICATION_TIMEOUT);
+
     assert!(is_closed(&actions, 1) && is_closed(&actions, 3) && !is_closed(&actions, 2));
     assert_eq!(platform.session_counts(), SessionCounts { streams: 1, unidentified: 0 });
 }
@@ -38,6 +41,7 @@
         assert_eq!(written(&actions, conn), [json!({"t": "NACK"})], "case {conn}");
         assert!(is_closed(&actions, conn));
     }
+
     assert_eq!(
         (platform.session_counts(), platform.counters.connected),
         (SessionCounts { streams: 0, unidentified: 0 }, 0)
@@ -48,12 +52,17 @@
 fn silent_connections_are_evicted_to_make_room() {
     let mut sessions = Sessions::new(40);
     (0..300).for_each(|conn| sessions.open(conn, ms(conn as u64)));
+
     assert!(sessions.is_full() && sessions.next_timeout() <= Some(ms(300)));
+
     sessions.register_stream(299, 5);
     let evicted = sessions.overdue(ms(400));
+
     // All that there is no room for, the oldest first.
     assert_eq!((evicted.len(), evicted[0], evicted.contains(&299)), (299 - 38, 0, false));
+
     evicted.into_iter().for_each(|conn| _ = sessions.remove(conn));
+
     assert!(!sessions.is_full() && sessions.counts() == SessionCounts { streams: 1, unidentified: 38 });
 }
 
@@ -63,6 +72,7 @@
     connect(&mut platform, 2, 7, START);
     platform.handle_bytes(2, &[0, 1, 0, 0, b'{'], START);
     let quiet = platform.step_at(START + ms(4000));
+
     assert!(!is_closed(&quiet, 2));
     assert!(is_closed(&platform.step_at(START + ms(5000)), 2));
     assert_eq!(platform.counters.disconnected, 1);
@@ -76,5 +86,6 @@
         open(&mut platform, conn, &[collector_message("a")], START);
         actions = platform.step_at(START);
     }
+
     assert!(is_closed(&actions, 1) && !is_closed(&actions, 2) && !is_closed(&actions, 3));
 }
--- a/crates/platform-protocol/src/tests/table_sync.rs
+++ b/crates/platform-protocol/src/tests/table_sync.rs
@@ -34,10 +34,13 @@
         ],
         START,
     );
+
     assert_eq!(updates.keys().collect::<Vec<_>>(), [&1]);
+
     let written = unframed(&tables.encode(&updates[&1], &names()));
     let table = json!({"t": "CONFIG", "replace": true, "rows": [["s-1", 1.5]], "part": true});
     let admission = json!({"t": "CONFIG", "for": ["order"], "gate": 1.0, "again": 1, "stamp": 9});
+
     assert_eq!(written, [table, admission]);
 }
 
@@ -47,6 +50,7 @@
     tables.apply(&[assign(1, 1, 0), assign(2, 1, 0), assign(2, 2, 0b10)], START);
     let updates = tables.apply(&[set_entry(1, 0, 0.5), set_entry(1, 1, 0.0), set_entry(2, 2, 2.0)], START);
     let part = |class_mask, entries| UpdatePart { class_mask, entries, ..UpdatePart::default() };
+
     assert_eq!(updates[&1], [part(0b11, vec![(0, 0.5), (1, 0.0)])]);
     assert_eq!(updates[&2], [part(0b01, vec![(0, 0.5), (1, 0.0)]), part(0b10, vec![(2, 2.0)])]);
 }
@@ -63,6 +67,7 @@
     };
     let updates = tables.apply(&[admission(0), admission(1)], START);
     let written = unframed(&tables.encode(&updates[&1], &names()));
+
     assert_eq!(written, [json!({"t": "CONFIG", "gate": 0.5, "again": 0})]);
 }
 
@@ -77,9 +82,12 @@
     };
     let invalid = [set_entry(1, 0, -1.0), set_entry(1, 0, f64::NAN), admission, assign(9, 1, 0)];
     tables.apply(&[assign(1, 1, 0)], START);
+
     assert!(tables.apply(&invalid, START).is_empty());
+
     // A server without a name is left out.
     let updates = tables.apply(&[set_entry(1, 77, 1.0)], START);
+
     assert_eq!(unframed(&tables.encode(&updates[&1], &names()))[0]["rows"], json!([]));
 }
 
@@ -94,6 +102,7 @@
     tables.connect(5, START);
     let updates = tables.apply(&[assign(5, 1, 0)], START);
     let written = unframed(&tables.encode(&updates[&5], &names()));
+
     assert_eq!((&written[0]["drop"], &written[0]["undrop"]), (&json!(["s-1"]), &json!(["s-2"])));
 }
 
@@ -102,11 +111,14 @@
     let mut tables = table_sync();
     tables.apply(&[assign(1, 1, 0), Command::RequestAck { ack_token: 4, all_proxies: false }], START);
     tables.apply(&[set_entry(1, 0, 1.0), Command::RequestAck { ack_token: 5, all_proxies: false }], START);
+
     assert!(!tables.acknowledge(2, 4) && !tables.acknowledge(1, 6));
     // An acknowledgement covers the updates before it.
     assert!(tables.acknowledge(1, 5) && !tables.acknowledge(1, 4) && !tables.acknowledge(1, 5));
+
     tables.apply(&[set_entry(1, 0, 2.0), Command::RequestAck { ack_token: 6, all_proxies: false }], START);
     tables.connect(1, START);
+
     assert!(!tables.acknowledge(1, 6));
 }
 
@@ -114,6 +126,7 @@
 fn an_update_has_at_most_the_allowed_parts_and_marks_its_last() {
     let parts = vec![UpdatePart { class_mask: 1, entries: vec![(0, 1.0)], ..UpdatePart::default() }; 70];
     let written = unframed(&table_sync().encode(&parts, &names()));
+
     assert_eq!((written.len(), &written[62]["part"], written[63].get("part")), (64, &json!(true), None));
 }
 
@@ -133,6 +146,7 @@
     // `unframed` rejects a part beyond the limit of 1 MiB.
     let written = unframed(&table_sync().encode(&[part], &names));
     let entry_count: usize = written.iter().map(|part| part["rows"].as_array().unwrap().len()).sum();
+
     assert_eq!((written.len(), entry_count), (3, 9000));
     // Only the first part replaces the table, and only the last asks for an acknowledgement.
     assert_eq!(written.iter().filter(|p| p.get("replace").is_some()).count(), 1);
--- a/crates/platform-protocol/src/tests/untrusted_input.rs
+++ b/crates/platform-protocol/src/tests/untrusted_input.rs
@@ -145,8 +145,10 @@
         json!({"t": "RATE", "id": 7, "lane": "lookup", "count": 1, "fail": 0, "over": 9.0}),
     ]));
     platform.handle_bytes(1, &bytes, START);
+
     assert!(matches!(platform.events[..], [Event::ArrivalReport { proxy: 7, requests: 1, .. }]));
     assert_eq!((platform.counters.malformed, platform.counters.rejected), (1, 0));
+
     // A body that is no JSON object still ends it, with such a number inside or not.
     for body in [&b"{\"t\":1e999,}"[..], b"{\"t\":\"\xff\"}", b"[1e999]"] {
         let mut reader = FrameReader::new(MAX_MESSAGE_BYTES);
@@ -166,6 +168,7 @@
     // After the last retry the line is skipped.
     platform.handle_list_line(b"{\"revision\": 41, \"compl", START).unwrap();
     receive_changes(&mut platform, 42, &[member("s-2", "DRAINING")], START);
+
     assert_eq!((platform.list_revision(), platform.list.malformed), (42, 4));
     // The next unreadable line is retried again.
     assert!(platform.handle_list_line(b"nothing", START).is_err());
@@ -183,15 +186,18 @@
         panic!("no list")
     };
     let states: Vec<ListedState> = records.iter().map(|record| record.state).collect();
+
     // One malformed field must not remove healthy servers from all tables at once.
     assert_eq!(
         (*update, states),
         (EndpointUpdate::Snapshot, vec![ListedState::Ready, ListedState::Ready, ListedState::Draining])
     );
     assert_eq!(platform.list.malformed, 3);
+
     // A server that a complete list leaves out is gone, and a malformed entry does not restore it.
     receive_list(&mut platform, 43, &[member("s-1", "SERVING")], START);
     platform.handle_list_line(&list(44, true, &complete), START).unwrap();
     let Some(Event::EndpointsListed { records, .. }) = platform.list_events.last() else { panic!("no list") };
+
     assert_eq!(records.len(), 1);
 }
