--- a/crates/platform-protocol/src/tests/platform.rs
+++ b/crates/platform-protocol/src/tests/platform.rs
@@ -273,3 +273,26 @@
     assert!(platform.timers.len() < 4);
     assert!(platform.list.address_count() < 30);
 }
+
+#[test]
+fn counters_are_printed_under_the_names_of_the_operators_page() {
+    let counters = Counters {
+        connected: 1,
+        taken_over: 2,
+        disconnected: 3,
+        unresponsive: 4,
+        rejected: 5,
+        malformed: 6,
+        unexpected_acks: 7,
+        messages: 8,
+        lists: 9,
+        longest_wait: ms(10),
+    };
+
+    let printed = counters.to_string();
+
+    let expected =
+        "Counters { joined: 1, taken_over: 2, left: 3, mute: 4, refused: 5, spoilt: 6, stray_marks: 7, \
+                    messages: 8, lists: 9, longest_wait: 10ms }";
+    assert_eq!(printed, expected);
+}
