--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -218,8 +218,8 @@
     std::fs::write(&broken, "{\"seed\": 1}").unwrap();
     for file in [None, Some("/nowhere/at/all"), broken.to_str()] {
         let out = run(file);
-        let told = String::from_utf8(out.stderr).unwrap();
-        assert_eq!((out.status.code(), told.lines().count()), (Some(1), 1), "{told}");
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert_eq!((out.status.code(), stderr.lines().count()), (Some(1), 1), "{stderr}");
     }
     std::fs::remove_file(&broken).unwrap();
 }
--- a/crates/daemon/tests/race_conditions.rs
+++ b/crates/daemon/tests/race_conditions.rs
@@ -242,9 +242,9 @@
     // All in one iteration: bytes, a connecting proxy, a takeover, a partial message, a drain, a SIGHUP, the end.
     watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
     proxy.send(&[json!({"t": "ACK", "id": 1, "seq": 60000, "ms": 1.0})]);
-    let mut joins: Vec<Client> =
+    let mut connecting: Vec<Client> =
         (1..4).map(|id| Client::open(&planner, &[connect_message(id, false)])).collect();
-    joins[2].stream.write_all(b"\x40\0\0\0{").unwrap();
+    connecting[2].stream.write_all(b"\x40\0\0\0{").unwrap();
     planner.signal("HUP");
     planner.signal("TERM");
     planner.signal("CONT");
@@ -252,7 +252,7 @@
     assert_eq!(planner.child.wait().unwrap().code(), Some(0));
 
     // Proxies connect elsewhere now: each sees the end at once, whatever was pending.
-    for client in joins.iter_mut().chain([&mut proxy]) {
+    for client in connecting.iter_mut().chain([&mut proxy]) {
         while client.next().is_some() {}
     }
 }
@@ -275,9 +275,9 @@
     // At the same address, while the system still closes those connections.
     bootstrap["listen"] = json!(planner.at.to_string());
     let again = Planner::start("behind-again", &bootstrap);
-    let mut joined: Vec<Client> =
+    let mut reconnected: Vec<Client> =
         (0..60).map(|id| Client::open(&again, &[connect_message(id, false)])).collect();
-    for (id, proxy) in joined.iter_mut().enumerate() {
+    for (id, proxy) in reconnected.iter_mut().enumerate() {
         proxy.read_until_entry(id as u64, json!(["s-3", 1.0]));
     }
 }
@@ -354,10 +354,13 @@
     planner.stop();
     let mut both = [0, 1].map(|_| Client::open(&planner, &[connect_message(1, true)]));
     planner.signal("CONT");
-    let told: Vec<Option<Value>> = both.iter_mut().map(Client::next).collect();
+    let first_messages: Vec<Option<Value>> = both.iter_mut().map(Client::next).collect();
 
-    assert_eq!(told.iter().filter(|first| first.is_none()).count(), 1, "{told:?}");
-    assert!(told.iter().flatten().all(|first| first["replace"] == json!(true)), "{told:?}");
+    assert_eq!(first_messages.iter().filter(|first| first.is_none()).count(), 1, "{first_messages:?}");
+    assert!(
+        first_messages.iter().flatten().all(|first| first["replace"] == json!(true)),
+        "{first_messages:?}"
+    );
 }
 
 #[test]
--- a/crates/event-loop/src/tests.rs
+++ b/crates/event-loop/src/tests.rs
@@ -296,7 +296,7 @@
     drop(peer);
     // The first write is answered by a reset, which the next write finds before anything is read.
     while event_loop.is_open(conn) {
-        event_loop.write(conn, b"orders");
+        event_loop.write(conn, b"update");
     }
     let mut events = Vec::new();
     until(&mut event_loop, |_, event| {
--- a/crates/platform-protocol/src/platform.rs
+++ b/crates/platform-protocol/src/platform.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Whether the complete list is to be asked for, since discovery counts its revisions anew: it has sent older
+    /// Whether the complete list is to be asked for, since discovery has reset its revisions: it has sent older
     /// ones than the held one for longer than an agent may lag.
     #[must_use]
     pub fn reset_outdated_revision(&mut self, read_until: Duration) -> bool {
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -171,7 +171,7 @@
 
 fn session(level_kind: &str) -> String {
     let mut platform = platform(level_kind);
-    let mut seen = format!("levels: {level_kind}\n");
+    let mut transcript = format!("levels: {level_kind}\n");
     for step in 0..STEPS {
         let now = Duration::from_millis(START_MS + step * STEP_MS);
         drive(&mut platform, step, now);
@@ -179,28 +179,30 @@
         for action in &actions {
             match action {
                 Action::Write { conn, bytes } => {
-                    writeln!(seen, "{step} write {conn} {}", bytes.escape_ascii())
+                    writeln!(transcript, "{step} write {conn} {}", bytes.escape_ascii())
                 }
-                Action::Close { conn } => writeln!(seen, "{step} close {conn}"),
-                Action::CheckHealth { ticket, address } => writeln!(seen, "{step} probe {ticket} {address}"),
-                Action::Log { text } => writeln!(seen, "{step} log {text}"),
+                Action::Close { conn } => writeln!(transcript, "{step} close {conn}"),
+                Action::CheckHealth { ticket, address } => {
+                    writeln!(transcript, "{step} probe {ticket} {address}")
+                }
+                Action::Log { text } => writeln!(transcript, "{step} log {text}"),
             }
             .unwrap();
         }
         answer(&mut platform, &actions, step, now);
     }
-    seen
+    transcript
 }
 
 #[test]
 fn bytes_of_the_scripted_session_match_the_snapshot() {
-    let seen = session("none") + &session("rps");
+    let transcript = session("none") + &session("rps");
     if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
-        std::fs::write(SNAPSHOT, &seen).unwrap();
+        std::fs::write(SNAPSHOT, &transcript).unwrap();
     }
-    let kept = std::fs::read_to_string(SNAPSHOT).unwrap();
-    for (number, (new, old)) in seen.lines().zip(kept.lines()).enumerate() {
+    let expected = std::fs::read_to_string(SNAPSHOT).unwrap();
+    for (number, (new, old)) in transcript.lines().zip(expected.lines()).enumerate() {
         assert_eq!(new, old, "line {} of {SNAPSHOT}", number + 1);
     }
-    assert_eq!(seen.len(), kept.len());
+    assert_eq!(transcript.len(), expected.len());
 }
