--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -69,7 +69,7 @@
                         }
                     }
                     IoEvent::Bytes { bytes, .. } => {
-                        for heard in self.session.take(&bytes).map_err(|b| Failed::Ended(b.to_string()))? {
+                        for heard in self.session.receive(&bytes).map_err(|b| Failed::Ended(b.to_string()))? {
                             if let SessionEvent::Notified(event) = &heard {
                                 self.notices.push_back(event.clone());
                             }
@@ -88,7 +88,7 @@
 
     /// Sends one operation without waiting; gives its message-id.
     pub fn send(&mut self, operation: Element, edit_id: Option<&str>) -> String {
-        let id = self.session.ask_with(operation, edit_id);
+        let id = self.session.send_rpc_with_id(operation, edit_id);
         self.flush();
         id
     }
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -409,7 +409,7 @@
         std::mem::take(&mut self.state)
     }
 
-    fn check(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+    fn validate(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
         self.judged(wanted).map(|_| ())
     }
 
@@ -448,20 +448,20 @@
         Ok(())
     }
 
-    fn settled(&mut self) {
+    fn confirmed_commit_ended(&mut self) {
         self.dirty |= self.before.take().is_some();
     }
 
-    fn known(&self, edit_id: &str, content: &str) -> EditLookup {
+    fn lookup_edit(&self, edit_id: &str, content: &str) -> EditLookup {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
         match self.ledger.lookup(edit_id, &digest) {
             edit_history::EditLookup::New => EditLookup::New,
-            edit_history::EditLookup::Repeated => EditLookup::Same,
-            edit_history::EditLookup::Conflicting => EditLookup::Other,
+            edit_history::EditLookup::Repeated => EditLookup::Repeated,
+            edit_history::EditLookup::Conflicting => EditLookup::Conflicting,
         }
     }
 
-    fn may(&mut self, who: &str, access: Access) -> Result<(), RpcError> {
+    fn authorize(&mut self, who: &str, access: Access) -> Result<(), RpcError> {
         let parts = ["fleet", "roster", "state"];
         match access {
             Access::Read => self.allowed(who, &parts.map(|part| RequestedAccess::Read { part }))?,
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -385,7 +385,7 @@
     }
 
     fn staff(&mut self, turn: &mut EventLoop, conn: ConnectionId, who: &CertificateHolder) {
-        let Some(id) = self.service.open(&who.name, turn.now()) else {
+        let Some(id) = self.service.open_session(&who.name, turn.now()) else {
             tracing::warn!(who = %who.name, "turned away: too many sessions");
             turn.cut(conn);
             return;
@@ -404,8 +404,8 @@
 
     fn bytes(&mut self, turn: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let heard = match self.peers.get_mut(&conn) {
-            Some(Peer::Staff(staff)) => staff.session.take(bytes),
-            Some(Peer::Home(home)) => home.session.take(bytes),
+            Some(Peer::Staff(staff)) => staff.session.receive(bytes),
+            Some(Peer::Home(home)) => home.session.receive(bytes),
             Some(Peer::Stream(_)) => return self.stream_bytes(turn, conn, bytes),
             Some(Peer::Probe(_)) => return self.probe_answered(turn, conn, bytes),
             Some(Peer::Reader(_)) => return self.read_metrics(turn, conn, bytes),
@@ -441,8 +441,8 @@
             }
             // Messages that one read held beyond the share; the read itself is bounded.
             let more = match self.peers.get_mut(&conn) {
-                Some(Peer::Staff(s)) if s.session.may_hold_more(count) => s.session.more(),
-                Some(Peer::Home(h)) if h.session.may_hold_more(count) => h.session.more(),
+                Some(Peer::Staff(s)) if s.session.may_have_more(count) => s.session.receive_buffered(),
+                Some(Peer::Home(h)) if h.session.may_have_more(count) => h.session.receive_buffered(),
                 _ => return,
             };
             match more {
@@ -490,7 +490,7 @@
             Some(Peer::Staff(staff)) => {
                 tracing::info!(session = staff.id, ?why, "session closed");
                 (self.desk.now, self.desk.wall) = (turn.now(), wall_ms());
-                self.service.left(staff.id, &mut self.desk);
+                self.service.close_session(staff.id, &mut self.desk);
             }
             Some(Peer::Home(home)) => self.proxy_closed(conn, &home.holder.name, home.proxy, why),
             Some(Peer::Stream(stream)) => self.proxy_closed(conn, &stream.holder.name, stream.proxy, why),
@@ -531,7 +531,7 @@
     pub fn turned(&mut self, turn: &mut EventLoop) {
         let now = turn.now();
         (self.desk.now, self.desk.wall) = (now, wall_ms());
-        self.service.due(now, &mut self.desk);
+        self.service.handle_timeout(now, &mut self.desk);
         self.keep(turn, now);
         self.tell_decisions(now);
         self.patience(turn, now);
@@ -655,7 +655,8 @@
         tracing::error!(why, "edits cannot be kept: none is accepted until they can");
         self.desk.take_back(why);
         let unsure = |(c, p): (&ConnectionId, &Peer)| {
-            matches!(p, Peer::Staff(s) if s.session.waiting() > 0 && s.needs > self.durable).then_some(*c)
+            matches!(p, Peer::Staff(s) if s.session.unsent_bytes() > 0 && s.needs > self.durable)
+                .then_some(*c)
         };
         let unsure: Vec<ConnectionId> = self.peers.iter().filter_map(unsure).collect();
         self.durable = self.given;
@@ -865,7 +866,7 @@
     /// Replies to staff leave only now: what they tell of is on disk.
     fn reply(&mut self, turn: &mut EventLoop) {
         let staff = |(c, p): (&ConnectionId, &Peer)| match p {
-            Peer::Staff(s) if (s.session.waiting() > 0 || s.closing) && s.needs <= self.durable => {
+            Peer::Staff(s) if (s.session.unsent_bytes() > 0 || s.closing) && s.needs <= self.durable => {
                 Some((*c, s.closing))
             }
             _ => None,
--- a/crates/daemon/src/proxy_runtime/datastore.rs
+++ b/crates/daemon/src/proxy_runtime/datastore.rs
@@ -45,7 +45,7 @@
         vec![self.state.clone()]
     }
 
-    fn check(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+    fn validate(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
         read_tables(wanted).map(|_| ())
     }
 
@@ -55,11 +55,11 @@
         Ok(())
     }
 
-    fn known(&self, _: &str, _: &str) -> EditLookup {
+    fn lookup_edit(&self, _: &str, _: &str) -> EditLookup {
         EditLookup::New
     }
 
-    fn may(&mut self, _: &str, _: Access) -> Result<(), RpcError> {
+    fn authorize(&mut self, _: &str, _: Access) -> Result<(), RpcError> {
         Ok(())
     }
 
--- a/crates/daemon/src/proxy_runtime/planner_link.rs
+++ b/crates/daemon/src/proxy_runtime/planner_link.rs
@@ -144,7 +144,7 @@
     /// Ends the service's side of a session.
     pub(super) fn leave_service(&mut self, session: &PlannerSession) {
         if let PlannerProtocol::Netconf { id, .. } = session.protocol {
-            self.service.left(id, &mut self.datastore);
+            self.service.close_session(id, &mut self.datastore);
         }
     }
 
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -126,7 +126,7 @@
     fn open_protocol(&mut self, now: Duration, planner: &str) -> Option<PlannerProtocol> {
         let format = match self.settings.front {
             TableDelivery::Edits => {
-                let id = self.planner_link.service.open(planner, now)?;
+                let id = self.planner_link.service.open_session(planner, now)?;
                 let session = Session::new(Role::Server { id }, &CAPABILITIES, SessionLimits::default());
                 return Some(PlannerProtocol::Netconf { session: Box::new(session), id });
             }
--- a/crates/daemon/src/proxy_runtime/table_delivery.rs
+++ b/crates/daemon/src/proxy_runtime/table_delivery.rs
@@ -38,7 +38,7 @@
 
     fn read_netconf(&mut self, event_loop: &mut EventLoop, bytes: &[u8]) {
         let Some(PlannerProtocol::Netconf { session, .. }) = self.planner_link.protocol_mut() else { return };
-        let mut received = session.take(bytes);
+        let mut received = session.receive(bytes);
         loop {
             let events = match received {
                 Ok(events) => events,
@@ -53,8 +53,8 @@
                 self.handle_netconf_event(event_loop.now(), event);
             }
             match self.planner_link.protocol_mut() {
-                Some(PlannerProtocol::Netconf { session, .. }) if session.may_hold_more(event_count) => {
-                    received = session.more();
+                Some(PlannerProtocol::Netconf { session, .. }) if session.may_have_more(event_count) => {
+                    received = session.receive_buffered();
                 }
                 _ => break,
             }
--- a/crates/daemon/src/proxy_sessions.rs
+++ b/crates/daemon/src/proxy_sessions.rs
@@ -85,9 +85,9 @@
         let Some(Peer::Home(home)) = self.peers.get_mut(&conn) else { return };
         match heard {
             SessionEvent::Open { .. } => {
-                home.session.ask(Element::new(NOTIFY, "create-subscription"));
+                home.session.send_rpc(Element::new(NOTIFY, "create-subscription"));
                 let wish = Element::new(BASE, "filter").with(Element::new(PROXY_NS, "proxy"));
-                home.asked = Some(home.session.ask(Element::new(BASE, "get").with(wish)));
+                home.asked = Some(home.session.send_rpc(Element::new(BASE, "get").with(wish)));
                 self.write_out(turn, conn);
             }
             SessionEvent::Reply { message_id, reply } if home.asked.as_ref() == Some(&message_id) => {
@@ -404,7 +404,7 @@
 
     fn tell_home(&mut self, now: Duration, conn: ConnectionId, number: u64, text: &str) {
         let Some(Peer::Home(home)) = self.peers.get_mut(&conn) else { return };
-        let message_id = home.session.ask_text(text);
+        let message_id = home.session.send_rpc_text(text);
         home.orders.insert(message_id, (number, now));
     }
 
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -6,7 +6,7 @@
 use runloom_model::order::{Message, TableEdit};
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY_XSD};
-use runloom_netconf::edit::{apply, Operation as EditOperation};
+use runloom_netconf::edit::{apply, ErrorOption, Operation as EditOperation};
 use runloom_netconf::tree::Element;
 use runloom_proxy::published_tables::tables_after_update;
 use runloom_proxy::RouteTables;
@@ -86,9 +86,10 @@
             Outgoing::Edit { number, text, .. } => {
                 let rpc = Element::parse(&text).unwrap();
                 let config = rpc.child("config").unwrap();
-                let (data, faults) = apply(&self.schema, &self.data, config, EditOperation::Merge, false);
-                assert!(faults.is_empty(), "{faults:?} in {text}");
-                self.data = data;
+                let applied =
+                    apply(&self.schema, &self.data, config, EditOperation::Merge, ErrorOption::StopOnError);
+                assert!(applied.errors.is_empty(), "{:?} in {text}", applied.errors);
+                self.data = applied.tree;
                 let tables = self.data.child("tables").map(|tables| RouteTables::read(tables).unwrap());
                 self.tables = tables.unwrap_or_default();
                 (number, None)
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod order;
 pub mod schema;
 
-pub use runloom_netconf::edit::Schema;
+pub use runloom_netconf::schema::Schema;
 
 pub const FLEET: &str = "urn:runloom:fleet";
 pub const PROXY: &str = "urn:runloom:proxy";
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -1,6 +1,6 @@
 //! Schemas at work: judging a text by an XSD, and deriving from it what `<edit-config>` must know.
 
-use runloom_netconf::edit::{Kind, Schema};
+use runloom_netconf::schema::{NodeKind, Schema};
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -117,7 +117,7 @@
     let complex = e.child("complexType").or(named);
     let many = e.attribute("", "maxOccurs").is_some_and(|m| m != "1");
     let Some(complex) = complex else {
-        let kind = if many { Kind::LeafList } else { Kind::Leaf };
+        let kind = if many { NodeKind::LeafList } else { NodeKind::Leaf };
         return Schema { ns: ns.into(), name, kind, children: vec![] };
     };
     // The keys of the lists below stand on this element.
@@ -135,6 +135,6 @@
             .map(|c| node(c, ns, types, &below))
             .collect()
     });
-    let kind = keys.get(&name).filter(|_| many).map_or(Kind::Container, |k| Kind::List(k.clone()));
+    let kind = keys.get(&name).filter(|_| many).map_or(NodeKind::Container, |k| NodeKind::List(k.clone()));
     Schema { ns: ns.into(), name, kind, children: children.unwrap_or_default() }
 }
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -1,7 +1,7 @@
 use crate::order::{Message, Report, TableEdit};
 use crate::schema::{derive, SchemaValidator};
 use crate::*;
-use runloom_netconf::edit::Kind;
+use runloom_netconf::schema::NodeKind;
 use runloom_netconf::tree::Element;
 use std::time::Duration;
 
@@ -29,9 +29,9 @@
 #[test]
 fn keys_and_leaf_lists_are_derived() {
     let fleet = &derive(FLEET_XSD, &["fleet"]).unwrap()[0];
-    assert_eq!(fleet.child(FLEET, "zone").unwrap().kind, Kind::List(vec!["name".into()]));
+    assert_eq!(fleet.child(FLEET, "zone").unwrap().kind, NodeKind::List(vec!["name".into()]));
     let load = fleet.child(FLEET, "list").unwrap().child(FLEET, "load").unwrap();
-    assert_eq!(load.kind, Kind::LeafList);
+    assert_eq!(load.kind, NodeKind::LeafList);
 }
 
 #[test]
@@ -62,14 +62,15 @@
     let schema = Schema::root(derive(PROXY_XSD, &["tables"]).unwrap());
     let config = Element::new("", "config").with(tables.clone());
     let empty = std::sync::Arc::new(Element::new("", "data"));
-    let (data, faults) = runloom_netconf::edit::apply(
+    let applied = runloom_netconf::edit::apply(
         &schema,
         &empty,
         &config,
         runloom_netconf::edit::Operation::Merge,
-        false,
+        runloom_netconf::edit::ErrorOption::StopOnError,
     );
-    assert_eq!(faults, []);
+    assert_eq!(applied.errors, []);
+    let data = applied.tree;
     assert_eq!(SchemaValidator::new(PROXY_XSD).unwrap().faults(&data.children[0].to_text()), []);
 }
 
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -1,17 +1,34 @@
-//! `<rpc-error>` as RFC 6241, section 4.3 and appendix A, has it.
+//! `<rpc-error>`: RFC 6241, section 4.3 and appendix A.
 
 use crate::tree::Element;
 use crate::BASE;
 
+/// The layer in which an error occurred, its `error-type`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Layer {
+    /// Secure transport.
     Transport,
+    /// Messages.
     Rpc,
+    /// Operations.
     Protocol,
+    /// Content.
     Application,
 }
 
-/// The tags of appendix A that are used here.
+impl Layer {
+    /// The text of `<error-type>`.
+    fn name(self) -> &'static str {
+        match self {
+            Layer::Transport => "transport",
+            Layer::Rpc => "rpc",
+            Layer::Protocol => "protocol",
+            Layer::Application => "application",
+        }
+    }
+}
+
+/// The `error-tag`s of appendix A that are used here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tag {
     InUse,
@@ -34,6 +51,7 @@
 }
 
 impl Tag {
+    /// The text of `<error-tag>`.
     pub fn name(self) -> &'static str {
         match self {
             Tag::InUse => "in-use",
@@ -57,56 +75,61 @@
     }
 }
 
-/// One `<rpc-error>`; its severity is always `error`, as the RFC defines no warning yet.
+/// One `<rpc-error>`. Its severity is always `error`: the RFC defines no warning.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RpcError {
+    /// The layer.
     pub layer: Layer,
+    /// The condition.
     pub tag: Tag,
+    /// The condition in the application's terms, `<error-app-tag>`.
     pub app_tag: Option<String>,
-    /// An absolute path to the node at fault.
+    /// The absolute path of the node that caused it.
     pub path: Option<String>,
+    /// The message for people.
     pub message: String,
-    /// Further facts: name and text, as `bad-element` or `session-id`.
+    /// The children of `<error-info>`, by name and text, such as `bad-element` or `session-id`.
     pub info: Vec<(&'static str, String)>,
 }
 
 impl RpcError {
+    /// An error without path and further information.
     pub fn new(layer: Layer, tag: Tag, message: impl Into<String>) -> Self {
         RpcError { layer, tag, app_tag: None, path: None, message: message.into(), info: vec![] }
     }
 
+    /// An error in the content.
     pub fn application(tag: Tag, message: impl Into<String>) -> Self {
         RpcError::new(Layer::Application, tag, message)
     }
 
+    /// An error in an operation.
     pub fn protocol(tag: Tag, message: impl Into<String>) -> Self {
         RpcError::new(Layer::Protocol, tag, message)
     }
 
+    /// Sets the path of the node that caused it.
     pub fn at(mut self, path: impl Into<String>) -> Self {
         self.path = Some(path.into());
         self
     }
 
+    /// Sets the application's tag.
     pub fn app(mut self, tag: &str) -> Self {
         self.app_tag = Some(tag.to_string());
         self
     }
 
+    /// Adds a child of `<error-info>`.
     pub fn with(mut self, name: &'static str, text: impl Into<String>) -> Self {
         self.info.push((name, text.into()));
         self
     }
 
+    /// Writes `<rpc-error>`.
     pub fn element(&self) -> Element {
-        let layer = match self.layer {
-            Layer::Transport => "transport",
-            Layer::Rpc => "rpc",
-            Layer::Protocol => "protocol",
-            Layer::Application => "application",
-        };
         let mut error = Element::new(BASE, "rpc-error")
-            .with_leaf("error-type", layer)
+            .with_leaf("error-type", self.layer.name())
             .with_leaf("error-tag", self.tag.name())
             .with_leaf("error-severity", "error");
         if let Some(tag) = &self.app_tag {
@@ -117,7 +140,10 @@
         }
         error = error.with_leaf("error-message", &self.message);
         if !self.info.is_empty() {
-            let info = self.info.iter().fold(Element::new(BASE, "error-info"), |i, (k, v)| i.with_leaf(k, v));
+            let mut info = Element::new(BASE, "error-info");
+            for (name, text) in &self.info {
+                info = info.with_leaf(name, text);
+            }
             error = error.with(info);
         }
         error
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -3,62 +3,72 @@
 use crate::tree::Element;
 use std::sync::Arc;
 
-/// What of `data` (a root whose children are the models' top elements) a `<filter>` selects.
+/// Selects by a `<filter>` from `data`, a root whose children are the models' top nodes.
 pub fn select(data: &Element, filter: &Element) -> Element {
-    let children = data.children.iter().filter_map(|top| {
-        let mut found: Option<Element> = None;
-        for wish in filter.children.iter().filter(|w| matches(w, top)) {
-            if let Some(part) = pick(top, wish) {
-                found = Some(found.map_or_else(|| part.clone(), |f| union(f, &part)));
-            }
-        }
-        found.map(Arc::new)
-    });
-    Element { children: children.collect(), ..Element { children: vec![], ..data.clone() } }
+    let children = data.children.iter().filter_map(|top| select_matching(top, &filter.children));
+    Element { children: children.collect(), ..data.without_children() }
+}
+
+/// The union of what the filter nodes that match a node select of it.
+fn select_matching<'a>(
+    node: &Element,
+    filters: impl IntoIterator<Item = &'a Arc<Element>>,
+) -> Option<Arc<Element>> {
+    let matching = filters.into_iter().filter(|filter| matches(filter, node));
+    let selections = matching.filter_map(|filter| select_node(node, filter));
+    selections.reduce(|selected, other| union(selected, &other)).map(Arc::new)
 }
 
-/// Name, namespace (none in the filter: any) and the attributes that the filter names.
-fn matches(wish: &Element, node: &Element) -> bool {
-    wish.name == node.name
-        && (wish.ns.is_empty() || wish.ns == node.ns)
-        && wish.attributes.iter().all(|a| node.attribute(&a.ns, &a.name) == Some(a.value.as_str()))
+/// Compares name, namespace (none in the filter matches any) and the attributes that the filter names.
+fn matches(filter: &Element, node: &Element) -> bool {
+    let has = |attribute: &crate::tree::Attribute| {
+        node.attribute(&attribute.ns, &attribute.name) == Some(attribute.value.as_str())
+    };
+    filter.name == node.name
+        && (filter.ns.is_empty() || filter.ns == node.ns)
+        && filter.attributes.iter().all(has)
 }
 
-fn pick(node: &Element, wish: &Element) -> Option<Element> {
-    if wish.children.is_empty() {
-        // A selection node takes all below; a content match node compares.
-        return (wish.text.is_empty() || wish.text == node.text).then(|| node.clone());
+/// Section 6.2.5: a leaf of the filter with a text.
+fn is_content_match(filter: &Element) -> bool {
+    filter.children.is_empty() && !filter.text.is_empty()
+}
+
+/// What a filter node that matches a node selects of it.
+fn select_node(node: &Element, filter: &Element) -> Option<Element> {
+    if filter.children.is_empty() {
+        // A selection node selects everything below; a content match node compares.
+        let is_selected = filter.text.is_empty() || filter.text == node.text;
+        return is_selected.then(|| node.clone());
     }
-    let (content, others): (Vec<_>, Vec<_>) =
-        wish.children.iter().partition(|w| w.children.is_empty() && !w.text.is_empty());
-    let met = |w: &&Arc<Element>| node.children.iter().any(|c| matches(w, c) && c.text == w.text);
-    if !content.iter().all(met) {
+    let (content_matches, others): (Vec<&Arc<Element>>, Vec<&Arc<Element>>) =
+        filter.children.iter().partition(|child| is_content_match(child));
+    let is_satisfied = |content_match: &&Arc<Element>| {
+        node.children.iter().any(|child| matches(content_match, child) && child.text == content_match.text)
+    };
+    if !content_matches.iter().all(is_satisfied) {
         return None;
     }
     if others.is_empty() {
         return Some(node.clone());
     }
-    let children: Vec<Arc<Element>> = node
-        .children
-        .iter()
-        .filter_map(|child| {
-            if content.iter().any(|w| matches(w, child)) {
-                return Some(child.clone());
-            }
-            let parts = others.iter().filter(|w| matches(w, child)).filter_map(|w| pick(child, w));
-            parts.reduce(|a, b| union(a, &b)).map(Arc::new)
-        })
-        .collect();
-    // A containment node without anything in it is not told.
-    (!children.is_empty()).then(|| Element { children, ..Element { children: vec![], ..node.clone() } })
+    let select_child = |child: &Arc<Element>| {
+        if content_matches.iter().any(|content_match| matches(content_match, child)) {
+            return Some(child.clone());
+        }
+        select_matching(child, others.iter().copied())
+    };
+    let children: Vec<Arc<Element>> = node.children.iter().filter_map(select_child).collect();
+    // A containment node without selected children is left out.
+    (!children.is_empty()).then(|| Element { children, ..node.without_children() })
 }
 
 /// Two selections of one node, in one.
-fn union(mut a: Element, b: &Element) -> Element {
-    for child in &b.children {
-        if !a.children.contains(child) {
-            a.children.push(child.clone());
+fn union(mut selected: Element, other: &Element) -> Element {
+    for child in &other.children {
+        if !selected.children.contains(child) {
+            selected.children.push(child.clone());
         }
     }
-    a
+    selected
 }
--- a/crates/netconf/src/framing.rs
+++ b/crates/netconf/src/framing.rs
@@ -1,20 +1,26 @@
-//! The two framings of RFC 6242: the end-of-message mark, used for `<hello>` and base:1.0, and chunks.
+//! The two framings of RFC 6242: end-of-message, used for `<hello>` and base:1.0, and chunked.
 
-const END: &[u8] = b"]]>]]>";
-/// Digits of a chunk's size: RFC 6242 allows 4,294,967,295.
-const DIGITS_MOST: usize = 10;
+use std::error::Error;
+use std::fmt;
 
-/// Why the stream can't be followed any more.
+/// End-of-message framing, section 4.3.
+const END_OF_MESSAGE: &[u8] = b"]]>]]>";
+/// Chunked framing, section 4.2: each chunk's header starts with this.
+const CHUNK_START: &[u8] = b"\n#";
+/// Digits of a chunk's size: section 4.2 allows up to 4,294,967,295.
+const MAX_SIZE_DIGITS: usize = 10;
+
+/// Why the stream cannot be read any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
     /// A message is larger than the limit.
     TooBig,
-    /// What should be a chunk's head is none.
+    /// A chunk's header is malformed.
     BadChunk,
 }
 
-impl std::fmt::Display for FramingError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for FramingError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             FramingError::TooBig => "a message is larger than allowed",
             FramingError::BadChunk => "a chunk's head is malformed",
@@ -22,153 +28,185 @@
     }
 }
 
-impl std::error::Error for FramingError {}
+impl Error for FramingError {}
 
+/// Where in a chunked message the stream is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
-    /// Before a chunk's head, or within it.
-    Head,
-    /// Within a chunk, with so many bytes to come.
-    Body(usize),
+enum ChunkPosition {
+    /// Before a chunk's header, or within it.
+    Header,
+    /// Within a chunk of which this many bytes are still to come.
+    Data(usize),
 }
 
-/// Cuts a stream of bytes into messages. It holds one unfinished message of at most `most` bytes, and what
-/// was pushed behind it.
+/// Splits a stream of bytes into messages. It holds one unfinished message, and what was pushed behind it.
 #[derive(Debug)]
 pub struct Deframer {
-    chunked: bool,
-    most: usize,
+    is_chunked: bool,
+    max_message_bytes: usize,
     input: Vec<u8>,
-    /// How far `input` was looked through, and used up.
-    seen: usize,
+    /// Bytes of `input` that were searched for the end of a message.
+    searched: usize,
     message: Vec<u8>,
-    place: Place,
+    position: ChunkPosition,
 }
 
 impl Deframer {
-    /// One that starts with the end-of-message mark, as every session does.
-    pub fn new(most: usize) -> Self {
-        let (input, message) = (Vec::new(), Vec::new());
-        Deframer { chunked: false, most, input, seen: 0, message, place: Place::Head }
+    /// A deframer that starts with end-of-message framing, as every session does.
+    pub fn new(max_message_bytes: usize) -> Self {
+        Deframer {
+            is_chunked: false,
+            max_message_bytes,
+            input: vec![],
+            searched: 0,
+            message: vec![],
+            position: ChunkPosition::Header,
+        }
     }
 
-    /// From the next message on, chunks.
-    pub fn chunk(&mut self) {
-        self.chunked = true;
+    /// Switches to chunked framing from the next message on.
+    pub fn use_chunks(&mut self) {
+        self.is_chunked = true;
     }
 
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Bytes held at the moment.
-    pub fn held(&self) -> usize {
+    /// Bytes that it holds.
+    pub fn buffered_bytes(&self) -> usize {
         self.input.len() + self.message.len()
     }
 
-    /// The next whole message, if there is one.
+    /// The next complete message, if there is one.
     pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
-        if self.chunked {
-            self.by_chunks()
+        if self.is_chunked {
+            self.next_chunked_message()
         } else {
-            self.by_mark()
+            self.next_delimited_message()
         }
     }
 
-    fn by_mark(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
-        let from = self.seen.saturating_sub(END.len() - 1);
-        if let Some(place) = self.input[from..].windows(END.len()).position(|w| w == END) {
-            let rest = self.input.split_off(from + place + END.len());
-            let mut message = std::mem::replace(&mut self.input, rest);
-            message.truncate(from + place);
-            self.seen = 0;
-            return if message.len() > self.most { Err(FramingError::TooBig) } else { Ok(Some(message)) };
-        }
-        self.seen = self.input.len();
-        if self.input.len() > self.most + END.len() {
+    fn next_delimited_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+        // The delimiter may have come in two pieces.
+        let start = self.searched.saturating_sub(END_OF_MESSAGE.len() - 1);
+        let mut windows = self.input[start..].windows(END_OF_MESSAGE.len());
+        let Some(offset) = windows.position(|window| window == END_OF_MESSAGE) else {
+            self.searched = self.input.len();
+            let is_too_big = self.input.len() > self.max_message_bytes + END_OF_MESSAGE.len();
+            return if is_too_big { Err(FramingError::TooBig) } else { Ok(None) };
+        };
+        let end = start + offset;
+        let rest = self.input.split_off(end + END_OF_MESSAGE.len());
+        let mut message = std::mem::replace(&mut self.input, rest);
+        message.truncate(end);
+        self.searched = 0;
+        if message.len() > self.max_message_bytes {
             return Err(FramingError::TooBig);
         }
-        Ok(None)
+        Ok(Some(message))
     }
 
-    fn by_chunks(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
+    fn next_chunked_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         let mut used = 0;
-        let found = loop {
-            let rest = &self.input[used..];
-            match self.place {
-                Place::Body(left) => {
-                    let part = left.min(rest.len());
-                    if self.message.len() + part > self.most {
-                        return Err(FramingError::TooBig);
-                    }
-                    self.message.extend_from_slice(&rest[..part]);
-                    used += part;
-                    if part < left {
-                        self.place = Place::Body(left - part);
+        let message = loop {
+            match self.position {
+                ChunkPosition::Data(remaining) => {
+                    used += self.take_data(used, remaining)?;
+                    if self.position != ChunkPosition::Header {
                         break None;
                     }
-                    self.place = Place::Head;
                 }
-                Place::Head => match head(rest)? {
+                ChunkPosition::Header => match parse_header(&self.input[used..])? {
                     None => break None,
-                    Some((length, None)) => {
-                        used += length;
-                        break Some(std::mem::take(&mut self.message));
-                    }
-                    Some((length, Some(size))) => {
-                        used += length;
-                        self.place = Place::Body(size);
+                    Some(header) => {
+                        used += header.length;
+                        match header.size {
+                            Some(size) => self.position = ChunkPosition::Data(size),
+                            None => break Some(std::mem::take(&mut self.message)),
+                        }
                     }
                 },
             }
         };
         self.input.drain(..used);
-        Ok(found)
+        Ok(message)
     }
-}
 
-/// A chunk's head at the front of `bytes`: its length, and the size it tells, `None` for the last one.
-fn head(bytes: &[u8]) -> Result<Option<(usize, Option<usize>)>, FramingError> {
-    for (k, want) in b"\n#".iter().enumerate() {
-        match bytes.get(k) {
-            None => return Ok(None),
-            Some(byte) if byte != want => return Err(FramingError::BadChunk),
-            Some(_) => {}
+    /// Adds what there is of a chunk's data, from offset `start` of the input, to the message. Returns how much it was.
+    fn take_data(&mut self, start: usize, remaining: usize) -> Result<usize, FramingError> {
+        let available = &self.input[start..];
+        let taken = remaining.min(available.len());
+        if self.message.len() + taken > self.max_message_bytes {
+            return Err(FramingError::TooBig);
         }
-    }
-    if bytes.get(2) == Some(&b'#') {
-        return match bytes.get(3) {
-            None => Ok(None),
-            Some(b'\n') => Ok(Some((4, None))),
-            Some(_) => Err(FramingError::BadChunk),
+        self.message.extend_from_slice(&available[..taken]);
+        self.position = match remaining - taken {
+            0 => ChunkPosition::Header,
+            remaining => ChunkPosition::Data(remaining),
         };
+        Ok(taken)
+    }
+}
+
+/// A chunk's header.
+struct ChunkHeader {
+    /// Bytes of the header itself.
+    length: usize,
+    /// Bytes of the chunk; `None`: the message ends here.
+    size: Option<usize>,
+}
+
+/// Reads the header at the front of `bytes`; `None`: it is not complete yet.
+fn parse_header(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
+    let available = bytes.len().min(CHUNK_START.len());
+    if bytes[..available] != CHUNK_START[..available] {
+        return Err(FramingError::BadChunk);
+    }
+    let rest = &bytes[available..];
+    match rest {
+        [] => Ok(None),
+        [b'#', rest @ ..] => parse_end_of_chunks(rest),
+        [b'0', ..] => Err(FramingError::BadChunk),
+        _ => parse_chunk_size(rest),
     }
-    let digits = bytes[2..].iter().take_while(|b| b.is_ascii_digit()).count();
-    if digits > DIGITS_MOST || bytes.get(2) == Some(&b'0') {
+}
+
+/// Reads what follows `\n##`.
+fn parse_end_of_chunks(rest: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
+    match rest {
+        [] => Ok(None),
+        [b'\n', ..] => Ok(Some(ChunkHeader { length: CHUNK_START.len() + 2, size: None })),
+        _ => Err(FramingError::BadChunk),
+    }
+}
+
+/// Reads the size that follows `\n#`, and the line's end.
+fn parse_chunk_size(rest: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
+    let digits = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
+    if digits > MAX_SIZE_DIGITS {
         return Err(FramingError::BadChunk);
     }
-    match bytes.get(2 + digits) {
+    match rest.get(digits) {
         None => Ok(None),
         Some(b'\n') if digits > 0 => {
-            let text = std::str::from_utf8(&bytes[2..2 + digits]).map_err(|_| FramingError::BadChunk)?;
-            let size: u64 = text.parse().map_err(|_| FramingError::BadChunk)?;
-            if size > u64::from(u32::MAX) {
-                return Err(FramingError::BadChunk);
-            }
-            Ok(Some((3 + digits, Some(size as usize))))
+            let text = std::str::from_utf8(&rest[..digits]).map_err(|_| FramingError::BadChunk)?;
+            let size: u32 = text.parse().map_err(|_| FramingError::BadChunk)?;
+            Ok(Some(ChunkHeader { length: CHUNK_START.len() + digits + 1, size: Some(size as usize) }))
         }
         Some(_) => Err(FramingError::BadChunk),
     }
 }
 
-/// Frames one message.
-pub fn frame(message: &str, chunked: bool, out: &mut Vec<u8>) {
-    if chunked {
+/// Appends a framed message to `out`.
+pub fn frame(message: &str, is_chunked: bool, out: &mut Vec<u8>) {
+    if is_chunked {
         out.extend_from_slice(format!("\n#{}\n", message.len()).as_bytes());
         out.extend_from_slice(message.as_bytes());
         out.extend_from_slice(b"\n##\n");
     } else {
         out.extend_from_slice(message.as_bytes());
-        out.extend_from_slice(END);
+        out.extend_from_slice(END_OF_MESSAGE);
     }
 }
--- /dev/null
+++ b/crates/netconf/src/service/commit.rs
@@ -0,0 +1,167 @@
+//! `<commit>`, `<cancel-commit>` and `<discard-changes>` (RFC 6241, sections 8.3 and 8.4).
+
+use super::datastore::Datastore;
+use super::edit_config::is_repeated;
+use super::{ok, Change, EditLookup, Host, ReplyContent, Request, Service, SessionId};
+use crate::error::{RpcError, Tag};
+use crate::tree::Element;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// RFC 6241, section 8.4.5.1: how long a confirmed commit waits unless the client says otherwise.
+const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
+/// Longest time, in seconds, that a confirmed commit may wait.
+const MAX_CONFIRM_TIMEOUT_SECONDS: u64 = 86_400;
+/// Name of the client under which a confirmed commit is rolled back.
+const ROLLBACK_CLIENT: &str = "confirmed-commit";
+
+/// A commit that waits for its confirmation.
+#[derive(Debug)]
+pub(super) struct ConfirmedCommit {
+    pub(super) session: SessionId,
+    /// By which other sessions can confirm it.
+    persist_id: Option<String>,
+    times_out_at: Duration,
+    /// What to roll back to.
+    before: Arc<Element>,
+}
+
+impl ConfirmedCommit {
+    pub(super) fn times_out_at(&self) -> Duration {
+        self.times_out_at
+    }
+
+    /// Whether it is rolled back when this session ends.
+    pub(super) fn ends_with(&self, session: SessionId) -> bool {
+        self.session == session && self.persist_id.is_none()
+    }
+
+    /// Whether a session may cancel it with this persist-id.
+    fn may_be_cancelled(&self, session: SessionId, persist_id: Option<&str>) -> bool {
+        persist_id == self.persist_id.as_deref() && (persist_id.is_some() || self.session == session)
+    }
+
+    /// Whether a session may confirm it with this persist-id.
+    fn may_be_confirmed(&self, session: SessionId, persist_id: Option<&str>) -> bool {
+        self.ends_with(session) || persist_id == self.persist_id.as_deref()
+    }
+}
+
+fn wrong_persist_id(reason: &str) -> Vec<RpcError> {
+    vec![RpcError::protocol(Tag::InvalidValue, reason).with("bad-element", "persist-id")]
+}
+
+fn read_confirm_timeout(operation: &Element) -> Result<Duration, Vec<RpcError>> {
+    let Some(text) = operation.text_of("confirm-timeout") else { return Ok(DEFAULT_CONFIRM_TIMEOUT) };
+    match text.parse::<u64>() {
+        Ok(seconds) if (1..=MAX_CONFIRM_TIMEOUT_SECONDS).contains(&seconds) => {
+            Ok(Duration::from_secs(seconds))
+        }
+        _ => {
+            let error = RpcError::protocol(Tag::InvalidValue, "confirm-timeout takes 1 to 86400 seconds");
+            Err(vec![error.with("bad-element", "confirm-timeout")])
+        }
+    }
+}
+
+impl Service {
+    pub(super) fn discard_changes(&mut self, request: &Request) -> ReplyContent {
+        self.check_unlocked(Datastore::Candidate, request.session)?;
+        self.candidate = None;
+        ok()
+    }
+
+    pub(super) fn commit(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
+        self.limit_edits(request)?;
+        self.check_unlocked(Datastore::Running, request.session)?;
+        self.check_unlocked(Datastore::Candidate, request.session)?;
+        self.check_persist_id(request)?;
+        let content = self.candidate.as_ref().map(|candidate| candidate.to_text()).unwrap_or_default();
+        if self.is_repeated_commit(request, &content, host)? {
+            self.candidate = None;
+            return ok();
+        }
+        let timeout = read_confirm_timeout(request.operation)?;
+        let is_confirmed = request.operation.child("confirmed").is_some();
+        let running = host.running();
+        let before = self.confirmed_commit.as_ref().map_or(&running, |commit| &commit.before).clone();
+        if self.candidate.is_some() || is_confirmed {
+            let wanted = self.candidate.as_ref().unwrap_or(&running);
+            let Request { who, edit_id, .. } = *request;
+            let before = is_confirmed.then_some(&before);
+            host.commit(&Change { who, edit_id, content: &content, wanted, before })?;
+        }
+        self.candidate = None;
+        self.confirmed_commit = is_confirmed.then(|| ConfirmedCommit {
+            session: request.session,
+            persist_id: request.operation.text_of("persist").map(str::to_string),
+            times_out_at: request.now + timeout,
+            before,
+        });
+        if !is_confirmed {
+            host.confirmed_commit_ended();
+        }
+        ok()
+    }
+
+    fn check_persist_id(&self, request: &Request) -> Result<(), Vec<RpcError>> {
+        let persist_id = request.operation.text_of("persist-id");
+        match &self.confirmed_commit {
+            Some(commit) if !commit.may_be_confirmed(request.session, persist_id) => {
+                Err(wrong_persist_id("the confirmed commit has another persist-id"))
+            }
+            None if persist_id.is_some() => Err(wrong_persist_id("no confirmed commit waits")),
+            _ => Ok(()),
+        }
+    }
+
+    /// Whether this commit was accepted before. Its content is the candidate: once that is committed, a repeated commit
+    /// finds none, and is recognised by its id alone.
+    fn is_repeated_commit(
+        &self,
+        request: &Request,
+        content: &str,
+        host: &dyn Host,
+    ) -> Result<bool, Vec<RpcError>> {
+        match request.edit_id {
+            Some(id) if self.candidate.is_none() => Ok(host.lookup_edit(id, "") != EditLookup::New),
+            _ => is_repeated(request, content, host),
+        }
+    }
+
+    pub(super) fn cancel_commit(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
+        let persist_id = request.operation.text_of("persist-id");
+        match &self.confirmed_commit {
+            None => Err(vec![RpcError::protocol(Tag::OperationFailed, "no confirmed commit waits")]),
+            Some(commit) if !commit.may_be_cancelled(request.session, persist_id) => {
+                Err(wrong_persist_id("the confirmed commit has another persist-id"))
+            }
+            Some(_) => {
+                self.roll_back(host);
+                ok()
+            }
+        }
+    }
+
+    /// Rolls back to what was before a confirmed commit.
+    pub(super) fn roll_back(&mut self, host: &mut dyn Host) {
+        if let Some(ConfirmedCommit { before, .. }) = self.confirmed_commit.take() {
+            let change =
+                Change { who: ROLLBACK_CLIENT, edit_id: None, content: "", wanted: &before, before: None };
+            // The former datastore was valid when it was committed; the host logs it if it is rejected now.
+            let _ = host.commit(&change);
+            host.confirmed_commit_ended();
+        }
+    }
+
+    /// Fails while a confirmed commit waits that a direct edit would overwrite, though it may yet be rolled back.
+    pub(super) fn check_no_confirmed_commit(&self, session: SessionId) -> Result<(), Vec<RpcError>> {
+        match &self.confirmed_commit {
+            Some(commit) if !commit.ends_with(session) => {
+                let error = RpcError::protocol(Tag::InUse, "a confirmed commit is not yet confirmed");
+                Err(vec![error.with("session-id", commit.session.to_string())])
+            }
+            _ => Ok(()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/netconf/src/service/mod.rs
@@ -0,0 +1,256 @@
+//! A NETCONF server's operations over datastores that its [`Host`] keeps: RFC 6241 with the capabilities
+//! writable-running, candidate, confirmed-commit, rollback-on-error and validate; RFC 5277; `<get-schema>` of RFC 6022.
+
+mod commit;
+mod datastore;
+mod edit_config;
+mod host;
+mod locks;
+mod rate_limit;
+mod retrieval;
+
+pub use host::{Access, Change, EditLookup, Host};
+
+use crate::edit::Schema;
+use crate::error::{RpcError, Tag};
+use crate::filter::select;
+use crate::session::Rpc;
+use crate::tree::Element;
+use crate::{BASE, EDIT_HISTORY, MONITORING, NOTIFY};
+use commit::ConfirmedCommit;
+use datastore::{read_datastore, Datastore};
+use rate_limit::EditRateLimit;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Capabilities of this server, beside the base.
+pub const CAPABILITIES: [&str; 8] = [
+    "urn:ietf:params:netconf:capability:writable-running:1.0",
+    "urn:ietf:params:netconf:capability:candidate:1.0",
+    "urn:ietf:params:netconf:capability:confirmed-commit:1.1",
+    "urn:ietf:params:netconf:capability:rollback-on-error:1.0",
+    "urn:ietf:params:netconf:capability:validate:1.1",
+    "urn:ietf:params:netconf:capability:xpath:1.0",
+    "urn:ietf:params:netconf:capability:notification:1.0",
+    "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring?module=ietf-netconf-monitoring&revision=2010-10-04",
+];
+
+/// Number of a session.
+pub type SessionId = u32;
+
+/// The reply to one `<rpc>`.
+#[derive(Debug, Default)]
+pub struct Answer {
+    /// Content of the `<rpc-reply>`.
+    pub content: Vec<Element>,
+    /// The session is to be closed once this is written.
+    pub close: bool,
+    /// Other sessions to be ended at once.
+    pub kill: Vec<SessionId>,
+}
+
+/// Limits of a server.
+#[derive(Debug, Clone, Copy)]
+pub struct Limits {
+    /// Sessions at a time: operators, tools and feeds are few.
+    pub max_sessions: usize,
+    /// Edits of each session a second, and as many at once: twice what one core parses and commits.
+    pub edits_per_second: f64,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Limits { max_sessions: 64, edits_per_second: 4000.0 }
+    }
+}
+
+/// A client's session.
+#[derive(Debug)]
+struct ClientSession {
+    who: String,
+    /// The filter of its subscription to notifications, if it has one; `Some(None)` for all of them.
+    subscription: Option<Option<Element>>,
+    edit_rate_limit: EditRateLimit,
+}
+
+impl ClientSession {
+    fn is_subscribed_to(&self, event: &Element) -> bool {
+        match &self.subscription {
+            None => false,
+            Some(None) => true,
+            Some(Some(filter)) => !select(event, filter).children.is_empty(),
+        }
+    }
+}
+
+/// One operation of a client.
+#[derive(Debug, Clone, Copy)]
+struct Request<'a> {
+    now: Duration,
+    session: SessionId,
+    who: &'a str,
+    operation: &'a Element,
+    edit_id: Option<&'a str>,
+}
+
+/// A server.
+#[derive(Debug)]
+pub struct Service {
+    schema: Schema,
+    limits: Limits,
+    sessions: BTreeMap<SessionId, ClientSession>,
+    last_session: SessionId,
+    /// The candidate datastore, if it differs from the running one.
+    candidate: Option<Arc<Element>>,
+    /// The session that holds the lock of each datastore.
+    locks: BTreeMap<Datastore, SessionId>,
+    /// A commit that waits for its confirmation.
+    confirmed_commit: Option<ConfirmedCommit>,
+}
+
+type ReplyContent = Result<Vec<Element>, Vec<RpcError>>;
+
+fn ok() -> ReplyContent {
+    Ok(vec![Element::new(BASE, "ok")])
+}
+
+fn not_supported(what: &str) -> Vec<RpcError> {
+    vec![RpcError::protocol(Tag::OperationNotSupported, format!("{what} is not supported"))]
+}
+
+/// What an operation does to the datastores and sessions.
+fn access_of(operation: &Element) -> Access {
+    match operation.name.as_str() {
+        "kill-session" => Access::Kill,
+        "get" | "get-config" | "get-schema" | "create-subscription" | "validate" => Access::Read,
+        _ => Access::Edit,
+    }
+}
+
+impl Service {
+    /// A server for datastores of this schema.
+    pub fn new(schema: Schema, limits: Limits) -> Self {
+        Service {
+            schema,
+            limits,
+            sessions: BTreeMap::new(),
+            last_session: 0,
+            candidate: None,
+            locks: BTreeMap::new(),
+            confirmed_commit: None,
+        }
+    }
+
+    /// Opens a session for a client of this name; `None` if there are too many.
+    pub fn open_session(&mut self, who: &str, now: Duration) -> Option<SessionId> {
+        if self.sessions.len() >= self.limits.max_sessions {
+            return None;
+        }
+        let session = ClientSession {
+            who: who.into(),
+            subscription: None,
+            edit_rate_limit: EditRateLimit::new(self.limits.edits_per_second, now),
+        };
+        self.last_session += 1;
+        self.sessions.insert(self.last_session, session);
+        Some(self.last_session)
+    }
+
+    /// Closes a session: its locks are released, and its confirmed commit is rolled back if no other can confirm it.
+    pub fn close_session(&mut self, session: SessionId, host: &mut dyn Host) {
+        self.sessions.remove(&session);
+        if self.locks.get(&Datastore::Candidate) == Some(&session) {
+            self.candidate = None;
+        }
+        self.locks.retain(|_, holder| *holder != session);
+        if self.confirmed_commit.as_ref().is_some_and(|commit| commit.ends_with(session)) {
+            self.roll_back(host);
+        }
+    }
+
+    /// When [`Service::handle_timeout`] is to be called.
+    pub fn wakes_at(&self) -> Option<Duration> {
+        self.confirmed_commit.as_ref().map(ConfirmedCommit::times_out_at)
+    }
+
+    /// Rolls a confirmed commit back that nobody confirmed in time.
+    pub fn handle_timeout(&mut self, now: Duration, host: &mut dyn Host) {
+        if self.wakes_at().is_some_and(|at| now >= at) {
+            self.roll_back(host);
+        }
+    }
+
+    /// The sessions that subscribe to an event, by their filters.
+    pub fn subscribers(&self, event: &Element) -> Vec<SessionId> {
+        let root = Element::new("", "data").with(event.clone());
+        let subscribers = self.sessions.iter().filter(|(_, session)| session.is_subscribed_to(&root));
+        subscribers.map(|(id, _)| *id).collect()
+    }
+
+    /// Answers one `<rpc>` of a session.
+    pub fn handle(&mut self, now: Duration, session: SessionId, rpc: &Rpc, host: &mut dyn Host) -> Answer {
+        let mut answer = Answer::default();
+        let content = self.answer(now, session, rpc, host, &mut answer);
+        answer.content = content.unwrap_or_else(|errors| errors.iter().map(RpcError::element).collect());
+        answer
+    }
+
+    fn answer(
+        &mut self,
+        now: Duration,
+        session: SessionId,
+        rpc: &Rpc,
+        host: &mut dyn Host,
+        answer: &mut Answer,
+    ) -> ReplyContent {
+        let operation = rpc.operation();
+        let Some(client) = self.sessions.get(&session) else {
+            return Err(not_supported("a session that ended"));
+        };
+        let who = client.who.clone();
+        if operation.name == "close-session" {
+            answer.close = true;
+            return ok();
+        }
+        host.authorize(&who, access_of(operation)).map_err(|error| vec![error])?;
+        let edit_id = rpc.rpc.attribute(EDIT_HISTORY, "edit-id");
+        let request = Request { now, session, who: &who, operation, edit_id };
+        if operation.is(BASE, "kill-session") {
+            return self.kill_session(&request, answer);
+        }
+        self.perform(&request, host)
+    }
+
+    fn perform(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
+        let operation = request.operation;
+        match (&*operation.ns, operation.name.as_str()) {
+            (BASE, "get") => self.get(operation, host),
+            (BASE, "get-config") => self.get_config(operation, host),
+            (MONITORING, "get-schema") => retrieval::get_schema(operation, host),
+            (NOTIFY, "create-subscription") => self.create_subscription(request),
+            (BASE, "lock") => self.lock(request),
+            (BASE, "unlock") => self.unlock(request),
+            (BASE, "discard-changes") => self.discard_changes(request),
+            (BASE, "validate") => self.validate(operation, host),
+            (BASE, "edit-config") => self.edit_config(request, host),
+            (BASE, "copy-config") => self.copy_config(request, host),
+            (BASE, "delete-config") => delete_config(operation),
+            (BASE, "commit") => self.commit(request, host),
+            (BASE, "cancel-commit") => self.cancel_commit(request, host),
+            (BASE | MONITORING | NOTIFY, name) => Err(not_supported(name)),
+            (ns, name) => Err(unknown_operation(ns, name)),
+        }
+    }
+}
+
+fn delete_config(operation: &Element) -> ReplyContent {
+    read_datastore(operation, "target")?;
+    let error = RpcError::protocol(Tag::OperationNotSupported, "no datastore here can be deleted");
+    Err(vec![error.at("/rpc/delete-config/target")])
+}
+
+fn unknown_operation(ns: &str, name: &str) -> Vec<RpcError> {
+    let error = RpcError::protocol(Tag::UnknownNamespace, format!("<{name}> of {ns} is not known"));
+    vec![error.with("bad-element", name).with("bad-namespace", ns)]
+}
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -1,41 +1,50 @@
-//! One side of one session, free of I/O: bytes in, what was heard out; messages in, bytes out.
+//! One side of one session, free of I/O: bytes in and events out, messages in and bytes out.
 
 use crate::error::{Layer, RpcError, Tag};
-use crate::framing::{frame, Deframer};
+use crate::framing::{frame, Deframer, FramingError};
 use crate::tree::Element;
-use crate::{BASE, BASE_1_0, BASE_1_1, NOTIFY};
+use crate::{BASE, BASE_1_0, BASE_1_1, EDIT_HISTORY, NOTIFY};
+use std::fmt;
+use std::sync::Arc;
 
-/// The bounds of a session.
+/// Limits of a session.
 #[derive(Debug, Clone, Copy)]
 pub struct SessionLimits {
     /// Bytes of one message: a fleet of 600 proxies and as many servers takes some 400 KB as XML.
-    pub message: usize,
-    /// Bytes not yet taken by the other side, past which the session ends: two of the largest messages.
-    pub unread: usize,
-    /// Messages handed on from one push of bytes; further ones wait in the buffer, for a fair share.
-    pub at_once: usize,
+    pub max_message_bytes: usize,
+    /// Bytes that the other side has not read yet, past which the session ends: two of the largest messages.
+    pub max_unsent_bytes: usize,
+    /// Events returned at once; further messages wait in the buffer, so that sessions get fair shares.
+    pub max_events: usize,
 }
 
 impl Default for SessionLimits {
     fn default() -> Self {
-        SessionLimits { message: 2 << 20, unread: 4 << 20, at_once: 64 }
+        SessionLimits { max_message_bytes: 2 << 20, max_unsent_bytes: 4 << 20, max_events: 64 }
     }
 }
 
+/// Which side of a session this is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    Server { id: u32 },
+    /// The side that answers.
+    Server {
+        /// The session's number, sent in `<hello>`.
+        id: u32,
+    },
+    /// The side that asks.
     Client,
 }
 
 /// An `<rpc>` that came, with all its attributes, which the reply returns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rpc {
-    /// The `<rpc>` itself, its operation as its only child.
+    /// The `<rpc>` itself, with its operation as its only child.
     pub rpc: Element,
 }
 
 impl Rpc {
+    /// The `message-id` attribute.
     pub fn message_id(&self) -> &str {
         self.rpc.attribute("", "message-id").unwrap_or_default()
     }
@@ -44,251 +53,293 @@
     pub fn operation(&self) -> &Element {
         &self.rpc.children[0]
     }
+
+    /// What is wrong with the `<rpc>` around the operation, if anything is.
+    fn check(&self) -> Result<(), RpcError> {
+        if self.rpc.attribute("", "message-id").is_none() {
+            return Err(RpcError::new(Layer::Rpc, Tag::MissingAttribute, "an <rpc> needs a message-id")
+                .with("bad-attribute", "message-id")
+                .with("bad-element", "rpc"));
+        }
+        if self.rpc.children.len() != 1 {
+            let message = "an <rpc> holds one operation";
+            return Err(RpcError::new(Layer::Rpc, Tag::MissingElement, message));
+        }
+        Ok(())
+    }
 }
 
 /// What came from the other side.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// The other's `<hello>`: the session stands.
+    /// The other side's `<hello>`: the session is open.
     Open {
+        /// Its capabilities.
         capabilities: Vec<String>,
+        /// The session's number, if the other side is the server.
         session: Option<u32>,
     },
+    /// A request.
     Rpc(Rpc),
-    /// A reply: to which message, and the `<rpc-reply>`.
+    /// A reply.
     Reply {
+        /// The request's message-id.
         message_id: String,
+        /// The `<rpc-reply>`.
         reply: Element,
     },
-    /// A notification: its one element beside `<eventTime>`.
+    /// A notification: its element beside `<eventTime>`.
     Notified(Element),
 }
 
-/// Why the session has to end.
+/// Why the session has to end, in words.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SessionError(pub String);
 
-impl std::fmt::Display for SessionError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for SessionError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
+impl std::error::Error for SessionError {}
+
+fn session_error(reason: &str) -> SessionError {
+    SessionError(reason.to_string())
+}
+
+/// One side of a session.
 #[derive(Debug)]
 pub struct Session {
     role: Role,
-    bounds: SessionLimits,
+    limits: SessionLimits,
     deframer: Deframer,
-    open: bool,
-    chunked: bool,
-    out: Vec<u8>,
-    next_message: u64,
+    is_open: bool,
+    is_chunked: bool,
+    output: Vec<u8>,
+    last_message_id: u64,
 }
 
 impl Session {
     /// Starts one side: its `<hello>` is in the output at once.
-    pub fn new(role: Role, capabilities: &[&str], bounds: SessionLimits) -> Self {
-        let mut list = Element::new(BASE, "capabilities");
-        for capability in [BASE_1_0, BASE_1_1].iter().chain(capabilities) {
-            list = list.with_leaf("capability", capability);
+    pub fn new(role: Role, capabilities: &[&str], limits: SessionLimits) -> Self {
+        let mut output = Vec::new();
+        frame(&hello(role, capabilities).to_text(), false, &mut output);
+        Session {
+            role,
+            limits,
+            deframer: Deframer::new(limits.max_message_bytes),
+            is_open: false,
+            is_chunked: false,
+            output,
+            last_message_id: 0,
         }
-        let mut hello = Element::new(BASE, "hello").with(list);
-        if let Role::Server { id } = role {
-            hello = hello.with_leaf("session-id", id);
-        }
-        let mut out = Vec::new();
-        frame(&hello.to_text(), false, &mut out);
-        let deframer = Deframer::new(bounds.message);
-        Session { role, bounds, deframer, open: false, chunked: false, out, next_message: 0 }
     }
 
+    /// Whether the other side's `<hello>` came.
     pub fn is_open(&self) -> bool {
-        self.open
+        self.is_open
     }
 
-    /// Takes bytes and hands on what they hold. On an error the session is over: what is in the output
-    /// then, an `<rpc-error>` at the most, may still be written.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, SessionError> {
+    /// Takes in received bytes. After an error the session is over; the output, which then holds an `<rpc-error>` at
+    /// most, may still be written.
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, SessionError> {
         self.deframer.push(bytes);
-        self.more()
+        self.receive_buffered()
     }
 
-    /// What waits in the buffer since one push held more messages than a fair share.
-    pub fn more(&mut self) -> Result<Vec<SessionEvent>, SessionError> {
-        let mut heard = Vec::new();
-        while heard.len() < self.bounds.at_once {
-            let message = match self.deframer.next_message() {
+    /// Returns events of messages that are still in the buffer.
+    pub fn receive_buffered(&mut self) -> Result<Vec<SessionEvent>, SessionError> {
+        let mut events = Vec::new();
+        while events.len() < self.limits.max_events {
+            match self.deframer.next_message() {
                 Ok(None) => break,
-                Ok(Some(message)) => message,
-                Err(torn) => {
-                    let tag = if torn == crate::framing::FramingError::TooBig {
-                        Tag::TooBig
-                    } else {
-                        Tag::MalformedMessage
-                    };
-                    self.refuse(tag, &torn.to_string());
-                    return Err(SessionError(torn.to_string()));
-                }
-            };
-            self.message(&message, &mut heard)?;
+                Ok(Some(message)) => events.extend(self.handle_message(&message)?),
+                Err(error) => return Err(self.reject_framing(error)),
+            }
         }
-        Ok(heard)
+        Ok(events)
     }
 
-    /// Whether a whole share was handed on, so that more may wait.
-    pub fn may_hold_more(&self, heard: usize) -> bool {
-        heard >= self.bounds.at_once
+    /// Whether this many events may have left further messages in the buffer.
+    pub fn may_have_more(&self, event_count: usize) -> bool {
+        event_count >= self.limits.max_events
+    }
+
+    fn reject_framing(&mut self, error: FramingError) -> SessionError {
+        let tag = match error {
+            FramingError::TooBig => Tag::TooBig,
+            FramingError::BadChunk => Tag::MalformedMessage,
+        };
+        self.send_rpc_error(tag, &error.to_string());
+        SessionError(error.to_string())
     }
 
-    fn message(&mut self, message: &[u8], heard: &mut Vec<SessionEvent>) -> Result<(), SessionError> {
-        let parsed = std::str::from_utf8(message).map_err(|e| e.to_string()).and_then(|text| {
-            Element::parse(text).map_err(|e| format!("{} at {}:{}", e.reason, e.line, e.column))
-        });
-        let element = match parsed {
+    fn handle_message(&mut self, message: &[u8]) -> Result<Option<SessionEvent>, SessionError> {
+        let element = match parse_message(message) {
             Ok(element) => element,
             Err(reason) => {
-                // RFC 6241: malformed-message is the answer, and nothing behind it can be trusted.
-                self.refuse(Tag::MalformedMessage, &reason);
+                // RFC 6241, appendix A: nothing that follows a malformed message can be trusted.
+                self.send_rpc_error(Tag::MalformedMessage, &reason);
                 return Err(SessionError(format!("malformed message: {reason}")));
             }
         };
-        if !self.open {
-            return self.hello(&element, heard);
+        if !self.is_open {
+            return self.handle_hello(&element).map(Some);
         }
-        match (self.role, element.name.as_str()) {
-            (Role::Server { .. }, "rpc") if element.ns == BASE => self.rpc(element, heard),
-            (Role::Client, "rpc-reply") if element.ns == BASE => {
-                let message_id = element.attribute("", "message-id").unwrap_or_default().to_string();
-                heard.push(SessionEvent::Reply { message_id, reply: element });
-            }
-            (Role::Client, "notification") if element.ns == NOTIFY => {
-                let event = element.children.iter().find(|c| c.name != "eventTime");
-                heard.extend(event.map(|e| SessionEvent::Notified((**e).clone())));
-            }
-            (Role::Server { .. }, _) => {
-                let error = RpcError::new(Layer::Rpc, Tag::UnknownElement, "only <rpc> is understood here")
-                    .with("bad-element", element.name.clone());
-                self.send(&Element::new(BASE, "rpc-reply").with(error.element()));
-            }
-            (Role::Client, _) => return Err(SessionError(format!("unexpected <{}>", element.name))),
+        match self.role {
+            Role::Server { .. } => Ok(self.handle_request(element)),
+            Role::Client => handle_response(element),
         }
-        Ok(())
     }
 
-    fn hello(&mut self, element: &Element, heard: &mut Vec<SessionEvent>) -> Result<(), SessionError> {
+    fn handle_hello(&mut self, element: &Element) -> Result<SessionEvent, SessionError> {
         if !element.is(BASE, "hello") {
-            return Err(SessionError("no <hello> at the start".into()));
+            return Err(session_error("no <hello> at the start"));
         }
-        let session = element.text_of("session-id").map(|s| s.parse::<u32>());
+        let session = element.text_of("session-id").map(|text| text.parse::<u32>());
         match (self.role, &session) {
             (Role::Server { .. }, Some(_)) => {
-                return Err(SessionError("a client's <hello> with a session-id".into()))
+                return Err(session_error("a client's <hello> with a session-id"));
             }
             (Role::Client, None | Some(Err(_))) => {
-                return Err(SessionError("a <hello> without a session-id".into()))
+                return Err(session_error("a <hello> without a session-id"));
             }
             _ => {}
         }
-        let list = element.child("capabilities").map(|c| c.children.as_slice()).unwrap_or_default();
-        let capabilities: Vec<String> = list.iter().map(|c| c.text.clone()).collect();
-        let has = |wanted: &str| capabilities.iter().any(|c| c == wanted);
+        let list = element.child("capabilities").map(|list| list.children.as_slice()).unwrap_or_default();
+        let capabilities: Vec<String> = list.iter().map(|capability| capability.text.clone()).collect();
+        let has = |wanted: &str| capabilities.iter().any(|capability| capability == wanted);
         if !has(BASE_1_0) && !has(BASE_1_1) {
-            return Err(SessionError("no base capability in common".into()));
+            return Err(session_error("no base capability in common"));
         }
-        self.chunked = has(BASE_1_1);
-        if self.chunked {
-            self.deframer.chunk();
+        self.is_chunked = has(BASE_1_1);
+        if self.is_chunked {
+            self.deframer.use_chunks();
         }
-        self.open = true;
-        heard.push(SessionEvent::Open { capabilities, session: session.and_then(Result::ok) });
-        Ok(())
+        self.is_open = true;
+        Ok(SessionEvent::Open { capabilities, session: session.and_then(Result::ok) })
     }
 
-    fn rpc(&mut self, element: Element, heard: &mut Vec<SessionEvent>) {
+    /// Handles a message to a server.
+    fn handle_request(&mut self, element: Element) -> Option<SessionEvent> {
+        if !element.is(BASE, "rpc") {
+            let error = RpcError::new(Layer::Rpc, Tag::UnknownElement, "only <rpc> is understood here")
+                .with("bad-element", element.name);
+            self.send(&Element::new(BASE, "rpc-reply").with(error.element()));
+            return None;
+        }
         let rpc = Rpc { rpc: element };
-        let fault = if rpc.rpc.attribute("", "message-id").is_none() {
-            Some(
-                RpcError::new(Layer::Rpc, Tag::MissingAttribute, "an <rpc> needs a message-id")
-                    .with("bad-attribute", "message-id")
-                    .with("bad-element", "rpc"),
-            )
-        } else if rpc.rpc.children.len() != 1 {
-            Some(RpcError::new(Layer::Rpc, Tag::MissingElement, "an <rpc> holds one operation"))
-        } else {
-            None
-        };
-        match fault {
-            Some(error) => self.reply(&rpc, vec![error.element()]),
-            None => heard.push(SessionEvent::Rpc(rpc)),
+        match rpc.check() {
+            Ok(()) => Some(SessionEvent::Rpc(rpc)),
+            Err(error) => {
+                self.reply(&rpc, vec![error.element()]);
+                None
+            }
         }
     }
 
-    fn refuse(&mut self, tag: Tag, reason: &str) {
-        if self.open && matches!(self.role, Role::Server { .. }) {
+    /// Sends an error that belongs to no request.
+    fn send_rpc_error(&mut self, tag: Tag, reason: &str) {
+        if self.is_open && matches!(self.role, Role::Server { .. }) {
             let error = RpcError::new(Layer::Rpc, tag, reason);
             self.send(&Element::new(BASE, "rpc-reply").with(error.element()));
         }
     }
 
     /// Answers an `<rpc>`, with its attributes returned as they came.
-    pub fn reply(&mut self, to: &Rpc, content: Vec<Element>) {
+    pub fn reply(&mut self, rpc: &Rpc, content: Vec<Element>) {
         let mut reply = Element::new(BASE, "rpc-reply");
-        reply.attributes = to.rpc.attributes.clone();
-        reply.children = content.into_iter().map(std::sync::Arc::new).collect();
+        reply.attributes = rpc.rpc.attributes.clone();
+        reply.children = content.into_iter().map(Arc::new).collect();
         self.send(&reply);
     }
 
-    /// Sends `<rpc>` with this operation; gives the message-id.
-    pub fn ask(&mut self, operation: Element) -> String {
-        self.ask_with(operation, None)
+    /// Sends an operation and returns its message-id.
+    pub fn send_rpc(&mut self, operation: Element) -> String {
+        self.send_rpc_with_id(operation, None)
     }
 
-    /// The same, with an id for the ledger of edits.
-    pub fn ask_with(&mut self, operation: Element, edit_id: Option<&str>) -> String {
-        self.next_message += 1;
-        let id = self.next_message.to_string();
-        let mut rpc = Element::new(BASE, "rpc").with_attribute("", "message-id", &id);
+    /// Sends an operation with an id for the edit history, and returns its message-id.
+    pub fn send_rpc_with_id(&mut self, operation: Element, edit_id: Option<&str>) -> String {
+        let message_id = self.next_message_id();
+        let mut rpc = Element::new(BASE, "rpc").with_attribute("", "message-id", &message_id);
         if let Some(edit_id) = edit_id {
-            rpc = rpc.with_attribute(crate::LEDGER, "edit-id", edit_id);
+            rpc = rpc.with_attribute(EDIT_HISTORY, "edit-id", edit_id);
         }
         self.send(&rpc.with(operation));
-        id
+        message_id
     }
 
-    /// Sends `<rpc>` round an operation that is written already, so that many sessions share its text.
-    pub fn ask_text(&mut self, operation: &str) -> String {
-        self.next_message += 1;
-        let id = self.next_message.to_string();
-        let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{id}\">{operation}</rpc>");
-        frame(&text, self.chunked, &mut self.out);
-        id
+    /// Sends an operation that is written already, so that many sessions share its text. Returns its message-id.
+    pub fn send_rpc_text(&mut self, operation: &str) -> String {
+        let message_id = self.next_message_id();
+        let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{message_id}\">{operation}</rpc>");
+        frame(&text, self.is_chunked, &mut self.output);
+        message_id
     }
 
-    /// Sends a notification (RFC 5277); `time` as RFC 3339 has it.
+    fn next_message_id(&mut self) -> String {
+        self.last_message_id += 1;
+        self.last_message_id.to_string()
+    }
+
+    /// Sends a notification (RFC 5277); `time` in the format of RFC 3339.
     pub fn notify(&mut self, time: &str, event: Element) {
         let notification = Element::new(NOTIFY, "notification").with_leaf("eventTime", time).with(event);
         self.send(&notification);
     }
 
     fn send(&mut self, message: &Element) {
-        frame(&message.to_text(), self.chunked, &mut self.out);
+        frame(&message.to_text(), self.is_chunked, &mut self.output);
     }
 
-    /// Bytes to be written, at most so many.
-    pub fn output(&mut self, most: usize) -> Vec<u8> {
-        if self.out.len() <= most {
-            return std::mem::take(&mut self.out);
+    /// Takes bytes to be written, at most `max_bytes`.
+    pub fn output(&mut self, max_bytes: usize) -> Vec<u8> {
+        if self.output.len() <= max_bytes {
+            return std::mem::take(&mut self.output);
         }
-        let rest = self.out.split_off(most);
-        std::mem::replace(&mut self.out, rest)
+        let rest = self.output.split_off(max_bytes);
+        std::mem::replace(&mut self.output, rest)
     }
 
-    /// The other side does not read: more waits than the bound allows.
-    pub fn is_clogged(&self) -> bool {
-        self.out.len() > self.bounds.unread
+    /// Whether more bytes wait for the other side to read than the limit allows.
+    pub fn is_over_unsent_limit(&self) -> bool {
+        self.output.len() > self.limits.max_unsent_bytes
     }
 
-    pub fn waiting(&self) -> usize {
-        self.out.len()
+    /// Bytes that wait to be written.
+    pub fn unsent_bytes(&self) -> usize {
+        self.output.len()
+    }
+}
+
+fn hello(role: Role, capabilities: &[&str]) -> Element {
+    let mut list = Element::new(BASE, "capabilities");
+    for capability in [BASE_1_0, BASE_1_1].iter().chain(capabilities) {
+        list = list.with_leaf("capability", capability);
+    }
+    let hello = Element::new(BASE, "hello").with(list);
+    match role {
+        Role::Server { id } => hello.with_leaf("session-id", id),
+        Role::Client => hello,
+    }
+}
+
+fn parse_message(message: &[u8]) -> Result<Element, String> {
+    let text = std::str::from_utf8(message).map_err(|error| error.to_string())?;
+    Element::parse(text).map_err(|error| format!("{} at {}:{}", error.reason, error.line, error.column))
+}
+
+/// Handles a message to a client.
+fn handle_response(element: Element) -> Result<Option<SessionEvent>, SessionError> {
+    if element.is(BASE, "rpc-reply") {
+        let message_id = element.attribute("", "message-id").unwrap_or_default().to_string();
+        return Ok(Some(SessionEvent::Reply { message_id, reply: element }));
+    }
+    if element.is(NOTIFY, "notification") {
+        let event = element.children.iter().find(|child| child.name != "eventTime");
+        return Ok(event.map(|event| SessionEvent::Notified((**event).clone())));
     }
+    Err(SessionError(format!("unexpected <{}>", element.name)))
 }
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -1,9 +1,10 @@
 //! Framing, edits, filters and a server's operations; bytes split anywhere, malformed and endless input.
 
 use proptest::prelude::*;
-use runloom_netconf::edit::{apply, Kind, Operation, Schema};
+use runloom_netconf::edit::{apply, ErrorOption, Operation};
 use runloom_netconf::error::RpcError;
 use runloom_netconf::framing::{frame, Deframer, FramingError};
+use runloom_netconf::schema::{NodeKind, Schema};
 use runloom_netconf::service::{Access, Answer, Change, EditLookup, Host, Limits, Service};
 use runloom_netconf::session::{Role, Rpc, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
@@ -15,10 +16,11 @@
 const NS: &str = "urn:test";
 
 fn schema() -> Schema {
-    let leaf = |name: &str| Schema { ns: NS.into(), name: name.into(), kind: Kind::Leaf, children: vec![] };
+    let leaf =
+        |name: &str| Schema { ns: NS.into(), name: name.into(), kind: NodeKind::Leaf, children: vec![] };
     let node = |name: &str, kind, children| Schema { ns: NS.into(), name: name.into(), kind, children };
-    let item = node("item", Kind::List(vec!["name".into()]), vec![leaf("name"), leaf("size")]);
-    Schema::root(vec![node("top", Kind::Container, vec![leaf("first"), item, leaf("last")])])
+    let item = node("item", NodeKind::List(vec!["name".into()]), vec![leaf("name"), leaf("size")]);
+    Schema::root(vec![node("top", NodeKind::Container, vec![leaf("first"), item, leaf("last")])])
 }
 
 fn config(inner: &str) -> Element {
@@ -31,27 +33,27 @@
 
 fn data(inner: &str) -> Arc<Element> {
     let empty = Arc::new(Element::new("", "data"));
-    let (made, faults) = apply(&schema(), &empty, &top(inner), Operation::Merge, false);
-    assert_eq!(faults, []);
-    made
+    let applied = apply(&schema(), &empty, &top(inner), Operation::Merge, ErrorOption::StopOnError);
+    assert_eq!(applied.errors, []);
+    applied.tree
 }
 
-/// A host that keeps what it is given, and refuses what holds an item of size `bad`.
+/// A host in memory that rejects datastores with an item of size `bad`.
 #[derive(Default)]
-struct Kept {
+struct MemoryHost {
     running: Arc<Element>,
-    ledger: BTreeMap<String, String>,
+    edit_history: BTreeMap<String, String>,
     commits: usize,
 }
 
-impl Host for Kept {
+impl Host for MemoryHost {
     fn running(&self) -> Arc<Element> {
         self.running.clone()
     }
     fn state(&mut self) -> Vec<Element> {
         vec![Element::new("urn:test:state", "state").with_leaf("up", 1)]
     }
-    fn check(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+    fn validate(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
         if wanted.to_text().contains(">bad<") {
             let error = RpcError::application(runloom_netconf::error::Tag::InvalidValue, "bad size");
             return Err(vec![error.at("/top/item")]);
@@ -59,22 +61,22 @@
         Ok(())
     }
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        self.check(change.wanted)?;
+        self.validate(change.wanted)?;
         self.running = change.wanted.clone();
         self.commits += 1;
         if let Some(id) = change.edit_id {
-            self.ledger.insert(id.into(), change.content.into());
+            self.edit_history.insert(id.into(), change.content.into());
         }
         Ok(())
     }
-    fn known(&self, edit_id: &str, content: &str) -> EditLookup {
-        match self.ledger.get(edit_id) {
+    fn lookup_edit(&self, edit_id: &str, content: &str) -> EditLookup {
+        match self.edit_history.get(edit_id) {
             None => EditLookup::New,
-            Some(c) if content.is_empty() || c == content => EditLookup::Same,
-            Some(_) => EditLookup::Other,
+            Some(c) if content.is_empty() || c == content => EditLookup::Repeated,
+            Some(_) => EditLookup::Conflicting,
         }
     }
-    fn may(&mut self, _: &str, _: Access) -> Result<(), RpcError> {
+    fn authorize(&mut self, _: &str, _: Access) -> Result<(), RpcError> {
         Ok(())
     }
     fn schemas(&self) -> &[(&'static str, &'static str, &'static str)] {
@@ -82,26 +84,26 @@
     }
 }
 
-struct Desk {
+struct Server {
     service: Service,
-    host: Kept,
+    host: MemoryHost,
     now: Duration,
 }
 
-impl Desk {
-    fn new() -> (Desk, u32, u32) {
-        let mut service = Service::new(schema(), Limits { sessions: 2, edits: 100.0 });
+impl Server {
+    fn new() -> (Server, u32, u32) {
+        let mut service = Service::new(schema(), Limits { max_sessions: 2, edits_per_second: 100.0 });
         let now = Duration::from_secs(1);
-        let (a, b) = (service.open("a", now).unwrap(), service.open("b", now).unwrap());
-        let host = Kept { running: Arc::new(Element::new("", "data")), ..Kept::default() };
-        (Desk { service, host, now }, a, b)
+        let (a, b) = (service.open_session("a", now).unwrap(), service.open_session("b", now).unwrap());
+        let host = MemoryHost { running: Arc::new(Element::new("", "data")), ..MemoryHost::default() };
+        (Server { service, host, now }, a, b)
     }
 
-    fn ask(&mut self, session: u32, operation: &str) -> Answer {
-        self.ask_as(session, operation, "")
+    fn send(&mut self, session: u32, operation: &str) -> Answer {
+        self.send_with_id(session, operation, "")
     }
 
-    fn ask_as(&mut self, session: u32, operation: &str, edit_id: &str) -> Answer {
+    fn send_with_id(&mut self, session: u32, operation: &str, edit_id: &str) -> Answer {
         let text = format!(
             "<rpc xmlns='{BASE}' xmlns:nc='{BASE}' xmlns:l='urn:runloom:ledger' message-id='1' l:edit-id='{edit_id}'>\
              {operation}</rpc>"
@@ -113,7 +115,7 @@
 
     /// The reply's error tag, or `ok`.
     fn tag(&mut self, session: u32, operation: &str) -> String {
-        outcome(&self.ask(session, operation))
+        outcome(&self.send(session, operation))
     }
 }
 
@@ -132,7 +134,7 @@
 
 proptest! {
     #[test]
-    fn messages_come_whole_however_the_bytes_are_split(
+    fn messages_are_complete_however_the_bytes_are_split(
         messages in proptest::collection::vec("[ -~\n]{0,80}", 1..6),
         cuts in proptest::collection::vec(1usize..9, 1..60),
         chunked: bool,
@@ -141,7 +143,7 @@
         let mut bytes = Vec::new();
         messages.iter().for_each(|m| frame(m, chunked, &mut bytes));
         let mut deframer = Deframer::new(1000);
-        if chunked { deframer.chunk(); }
+        if chunked { deframer.use_chunks(); }
         let (mut got, mut rest, mut cut) = (Vec::new(), &bytes[..], cuts.iter().cycle());
         while !rest.is_empty() {
             let (head, tail) = rest.split_at((*cut.next().unwrap()).min(rest.len()));
@@ -152,41 +154,41 @@
             rest = tail;
         }
         prop_assert_eq!(got, messages);
-        prop_assert_eq!(deframer.held(), 0);
+        prop_assert_eq!(deframer.buffered_bytes(), 0);
     }
 
     #[test]
-    fn a_session_survives_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), opened: bool) {
-        let mut session = Session::new(Role::Server { id: 1 }, &[], SessionLimits { message: 300, ..SessionLimits::default() });
+    fn a_session_handles_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), opened: bool) {
+        let mut session = Session::new(Role::Server { id: 1 }, &[], SessionLimits { max_message_bytes: 300, ..SessionLimits::default() });
         if opened {
             let hello = format!("<hello xmlns='{BASE}'><capabilities><capability>urn:ietf:params:netconf:base:1.1\
                 </capability></capabilities></hello>]]>]]>");
-            session.take(hello.as_bytes()).unwrap();
+            session.receive(hello.as_bytes()).unwrap();
         }
-        if session.take(&bytes).is_ok() {
-            prop_assert!(session.waiting() < 4096);
+        if session.receive(&bytes).is_ok() {
+            prop_assert!(session.unsent_bytes() < 4096);
         }
     }
 
-    /// Random edits of a list against a plain map that does what the RFC says.
+    /// Random edits of a list, compared with a map to which the RFC's rules are applied.
     #[test]
-    fn edits_do_what_they_do_to_a_plain_map(
+    fn edits_of_a_list_have_the_effect_of_edits_of_a_map(
         steps in proptest::collection::vec((0usize..5, 0u8..6, 0u8..9), 1..60),
     ) {
         let (mut tree, mut map) = (data(""), BTreeMap::<u8, u8>::new());
         for (operation, name, size) in steps {
             let word = ["merge", "replace", "create", "delete", "remove"][operation];
             let item = format!("<item nc:operation='{word}'><name>n{name}</name><size>{size}</size></item>");
-            let (changed, faults) = apply(&schema(), &tree, &top(&item), Operation::Merge, false);
-            let there = map.contains_key(&name);
-            let refused = (word == "create" && there) || (word == "delete" && !there);
-            prop_assert_eq!(!faults.is_empty(), refused);
+            let applied = apply(&schema(), &tree, &top(&item), Operation::Merge, ErrorOption::StopOnError);
+            let exists = map.contains_key(&name);
+            let is_rejected = (word == "create" && exists) || (word == "delete" && !exists);
+            prop_assert_eq!(!applied.errors.is_empty(), is_rejected);
             match word {
-                _ if refused => {}
+                _ if is_rejected => {}
                 "delete" | "remove" => _ = map.remove(&name),
                 _ => _ = map.insert(name, size),
             }
-            tree = changed;
+            tree = applied.tree;
             let item = |e: &Arc<Element>| (e.text_of("name").unwrap().to_string(), e.text_of("size").unwrap().to_string());
             let mut got: Vec<_> = tree.children.iter().flat_map(|t| t.named("item")).map(item).collect();
             got.sort();
@@ -197,10 +199,10 @@
 }
 
 #[test]
-fn frames_that_cannot_be_are_refused_and_endless_ones_bounded() {
+fn malformed_chunks_are_rejected_and_endless_messages_limited() {
     for bad in ["x", "\n#0\n", "\n#x\n", "\n#12345678901\n", "\n#4294967296\n", "\n##x", "\n#5", "\n#-1\n"] {
         let mut deframer = Deframer::new(100);
-        deframer.chunk();
+        deframer.use_chunks();
         deframer.push(bad.as_bytes());
         let got = deframer.next_message();
         assert_eq!(got, if bad == "\n#5" { Ok(None) } else { Err(FramingError::BadChunk) }, "{bad:?}");
@@ -209,19 +211,19 @@
     for chunked in [true, false] {
         let mut deframer = Deframer::new(1000);
         if chunked {
-            deframer.chunk();
+            deframer.use_chunks();
         }
-        let torn = (0..10_000).find_map(|_| {
+        let error = (0..10_000).find_map(|_| {
             deframer.push(if chunked { b"\n#3\nabc" } else { b"abcdefg" });
-            assert!(deframer.held() < 1100);
+            assert!(deframer.buffered_bytes() < 1100);
             deframer.next_message().err()
         });
-        assert_eq!(torn, Some(FramingError::TooBig));
+        assert_eq!(error, Some(FramingError::TooBig));
     }
 }
 
 #[test]
-fn malformed_messages_end_the_session_with_the_error_of_the_rfc() {
+fn malformed_messages_end_the_session_with_malformed_message() {
     let deep = "<a>".repeat(100);
     let entities = "<!DOCTYPE x [<!ENTITY a 'aaaa'><!ENTITY b '&a;&a;'>]><rpc>&b;</rpc>";
     for bad in
@@ -232,16 +234,16 @@
             "<hello xmlns='{BASE}'><capabilities><capability>urn:ietf:params:netconf:base:1.0</capability>\
              </capabilities></hello>]]>]]>"
         );
-        session.take(hello.as_bytes()).unwrap();
+        session.receive(hello.as_bytes()).unwrap();
         session.output(usize::MAX);
-        assert!(session.take(format!("{bad}]]>]]>").as_bytes()).is_err(), "{bad}");
+        assert!(session.receive(format!("{bad}]]>]]>").as_bytes()).is_err(), "{bad}");
         let reply = String::from_utf8(session.output(usize::MAX)).unwrap();
         assert!(reply.contains("<error-tag>malformed-message</error-tag>"), "{reply}");
     }
 }
 
 #[test]
-fn a_hello_that_is_none_ends_the_session() {
+fn an_invalid_hello_ends_the_session() {
     let with = |inner: &str| format!("<hello xmlns='{BASE}'>{inner}</hello>]]>]]>");
     let base = "<capabilities><capability>urn:ietf:params:netconf:base:1.1</capability></capabilities>";
     for bad in [
@@ -251,35 +253,39 @@
         "<rpc/>]]>]]>".into(),
     ] {
         assert!(
-            Session::new(Role::Server { id: 1 }, &[], SessionLimits::default()).take(bad.as_bytes()).is_err(),
+            Session::new(Role::Server { id: 1 }, &[], SessionLimits::default())
+                .receive(bad.as_bytes())
+                .is_err(),
             "{bad}"
         );
     }
-    assert!(Session::new(Role::Client, &[], SessionLimits::default()).take(with(base).as_bytes()).is_err());
+    assert!(Session::new(Role::Client, &[], SessionLimits::default())
+        .receive(with(base).as_bytes())
+        .is_err());
 }
 
 #[test]
-fn two_sides_speak_chunks_after_their_hellos() {
+fn both_sides_use_chunks_after_their_hellos() {
     let mut server = Session::new(Role::Server { id: 9 }, &[], SessionLimits::default());
     let mut client = Session::new(Role::Client, &[], SessionLimits::default());
-    server.take(&client.output(usize::MAX)).unwrap();
-    let heard = client.take(&server.output(usize::MAX)).unwrap();
-    assert!(matches!(&heard[0], SessionEvent::Open { session: Some(9), .. }));
-    let id = client.ask_with(Element::new(BASE, "get"), Some("e1"));
+    server.receive(&client.output(usize::MAX)).unwrap();
+    let events = client.receive(&server.output(usize::MAX)).unwrap();
+    assert!(matches!(&events[0], SessionEvent::Open { session: Some(9), .. }));
+    let id = client.send_rpc_with_id(Element::new(BASE, "get"), Some("e1"));
     let bytes = client.output(usize::MAX);
     assert!(bytes.starts_with(b"\n#"));
-    let heard = server.take(&bytes).unwrap();
-    let SessionEvent::Rpc(rpc) = &heard[0] else { panic!("{heard:?}") };
+    let events = server.receive(&bytes).unwrap();
+    let SessionEvent::Rpc(rpc) = &events[0] else { panic!("{events:?}") };
     server.reply(rpc, vec![Element::new(BASE, "ok")]);
     let reply = server.output(usize::MAX);
     assert!(String::from_utf8_lossy(&reply).contains("edit-id=\"e1\""), "attributes come back");
-    let heard = client.take(&reply).unwrap();
-    assert!(matches!(&heard[0], SessionEvent::Reply { message_id, .. } if *message_id == id));
+    let events = client.receive(&reply).unwrap();
+    assert!(matches!(&events[0], SessionEvent::Reply { message_id, .. } if *message_id == id));
 }
 
 #[test]
-fn faults_of_edits_have_the_tags_of_the_rfc() {
-    let (mut desk, a, _) = Desk::new();
+fn errors_have_the_tags_of_the_rfc() {
+    let (mut server, a, _) = Server::new();
     let cases = [
         (edit("running", ITEM), "ok"),
         (edit("running", "<item nc:operation='create'><name>x</name></item>"), "data-exists"),
@@ -304,99 +310,99 @@
             .into(), "invalid-value"),
     ];
     for (operation, tag) in cases {
-        assert_eq!(desk.tag(a, &operation), tag, "{operation}");
+        assert_eq!(server.tag(a, &operation), tag, "{operation}");
     }
-    let answer = desk.ask(a, &edit("running", "<item nc:operation='delete'><name>y</name></item>"));
+    let answer = server.send(a, &edit("running", "<item nc:operation='delete'><name>y</name></item>"));
     assert_eq!(answer.content[0].text_of("error-path"), Some("/top/item[name='y']"));
 }
 
 #[test]
-fn an_edit_that_fails_changes_nothing_and_one_that_goes_on_changes_the_rest() {
-    let (mut desk, a, _) = Desk::new();
+fn a_failed_edit_changes_nothing_unless_it_continues_on_error() {
+    let (mut server, a, _) = Server::new();
     let two = format!("{ITEM}<item nc:operation='delete'><name>y</name></item>");
-    assert_eq!(desk.tag(a, &edit("running", &two)), "data-missing");
-    assert_eq!((desk.host.commits, desk.host.running.children.len()), (0, 0));
-    let go_on =
+    assert_eq!(server.tag(a, &edit("running", &two)), "data-missing");
+    assert_eq!((server.host.commits, server.host.running.children.len()), (0, 0));
+    let continue_on_error =
         "<edit-config><target><running/></target><error-option>continue-on-error</error-option><config>\
         <top xmlns='urn:test'><first>1</first></top><odd xmlns='urn:test'/></config></edit-config>";
-    assert_eq!(desk.tag(a, go_on), "unknown-element");
-    assert_eq!(desk.host.running.children[0].text_of("first"), Some("1"));
+    assert_eq!(server.tag(a, continue_on_error), "unknown-element");
+    assert_eq!(server.host.running.children[0].text_of("first"), Some("1"));
     let none =
         edit("running", ITEM).replace("<config>", "<default-operation>none</default-operation><config>");
-    assert_eq!(desk.tag(a, &none), "data-missing");
+    assert_eq!(server.tag(a, &none), "data-missing");
     let only = edit("running", ITEM).replace("<config>", "<test-option>test-only</test-option><config>");
-    assert_eq!((desk.tag(a, &only).as_str(), desk.host.commits), ("ok", 1));
+    assert_eq!((server.tag(a, &only).as_str(), server.host.commits), ("ok", 1));
 }
 
 #[test]
-fn a_candidate_is_committed_whole_or_discarded() {
-    let (mut desk, a, b) = Desk::new();
-    assert_eq!(desk.tag(a, &edit("candidate", ITEM)), "ok");
-    assert_eq!(desk.host.commits, 0);
-    assert_eq!(desk.tag(b, "<lock><target><candidate/></target></lock>"), "lock-denied");
-    desk.ask(a, "<discard-changes/>");
-    assert_eq!(desk.tag(b, "<lock><target><candidate/></target></lock>"), "ok");
-    assert_eq!(desk.tag(a, &edit("candidate", ITEM)), "in-use");
-    assert_eq!(desk.tag(a, "<commit/>"), "in-use");
-    assert_eq!(desk.tag(b, &edit("candidate", ITEM)), "ok");
-    desk.service.left(b, &mut desk.host);
-    assert_eq!(desk.tag(a, "<commit/>"), "ok");
-    assert_eq!(desk.host.commits, 0, "what was not committed went with the lock's session");
-    assert_eq!(desk.tag(a, &edit("candidate", "<item><name>x</name><size>bad</size></item>")), "ok");
-    assert_eq!(desk.tag(a, "<validate><source><candidate/></source></validate>"), "invalid-value");
-    assert_eq!(desk.tag(a, "<commit/>"), "invalid-value");
+fn a_candidate_is_committed_or_discarded() {
+    let (mut server, a, b) = Server::new();
+    assert_eq!(server.tag(a, &edit("candidate", ITEM)), "ok");
+    assert_eq!(server.host.commits, 0);
+    assert_eq!(server.tag(b, "<lock><target><candidate/></target></lock>"), "lock-denied");
+    server.send(a, "<discard-changes/>");
+    assert_eq!(server.tag(b, "<lock><target><candidate/></target></lock>"), "ok");
+    assert_eq!(server.tag(a, &edit("candidate", ITEM)), "in-use");
+    assert_eq!(server.tag(a, "<commit/>"), "in-use");
+    assert_eq!(server.tag(b, &edit("candidate", ITEM)), "ok");
+    server.service.close_session(b, &mut server.host);
+    assert_eq!(server.tag(a, "<commit/>"), "ok");
+    assert_eq!(server.host.commits, 0, "the candidate is discarded with the lock's session");
+    assert_eq!(server.tag(a, &edit("candidate", "<item><name>x</name><size>bad</size></item>")), "ok");
+    assert_eq!(server.tag(a, "<validate><source><candidate/></source></validate>"), "invalid-value");
+    assert_eq!(server.tag(a, "<commit/>"), "invalid-value");
 }
 
 #[test]
-fn a_confirmed_commit_is_taken_back_by_time_by_the_session_or_by_word() {
-    let first = |desk: &Desk| desk.host.running.children.len();
+fn a_confirmed_commit_is_rolled_back_after_its_timeout_or_with_its_session() {
+    let first = |server: &Server| server.host.running.children.len();
     let confirmed = "<commit><confirmed/><confirm-timeout>5</confirm-timeout></commit>";
-    let (mut desk, a, _) = Desk::new();
-    desk.ask(a, &edit("candidate", ITEM));
-    assert_eq!(desk.tag(a, confirmed), "ok");
-    assert_eq!(first(&desk), 1);
-    let due = desk.service.wakes_at().unwrap();
-    desk.service.due(due, &mut desk.host);
-    assert_eq!(first(&desk), 0);
-
-    let (mut desk, a, b) = Desk::new();
-    desk.ask(a, &edit("candidate", ITEM));
-    desk.ask(a, confirmed);
-    assert_eq!(desk.tag(b, &edit("running", ITEM)), "in-use");
-    desk.service.left(a, &mut desk.host);
-    assert_eq!(first(&desk), 0);
-
-    let (mut desk, a, b) = Desk::new();
-    desk.ask(a, &edit("candidate", ITEM));
-    desk.ask(a, "<commit><confirmed/><persist>p</persist></commit>");
-    desk.service.left(a, &mut desk.host);
-    assert_eq!(first(&desk), 1, "one with a persist-id outlives its session");
-    assert_eq!(desk.tag(b, "<commit><persist-id>q</persist-id></commit>"), "invalid-value");
-    assert_eq!(desk.tag(b, "<commit><persist-id>p</persist-id></commit>"), "ok");
-    assert_eq!((first(&desk), desk.service.wakes_at()), (1, None));
+    let (mut server, a, _) = Server::new();
+    server.send(a, &edit("candidate", ITEM));
+    assert_eq!(server.tag(a, confirmed), "ok");
+    assert_eq!(first(&server), 1);
+    let due = server.service.wakes_at().unwrap();
+    server.service.handle_timeout(due, &mut server.host);
+    assert_eq!(first(&server), 0);
+
+    let (mut server, a, b) = Server::new();
+    server.send(a, &edit("candidate", ITEM));
+    server.send(a, confirmed);
+    assert_eq!(server.tag(b, &edit("running", ITEM)), "in-use");
+    server.service.close_session(a, &mut server.host);
+    assert_eq!(first(&server), 0);
+
+    let (mut server, a, b) = Server::new();
+    server.send(a, &edit("candidate", ITEM));
+    server.send(a, "<commit><confirmed/><persist>p</persist></commit>");
+    server.service.close_session(a, &mut server.host);
+    assert_eq!(first(&server), 1, "one with a persist-id outlives its session");
+    assert_eq!(server.tag(b, "<commit><persist-id>q</persist-id></commit>"), "invalid-value");
+    assert_eq!(server.tag(b, "<commit><persist-id>p</persist-id></commit>"), "ok");
+    assert_eq!((first(&server), server.service.wakes_at()), (1, None));
 }
 
 #[test]
-fn an_edit_sent_again_under_its_id_takes_effect_once() {
-    let (mut desk, a, b) = Desk::new();
+fn an_edit_repeated_with_its_id_takes_effect_once() {
+    let (mut server, a, b) = Server::new();
     let item = edit("running", "<item nc:operation='create'><name>x</name></item>");
-    assert_eq!(outcome(&desk.ask_as(a, &item, "e1")), "ok");
-    assert_eq!(outcome(&desk.ask_as(b, &item, "e1")), "ok");
-    let other = desk.ask_as(b, &edit("running", ITEM), "e1");
+    assert_eq!(outcome(&server.send_with_id(a, &item, "e1")), "ok");
+    assert_eq!(outcome(&server.send_with_id(b, &item, "e1")), "ok");
+    let other = server.send_with_id(b, &edit("running", ITEM), "e1");
     assert_eq!(other.content[0].text_of("error-app-tag"), Some("edit-id-reused"));
-    desk.ask(a, &edit("candidate", "<item><name>z</name></item>"));
-    assert_eq!(outcome(&desk.ask_as(a, "<commit/>", "e2")), "ok");
-    assert_eq!(outcome(&desk.ask_as(b, "<commit/>", "e2")), "ok");
-    assert_eq!(desk.host.commits, 2);
+    server.send(a, &edit("candidate", "<item><name>z</name></item>"));
+    assert_eq!(outcome(&server.send_with_id(a, "<commit/>", "e2")), "ok");
+    assert_eq!(outcome(&server.send_with_id(b, "<commit/>", "e2")), "ok");
+    assert_eq!(server.host.commits, 2);
 }
 
 #[test]
 fn filters_select_by_name_content_and_xpath() {
-    let (mut desk, a, _) = Desk::new();
-    desk.host.running =
+    let (mut server, a, _) = Server::new();
+    server.host.running =
         data("<first>1</first><item><name>x</name><size>1</size></item><item><name>y</name></item>");
     let mut got = |filter: &str| {
-        let answer = desk.ask(a, &format!("<get-config><source><running/></source>{filter}</get-config>"));
+        let answer = server.send(a, &format!("<get-config><source><running/></source>{filter}</get-config>"));
         answer.content[0].children.first().map(|t| t.children.len())
     };
     assert_eq!(got(""), Some(3));
@@ -409,11 +415,11 @@
 }
 
 #[test]
-fn sessions_and_edits_are_bounded() {
-    let (mut desk, a, _) = Desk::new();
-    assert_eq!(desk.service.open("c", desk.now), None);
-    let refused = (0..150).filter(|_| desk.tag(a, &edit("running", ITEM)) == "resource-denied").count();
-    assert_eq!(refused, 50);
-    desk.now += Duration::from_secs(1);
-    assert_eq!(desk.tag(a, &edit("running", ITEM)), "ok");
+fn sessions_and_edits_are_limited() {
+    let (mut server, a, _) = Server::new();
+    assert_eq!(server.service.open_session("c", server.now), None);
+    let rejected = (0..150).filter(|_| server.tag(a, &edit("running", ITEM)) == "resource-denied").count();
+    assert_eq!(rejected, 50);
+    server.now += Duration::from_secs(1);
+    assert_eq!(server.tag(a, &edit("running", ITEM)), "ok");
 }
--- a/crates/replay/src/force.rs
+++ b/crates/replay/src/force.rs
@@ -5,7 +5,7 @@
 use runloom_model::fleet::Fleet;
 use runloom_model::schema::derive;
 use runloom_model::{Schema, PROXY_XSD};
-use runloom_netconf::edit::{apply, Operation};
+use runloom_netconf::edit::{apply, ErrorOption, Operation};
 use runloom_netconf::tree::Element;
 use runloom_proxy::RouteTables;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -222,9 +222,10 @@
         while let Some((_, text, _)) = place.flying.pop_front_if_due(number) {
             let Ok(edit) = Element::parse(&text) else { continue };
             let Some(config) = edit.child("config") else { continue };
-            let (data, faults) = apply(&self.schema, &place.data, config, Operation::Merge, false);
-            if faults.is_empty() {
-                place.data = data;
+            let applied =
+                apply(&self.schema, &place.data, config, Operation::Merge, ErrorOption::StopOnError);
+            if applied.errors.is_empty() {
+                place.data = applied.tree;
             }
         }
         if let Some(Ok(held)) = place.data.child("tables").map(RouteTables::read) {
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -182,23 +182,23 @@
     for (name, top, count) in [("feed", "roster", 10_000u32), ("operator", "fleet", 3_000)] {
         let mut desk = Desk::new(data.clone(), EditHistory::default())?;
         desk.met(&CertificateHolder { name: "feed".into(), ..CertificateHolder::default() });
-        let mut service = Service::new(schema()?, Limits { edits: 1e9, ..Limits::default() });
-        let id = service.open("feed", Duration::ZERO).ok_or("no session")?;
+        let mut service = Service::new(schema()?, Limits { edits_per_second: 1e9, ..Limits::default() });
+        let id = service.open_session("feed", Duration::ZERO).ok_or("no session")?;
         let mut near = Session::new(Role::Client, &[], SessionBounds::default());
         let mut far = Session::new(Role::Server { id }, &[], SessionBounds::default());
-        far.take(&near.output(usize::MAX)).map_err(|e| e.to_string())?;
-        near.take(&far.output(usize::MAX)).map_err(|e| e.to_string())?;
+        far.receive(&near.output(usize::MAX)).map_err(|e| e.to_string())?;
+        near.receive(&far.output(usize::MAX)).map_err(|e| e.to_string())?;
         let mut all = Vec::new();
         for k in 0..count {
             let one = Element::new(FLEET, "server").with_leaf("name", format!("s{}", k % 544));
             let one = one.with_leaf("weight", 1.0 + f64::from(k % 7));
             let edit = runloom_daemon::client::edit_config("running", Element::new(FLEET, top).with(one));
-            near.ask_with(edit, (top == "fleet").then(|| format!("e{k}")).as_deref());
+            near.send_rpc_with_id(edit, (top == "fleet").then(|| format!("e{k}")).as_deref());
             all.push(near.output(usize::MAX));
         }
         let (start, mut done) = (Instant::now(), 0u32);
         for bytes in &all {
-            for heard in far.take(bytes).map_err(|e| e.to_string())? {
+            for heard in far.receive(bytes).map_err(|e| e.to_string())? {
                 if let SessionEvent::Rpc(rpc) = heard {
                     let answer = service.handle(Duration::ZERO, id, &rpc, &mut desk);
                     done += u32::from(answer.content.first().is_some_and(|c| c.name == "ok"));
