--- /dev/null
+++ b/crates/daemon/src/config_service/guard_check.rs
@@ -0,0 +1,48 @@
+//! The guard's view of an edit: whether it leaves servers in service, and for how long it raises a limit.
+
+use runloom_guard::edit_validation::{validate_edit, PoolServer};
+use runloom_inventory::merge_overrides;
+use runloom_model::fleet::{Fleet, ListedServer};
+use runloom_netconf::error::{RpcError, Tag};
+
+/// Longest time for which an edit may raise a limit of the guard, in milliseconds: a mass restart is over by then.
+const MAX_RAISE_MS: u64 = 3_600_000;
+
+/// Checks the end of a raised limit against the time now; both in milliseconds since 1970.
+pub(super) fn check_raised_limit(before: &Fleet, after: &Fleet, wall_ms: u64) -> Result<(), Vec<RpcError>> {
+    let is_changed = before.raised != after.raised;
+    let Some((_, until)) = after.raised.filter(|_| is_changed) else { return Ok(()) };
+    if until > wall_ms + MAX_RAISE_MS || until <= wall_ms {
+        let error = RpcError::application(Tag::InvalidValue, "a bound is raised for an hour at the most");
+        return Err(vec![error.at("/fleet/guard/until").app("guard-until")]);
+    }
+    Ok(())
+}
+
+/// Checks that an edit leaves at least one server in service.
+pub(super) fn check_servers_left(before: &[PoolServer], after: &[PoolServer]) -> Result<(), Vec<RpcError>> {
+    validate_edit(before, after).map_err(|empties| {
+        let first = empties.removed_servers.first().cloned().unwrap_or_default();
+        let why = format!(
+            "no open server would be left: one of {} has to stay",
+            empties.removed_servers.join(", ")
+        );
+        let error = RpcError::application(Tag::OperationFailed, why).app("empties-pool");
+        vec![error.at(format!("/fleet/server[name='{first}']")).with("bad-element", "drain")]
+    })
+}
+
+/// Servers as the guard sees them, at a time in milliseconds since 1970.
+pub(super) fn servers_seen<'a>(
+    fleet: &Fleet,
+    listed: impl Iterator<Item = (&'a String, &'a ListedServer)>,
+    wall_ms: u64,
+) -> Vec<PoolServer> {
+    let warm_after_ms = fleet.warm_after.as_millis() as u64;
+    let seen = listed.map(|(name, listed)| {
+        let server = merge_overrides(name, listed, fleet);
+        let is_warm = server.started_ms.is_none_or(|at| at + warm_after_ms <= wall_ms);
+        PoolServer { name: name.clone(), is_draining: server.is_draining, is_warm, weight: server.weight }
+    });
+    seen.collect()
+}
--- a/crates/daemon/src/proxy_runtime/datastore.rs
+++ b/crates/daemon/src/proxy_runtime/datastore.rs
@@ -45,7 +45,7 @@
         vec![self.state.clone()]
     }
 
-    fn validate(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
         read_tables(wanted).map(|_| ())
     }
 
--- a/crates/daemon/src/proxy_runtime/error.rs
+++ b/crates/daemon/src/proxy_runtime/error.rs
@@ -1,6 +1,6 @@
 //! Why a proxy cannot start.
 
-use crate::tls_credentials::Unusable;
+use crate::tls_credentials::TlsError;
 use std::io;
 
 /// Why a proxy cannot start.
@@ -11,7 +11,7 @@
     Listen(#[from] io::Error),
     /// Its certificate, key or trust anchors cannot be used.
     #[error(transparent)]
-    Credentials(#[from] Unusable),
+    Credentials(#[from] TlsError),
     /// The schema of its datastore cannot be derived.
     #[error("the datastore's schema cannot be derived: {0}")]
     Schema(String),
--- a/crates/daemon/src/proxy_runtime/upstream_connections.rs
+++ b/crates/daemon/src/proxy_runtime/upstream_connections.rs
@@ -1,7 +1,7 @@
 //! Connections to endpoints: attempts are sent, responses read, and connections kept for the next request.
 
 use super::ProxyRuntime;
-use crate::http::{write_answer, Message, Reader};
+use crate::http::{serialize_response, Message, MessageReader};
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, Security};
 use runloom_proxy::{AttemptOutcome, RejectionReason, RequestAction, RequestId};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 /// A connection to one endpoint.
 struct UpstreamConnection {
     address: SocketAddr,
-    reader: Reader,
+    reader: MessageReader,
     request: Option<RequestId>,
     is_established: bool,
     dialed_at: Duration,
@@ -64,7 +64,7 @@
     fn insert_dialed(&mut self, connection: ConnectionId, address: SocketAddr, now: Duration) {
         let upstream = UpstreamConnection {
             address,
-            reader: Reader::answers(),
+            reader: MessageReader::responses(),
             request: None,
             is_established: false,
             dialed_at: now,
@@ -182,11 +182,11 @@
         let Some(upstream) = self.upstreams.connections.get_mut(&connection) else { return };
         upstream.request = None;
         let address = upstream.address;
-        let is_reusable = !response.close && upstream.reader.held() == 0;
+        let is_reusable = !response.close && upstream.reader.buffered_bytes() == 0;
         if !(is_reusable && self.upstreams.keep_idle(connection, address)) {
             self.close_upstream(event_loop, connection);
         }
-        let message = write_answer(response.code, &response.headers, &response.body);
+        let message = serialize_response(response.code, &response.headers, &response.body);
         self.attempt_ended(event_loop, id, response_outcome(response), Some(message));
     }
 
--- a/crates/netconf/src/service/edit_config.rs
+++ b/crates/netconf/src/service/edit_config.rs
@@ -65,7 +65,7 @@
 impl Service {
     pub(super) fn validate(&mut self, operation: &Element, host: &mut dyn Host) -> ReplyContent {
         let contents = self.source_contents(operation, host)?;
-        host.validate(&contents)?;
+        host.validate_datastore(&contents)?;
         ok()
     }
 
@@ -114,7 +114,7 @@
         host: &mut dyn Host,
     ) -> Result<(), Vec<RpcError>> {
         if options.test_option == TestOption::TestOnly {
-            return host.validate(&wanted);
+            return host.validate_datastore(&wanted);
         }
         match options.target {
             Datastore::Candidate => {
--- a/crates/netconf/src/service/host.rs
+++ b/crates/netconf/src/service/host.rs
@@ -48,7 +48,7 @@
     /// Operational state for `<get>`: top nodes.
     fn state(&mut self) -> Vec<Element>;
     /// Validates a complete datastore without changing anything.
-    fn validate(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>>;
+    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>>;
     /// Accepts a change: once this returns `Ok`, it outlasts the process.
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>>;
     /// A confirmed commit was confirmed, or was rolled back by a commit of the former datastore.
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -53,7 +53,7 @@
     fn state(&mut self) -> Vec<Element> {
         vec![Element::new("urn:test:state", "state").with_leaf("up", 1)]
     }
-    fn validate(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
         if wanted.to_text().contains(">bad<") {
             let error = RpcError::application(runloom_netconf::error::Tag::InvalidValue, "bad size");
             return Err(vec![error.at("/top/item")]);
@@ -61,7 +61,7 @@
         Ok(())
     }
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        self.validate(change.wanted)?;
+        self.validate_datastore(change.wanted)?;
         self.running = change.wanted.clone();
         self.commits += 1;
         if let Some(id) = change.edit_id {
