--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -101,7 +101,7 @@
     }
 
     fn receive(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, ClientError> {
-        let events = self.session.take(bytes).map_err(|error| ClientError::Ended(error.to_string()))?;
+        let events = self.session.receive(bytes).map_err(|error| ClientError::Ended(error.to_string()))?;
         for event in &events {
             if let SessionEvent::Notified(notification) = event {
                 self.notifications.push_back(notification.clone());
@@ -112,7 +112,7 @@
 
     /// Sends an operation without waiting; returns its message id.
     pub fn send(&mut self, operation: Element, edit_id: Option<&str>) -> String {
-        let message_id = self.session.ask_with(operation, edit_id);
+        let message_id = self.session.send_rpc_with_id(operation, edit_id);
         self.flush();
         message_id
     }
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -393,7 +393,7 @@
         std::mem::take(&mut self.state_reply)
     }
 
-    fn check(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
         self.validate(wanted).map(|_| ())
     }
 
@@ -421,20 +421,20 @@
         Ok(())
     }
 
-    fn settled(&mut self) {
+    fn confirmed_commit_ended(&mut self) {
         self.is_unsaved |= self.accepted.before.take().is_some();
     }
 
-    fn known(&self, edit_id: &str, content: &str) -> EditLookup {
+    fn lookup_edit(&self, edit_id: &str, content: &str) -> EditLookup {
         let digest = if content.is_empty() { String::new() } else { digest(content) };
         match self.edit_history.lookup(edit_id, &digest) {
             edit_history::EditLookup::New => EditLookup::New,
-            edit_history::EditLookup::Repeated => EditLookup::Same,
-            edit_history::EditLookup::Conflicting => EditLookup::Other,
+            edit_history::EditLookup::Repeated => EditLookup::Repeated,
+            edit_history::EditLookup::Conflicting => EditLookup::Conflicting,
         }
     }
 
-    fn may(&mut self, who: &str, access: Access) -> Result<(), RpcError> {
+    fn authorize(&mut self, who: &str, access: Access) -> Result<(), RpcError> {
         self.access.check(self.now, who, access)
     }
 
--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -46,7 +46,7 @@
 
     /// Sends one message of the distributor.
     pub(super) fn send(&mut self, now: Duration, number: u64, text: &str) {
-        let message_id = self.session.ask_text(text);
+        let message_id = self.session.send_rpc_text(text);
         self.unacknowledged.insert(message_id, UnacknowledgedMessage { number, sent: now });
     }
 
@@ -78,9 +78,9 @@
     }
 
     fn request_description(&mut self) {
-        self.session.ask(Element::new(NOTIFY, "create-subscription"));
+        self.session.send_rpc(Element::new(NOTIFY, "create-subscription"));
         let filter = Element::new(BASE, "filter").with(Element::new(PROXY_NAMESPACE, "proxy"));
-        let message_id = self.session.ask(Element::new(BASE, "get").with(filter));
+        let message_id = self.session.send_rpc(Element::new(BASE, "get").with(filter));
         self.description_request = Some(message_id);
     }
 
--- a/crates/daemon/src/planner_runtime/netconf_sessions.rs
+++ b/crates/daemon/src/planner_runtime/netconf_sessions.rs
@@ -36,7 +36,7 @@
         bytes: &[u8],
     ) {
         let Some(session) = self.netconf_session(connection) else { return };
-        let mut received = session.take(bytes);
+        let mut received = session.receive(bytes);
         loop {
             let events = match received {
                 Ok(events) => events,
@@ -55,9 +55,9 @@
                 self.handle_netconf_event(core, event_loop, connection, event);
             }
             // One read may hold more messages than are handed on at once; the read itself is bounded.
-            let session = self.netconf_session(connection).filter(|session| session.may_hold_more(count));
+            let session = self.netconf_session(connection).filter(|session| session.may_have_more(count));
             let Some(session) = session else { return };
-            received = session.more();
+            received = session.receive_buffered();
         }
     }
 
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -25,7 +25,7 @@
 
 impl OperatorSession {
     fn has_output(&self) -> bool {
-        self.session.waiting() > 0 || self.is_closing
+        self.session.unsent_bytes() > 0 || self.is_closing
     }
 }
 
@@ -62,7 +62,7 @@
 
     /// Handles timeouts of the NETCONF server.
     pub(super) fn handle_timeouts(&mut self, core: &mut PlannerCore, now: Duration) {
-        self.service.due(now, &mut core.config);
+        self.service.handle_timeout(now, &mut core.config);
     }
 
     /// Opens a session for a client that was authenticated.
@@ -73,7 +73,7 @@
         connection: ConnectionId,
         holder: &CertificateHolder,
     ) {
-        let Some(id) = self.service.open(&holder.name, event_loop.now()) else {
+        let Some(id) = self.service.open_session(&holder.name, event_loop.now()) else {
             tracing::warn!(who = %holder.name, "session rejected: too many sessions");
             event_loop.cut(connection);
             return;
@@ -153,8 +153,9 @@
     /// whether these edits were accepted, and send them again under the same id.
     pub(super) fn abort_unsaved(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop) {
         let durable = core.edit_batches.durable;
-        let is_unsaved =
-            |operator: &OperatorSession| operator.session.waiting() > 0 && operator.required_batch > durable;
+        let is_unsaved = |operator: &OperatorSession| {
+            operator.session.unsent_bytes() > 0 && operator.required_batch > durable
+        };
         let unsaved = self.sessions.iter().filter(|(_, operator)| is_unsaved(operator));
         let unsaved: Vec<ConnectionId> = unsaved.map(|(connection, _)| *connection).collect();
         core.edit_batches.durable = core.edit_batches.submitted;
@@ -200,6 +201,6 @@
         core.identities.forget(connection);
         tracing::info!(session = operator.id, why = ?reason, "session closed");
         core.set_time(event_loop.now());
-        self.service.left(operator.id, &mut core.config);
+        self.service.close_session(operator.id, &mut core.config);
     }
 }
