--- a/crates/daemon/src/proxy_runtime/client_connections.rs
+++ b/crates/daemon/src/proxy_runtime/client_connections.rs
@@ -2,7 +2,7 @@
 
 use super::requests::RequestInFlight;
 use super::ProxyRuntime;
-use crate::http::{write_answer, write_query, Bad, Message, Reader};
+use crate::http::{serialize_request, serialize_response, HttpError, Message, MessageReader};
 use runloom_event_loop::{ConnectionId, EventLoop};
 use runloom_proxy::{RejectionReason, RequestAction, RequestId};
 use std::time::Duration;
@@ -18,14 +18,14 @@
 
 /// The connection of one client.
 pub(super) struct ClientConnection {
-    reader: Reader,
+    reader: MessageReader,
     request: Option<RequestId>,
     close_after_response: bool,
 }
 
 impl ClientConnection {
     pub(super) fn new() -> ClientConnection {
-        ClientConnection { reader: Reader::queries(), request: None, close_after_response: false }
+        ClientConnection { reader: MessageReader::requests(), request: None, close_after_response: false }
     }
 
     /// The request in flight, if there is one.
@@ -43,7 +43,7 @@
     pub(super) fn read_client(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         let Some(client) = self.clients.get_mut(&connection) else { return };
         if client.request.is_some() {
-            if client.reader.held() > MAX_PIPELINED_BYTES {
+            if client.reader.buffered_bytes() > MAX_PIPELINED_BYTES {
                 event_loop.hold(connection, true);
             }
             return;
@@ -52,8 +52,9 @@
             Ok(None) => {}
             Ok(Some(request)) => self.request_received(event_loop, connection, request),
             Err(error) => {
-                let status = if error == Bad::Malformed { STATUS_BAD_REQUEST } else { STATUS_TOO_LARGE };
-                event_loop.write(connection, &write_answer(status, &[], b""));
+                let status =
+                    if error == HttpError::Malformed { STATUS_BAD_REQUEST } else { STATUS_TOO_LARGE };
+                event_loop.write(connection, &serialize_response(status, &[], b""));
                 event_loop.finish(connection);
                 self.clients.remove(&connection);
             }
@@ -72,12 +73,12 @@
         }
         let class = request.path.split('/').nth(1).and_then(|name| self.proxy.class_index(name));
         let Some(class) = class else {
-            let response = write_answer(STATUS_NOT_FOUND, &[], b"no such class\n");
+            let response = serialize_response(STATUS_NOT_FOUND, &[], b"no such class\n");
             return self.respond(event_loop, connection, &response);
         };
         let id = self.requests.next_id();
         request.headers.push(("runloom-proxy".into(), self.settings.name.clone()));
-        let message = write_query(&request);
+        let message = serialize_request(&request);
         match self.proxy.request_arrived(event_loop.now(), id, class) {
             RequestAction::Send { address, deadline, .. } => {
                 if let Some(client) = self.clients.get_mut(&connection) {
@@ -112,7 +113,7 @@
             RejectionReason::DeadlineExceeded => STATUS_GATEWAY_TIMEOUT,
             _ => STATUS_UNAVAILABLE,
         };
-        self.respond(event_loop, connection, &write_answer(status, &headers, b""));
+        self.respond(event_loop, connection, &serialize_response(status, &headers, b""));
     }
 
     /// Writes a response, and goes on with what the client has sent meanwhile.
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -81,7 +81,7 @@
         certificate: Vec<u8>,
     ) {
         self.planner_link.dialing = None;
-        let holder = self.tls.holder(&certificate).ok().filter(|holder| holder.planner);
+        let holder = self.tls.identify(&certificate).ok().filter(|holder| holder.is_planner);
         if holder.is_none() {
             tracing::warn!(forwarder = %self.settings.name, "the peer's certificate is no planner's");
         }
@@ -116,8 +116,8 @@
 
     /// When a session is to be replaced, in seconds since 1970; `None` without identities that end.
     fn session_renewal_time(&self, planner: &CertificateHolder) -> Option<i64> {
-        let own_end = self.tls.own()?.until;
-        let end = planner.id.as_ref().map_or(own_end, |(_, planner_end)| own_end.min(*planner_end));
+        let own_end = self.tls.own_identity()?.until;
+        let end = planner.identity.as_ref().map_or(own_end, |identity| own_end.min(identity.expires_at));
         let now = wall_seconds();
         Some(now + ((end - now) * RENEW_AFTER_THIRDS / 3).max(MIN_SESSION_SECONDS))
     }
@@ -126,7 +126,7 @@
     fn open_protocol(&mut self, now: Duration, planner: &str) -> Option<PlannerProtocol> {
         let format = match self.settings.front {
             TableDelivery::Edits => {
-                let id = self.planner_link.service.open(planner, now)?;
+                let id = self.planner_link.service.open_session(planner, now)?;
                 let session = Session::new(Role::Server { id }, &CAPABILITIES, SessionLimits::default());
                 return Some(PlannerProtocol::Netconf { session: Box::new(session), id });
             }
@@ -154,7 +154,7 @@
 
     /// Loads certificates that changed, and ends a session that is no longer trusted.
     pub(super) fn check_certificates(&mut self, event_loop: &mut EventLoop) {
-        let were_renewed = self.tls.renew().unwrap_or_else(|error| {
+        let were_renewed = self.tls.reload().unwrap_or_else(|error| {
             tracing::error!(forwarder = %self.settings.name, why = %error, "new certificates cannot be used");
             false
         });
@@ -165,8 +165,8 @@
     /// trusted: nothing that comes from then on is applied.
     pub(super) fn end_untrusted_session(&mut self, event_loop: &mut EventLoop, were_renewed: bool) -> bool {
         let Some(session) = &self.planner_link.session else { return false };
-        let has_ended = session.holder.has_ended(wall_seconds());
-        let is_untrusted = has_ended || (were_renewed && !self.tls.vouches(&session.certificate));
+        let has_ended = session.holder.has_expired(wall_seconds());
+        let is_untrusted = has_ended || (were_renewed && !self.tls.still_trusts(&session.certificate));
         if is_untrusted {
             let name = &self.settings.name;
             tracing::warn!(forwarder = %name, "the planner's identity has ended, or is no longer trusted");
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -34,7 +34,7 @@
     /// Dials, greets, and subscribes; `planner` and `proxy` as it says them.
     fn new(desk: &Desk, terms: &TlsPolicy, planner: &str, proxy: &str, reader: UpdateReader) -> Subscriber {
         let mut turn = EventLoop::new().unwrap();
-        let security = Security::TlsClient(terms.starts.clone(), server_name(PLANNER));
+        let security = Security::TlsClient(terms.client_config.clone(), server_name(PLANNER));
         let conn = turn.dial(desk.pubsub, &security, BufferLimits::default()).unwrap();
         let hello =
             ProxyInfo { zone: "a".into(), request_rate: 5.0, has_no_table: reader.topics().next().is_none() };
