--- a/crates/control-session/src/action.rs
+++ b/crates/control-session/src/action.rs
@@ -1,7 +1,7 @@
 //! What a step asks of the runtime.
 
 use runloom_controller::{ProxyId, ServerId, TableId};
-use runloom_model::order::{Message, TableEdit};
+use runloom_model::table_update::{TableEdit, UpdateMessage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
         /// Sequence number at this proxy, from 1 on.
         number: u64,
         /// The content.
-        message: Rc<Message>,
+        message: Rc<UpdateMessage>,
         /// Table entries in the message.
         entries: usize,
     },
--- a/crates/control-session/src/published_tables.rs
+++ b/crates/control-session/src/published_tables.rs
@@ -2,7 +2,7 @@
 
 use crate::table_message::{IndexNames, TableContent};
 use runloom_controller::{ClassId, ProxyId, RetryPolicy, ServerId, TableId};
-use runloom_model::order::{AdmissionLimit, Message, TableEdit};
+use runloom_model::table_update::{AdmissionLimit, TableEdit, UpdateMessage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 pub struct PublishedTable {
     /// Weight of each server, above 0.
     pub entries: BTreeMap<ServerId, f64>,
-    /// Admission rate (requests a second, `None` for no limit) and retry policy of each class.
+    /// Admission limit of each class.
     pub admission_limits: BTreeMap<ClassId, AdmissionLimit>,
 }
 
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub(crate) struct OutgoingMessage {
     pub proxy: ProxyId,
-    pub message: Rc<Message>,
+    pub message: Rc<UpdateMessage>,
     /// Table entries in the message.
     pub entries: usize,
 }
@@ -138,7 +138,7 @@
         admission_rate: Option<f64>,
         retry_policy: RetryPolicy,
     ) {
-        let limit = (admission_rate, retry_policy);
+        let limit = AdmissionLimit { rate: admission_rate, retry_policy };
         let tables: Vec<TableId> =
             if table == ALL_TABLES { self.tables.keys().copied().collect() } else { vec![table] };
         for table in tables {
@@ -192,7 +192,7 @@
             let Some(assigned) = self.assignments.get(proxy) else { continue };
             let made = if assigned.has_unsent_assignment() {
                 let message = self.assignment_message(assigned, names);
-                let entries = message.lines();
+                let entries = message.entry_count();
                 Some((Rc::new(message), entries))
             } else {
                 self.shared_delta_message(assigned, required.contains(proxy), &mut shared, names)
@@ -215,9 +215,9 @@
         &self,
         assigned: &AssignedTables,
         is_required: bool,
-        shared: &mut BTreeMap<Vec<TableId>, (Rc<Message>, usize)>,
+        shared: &mut BTreeMap<Vec<TableId>, (Rc<UpdateMessage>, usize)>,
         names: &IndexNames,
-    ) -> Option<(Rc<Message>, usize)> {
+    ) -> Option<(Rc<UpdateMessage>, usize)> {
         let mut changed = Vec::from_iter(assigned.tables());
         changed.retain(|table| self.deltas.contains_key(table));
         // A proxy without an assignment by this planner learns of ejections by its first message.
@@ -227,30 +227,30 @@
         }
         let made = shared.entry(changed).or_insert_with_key(|changed| {
             let message = self.delta_message(changed, has_ejections, names);
-            let entries = message.lines();
+            let entries = message.entry_count();
             (Rc::new(message), entries)
         });
         Some(made.clone())
     }
 
-    fn delta_message(&self, changed: &[TableId], has_ejections: bool, names: &IndexNames) -> Message {
-        let mut message = Message::default();
+    fn delta_message(&self, changed: &[TableId], has_ejections: bool, names: &IndexNames) -> UpdateMessage {
+        let mut message = UpdateMessage::default();
         for table in changed {
             message.tables.insert(*table, self.deltas[table].to_edit(names));
         }
         if has_ejections {
-            message.withdrawn = self.ejection_changes(names);
+            message.ejections = self.ejection_changes(names);
         }
         message
     }
 
     /// The message for a proxy whose assignment changed.
-    fn assignment_message(&self, assigned: &AssignedTables, names: &IndexNames) -> Message {
+    fn assignment_message(&self, assigned: &AssignedTables, names: &IndexNames) -> UpdateMessage {
         let is_first = assigned.awaits_first_message;
-        let mut message = Message { whole: is_first, ..Message::default() };
+        let mut message = UpdateMessage { replaces_all: is_first, ..UpdateMessage::default() };
         for (class, table) in &assigned.table_of_class {
             if is_first || assigned.unsent_classes.contains(class) {
-                message.binds.insert((names.class)(*class).to_string(), *table);
+                message.assignments.insert((names.class)(*class).to_string(), *table);
             }
         }
         let tables = assigned.tables();
@@ -264,9 +264,9 @@
             }
         }
         for table in assigned.held_tables.difference(&tables) {
-            message.tables.insert(*table, TableEdit { gone: true, ..TableEdit::default() });
+            message.tables.insert(*table, TableEdit { is_removed: true, ..TableEdit::default() });
         }
-        message.withdrawn = if is_first {
+        message.ejections = if is_first {
             names.ejections(self.ejected.iter().map(|server| (server, true)))
         } else {
             self.ejection_changes(names)
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -9,7 +9,7 @@
 use runloom_guard::command_text::command_text;
 use runloom_guard::SafetyGuard;
 use runloom_inventory::{Change, Server};
-use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -66,19 +66,19 @@
 pub(crate) fn report(proxy: String, report: &Report) -> RecordedEvent {
     RecordedEvent::Report {
         proxy,
-        window_us: report.span.as_micros() as u64,
-        outcomes: report.met.iter().map(record_outcome).collect(),
-        arrivals: report.came.iter().map(record_arrivals).collect(),
+        window_us: report.window.as_micros() as u64,
+        outcomes: report.outcomes.iter().map(record_outcome).collect(),
+        arrivals: report.arrivals.iter().map(record_arrivals).collect(),
     }
 }
 
 fn record_outcome(outcomes: &ServerOutcomes) -> RecordedOutcome {
     RecordedOutcome {
         server: outcomes.server.clone(),
-        attempts: outcomes.tries,
-        failures: outcomes.failed,
-        mean_latency_us: outcomes.took.as_micros() as u64,
-        within_objective: outcomes.in_time,
+        attempts: outcomes.attempts,
+        failures: outcomes.failures,
+        mean_latency_us: outcomes.mean_latency.as_micros() as u64,
+        within_objective: outcomes.within_objective,
         load_bits: load_to_bits(&outcomes.load),
     }
 }
@@ -86,7 +86,7 @@
 fn record_arrivals(arrivals: &ClassArrivals) -> RecordedArrivals {
     RecordedArrivals {
         class: arrivals.class.clone(),
-        requests: arrivals.queries,
+        requests: arrivals.requests,
         unanswered: arrivals.unanswered,
     }
 }
@@ -94,7 +94,7 @@
 /// A report's outcomes by class, if it has any.
 pub(crate) fn class_outcomes(proxy: &str, report: &Report) -> Option<RecordedEvent> {
     let mut recorded = Vec::new();
-    for outcomes in &report.met {
+    for outcomes in &report.outcomes {
         for of_class in &outcomes.classes {
             recorded.push(record_class_outcome(&outcomes.server, of_class));
         }
@@ -107,9 +107,9 @@
     RecordedClassOutcome {
         server: server.to_string(),
         class: outcomes.class.clone(),
-        attempts: outcomes.tries,
-        within_objective: outcomes.in_time,
-        latency_buckets: outcomes.took.clone().into_iter().collect(),
+        attempts: outcomes.attempts,
+        within_objective: outcomes.within_objective,
+        latency_buckets: outcomes.latencies.clone().into_iter().collect(),
     }
 }
 
@@ -140,7 +140,7 @@
         match action {
             Action::Send { proxy, number, message, entries } => {
                 let text_index = *text_of_message.entry(Rc::as_ptr(message) as usize).or_insert_with(|| {
-                    texts.push(message.to_text());
+                    texts.push(message.to_xml());
                     texts.len() as u32 - 1
                 });
                 let proxy = session.proxy_name(*proxy).to_string();
@@ -244,21 +244,25 @@
 
 /// A recorded report, without the outcomes by class: the controller does not use them.
 fn replay_report(window_us: u64, outcomes: &[RecordedOutcome], arrivals: &[RecordedArrivals]) -> Report {
-    let met = outcomes.iter().map(|recorded| ServerOutcomes {
+    let outcomes = outcomes.iter().map(|recorded| ServerOutcomes {
         server: recorded.server.clone(),
-        tries: recorded.attempts,
-        failed: recorded.failures,
-        took: Duration::from_micros(recorded.mean_latency_us),
-        in_time: recorded.within_objective,
+        attempts: recorded.attempts,
+        failures: recorded.failures,
+        mean_latency: Duration::from_micros(recorded.mean_latency_us),
+        within_objective: recorded.within_objective,
         load: load_from_bits(&recorded.load_bits),
         classes: vec![],
     });
-    let came = arrivals.iter().map(|recorded| ClassArrivals {
+    let arrivals = arrivals.iter().map(|recorded| ClassArrivals {
         class: recorded.class.clone(),
-        queries: recorded.requests,
+        requests: recorded.requests,
         unanswered: recorded.unanswered,
     });
-    Report { span: Duration::from_micros(window_us), met: met.collect(), came: came.collect() }
+    Report {
+        window: Duration::from_micros(window_us),
+        outcomes: outcomes.collect(),
+        arrivals: arrivals.collect(),
+    }
 }
 
 fn replay_hint(recorded: &RecordedHint) -> ServerHint {
--- a/crates/control-session/src/report_aggregator.rs
+++ b/crates/control-session/src/report_aggregator.rs
@@ -4,7 +4,7 @@
 //! the oldest first and with a limit on their number: it takes an outcome report for the sum over a zone's proxies.
 
 use runloom_controller::{ClassId, Event, ProxyId, ServerId, ZoneId};
-use runloom_model::order::{ClassArrivals, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, ServerOutcomes};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -111,10 +111,10 @@
         window: Duration,
     ) {
         let aggregate = self.aggregate(Key::Outcomes { zone, server }, now, window);
-        let failures = outcomes.failed.min(outcomes.tries);
-        aggregate.attempts += outcomes.tries;
+        let failures = outcomes.failures.min(outcomes.attempts);
+        aggregate.attempts += outcomes.attempts;
         aggregate.failures += failures;
-        aggregate.latency_sum += outcomes.took.as_secs_f64() * (outcomes.tries - failures) as f64;
+        aggregate.latency_sum += outcomes.mean_latency.as_secs_f64() * (outcomes.attempts - failures) as f64;
         if !outcomes.load.is_empty() {
             aggregate.load.clone_from(&outcomes.load);
         }
@@ -130,7 +130,7 @@
         window: Duration,
     ) {
         let aggregate = self.aggregate(Key::Arrivals { proxy, class }, now, window);
-        aggregate.attempts += arrivals.queries;
+        aggregate.attempts += arrivals.requests;
         aggregate.failures += arrivals.unanswered;
     }
 
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -12,7 +12,7 @@
 use runloom_guard::{GuardConfig, SafetyGuard};
 use runloom_inventory::{Change, Server};
 use runloom_model::fleet::Fleet;
-use runloom_model::order::Report;
+use runloom_model::report::Report;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -358,14 +358,14 @@
         let Some(member) = self.members.get_mut(&proxy) else { return };
         member.last_report_at = Some(now);
         let zone = self.zones.index(member.zone.clone());
-        for outcomes in &report.met {
+        for outcomes in &report.outcomes {
             if let Some(server) = self.servers.get(&outcomes.server) {
-                self.reports.add_outcomes(now, zone, server, outcomes, report.span);
+                self.reports.add_outcomes(now, zone, server, outcomes, report.window);
             }
         }
-        for arrivals in &report.came {
+        for arrivals in &report.arrivals {
             if let Some(class) = self.fleet.classes.iter().position(|class| class.name == arrivals.class) {
-                self.reports.add_arrivals(now, proxy, class, arrivals, report.span);
+                self.reports.add_arrivals(now, proxy, class, arrivals, report.window);
             }
         }
     }
--- a/crates/control-session/src/table_message.rs
+++ b/crates/control-session/src/table_message.rs
@@ -1,7 +1,7 @@
 //! Tables and their changes in the form of a message, with names in place of indices.
 
 use runloom_controller::{ClassId, ServerId};
-use runloom_model::order::{AdmissionLimit, TableEdit};
+use runloom_model::table_update::{AdmissionLimit, EntryEdit, TableEdit};
 use std::collections::BTreeMap;
 
 /// Names of indices.
@@ -34,15 +34,18 @@
         // A complete table leaves out removed entries, which have weight 0.
         let kept = self.entries.iter().filter(|(_, weight)| !is_complete || **weight > 0.0);
         let named_entry = |(server, weight): (&ServerId, &f64)| {
-            ((names.server)(*server).to_string(), ((names.address)(*server), *weight))
+            (
+                (names.server)(*server).to_string(),
+                EntryEdit { address: (names.address)(*server), weight: *weight },
+            )
         };
         let named_limit =
             |(class, limit): (&ClassId, &AdmissionLimit)| ((names.class)(*class).to_string(), *limit);
         TableEdit {
-            whole: is_complete,
-            lines: kept.map(named_entry).collect(),
-            levels: self.admission_limits.iter().map(named_limit).collect(),
-            gone: false,
+            replaces_table: is_complete,
+            entries: kept.map(named_entry).collect(),
+            admission_limits: self.admission_limits.iter().map(named_limit).collect(),
+            is_removed: false,
         }
     }
 }
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -3,7 +3,8 @@
 use runloom_controller::{EndpointUpdate, Event};
 use runloom_inventory::{Change, Server};
 use runloom_model::fleet::Fleet;
-use runloom_model::order::{ClassArrivals, Message, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, ServerOutcomes};
+use runloom_model::table_update::UpdateMessage;
 use runloom_netconf::tree::Element;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -42,7 +43,7 @@
     session
 }
 
-fn messages(actions: &[Action]) -> Vec<Rc<Message>> {
+fn messages(actions: &[Action]) -> Vec<Rc<UpdateMessage>> {
     let message = |action: &Action| match action {
         Action::Send { message, .. } => Some(message.clone()),
         _ => None,
@@ -51,7 +52,7 @@
 }
 
 fn message_texts(actions: &[Action]) -> Vec<String> {
-    messages(actions).iter().map(|message| message.to_text()).collect()
+    messages(actions).iter().map(|message| message.to_xml()).collect()
 }
 
 const fn ms(n: u64) -> Duration {
@@ -92,10 +93,10 @@
     let is_table = |action: &&Action| matches!(action, Action::UpdateTable { .. });
     let tables: Vec<&Action> = actions.iter().filter(is_table).collect();
     assert!(
-        matches!(tables[..], [Action::UpdateTable { edit, .. }] if edit.lines["s2"].1 == 0.0),
+        matches!(tables[..], [Action::UpdateTable { edit, .. }] if edit.entries["s2"].weight == 0.0),
         "{tables:?}"
     );
-    let text = shared[0].to_text();
+    let text = shared[0].to_xml();
     assert!(text.contains("<line nc:operation=\"remove\"><server>s2</server></line>"), "{text}");
     assert!(issued.servers.contains("s2"));
     assert_eq!(issued.messages.len(), 2);
@@ -137,8 +138,9 @@
 fn reports_of_a_zone_are_summed_and_delivered_once_a_period_oldest_first() {
     // Given a limit of two events a delivery, and reports under three keys.
     let mut reports = ReportAggregator::new(ms(1000), 2.0);
-    let outcomes = ServerOutcomes { tries: 10, failed: 2, took: ms(100), ..ServerOutcomes::default() };
-    let arrivals = ClassArrivals { queries: 4, ..ClassArrivals::default() };
+    let outcomes =
+        ServerOutcomes { attempts: 10, failures: 2, mean_latency: ms(100), ..ServerOutcomes::default() };
+    let arrivals = ClassArrivals { requests: 4, ..ClassArrivals::default() };
     reports.add_outcomes(ms(1000), 0, 7, &outcomes, ms(1000));
     reports.add_outcomes(ms(1500), 0, 7, &outcomes, ms(1000));
     reports.add_outcomes(ms(1600), 0, 8, &outcomes, ms(1000));
--- a/crates/daemon/src/planner_runtime/proxy_event.rs
+++ b/crates/daemon/src/planner_runtime/proxy_event.rs
@@ -2,7 +2,7 @@
 
 use runloom_distribution::PendingProxy;
 use runloom_event_loop::CloseReason;
-use runloom_model::order::Report;
+use runloom_model::report::Report;
 use runloom_versioned_publisher::Topic;
 use std::time::Duration;
 
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -12,7 +12,7 @@
 use runloom_distribution::suspicion::Verdict;
 use runloom_distribution::{PendingProxy, Transport};
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
-use runloom_model::order::Report;
+use runloom_model::report::Report;
 use runloom_netconf::session::{Session, SessionEvent};
 use runloom_versioned_publisher::Topic;
 use std::collections::BTreeMap;
@@ -223,9 +223,9 @@
         let now = event_loop.now();
         let Some(proxy) = self.proxy(connection) else { return };
         core.control.handle_report(now, proxy, report);
-        let tried = report.met.iter().filter(|outcome| outcome.tries > 0);
+        let tried = report.outcomes.iter().filter(|outcome| outcome.attempts > 0);
         let tried = tried.map(|outcome| outcome.server.as_str());
-        match core.distributor.check_report(now, proxy, report.span, tried) {
+        match core.distributor.check_report(now, proxy, report.window, tried) {
             Verdict::Trusted => {}
             Verdict::Resync => {
                 let proxy = core.control.proxy_name(proxy);
--- a/crates/daemon/src/proxy_runtime/reports.rs
+++ b/crates/daemon/src/proxy_runtime/reports.rs
@@ -4,7 +4,7 @@
 use super::ProxyRuntime;
 use crate::wall_text;
 use runloom_event_loop::EventLoop;
-use runloom_model::order::Report;
+use runloom_model::report::Report;
 use runloom_mqtt::report;
 use runloom_proxy::Proxy;
 use std::time::Duration;
@@ -52,7 +52,7 @@
     }
 
     fn update_arrival_rate(&mut self, report: &Report, window: Duration) {
-        let arrivals: u64 = report.came.iter().map(|arrivals| arrivals.queries).sum();
+        let arrivals: u64 = report.arrivals.iter().map(|arrivals| arrivals.requests).sum();
         let rate = arrivals as f64 / window.as_secs_f64();
         let is_first = self.arrival_rate == 0.0;
         let share = (window.as_secs_f64() / ARRIVAL_RATE_SECONDS).min(1.0);
@@ -81,7 +81,7 @@
         match self.planner_link.protocol_mut() {
             Some(PlannerProtocol::Netconf { id, .. }) => {
                 let id = *id;
-                let event = report.element();
+                let event = report.to_element();
                 if !self.planner_link.service.subscribers(&event).contains(&id) {
                     return;
                 }
--- a/crates/distribution/src/distributor.rs
+++ b/crates/distribution/src/distributor.rs
@@ -5,7 +5,7 @@
 use crate::pending_proxy::{PendingProxy, Transport};
 use crate::subset::create_subset;
 use crate::suspicion::{RemovedServers, Verdict};
-use runloom_model::order::{Message, TableEdit};
+use runloom_model::table_update::{TableEdit, UpdateMessage};
 use runloom_versioned_publisher::{
     Change, Key, Publisher, ReconnectQueue, TableUpdate, Topic, TopicKind, UpdatePart, Version,
 };
@@ -190,9 +190,9 @@
     /// Applies an edit to a table.
     pub fn update_table(&mut self, table: u16, edit: &TableEdit) {
         let topic = Topic { kind: TopicKind::Weights, table };
-        let former = if edit.whole { self.servers(topic) } else { removed_by(edit) };
+        let former = if edit.replaces_table { self.servers(topic) } else { removed_by(edit) };
         let version = self.publish_edit(topic, edit);
-        let current = if edit.whole { self.servers(topic) } else { BTreeSet::new() };
+        let current = if edit.replaces_table { self.servers(topic) } else { BTreeSet::new() };
         let removed = former.into_iter().filter(|server| !current.contains(server));
         self.removed_servers.entry(table).or_default().extend(version, removed);
         self.shared_edits.clear();
@@ -203,7 +203,7 @@
 
     fn publish_edit(&mut self, topic: Topic, edit: &TableEdit) -> Version {
         let changes = changes_of(edit);
-        if !edit.whole {
+        if !edit.replaces_table {
             return self.publisher.apply(topic, changes);
         }
         let state = changes.into_iter().filter_map(|change| Some((change.key, change.value?)));
@@ -239,8 +239,8 @@
 
     /// Issues a command to a proxy: its assignments, if the message has any, and all of its tables as they are now.
     /// `ack_token` is returned once that is in force.
-    pub fn issue_command(&mut self, proxy: ProxyId, ack_token: u64, message: &Message) {
-        if !message.binds.is_empty() {
+    pub fn issue_command(&mut self, proxy: ProxyId, ack_token: u64, message: &UpdateMessage) {
+        if !message.assignments.is_empty() {
             self.assign(proxy, message);
         }
         let Some(member) = self.members.get_mut(&proxy) else { return };
@@ -264,14 +264,14 @@
         self.ready.insert(proxy);
     }
 
-    fn assign(&mut self, proxy: ProxyId, message: &Message) {
+    fn assign(&mut self, proxy: ProxyId, message: &UpdateMessage) {
         let Some(member) = self.members.get_mut(&proxy) else { return };
         let topic = assignments_of(proxy);
         let former = member.assigned_tables();
-        if message.whole {
+        if message.replaces_all {
             member.assignments.clear();
         }
-        member.assignments.extend(message.binds.iter().map(|(class, table)| (class.clone(), *table)));
+        member.assignments.extend(message.assignments.iter().map(|(class, table)| (class.clone(), *table)));
         let value =
             |(class, table): (&String, &u16)| (Key::Assignment(class.clone()), table.to_string().into());
         let version = self.publisher.replace(topic, member.assignments.iter().map(value).collect());
@@ -319,7 +319,7 @@
         for command in member.pending_commands.iter_mut().filter(|command| command.needs_empty_message()) {
             command.empty_message = Some(number);
         }
-        Some(Outgoing::Edit { number, text: Message::default().to_text().into(), entries: 0 })
+        Some(Outgoing::Edit { number, text: UpdateMessage::default().to_xml().into(), entries: 0 })
     }
 
     /// Writes updates as one edit.
@@ -334,19 +334,19 @@
         if let Some(edit) = self.shared_edits.get(&ids).filter(|_| can_share) {
             return Some(edit.clone());
         }
-        let mut message = Message { whole: member.is_first_message, ..Message::default() };
+        let mut message = UpdateMessage { replaces_all: member.is_first_message, ..UpdateMessage::default() };
         member.is_first_message = false;
         for update in &updates {
             add_update(&mut message, update);
         }
         if assigns {
             let left = std::mem::take(&mut member.leaving);
-            if !message.whole {
-                let gone = || TableEdit { gone: true, ..TableEdit::default() };
+            if !message.replaces_all {
+                let gone = || TableEdit { is_removed: true, ..TableEdit::default() };
                 message.tables.extend(left.into_keys().map(|table| (table, gone())));
             }
         }
-        let edit = EditText { text: message.to_text().into(), entries: message.lines() };
+        let edit = EditText { text: message.to_xml().into(), entries: message.entry_count() };
         if can_share {
             self.shared_edits.insert(ids, edit.clone());
         }
@@ -445,7 +445,7 @@
 
 /// Servers that an edit of some entries removes.
 fn removed_by(edit: &TableEdit) -> BTreeSet<String> {
-    let removed = edit.lines.iter().filter(|(_, (_, weight))| *weight <= 0.0);
+    let removed = edit.entries.iter().filter(|(_, entry)| entry.weight <= 0.0);
     removed.map(|(server, _)| server.clone()).collect()
 }
 
--- a/crates/distribution/src/subset.rs
+++ b/crates/distribution/src/subset.rs
@@ -1,6 +1,6 @@
 //! Subsets for proxies that know no weights: the servers of a table among which they select evenly.
 
-use runloom_model::order::read_line;
+use runloom_model::published_value::parse_entry;
 use runloom_versioned_publisher::Key;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 impl<'a> Entry<'a> {
     /// `None` for keys that are no entry.
     fn read(key: &'a Key, value: &'a str) -> Option<Entry<'a>> {
-        let (address, weight) = read_line(value).filter(|_| matches!(key, Key::Entry(_)))?;
+        let (address, weight) = parse_entry(value).filter(|_| matches!(key, Key::Entry(_)))?;
         Some(Entry { key, address, weight })
     }
 }
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use proptest::prelude::*;
 use runloom_controller::RetryPolicy;
-use runloom_model::order::{Message, TableEdit};
 use runloom_model::schema::derive;
+use runloom_model::table_update::{AdmissionLimit, EntryEdit, TableEdit, UpdateMessage};
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, ErrorOption, Operation as EditOperation};
 use runloom_netconf::tree::Element;
@@ -44,14 +44,16 @@
 
 /// An edit of servers' weights.
 fn weights(weights: &[(usize, f64)]) -> TableEdit {
-    let line = |(k, w): &(usize, f64)| (format!("s{k}"), (format!("127.0.0.1:{}", k + 1), *w));
-    TableEdit { lines: weights.iter().map(line).collect(), ..TableEdit::default() }
+    let line = |(k, w): &(usize, f64)| {
+        (format!("s{k}"), EntryEdit { address: format!("127.0.0.1:{}", k + 1), weight: *w })
+    };
+    TableEdit { entries: weights.iter().map(line).collect(), ..TableEdit::default() }
 }
 
 /// A message that assigns classes to tables.
-fn assignments(whole: bool, assignments: &[(&str, u16)]) -> Message {
-    let binds = assignments.iter().map(|(class, table)| (class.to_string(), *table)).collect();
-    Message { whole, binds, ..Message::default() }
+fn assignments(whole: bool, assignments: &[(&str, u16)]) -> UpdateMessage {
+    let assignments = assignments.iter().map(|(class, table)| (class.to_string(), *table)).collect();
+    UpdateMessage { replaces_all: whole, assignments, ..UpdateMessage::default() }
 }
 
 /// A proxy at the other end, with the program's own code for either transport.
@@ -209,11 +211,11 @@
     fn publish_tables(&mut self) {
         for table in 1..4u16 {
             self.new_state().tables.insert(table, [(0, 1)].into());
-            self.distributor.update_table(table, &TableEdit { whole: true, ..weights(&[(0, 1.0)]) });
+            self.distributor.update_table(table, &TableEdit { replaces_table: true, ..weights(&[(0, 1.0)]) });
         }
     }
 
-    fn issue_command(&mut self, p: usize, message: &Message) {
+    fn issue_command(&mut self, p: usize, message: &UpdateMessage) {
         let at = self.states.len() - 1;
         self.commands[p].push(at);
         self.distributor.issue_command(p, self.commands[p].len() as u64, message);
@@ -299,11 +301,12 @@
                         state.remove(&k);
                     }
                 }
-                self.distributor.update_table(table, &TableEdit { whole: replace, ..weights(&edit) });
+                self.distributor
+                    .update_table(table, &TableEdit { replaces_table: replace, ..weights(&edit) });
                 let last = self.states.last().unwrap().clone();
                 for p in 0..3 {
                     if self.peers[p].is_connected && last.assignments[p].values().any(|t| *t == table) {
-                        self.issue_command(p, &Message::default());
+                        self.issue_command(p, &UpdateMessage::default());
                     }
                 }
             }
@@ -311,7 +314,7 @@
                 self.assign(proxy, false, &[(class, table)])
             }
             Operation::RequestAck(p) if self.peers[p].is_connected => {
-                self.issue_command(p, &Message::default())
+                self.issue_command(p, &UpdateMessage::default())
             }
             Operation::Assign { .. } | Operation::RequestAck(_) => {}
             Operation::Send(p, n) => self.send(p, n),
@@ -374,7 +377,7 @@
 #[test]
 fn edits_are_shared_and_the_backlog_is_conflated() {
     let mut distributor = distributor();
-    distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
+    distributor.update_table(1, &TableEdit { replaces_table: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
     for p in 0..3 {
         distributor.connect(p, pending_proxy(&format!("f{p}"), Transport::Edits, vec![]));
         distributor.issue_command(p, 1, &assignments(true, &[("q", 1)]));
@@ -390,7 +393,7 @@
     };
     for k in 0..5 {
         distributor.update_table(1, &weights(&[(0, f64::from(k) + 2.0), (1, if k < 4 { 2.0 } else { 0.0 })]));
-        (0..3).for_each(|p| distributor.issue_command(p, 2 + k as u64, &Message::default()));
+        (0..3).for_each(|p| distributor.issue_command(p, 2 + k as u64, &UpdateMessage::default()));
     }
     let texts = [0, 1, 2].map(|p| text(&mut distributor, p));
     assert!(Rc::ptr_eq(&texts[0], &texts[1]) && Rc::ptr_eq(&texts[1], &texts[2]));
@@ -402,7 +405,7 @@
     assert!(!texts[0].contains("bind") && distributor.next_message(ZERO, 0).is_none());
     assert_eq!(distributor.acknowledged(ZERO, 0, 2), Some(6), "all five commands at once");
     // A command that changes nothing is a message too.
-    distributor.issue_command(0, 7, &Message::default());
+    distributor.issue_command(0, 7, &UpdateMessage::default());
     assert!(text(&mut distributor, 0).contains("<tables"));
     assert_eq!(distributor.acknowledged(ZERO, 0, 3), Some(7));
 }
@@ -413,7 +416,7 @@
 fn a_proxy_that_does_not_apply_what_it_acknowledges_is_resynced_and_then_disconnected() {
     for transport in [Transport::Edits, Transport::Published] {
         let mut distributor = distributor();
-        distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
+        distributor.update_table(1, &TableEdit { replaces_table: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
         distributor.connect(0, pending_proxy("f0", transport, vec![]));
         distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
         let deliver = |distributor: &mut Distributor, now| {
@@ -424,7 +427,7 @@
         };
         deliver(&mut distributor, ZERO);
         distributor.update_table(1, &weights(&[(1, 0.0)]));
-        distributor.issue_command(0, 2, &Message::default());
+        distributor.issue_command(0, 2, &UpdateMessage::default());
         let report = |distributor: &mut Distributor, at, server| {
             distributor.check_report(at, 0, secs(1), [server].into_iter())
         };
@@ -455,7 +458,7 @@
 #[test]
 fn requests_to_a_server_that_is_listed_again_are_not_suspicious() {
     let mut distributor = distributor();
-    distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
+    distributor.update_table(1, &TableEdit { replaces_table: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
     distributor.connect(0, pending_proxy("f0", Transport::Published, vec![]));
     distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
     for (number, weight) in [(2, 0.0), (3, 1.0)] {
@@ -463,7 +466,7 @@
             distributor.acknowledged(ZERO, 0, number);
         }
         distributor.update_table(1, &weights(&[(1, weight)]));
-        distributor.issue_command(0, number, &Message::default());
+        distributor.issue_command(0, number, &UpdateMessage::default());
     }
     while let Some(Outgoing::Part { number, .. }) = distributor.next_message(ZERO, 0) {
         distributor.acknowledged(ZERO, 0, number);
@@ -476,8 +479,10 @@
 #[test]
 fn subsets_leave_out_low_weights_and_a_proxy_that_can_use_no_message_is_disconnected() {
     let mut distributor = distributor();
-    distributor
-        .update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]) });
+    distributor.update_table(
+        1,
+        &TableEdit { replaces_table: true, ..weights(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]) },
+    );
     let filters = vec![
         TopicFilter { kind: Some(TopicKind::Assignments), table: None },
         TopicFilter { kind: Some(TopicKind::Subset), table: None },
@@ -496,7 +501,7 @@
     assert_eq!(peer.entries("q"), [("s0".into(), 1), ("s1".into(), 1), ("s3".into(), 1)]);
     // A weight that changes within the bound leaves the subset as it is: only an acknowledgement is requested.
     distributor.update_table(1, &weights(&[(1, 0.8)]));
-    distributor.issue_command(0, 2, &Message::default());
+    distributor.issue_command(0, 2, &UpdateMessage::default());
     let Some(Outgoing::Part { part, number }) = distributor.next_message(ZERO, 0) else {
         panic!("no message")
     };
@@ -504,7 +509,7 @@
     assert_eq!(distributor.acknowledged(ZERO, 0, number), Some(2));
 
     distributor.update_table(1, &weights(&[(0, 0.0)]));
-    distributor.issue_command(0, 3, &Message::default());
+    distributor.issue_command(0, 3, &UpdateMessage::default());
     let subset = Topic { kind: TopicKind::Subset, table: 1 };
     let mut verdicts = vec![];
     while let Some(Outgoing::Part { number, .. }) =
@@ -518,9 +523,13 @@
 #[test]
 fn admission_limits_and_ejections_arrive_by_both_transports() {
     let mut distributor = distributor();
-    let levels = [("q", (Some(2.5), RetryPolicy::Never)), ("r", (None, RetryPolicy::Twice))];
-    let levels = levels.map(|(class, level)| (class.to_string(), level)).into();
-    distributor.update_table(1, &TableEdit { whole: true, levels, ..weights(&[(0, 1.0), (1, 1.0)]) });
+    let limit = |rate, retry_policy| AdmissionLimit { rate, retry_policy };
+    let limits = [("q", limit(Some(2.5), RetryPolicy::Never)), ("r", limit(None, RetryPolicy::Twice))];
+    let admission_limits = limits.map(|(class, level)| (class.to_string(), level)).into();
+    distributor.update_table(
+        1,
+        &TableEdit { replaces_table: true, admission_limits, ..weights(&[(0, 1.0), (1, 1.0)]) },
+    );
     distributor.update_ejections(&[("s1".to_string(), true)].into());
     for (p, transport) in [Transport::Edits, Transport::Published].into_iter().enumerate() {
         distributor.connect(p, pending_proxy(&format!("f{p}"), transport, vec![]));
@@ -533,8 +542,8 @@
             }
         };
         deliver(&mut distributor, &mut peer);
-        assert_eq!(peer.tables.admission_limit("q"), Some((Some(2.5), RetryPolicy::Never)));
-        assert_eq!(peer.tables.admission_limit("r"), Some((None, RetryPolicy::Twice)));
+        assert_eq!(peer.tables.admission_limit("q"), Some(limit(Some(2.5), RetryPolicy::Never)));
+        assert_eq!(peer.tables.admission_limit("r"), Some(limit(None, RetryPolicy::Twice)));
         assert_eq!(peer.entries("q"), [("s0".to_string(), 1)]);
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -3,8 +3,10 @@
 
 pub mod fleet;
 pub mod forwarder;
-pub mod order;
+pub mod published_value;
+pub mod report;
 pub mod schema;
+pub mod table_update;
 
 pub use runloom_netconf::schema::Schema;
 
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -1,6 +1,8 @@
-use crate::order::{Message, Report, TableEdit};
+use crate::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use crate::schema::{derive, SchemaValidator};
+use crate::table_update::{AdmissionLimit, EntryEdit, TableEdit, UpdateMessage};
 use crate::*;
+use runloom_controller::RetryPolicy;
 use runloom_netconf::schema::NodeKind;
 use runloom_netconf::tree::Element;
 use std::time::Duration;
@@ -50,14 +52,15 @@
 
 #[test]
 fn what_is_written_as_a_message_is_valid_by_the_schema() {
+    let limit = AdmissionLimit { rate: Some(3.5), retry_policy: RetryPolicy::IfNotExecuted };
     let table = TableEdit {
-        lines: [("s1".to_string(), ("127.0.0.1:1".to_string(), 0.25))].into(),
-        levels: [("q".to_string(), (Some(3.5), runloom_controller::RetryPolicy::IfNotExecuted))].into(),
+        entries: [("s1".to_string(), EntryEdit { address: "127.0.0.1:1".into(), weight: 0.25 })].into(),
+        admission_limits: [("q".to_string(), limit)].into(),
         ..TableEdit::default()
     };
-    let binds = [("q".to_string(), 1)].into();
-    let message = Message { tables: [(1, table)].into(), binds, ..Message::default() };
-    let edit = Element::parse(&message.to_text()).unwrap();
+    let assignments = [("q".to_string(), 1)].into();
+    let message = UpdateMessage { tables: [(1, table)].into(), assignments, ..UpdateMessage::default() };
+    let edit = Element::parse(&message.to_xml()).unwrap();
     let tables = edit.child("config").unwrap().child("tables").unwrap();
     let schema = Schema::root(derive(PROXY_XSD, &["tables"]).unwrap());
     let config = Element::new("", "config").with(tables.clone());
@@ -77,18 +80,19 @@
 #[test]
 fn a_report_is_read_as_it_was_written() {
     let took = Duration::from_micros(70);
-    let of = order::ClassOutcomes { class: "q".into(), tries: 5, in_time: 3, took: [(7, 4)].into() };
+    let of =
+        ClassOutcomes { class: "q".into(), attempts: 5, within_objective: 3, latencies: [(7, 4)].into() };
     let classes = vec![of];
-    let met = order::ServerOutcomes {
+    let met = ServerOutcomes {
         server: "s1".into(),
-        tries: 5,
-        failed: 1,
-        took,
-        in_time: 3,
+        attempts: 5,
+        failures: 1,
+        mean_latency: took,
+        within_objective: 3,
         load: vec![2.0],
         classes,
     };
-    let came = order::ClassArrivals { class: "q".into(), queries: 9, unanswered: 2 };
-    let report = Report { span: Duration::from_millis(500), met: vec![met], came: vec![came] };
-    assert_eq!(Report::read(&report.element()), Some(report));
+    let came = ClassArrivals { class: "q".into(), requests: 9, unanswered: 2 };
+    let report = Report { window: Duration::from_millis(500), outcomes: vec![met], arrivals: vec![came] };
+    assert_eq!(Report::read(&report.to_element()), Some(report));
 }
--- a/crates/model/tests/wire_snapshot.rs
+++ b/crates/model/tests/wire_snapshot.rs
@@ -3,9 +3,9 @@
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
 use runloom_controller::RetryPolicy;
-use runloom_model::order::{
-    level_text, line_text, ClassArrivals, ClassOutcomes, Message, Report, ServerOutcomes, TableEdit,
-};
+use runloom_model::published_value::{format_admission_limit, format_entry};
+use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+use runloom_model::table_update::{AdmissionLimit, EntryEdit, TableEdit, UpdateMessage};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -18,37 +18,44 @@
 }
 
 fn table() -> TableEdit {
-    let lines = [("s<1>", "127.0.0.1:81", 0.75), ("s2", "127.0.0.1:82", 0.0), ("s3", "127.0.0.1:83", 2.0)];
-    let levels = [
+    let entries = [("s<1>", "127.0.0.1:81", 0.75), ("s2", "127.0.0.1:82", 0.0), ("s3", "127.0.0.1:83", 2.0)];
+    let limits = [
         ("lookup", (Some(12.5), RetryPolicy::Never)),
         ("order", (None, RetryPolicy::IfNotExecuted)),
         ("report", (Some(0.0), RetryPolicy::Once)),
         ("safe", (None, RetryPolicy::Twice)),
     ];
     TableEdit {
-        whole: false,
-        lines: lines.map(|(name, address, weight)| (name.into(), (address.into(), weight))).into(),
-        levels: levels.map(|(name, level)| (name.into(), level)).into(),
-        gone: false,
+        replaces_table: false,
+        entries: entries
+            .map(|(name, address, weight)| (name.into(), EntryEdit { address: address.into(), weight }))
+            .into(),
+        admission_limits: limits
+            .map(|(name, (rate, retry_policy))| (name.into(), AdmissionLimit { rate, retry_policy }))
+            .into(),
+        is_removed: false,
     }
 }
 
-fn message(whole: bool) -> Message {
-    let replaced = TableEdit { whole: true, ..table() };
-    let gone = TableEdit { gone: true, ..TableEdit::default() };
-    Message {
-        whole,
+fn message(replaces_all: bool) -> UpdateMessage {
+    let replaced = TableEdit { replaces_table: true, ..table() };
+    let gone = TableEdit { is_removed: true, ..TableEdit::default() };
+    UpdateMessage {
+        replaces_all,
         tables: BTreeMap::from([(1, table()), (2, replaced), (3, gone)]),
-        binds: BTreeMap::from([("lookup".into(), 1), ("order".into(), 2)]),
-        withdrawn: BTreeMap::from([("s7".into(), true), ("s8".into(), false)]),
+        assignments: BTreeMap::from([("lookup".into(), 1), ("order".into(), 2)]),
+        ejections: BTreeMap::from([("s7".into(), true), ("s8".into(), false)]),
     }
 }
 
 #[test]
 fn edits_of_a_proxy_are_as_they_were() {
-    let mut seen = format!("{}\n{}\n", message(false).to_text(), message(true).to_text());
-    seen += &format!("{}\n", line_text("127.0.0.1:81", 0.75));
-    table().levels.values().for_each(|level| seen += &format!("{}\n", level_text(level)));
+    let mut seen = format!("{}\n{}\n", message(false).to_xml(), message(true).to_xml());
+    seen += &format!("{}\n", format_entry("127.0.0.1:81", 0.75));
+    table()
+        .admission_limits
+        .values()
+        .for_each(|limit| seen += &format!("{}\n", format_admission_limit(limit)));
     assert_unchanged("netconf-edits.txt", &seen);
 }
 
@@ -56,20 +63,20 @@
 fn a_report_is_as_it_was() {
     let class = ClassOutcomes {
         class: "lookup".into(),
-        tries: 9,
-        in_time: 7,
-        took: BTreeMap::from([(3, 4), (12, 5)]),
+        attempts: 9,
+        within_objective: 7,
+        latencies: BTreeMap::from([(3, 4), (12, 5)]),
     };
     let met = ServerOutcomes {
         server: "s1".into(),
-        tries: 12,
-        failed: 2,
-        took: Duration::from_micros(81_250),
-        in_time: 9,
+        attempts: 12,
+        failures: 2,
+        mean_latency: Duration::from_micros(81_250),
+        within_objective: 9,
         load: vec![0.5, f64::NAN, 14.0],
         classes: vec![class],
     };
-    let came = ClassArrivals { class: "order".into(), queries: 30, unanswered: 1 };
-    let report = Report { span: Duration::from_millis(1000), met: vec![met], came: vec![came] };
-    assert_unchanged("netconf-report.txt", &(report.element().to_text() + "\n"));
+    let came = ClassArrivals { class: "order".into(), requests: 30, unanswered: 1 };
+    let report = Report { window: Duration::from_millis(1000), outcomes: vec![met], arrivals: vec![came] };
+    assert_unchanged("netconf-report.txt", &(report.to_element().to_text() + "\n"));
 }
--- a/crates/mqtt/src/report.rs
+++ b/crates/mqtt/src/report.rs
@@ -1,21 +1,17 @@
 //! A proxy's report as JSON, for proxies in any language.
 
 use crate::decode_error::DecodeError;
-use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+use runloom_model::report::{
+    ClassArrivals, ClassOutcomes, Report, ServerOutcomes, MAX_CLASSES, MAX_LATENCY_BUCKET, MAX_WINDOW_MS,
+    MIN_WINDOW_MS,
+};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// Values of a load report.
 const MAX_LOAD_VALUES: usize = 16;
-/// Classes of a fleet.
-const MAX_CLASSES: usize = 32;
 /// Servers of a fleet.
 const MAX_SERVERS: usize = 4096;
-/// The highest latency bucket; longer latencies are in it.
-const MAX_LATENCY_BUCKET: u8 = 27;
-/// Bounds of a report's window, in milliseconds.
-const MIN_WINDOW_MS: u64 = 1;
-const MAX_WINDOW_MS: u64 = 600_000;
 
 /// The JSON object.
 #[derive(Serialize, Deserialize)]
@@ -73,10 +69,10 @@
     fn from(outcomes: &ServerOutcomes) -> OutcomesBody {
         OutcomesBody {
             server: outcomes.server.clone(),
-            attempts: outcomes.tries,
-            failures: outcomes.failed,
-            mean_latency_us: outcomes.took.as_micros() as u64,
-            within_objective: outcomes.in_time,
+            attempts: outcomes.attempts,
+            failures: outcomes.failures,
+            mean_latency_us: outcomes.mean_latency.as_micros() as u64,
+            within_objective: outcomes.within_objective,
             load: outcomes.load.iter().map(|value| value.is_finite().then_some(*value)).collect(),
             classes: outcomes.classes.iter().map(ClassBody::from).collect(),
         }
@@ -89,10 +85,10 @@
         let classes = body.classes.into_iter().take(MAX_CLASSES);
         ServerOutcomes {
             server: body.server,
-            tries: body.attempts,
-            failed: body.failures,
-            took: Duration::from_micros(body.mean_latency_us),
-            in_time: body.within_objective,
+            attempts: body.attempts,
+            failures: body.failures,
+            mean_latency: Duration::from_micros(body.mean_latency_us),
+            within_objective: body.within_objective,
             load: load.map(|value| value.unwrap_or(f64::NAN)).collect(),
             classes: classes.map(ClassOutcomes::from).collect(),
         }
@@ -103,9 +99,9 @@
     fn from(outcomes: &ClassOutcomes) -> ClassBody {
         ClassBody {
             class: outcomes.class.clone(),
-            attempts: outcomes.tries,
-            within_objective: outcomes.in_time,
-            latencies: outcomes.took.iter().map(|(bucket, count)| (*bucket, *count)).collect(),
+            attempts: outcomes.attempts,
+            within_objective: outcomes.within_objective,
+            latencies: outcomes.latencies.iter().map(|(bucket, count)| (*bucket, *count)).collect(),
         }
     }
 }
@@ -115,9 +111,9 @@
         let latencies = body.latencies.into_iter();
         ClassOutcomes {
             class: body.class,
-            tries: body.attempts,
-            in_time: body.within_objective,
-            took: latencies.map(|(bucket, count)| (bucket.min(MAX_LATENCY_BUCKET), count)).collect(),
+            attempts: body.attempts,
+            within_objective: body.within_objective,
+            latencies: latencies.map(|(bucket, count)| (bucket.min(MAX_LATENCY_BUCKET), count)).collect(),
         }
     }
 }
@@ -126,7 +122,7 @@
     fn from(arrivals: &ClassArrivals) -> ArrivalsBody {
         ArrivalsBody {
             class: arrivals.class.clone(),
-            requests: arrivals.queries,
+            requests: arrivals.requests,
             unanswered: arrivals.unanswered,
         }
     }
@@ -134,16 +130,16 @@
 
 impl From<ArrivalsBody> for ClassArrivals {
     fn from(body: ArrivalsBody) -> ClassArrivals {
-        ClassArrivals { class: body.class, queries: body.requests, unanswered: body.unanswered }
+        ClassArrivals { class: body.class, requests: body.requests, unanswered: body.unanswered }
     }
 }
 
 /// Writes a report.
 pub fn encode(report: &Report) -> Vec<u8> {
     let body = ReportBody {
-        window_ms: report.span.as_millis() as u64,
-        outcomes: report.met.iter().map(OutcomesBody::from).collect(),
-        arrivals: report.came.iter().map(ArrivalsBody::from).collect(),
+        window_ms: report.window.as_millis() as u64,
+        outcomes: report.outcomes.iter().map(OutcomesBody::from).collect(),
+        arrivals: report.arrivals.iter().map(ArrivalsBody::from).collect(),
     };
     // Numbers, strings and lists of them are always valid JSON.
     serde_json::to_vec(&body).unwrap_or_default()
@@ -156,8 +152,8 @@
         return Err(DecodeError::TooManyEntries);
     }
     Ok(Report {
-        span: Duration::from_millis(body.window_ms.clamp(MIN_WINDOW_MS, MAX_WINDOW_MS)),
-        met: body.outcomes.into_iter().map(ServerOutcomes::from).collect(),
-        came: body.arrivals.into_iter().map(ClassArrivals::from).collect(),
+        window: Duration::from_millis(body.window_ms.clamp(MIN_WINDOW_MS, MAX_WINDOW_MS)),
+        outcomes: body.outcomes.into_iter().map(ServerOutcomes::from).collect(),
+        arrivals: body.arrivals.into_iter().map(ClassArrivals::from).collect(),
     })
 }
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -12,7 +12,7 @@
 };
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
 use proptest::prelude::*;
-use runloom_model::order::{Report, ServerOutcomes};
+use runloom_model::report::{Report, ServerOutcomes};
 use runloom_versioned_publisher::{
     Change, HeldVersion, Key, Publisher, ReadOutcome, Topic, TopicFilter, TopicKind, UpdatePart,
     UpdateReader, MAX_IN_FLIGHT,
@@ -333,11 +333,11 @@
         client.reject(ZERO, *second);
         let met = ServerOutcomes {
             server: "s1".into(),
-            tries: 3,
+            attempts: 3,
             load: vec![1.0, f64::NAN],
             ..ServerOutcomes::default()
         };
-        let report = Report { span: Duration::from_millis(500), met: vec![met], came: vec![] };
+        let report = Report { window: Duration::from_millis(500), outcomes: vec![met], arrivals: vec![] };
         client.send_report(ZERO, report::encode(&report));
         let (events, _) = exchange(&mut session, &mut client, cut);
         let [SessionEvent::Acknowledged(5), SessionEvent::Rejected(6, lacks), SessionEvent::Report(body)] =
@@ -346,7 +346,7 @@
             panic!("{events:?}")
         };
         let read = report::decode(body).unwrap();
-        assert_eq!((*lacks, read.met[0].tries, read.met[0].load[1].is_nan()), (topic, 3, true));
+        assert_eq!((*lacks, read.outcomes[0].attempts, read.outcomes[0].load[1].is_nan()), (topic, 3, true));
         // No more reports at a time than the planner accepts.
         let sent = (0..20)
             .take_while(|_| {
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -2,7 +2,7 @@
 //!
 //! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
 
-use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use runloom_mqtt::{body, report, topics};
 use runloom_versioned_publisher::{Change, Key, Topic, TopicKind, UpdatePart};
 use std::collections::BTreeMap;
@@ -62,22 +62,22 @@
 fn a_report_is_as_it_was() {
     let class = ClassOutcomes {
         class: "lookup".into(),
-        tries: 9,
-        in_time: 7,
-        took: BTreeMap::from([(3, 4), (12, 5)]),
+        attempts: 9,
+        within_objective: 7,
+        latencies: BTreeMap::from([(3, 4), (12, 5)]),
     };
     let met = |load| ServerOutcomes {
         server: "s1".into(),
-        tries: 12,
-        failed: 2,
-        took: Duration::from_micros(81_250),
-        in_time: 9,
+        attempts: 12,
+        failures: 2,
+        mean_latency: Duration::from_micros(81_250),
+        within_objective: 9,
         load,
         classes: vec![class.clone()],
     };
-    let came = ClassArrivals { class: "order".into(), queries: 30, unanswered: 1 };
+    let came = ClassArrivals { class: "order".into(), requests: 30, unanswered: 1 };
     let met = vec![met(vec![]), met(vec![0.5, f64::NAN])];
-    let sent = Report { span: Duration::from_millis(1000), met, came: vec![came] };
+    let sent = Report { window: Duration::from_millis(1000), outcomes: met, arrivals: vec![came] };
     let seen = String::from_utf8(report::encode(&sent)).unwrap();
     assert_unchanged("mqtt-report.txt", &(seen + "\n"));
 }
--- a/crates/proxy/src/endpoint_statistics.rs
+++ b/crates/proxy/src/endpoint_statistics.rs
@@ -2,7 +2,7 @@
 
 use crate::circuit_breaker::CircuitBreaker;
 use runloom_model::fleet::Class;
-use runloom_model::order::{halved, ClassOutcomes, LatencyBuckets, ServerOutcomes};
+use runloom_model::report::{latency_bucket, ClassOutcomes, LatencyBuckets, ServerOutcomes};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -81,10 +81,10 @@
             counted.classes.into_iter().map(|(class, counts)| counts.into_report(&classes[class].name));
         Some(ServerOutcomes {
             server: server.to_string(),
-            tries: counted.attempts,
-            failed: counted.failures,
-            took: counted.total_latency / successes,
-            in_time: counted.within_objective,
+            attempts: counted.attempts,
+            failures: counted.failures,
+            mean_latency: counted.total_latency / successes,
+            within_objective: counted.within_objective,
             load: counted.load,
             classes: class_outcomes.collect(),
         })
@@ -96,16 +96,16 @@
         self.attempts += 1;
         self.within_objective += u64::from(attempt.within_objective);
         if attempt.is_success {
-            *self.latencies.entry(halved(attempt.latency)).or_default() += 1;
+            *self.latencies.entry(latency_bucket(attempt.latency)).or_default() += 1;
         }
     }
 
     fn into_report(self, class: &str) -> ClassOutcomes {
         ClassOutcomes {
             class: class.to_string(),
-            tries: self.attempts,
-            in_time: self.within_objective,
-            took: self.latencies,
+            attempts: self.attempts,
+            within_objective: self.within_objective,
+            latencies: self.latencies,
         }
     }
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -9,7 +9,7 @@
 use nanorand::WyRand;
 use runloom_controller::RetryPolicy;
 use runloom_model::fleet::Class;
-use runloom_model::order::{ClassArrivals, Report};
+use runloom_model::report::{ClassArrivals, Report};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -142,7 +142,7 @@
 
     fn admit(&mut self, now: Duration, class: usize) -> Admission {
         let limit = self.tables.admission_limit(&self.classes[class].name);
-        match limit.and_then(|(rate, _)| rate) {
+        match limit.and_then(|limit| limit.rate) {
             Some(rate) => self.token_buckets[class].admit(now, rate),
             None => Admission::Admitted,
         }
@@ -157,7 +157,7 @@
     ) -> RequestAction {
         let deadline = now + self.classes[class].outer_limit;
         let limit = self.tables.admission_limit(&self.classes[class].name);
-        let retry_policy = limit.map_or(RetryPolicy::IfNotExecuted, |(_, policy)| policy);
+        let retry_policy = limit.map_or(RetryPolicy::IfNotExecuted, |limit| limit.retry_policy);
         // The policy is fixed now: tables that change meanwhile change no request in flight.
         let request = Request::new(class, now, deadline, target.server.clone(), retry_policy);
         self.requests.insert(id, request);
@@ -307,11 +307,11 @@
             let counts = std::mem::take(counts);
             ClassArrivals {
                 class: class.name.clone(),
-                queries: counts.arrived,
+                requests: counts.arrived,
                 unanswered: counts.unanswered,
             }
         });
-        let report = Report { span: window, met: outcomes, came: arrivals.collect() };
+        let report = Report { window, outcomes, arrivals: arrivals.collect() };
         self.forget_unlisted_endpoints();
         report
     }
--- a/crates/proxy/src/published_tables.rs
+++ b/crates/proxy/src/published_tables.rs
@@ -6,7 +6,8 @@
 //! the former tables stay in force.
 
 use crate::route_tables::{RouteTable, RouteTables, TableEntry, TableError};
-use runloom_model::order::{read_level, read_line, AdmissionLimit};
+use runloom_model::published_value::{parse_admission_limit, parse_entry};
+use runloom_model::table_update::AdmissionLimit;
 use runloom_versioned_publisher::{HeldTable, UpdateReader};
 use runloom_versioned_publisher::{Key, Topic, TopicKind};
 use std::collections::btree_map::Entry;
@@ -112,7 +113,7 @@
     let server = server.to_string();
     let fields = match kind {
         TopicKind::Subset => Some((value, SUBSET_WEIGHT)),
-        _ => read_line(value),
+        _ => parse_entry(value),
     };
     let Some((address, weight)) = fields else { return Err(TableError::MalformedEntry { server }) };
     match address.parse() {
@@ -122,7 +123,8 @@
 }
 
 fn read_admission_limit(class: &str, value: &str) -> Result<AdmissionLimit, TableError> {
-    read_level(value).ok_or_else(|| TableError::MalformedAdmissionLimit { class: class.to_string() })
+    parse_admission_limit(value)
+        .ok_or_else(|| TableError::MalformedAdmissionLimit { class: class.to_string() })
 }
 
 /// Tables held that no class is assigned to.
--- a/crates/proxy/src/route_tables.rs
+++ b/crates/proxy/src/route_tables.rs
@@ -1,6 +1,6 @@
 //! Route tables as a proxy holds them, and how they are read from the datastore that a planner edits.
 
-use runloom_model::order::{tries, AdmissionLimit};
+use runloom_model::table_update::{parse_retry_policy, AdmissionLimit};
 use runloom_netconf::tree::Element;
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -119,8 +119,8 @@
 fn read_admission_limit(level: &Element) -> Result<(String, AdmissionLimit), TableError> {
     let class = level.text_of("class").unwrap_or_default().to_string();
     let rate = level.text_of("pace").map(read_admission_rate).transpose()?;
-    let retry_policy = tries(level.text_of("further-tries").unwrap_or("none"));
-    Ok((class, (rate, retry_policy)))
+    let retry_policy = parse_retry_policy(level.text_of("further-tries").unwrap_or("none"));
+    Ok((class, AdmissionLimit { rate, retry_policy }))
 }
 
 /// A rate that is not finite admits nothing.
--- a/crates/proxy/src/tests.rs
+++ b/crates/proxy/src/tests.rs
@@ -234,8 +234,11 @@
 
     assert_eq!(proxy.attempt_ended(one_second, 1, success()), None);
     let report = proxy.take_report(one_second);
-    assert_eq!((report.met[0].tries, report.met[0].failed, report.came[0].unanswered), (1, 1, 1));
-    assert!(proxy.take_report(one_second).met.is_empty());
+    assert_eq!(
+        (report.outcomes[0].attempts, report.outcomes[0].failures, report.arrivals[0].unanswered),
+        (1, 1, 1)
+    );
+    assert!(proxy.take_report(one_second).outcomes.is_empty());
 }
 
 #[test]
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -293,7 +293,7 @@
                     let mut gates = self.gates.entry((proxy.clone(), class)).or_default().iter_mut();
                     let mut pass = |side: &Side| {
                         let level =
-                            side.force.held(proxy).and_then(|h| h.admission_limit(name)).and_then(|l| l.0);
+                            side.force.held(proxy).and_then(|h| h.admission_limit(name)).and_then(|l| l.rate);
                         gates.next().map_or(came, |g| g.lets_in(level, came, seconds))
                     };
                     let flow = Flow { came, was: pass(was), would: pass(would) };
--- a/crates/replay/src/tests.rs
+++ b/crates/replay/src/tests.rs
@@ -5,7 +5,8 @@
 use runloom_controller::EndpointUpdate;
 use runloom_event_log::{Entry, RecordedEvent};
 use runloom_inventory::{Change, Server};
-use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, Report, ServerOutcomes};
+use runloom_model::table_update::{EntryEdit, TableEdit, UpdateMessage};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -63,15 +64,16 @@
                 let late = |k: usize| k == 1 && step > 100;
                 let met = (0..if step < 300 { SERVERS } else { SERVERS - 1 }).map(|k| ServerOutcomes {
                     server: format!("s{k}"),
-                    tries: 4,
-                    failed: 0,
-                    took: Duration::from_millis(if late(k) { 90 } else { 40 }),
-                    in_time: if late(k) { 0 } else { 4 },
+                    attempts: 4,
+                    failures: 0,
+                    mean_latency: Duration::from_millis(if late(k) { 90 } else { 40 }),
+                    within_objective: if late(k) { 0 } else { 4 },
                     load: vec![],
                     classes: vec![],
                 });
-                let came = vec![ClassArrivals { class: "q".into(), queries: 24, unanswered: 0 }];
-                let report = Report { span: Duration::from_secs(1), met: met.collect(), came };
+                let came = vec![ClassArrivals { class: "q".into(), requests: 24, unanswered: 0 }];
+                let report =
+                    Report { window: Duration::from_secs(1), outcomes: met.collect(), arrivals: came };
                 driver.handle_report(now, *p, &report);
             }
         }
@@ -248,13 +250,12 @@
             },
         ];
         what.into_iter().for_each(|what| force.happened(&Entry { at_us: 0, event: what }));
-        let lines =
-            [("w".to_string(), ("127.0.0.1:9".to_string(), 1.0)), ("c".into(), ("127.0.0.1:9".into(), cold))];
-        let table = runloom_model::order::TableEdit { lines: lines.into(), ..Default::default() };
-        let binds = [("q".to_string(), 1)].into();
-        let message =
-            runloom_model::order::Message { tables: [(1, table)].into(), binds, ..Default::default() };
-        force.sent(Duration::ZERO, "f", 1, &message.to_text(), 3);
+        let entry = |weight| EntryEdit { address: "127.0.0.1:9".into(), weight };
+        let entries = [("w".to_string(), entry(1.0)), ("c".into(), entry(cold))];
+        let table = TableEdit { entries: entries.into(), ..Default::default() };
+        let assignments = [("q".to_string(), 1)].into();
+        let message = UpdateMessage { tables: [(1, table)].into(), assignments, ..Default::default() };
+        force.sent(Duration::ZERO, "f", 1, &message.to_xml(), 3);
         force.applied("f", 1);
         (0..8).for_each(|k| force.look(Duration::from_millis(1000 + 500 * k)));
         force.broken()
--- a/crates/testbed/src/fronts.rs
+++ b/crates/testbed/src/fronts.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{Fronts, Scenario, ScheduledFault};
 use crate::world::Testbed;
 use runloom_distribution::{Distributor, Outgoing, PendingProxy, Transport};
-use runloom_model::order::{Message, TableEdit};
+use runloom_model::table_update::{EntryEdit, TableEdit, UpdateMessage};
 use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
 use runloom_mqtt::session::{Session, SessionEvent};
 use runloom_mqtt::{body, report, ProxyInfo};
@@ -26,9 +26,10 @@
     let line = |k: usize| {
         let server = (k + step * CHANGED) % SERVERS;
         let weight = 1.0 + 0.001 * (step % 100) as f64 + 0.0001 * k as f64;
-        (format!("server-{server}"), (format!("10.0.{}.{}:8080", server / 250, server % 250), weight))
+        let address = format!("10.0.{}.{}:8080", server / 250, server % 250);
+        (format!("server-{server}"), EntryEdit { address, weight })
     };
-    TableEdit { whole, lines: (0..count).map(line).collect(), ..TableEdit::default() }
+    TableEdit { replaces_table: whole, entries: (0..count).map(line).collect(), ..TableEdit::default() }
 }
 
 fn newcomer(p: usize, way: Transport) -> PendingProxy {
@@ -75,13 +76,17 @@
             }
         }
         let (mut told, mut bytes, mut busy) = (0u64, 0u64, Duration::ZERO);
-        let bind = Message { whole: true, binds: [("q".to_string(), 1)].into(), ..Message::default() };
+        let bind = UpdateMessage {
+            replaces_all: true,
+            assignments: [("q".to_string(), 1)].into(),
+            ..UpdateMessage::default()
+        };
         for step in 0..=STEPS {
             let start = Instant::now();
             if step > 0 {
                 front.update_table(1, &edit(false, step));
             }
-            let message = if step == 0 { bind.clone() } else { Message::default() };
+            let message = if step == 0 { bind.clone() } else { UpdateMessage::default() };
             (0..PROXIES).for_each(|p| front.issue_command(p, step as u64 + 1, &message));
             let mut bodies: BTreeMap<_, Arc<[u8]>> = BTreeMap::new();
             let mut sent: Vec<(usize, u64)> = vec![];
@@ -169,26 +174,26 @@
     runloom_versioned_publisher::Topic { kind: runloom_versioned_publisher::TopicKind::Weights, table: 1 };
 
 /// A report on five servers, two classes each.
-fn sample() -> runloom_model::order::Report {
-    use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+fn sample() -> runloom_model::report::Report {
+    use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
     let of = |class: &str| ClassOutcomes {
         class: class.into(),
-        tries: 3,
-        in_time: 3,
-        took: [(15, 2), (16, 1)].into(),
+        attempts: 3,
+        within_objective: 3,
+        latencies: [(15, 2), (16, 1)].into(),
     };
     let met = |k: usize| ServerOutcomes {
         server: format!("server-{k}"),
-        tries: 6,
-        failed: 0,
-        took: Duration::from_millis(40),
-        in_time: 6,
+        attempts: 6,
+        failures: 0,
+        mean_latency: Duration::from_millis(40),
+        within_objective: 6,
         load: vec![2.0],
         classes: vec![of("search"), of("loan-checkout")],
     };
-    let came = |class: &str| ClassArrivals { class: class.into(), queries: 15, unanswered: 0 };
+    let came = |class: &str| ClassArrivals { class: class.into(), requests: 15, unanswered: 0 };
     let came = vec![came("search"), came("loan-checkout")];
-    Report { span: Duration::from_millis(500), met: (0..5).map(met).collect(), came }
+    Report { window: Duration::from_millis(500), outcomes: (0..5).map(met).collect(), arrivals: came }
 }
 
 /// 592 x 544 over sockets with none, a tenth and half of the subscribers reading once a second only: how far behind the
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -369,27 +369,32 @@
 /// What recording takes of a core at 592 x 544 and 2,600 queries/s: the same reports to the same driver, without a
 /// record, with one, and what the thread that writes it takes.
 fn recording(folder: &Path) -> Told {
-    use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+    use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
     let text = format!("<fleet xmlns='{FLEET}'><zone><name>z</name></zone>{FLEET_HEAD}{FLEET_TAIL}</fleet>");
     let fleet = runloom_replay::fleet(&text).map_err(|e| e.to_string())?;
     let (seconds, proxies, servers) = (60u64, 592u64, 544u64);
     let report = |p: u64, k: u64| {
         let took = Duration::from_millis(40);
         let met = (0..2).map(|n| {
-            let of = ClassOutcomes { class: "q".into(), tries: 1, in_time: 1, took: [(16, 1)].into() };
+            let of = ClassOutcomes {
+                class: "q".into(),
+                attempts: 1,
+                within_objective: 1,
+                latencies: [(16, 1)].into(),
+            };
             let server = format!("s{}", (p * 7 + k * 2 + n) % servers);
             ServerOutcomes {
                 server,
-                tries: 1,
-                failed: 0,
-                took,
-                in_time: 1,
+                attempts: 1,
+                failures: 0,
+                mean_latency: took,
+                within_objective: 1,
                 load: vec![1.0],
                 classes: vec![of],
             }
         });
-        let came = vec![ClassArrivals { class: "q".into(), queries: 2, unanswered: 0 }];
-        Report { span: Duration::from_millis(500), met: met.collect(), came }
+        let came = vec![ClassArrivals { class: "q".into(), requests: 2, unanswered: 0 }];
+        Report { window: Duration::from_millis(500), outcomes: met.collect(), arrivals: came }
     };
     let mut parts = [Duration::ZERO; 3];
     for (place, recorded) in [(0, false), (1, true)] {
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -7,7 +7,7 @@
 use runloom_daemon::client::edit_config;
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
-use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, Report, ServerOutcomes};
 use runloom_model::{FLEET, STATE};
 use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
 use runloom_mqtt::{report, ConnectionEnd, ProxyInfo};
@@ -98,9 +98,9 @@
 
     /// Reports a try at a server.
     fn reports(&mut self, server: &str) {
-        let met = ServerOutcomes { server: server.into(), tries: 3, ..ServerOutcomes::default() };
-        let came = ClassArrivals { class: "q".into(), queries: 3, unanswered: 0 };
-        let report = Report { span: Duration::from_millis(200), met: vec![met], came: vec![came] };
+        let met = ServerOutcomes { server: server.into(), attempts: 3, ..ServerOutcomes::default() };
+        let came = ClassArrivals { class: "q".into(), requests: 3, unanswered: 0 };
+        let report = Report { window: Duration::from_millis(200), outcomes: vec![met], arrivals: vec![came] };
         self.client.send_report(self.turn.now(), report::encode(&report));
     }
 }
