--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -21,7 +21,7 @@
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, ListPiece, StatePatch};
+use runloom_store::{list_chunks, AcceptedEdit, AcceptedState, EntrySource, ListChunk, StatePatch};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -109,7 +109,12 @@
 
 fn stored_edit(edit: &edit_history::Edit) -> AcceptedEdit {
     let stored = edit.stored.clone();
-    AcceptedEdit { id: stored.id, who: stored.author, digest: stored.digest, accepted: stored.accepted_ms }
+    AcceptedEdit {
+        id: stored.id,
+        author: stored.author,
+        digest: stored.digest,
+        accepted_ms: stored.accepted_ms,
+    }
 }
 
 /// Identifies the content of an edit: SHA-256 in hexadecimal.
@@ -232,8 +237,8 @@
     pub fn accepted_state(&self) -> AcceptedState {
         AcceptedState {
             entries: fleet_entry_texts(&self.accepted.data),
-            before: self.accepted.fleet_texts_before(),
-            noted: self.edit_history.edits().map(stored_edit).collect(),
+            rollback_entries: self.accepted.fleet_texts_before(),
+            edits: self.edit_history.edits().map(stored_edit).collect(),
         }
     }
 
@@ -246,9 +251,9 @@
         let before = self.accepted.fleet_texts_before();
         let edits = self.edit_history.edits().filter(|edit| edit_ids.contains(&edit.stored.id));
         let patch = StatePatch {
-            pieces: self.changed_pieces(),
-            noted: edits.map(stored_edit).collect(),
-            before: (before != self.persisted.fleet_texts_before()).then_some(before),
+            chunks: self.changed_chunks(),
+            edits: edits.map(stored_edit).collect(),
+            rollback_entries: (before != self.persisted.fleet_texts_before()).then_some(before),
         };
         self.in_flight = Some(InFlightPatch { revision: self.accepted.clone(), edit_ids });
         self.is_unsaved = false;
@@ -257,7 +262,7 @@
 
     /// The entries of the fleet as references to those on disk, or as text where they are new; `None` if all are the
     /// same.
-    fn changed_pieces(&self) -> Option<Vec<ListPiece>> {
+    fn changed_chunks(&self) -> Option<Vec<ListChunk>> {
         let old = fleet_entries(&self.persisted.data);
         let new = fleet_entries(&self.accepted.data);
         let is_same = old.len() == new.len() && old.iter().zip(new).all(|(old, new)| Arc::ptr_eq(old, new));
@@ -266,10 +271,11 @@
         }
         let indexed = old.iter().enumerate().map(|(index, entry)| (Arc::as_ptr(entry), index as u32));
         let old_indexes: BTreeMap<*const Element, u32> = indexed.collect();
-        let index_or_text = |entry: &Arc<Element>| {
-            old_indexes.get(&Arc::as_ptr(entry)).copied().ok_or_else(|| entry.to_text())
+        let source = |entry: &Arc<Element>| {
+            let index = old_indexes.get(&Arc::as_ptr(entry)).copied();
+            index.map_or_else(|| EntrySource::New(entry.to_text()), EntrySource::Existing)
         };
-        Some(pieces(new.iter().map(index_or_text)))
+        Some(list_chunks(new.iter().map(source)))
     }
 
     /// The patch in flight is on disk.
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -3,10 +3,9 @@
 
 use crate::error::StartError;
 use runloom_event_loop::Waker;
-use runloom_store::accepted::{AcceptedState, StatePatch};
-use runloom_store::disk::{Folder, Lock};
-use runloom_store::learned::LearnedServers;
-use runloom_store::{Layout, OpenedState, Store, StoreError};
+use runloom_store::{
+    AcceptedState, Folder, FolderLock, Layout, LearnedServers, OpenedState, StatePatch, Store, StoreError,
+};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread::JoinHandle;
@@ -16,11 +15,11 @@
 const MAX_JOURNAL_BYTES: usize = 1 << 20;
 /// Accepted edits: a snapshot, and a journal of patches.
 pub const EDITS: Layout =
-    Layout { name: "edits", version: 1, upgrades: &[], journal_most: MAX_JOURNAL_BYTES };
+    Layout { name: "edits", version: 1, upgrades: &[], max_journal_bytes: MAX_JOURNAL_BYTES };
 /// The endpoint list, as snapshots.
-pub const ROSTER: Layout = Layout { name: "roster", version: 1, upgrades: &[], journal_most: 0 };
+pub const ROSTER: Layout = Layout { name: "roster", version: 1, upgrades: &[], max_journal_bytes: 0 };
 /// What was learned of servers, as snapshots.
-pub const LEARNED: Layout = Layout { name: "learned", version: 1, upgrades: &[], journal_most: 0 };
+pub const LEARNED: Layout = Layout { name: "learned", version: 1, upgrades: &[], max_journal_bytes: 0 };
 /// Tasks that may wait for the thread: a batch of edits, a list, what was learned, and one more.
 const MAX_QUEUED_TASKS: usize = 4;
 /// Time between two looks at a thread that is finishing.
@@ -56,7 +55,7 @@
     tasks: Option<SyncSender<Task>>,
     results: Receiver<PersistenceResult>,
     thread: Option<JoinHandle<()>>,
-    _lock: Lock,
+    _lock: FolderLock,
 }
 
 /// What an earlier start stored.
@@ -73,7 +72,7 @@
 /// An opened state folder, before the thread is started.
 pub struct OpenedFolder {
     path: PathBuf,
-    lock: Lock,
+    lock: FolderLock,
     edits: Store<Folder>,
     roster: Store<Folder>,
     learned: Store<Folder>,
@@ -94,9 +93,11 @@
 
 /// The accepted state: a snapshot with the patches since then applied.
 pub fn restore_accepted(opened: &OpenedState) -> Result<Option<AcceptedState>, String> {
-    let mut accepted = opened.state.as_deref().map(AcceptedState::read).transpose()?;
+    let mut accepted =
+        opened.state.as_deref().map(AcceptedState::decode).transpose().map_err(|error| error.to_string())?;
     for entry in &opened.entries {
-        accepted.get_or_insert_default().take(StatePatch::read(entry)?)?;
+        let patch = StatePatch::decode(entry).map_err(|error| error.to_string())?;
+        accepted.get_or_insert_default().apply(patch).map_err(|error| error.to_string())?;
     }
     Ok(accepted)
 }
@@ -104,7 +105,7 @@
 impl PersistenceWorker {
     /// Locks the state folder for this process, and reads what an earlier start stored.
     pub fn open(folder: &Path) -> Result<(OpenedFolder, RestoredState), StartError> {
-        let lock = Lock::take(folder)?;
+        let lock = FolderLock::acquire(folder)?;
         let (edits, opened_edits) = open_store(folder, EDITS)?;
         let (roster, opened_roster) = open_store(folder, ROSTER)?;
         let (learned, opened_learned) = open_store(folder, LEARNED)?;
@@ -114,7 +115,7 @@
             accepted,
             roster: opened_roster.state.and_then(|text| String::from_utf8(text).ok()),
             // What was learned only serves as hints: without it the planner learns again.
-            learned: opened_learned.state.and_then(|bytes| LearnedServers::read(&bytes).ok()),
+            learned: opened_learned.state.and_then(|bytes| LearnedServers::decode(&bytes).ok()),
         };
         Ok((OpenedFolder { path: folder.to_path_buf(), lock, edits, roster, learned }, restored))
     }
@@ -212,18 +213,18 @@
             }
             Task::WriteRoster(text) => failure("the list", self.roster.snapshot(text.as_bytes())),
             Task::WriteLearned(learned) => {
-                failure("what was learned", self.learned.snapshot(&learned.write()))
+                failure("what was learned", self.learned.snapshot(&learned.encode()))
             }
         }
     }
 
     fn write_snapshot(&mut self) -> Result<(), StoreError> {
-        self.edits.snapshot(&self.accepted.write())
+        self.edits.snapshot(&self.accepted.encode())
     }
 
     /// A snapshot is needed after a failed write, and once the journal has grown long.
     fn write_snapshot_if_needed(&mut self) -> Result<(), StoreError> {
-        if self.edits.wants_snapshot() {
+        if self.edits.needs_snapshot() {
             self.write_snapshot()?;
         }
         Ok(())
@@ -231,9 +232,9 @@
 
     fn append(&mut self, patch: StatePatch) -> Result<(), String> {
         self.write_snapshot_if_needed().map_err(|error| error.to_string())?;
-        self.edits.append(&[patch.write()]).map_err(|error| error.to_string())?;
+        self.edits.append(&[patch.encode()]).map_err(|error| error.to_string())?;
         // The patch was made against the state written last, so it applies.
-        self.accepted.take(patch)
+        self.accepted.apply(patch).map_err(|error| error.to_string())
     }
 }
 
--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -7,7 +7,7 @@
 use crate::persistence::{PersistenceResult, PersistenceWorker};
 use runloom_event_loop::EventLoop;
 use runloom_inventory::Inventory;
-use runloom_store::learned::{LearnedServer, LearnedServers};
+use runloom_store::{LearnedServer, LearnedServers};
 use std::time::Duration;
 
 /// Shortest time between two writes of the endpoint list.
@@ -125,14 +125,14 @@
             Some(LearnedServer {
                 name: state.name,
                 address: server.address.to_string(),
-                started: server.started_ms,
-                swift: state.speed_factor,
-                failed: state.last_ejected_ms,
-                held: state.is_long_ejected,
+                started_ms: server.started_ms,
+                speed_factor: state.speed_factor,
+                last_ejected_ms: state.last_ejected_ms,
+                is_long_ejected: state.is_long_ejected,
             })
         });
-        let learned = LearnedServers { written: core.config.wall_ms, servers: learned.collect() };
-        self.learned = learned.renewed(&self.learned);
+        let learned = LearnedServers { written_ms: core.config.wall_ms, servers: learned.collect() };
+        self.learned = learned.merge_earlier(&self.learned);
         if !self.worker.write_learned(self.learned.clone()) {
             tracing::warn!("what was learned could not be written: the write queue is full");
         }
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -27,13 +27,14 @@
         let Some(folder) = &settings.record else {
             return Ok(EventRecording { writer: None, is_stopped: false });
         };
-        let recorder_config = RecorderConfig { most: settings.record_bytes, ..RecorderConfig::default() };
+        let recorder_config =
+            RecorderConfig { max_total_bytes: settings.record_bytes, ..RecorderConfig::default() };
         let recorder = Recorder::open(folder, recorder_config)?;
-        let start = RecordedEvent::Start {
+        let start = RecordedEvent::PlannerStarted {
             build: BUILD.to_string(),
             planner: settings.name.clone(),
             seed,
-            epoch,
+            epoch_ms: epoch,
             fleet: config.persisted_fleet_text(),
         };
         control.recorded_events = Some(vec![(Duration::ZERO, start)]);
@@ -42,20 +43,22 @@
 
     /// Writes what happened in an iteration that began at `iteration_start`.
     pub(super) fn write(&mut self, control: &mut ControlSession, now: Duration, iteration_start: Duration) {
-        let (Some(writer), Some(witness)) = (&mut self.writer, &mut control.recorded_events) else { return };
-        let mut events = std::mem::take(witness);
+        let (Some(writer), Some(recorded_events)) = (&mut self.writer, &mut control.recorded_events) else {
+            return;
+        };
+        let mut events = std::mem::take(recorded_events);
         for (_, event) in &mut events {
-            if let RecordedEvent::Turn { took, .. } = event {
-                *took = now.saturating_sub(iteration_start).as_micros() as u64;
+            if let RecordedEvent::Step { duration_us, .. } = event {
+                *duration_us = now.saturating_sub(iteration_start).as_micros() as u64;
             }
         }
         writer.push(now, events);
-        let standing = writer.standing();
-        let is_stopped = standing.stopped.is_some();
+        let status = writer.status();
+        let is_stopped = status.failure.is_some();
         if is_stopped && !self.is_stopped {
-            tracing::error!(why = standing.stopped, "recording stopped; planning goes on");
+            tracing::error!(why = status.failure, "recording stopped; planning goes on");
         } else if !is_stopped && self.is_stopped {
-            tracing::info!(lost = standing.lost, "recording goes on");
+            tracing::info!(lost = status.lost_entries, "recording goes on");
         }
         self.is_stopped = is_stopped;
     }
@@ -70,7 +73,7 @@
 
 /// Adds an event that the decisions are not told of to the log of the iteration.
 pub(super) fn note_event(control: &mut ControlSession, now: Duration, event: RecordedEvent) {
-    if let Some(witness) = &mut control.recorded_events {
-        witness.push((now, event));
+    if let Some(recorded_events) = &mut control.recorded_events {
+        recorded_events.push((now, event));
     }
 }
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -53,7 +53,8 @@
 
     fn record(&self, core: &mut PlannerCore, now: Duration) {
         if core.control.fleet() != core.config.persisted_fleet() {
-            let event = RecordedEvent::Refit { fleet: core.config.persisted_fleet_text(), seed: self.seed };
+            let event =
+                RecordedEvent::Reconfigured { fleet: core.config.persisted_fleet_text(), seed: self.seed };
             note_event(&mut core.control, now, event);
         }
     }
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -11,7 +11,7 @@
 use runloom_model::fleet::PlannerSettings;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{AcceptedEdit, AcceptedState};
+use runloom_store::{AcceptedEdit, AcceptedState};
 use std::io;
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
     let mut edit_history = EditHistory::default();
     if let Some(accepted) = restored.accepted.take() {
         replace_child(&mut data, "fleet", stored_fleet(&accepted)?);
-        let edits = accepted.noted.into_iter();
+        let edits = accepted.edits.into_iter();
         edit_history = EditHistory::restore(edits.map(restored_edit));
     } else if let Some(accepted) = files.read(LEGACY_ACCEPTED_FILE)? {
         if let Some(fleet) = accepted.child("before").unwrap_or(&accepted).child("fleet") {
@@ -77,16 +77,16 @@
 
 /// The stored `<fleet>`. A confirmed commit that a restart interrupted is rolled back (RFC 6241, section 8.4.1).
 fn stored_fleet(accepted: &AcceptedState) -> Result<Element, StartError> {
-    if accepted.before.is_some() {
+    if accepted.rollback_entries.is_some() {
         tracing::warn!("a confirmed commit was never confirmed: it is rolled back");
     }
-    let entries = accepted.before.as_ref().unwrap_or(&accepted.entries);
+    let entries = accepted.rollback_entries.as_ref().unwrap_or(&accepted.entries);
     let text = format!("<fleet xmlns=\"{FLEET}\">{}</fleet>", entries.concat());
     Element::parse(&text).map_err(|error| StartError::StoredFleet(error.reason))
 }
 
 fn restored_edit(edit: AcceptedEdit) -> StoredEdit {
-    StoredEdit { id: edit.id, author: edit.who, digest: edit.digest, accepted_ms: edit.accepted }
+    StoredEdit { id: edit.id, author: edit.author, digest: edit.digest, accepted_ms: edit.accepted_ms }
 }
 
 fn legacy_edit_history(accepted: &Element) -> EditHistory {
@@ -107,7 +107,7 @@
     let Some(learned) = &restored.learned else { return vec![] };
     let hint = |(name, server): (&String, &Server)| {
         let hint = learned.hint(wall_ms(), name, &server.address.to_string(), server.started_ms)?;
-        Some(ServerHint { name: name.clone(), speed_factor: hint.swift, suspicion: hint.doubt })
+        Some(ServerHint { name: name.clone(), speed_factor: hint.speed_factor, suspicion: hint.suspicion })
     };
     inventory.servers().iter().filter_map(hint).collect()
 }
