--- a/crates/distribution/src/pending_proxy.rs
+++ b/crates/distribution/src/pending_proxy.rs
@@ -11,7 +11,7 @@
     Published,
 }
 
-/// A proxy that connected, and what it said of itself.
+/// A proxy that connected, and what it reported of itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingProxy {
     /// The caller's number of its connection.
@@ -33,7 +33,7 @@
 }
 
 impl PendingProxy {
-    /// The oldest version that it holds; `None`: nothing. One that does not tell its versions holds something old,
+    /// The oldest version that it holds; `None`: nothing. One that does not report its versions holds something old,
     /// unless it has no table.
     pub(crate) fn oldest_held(&self) -> Option<HeldVersion> {
         let oldest = self.held.iter().map(|(_, held)| *held).min();
--- a/crates/mqtt/src/proxy_info.rs
+++ b/crates/mqtt/src/proxy_info.rs
@@ -1,4 +1,4 @@
-//! What a proxy says of itself when it connects, in user properties of the `CONNECT` packet.
+//! What a proxy reports of itself when it connects, in user properties of the `CONNECT` packet.
 
 use mqtt_protocol_core::mqtt::packet::{v5_0, Property, UserProperty};
 use mqtt_protocol_core::mqtt::prelude::PropertyValueAccess;
@@ -8,7 +8,7 @@
 const REQUEST_RATE: &str = "rate";
 const HAS_NO_TABLE: &str = "fresh";
 
-/// What a proxy says of itself.
+/// What a proxy reports of itself.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ProxyInfo {
     /// Its zone.
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -124,8 +124,10 @@
             hello = hello.will_message("runloom/p/f1/report", "x", Qos::AtMostOnce, false).unwrap();
         }
         let hello = hello.build().unwrap();
+
         let events = session.receive(ZERO, &proxy.send(hello));
         proxy.receive(&session.output());
+
         let Some(GenericPacket::V5_0Connack(answer)) = proxy.received.pop() else { panic!("no answer") };
         let is_success = code == ConnectReasonCode::Success;
         assert_eq!(
@@ -152,8 +154,10 @@
         ("runloom/p/f1/weights#", Code::TopicFilterInvalid),
         ("runloom/#/f1", Code::TopicFilterInvalid),
     ];
-    let asked: Vec<&str> = filters.iter().map(|f| f.0).collect();
-    let events = session.receive(ZERO, &proxy.subscribe(&asked, Some("runloom/p/f1/weights/3 7 12")));
+    let requested: Vec<&str> = filters.iter().map(|(filter, _)| *filter).collect();
+
+    let events = session.receive(ZERO, &proxy.subscribe(&requested, Some("runloom/p/f1/weights/3 7 12")));
+
     let all = TopicFilter { kind: None, table: None };
     let one = TopicFilter { kind: Some(TopicKind::Weights), table: Some(3) };
     assert_eq!(
@@ -163,7 +167,7 @@
     assert!(all.matches(TABLE) && one.matches(TABLE) && !one.matches(Topic { table: 4, ..TABLE }));
     proxy.receive(&session.output());
     let Some(GenericPacket::V5_0Suback(answer)) = proxy.received.pop() else { panic!("no answer") };
-    assert_eq!(answer.reason_codes(), filters.map(|f| f.1));
+    assert_eq!(answer.reason_codes(), filters.map(|(_, code)| code));
     assert_eq!(topics::parse_filter("p", "f1", "$share/g/runloom/p/f1/#"), Err(FilterError::Shared));
 }
 
@@ -189,28 +193,54 @@
 }
 
 #[test]
-fn silent_and_malformed_connections_end() {
-    let mut silent = Session::new(ZERO, "p", "f1");
-    silent.handle_timeout(silent.wakes_at().unwrap() - Duration::from_millis(1));
-    assert_eq!(silent.end(), None);
-    silent.handle_timeout(silent.wakes_at().unwrap());
-    assert_eq!(silent.end(), Some(&ConnectionEnd::TimedOut));
+fn a_connection_without_connect_times_out() {
+    let mut session = Session::new(ZERO, "p", "f1");
+
+    session.handle_timeout(session.wakes_at().unwrap() - Duration::from_millis(1));
+    assert_eq!(session.end(), None);
+    session.handle_timeout(session.wakes_at().unwrap());
+
+    assert_eq!(session.end(), Some(&ConnectionEnd::TimedOut));
+}
+
+#[test]
+fn a_silent_connection_times_out_after_one_and_a_half_keep_alives() {
     let (mut session, _) = connected_pair();
-    let at = session.wakes_at().unwrap();
-    assert_eq!(at, Duration::from_secs(15));
-    session.handle_timeout(at);
+    let times_out_at = session.wakes_at().unwrap();
+
+    session.handle_timeout(times_out_at);
+
+    assert_eq!(times_out_at, Duration::from_secs(15));
     assert_eq!(session.end(), Some(&ConnectionEnd::TimedOut));
-    // A packet ahead of CONNECT.
-    let (mut early, (_, mut other)) = (Session::new(ZERO, "p", "f1"), connected_pair());
-    assert_eq!(early.receive(ZERO, &other.subscribe(&["runloom/p/f1/#"], None)), vec![]);
-    assert!(matches!(early.end(), Some(ConnectionEnd::Rejected(_))), "{:?}", early.end());
-    let (mut twice, mut again) = (connected_pair().0, Proxy::new());
-    assert_eq!(twice.receive(ZERO, &again.connect("f1")), vec![]);
-    assert!(matches!(twice.end(), Some(ConnectionEnd::Rejected(_))), "{:?}", twice.end());
-    let mut greedy = Session::new(ZERO, "p", "f1");
-    // A first packet of 256 MB is rejected by its length alone.
-    greedy.receive(ZERO, &[0x10, 0xff, 0xff, 0xff, 0x7f]);
-    assert!(matches!(greedy.end(), Some(ConnectionEnd::Rejected(_))), "{:?}", greedy.end());
+}
+
+#[test]
+fn a_packet_ahead_of_connect_is_rejected() {
+    let (mut session, (_, mut proxy)) = (Session::new(ZERO, "p", "f1"), connected_pair());
+
+    let events = session.receive(ZERO, &proxy.subscribe(&["runloom/p/f1/#"], None));
+
+    assert_eq!(events, vec![]);
+    assert!(matches!(session.end(), Some(ConnectionEnd::Rejected(_))), "{:?}", session.end());
+}
+
+#[test]
+fn a_second_connect_is_rejected() {
+    let (mut session, mut proxy) = (connected_pair().0, Proxy::new());
+
+    let events = session.receive(ZERO, &proxy.connect("f1"));
+
+    assert_eq!(events, vec![]);
+    assert!(matches!(session.end(), Some(ConnectionEnd::Rejected(_))), "{:?}", session.end());
+}
+
+#[test]
+fn a_first_packet_of_256_megabytes_is_rejected_by_its_length_alone() {
+    let mut session = Session::new(ZERO, "p", "f1");
+
+    session.receive(ZERO, &[0x10, 0xff, 0xff, 0xff, 0x7f]);
+
+    assert!(matches!(session.end(), Some(ConnectionEnd::Rejected(_))), "{:?}", session.end());
 }
 
 /// A table is sent in parts, in chunks of bytes, applied complete, and acknowledged; a proxy that connects again
@@ -227,7 +257,7 @@
             .map(|held| format!("runloom/p/f1/weights/3 {} {}", held.epoch, held.version));
         let events = session.receive(ZERO, &proxy.subscribe(&["runloom/p/f1/#"], holds.as_deref()));
         let SessionEvent::Subscribed { held: holds, .. } = &events[0] else { panic!("{events:?}") };
-        let stream = publisher.connect("f1");
+        let publisher_session = publisher.connect("f1");
         let held = holds.first().map(|(_, held)| *held);
         assert!(publisher.subscribe("f1", TABLE, held));
         let mut count = 0;
@@ -238,22 +268,22 @@
         assert_eq!((count, session.messages_in_flight()), (parts, parts), "round {round}");
         let bytes = session.output();
         bytes.chunks(7).for_each(|chunk| _ = proxy.receive(chunk));
-        let mut words = vec![];
+        let mut pubacks = vec![];
         for packet in std::mem::take(&mut proxy.received) {
             let GenericPacket::V5_0Publish(message) = packet else { continue };
             let topic = topics::parse_table_topic("p", "f1", message.topic_name()).unwrap();
             let part = body::decode(topic, message.payload().as_slice()).unwrap();
             assert!(matches!(reader.read(&part), ReadOutcome::Pending | ReadOutcome::Applied(_)));
-            words.extend(proxy.acknowledge(message.packet_id().unwrap(), PubackReasonCode::Success));
+            pubacks.extend(proxy.acknowledge(message.packet_id().unwrap(), PubackReasonCode::Success));
         }
-        let mut confirmed = vec![];
-        for chunk in words.chunks(3) {
-            confirmed.extend(session.receive(ZERO, chunk));
+        let mut acknowledged = vec![];
+        for chunk in pubacks.chunks(3) {
+            acknowledged.extend(session.receive(ZERO, chunk));
         }
-        assert_eq!(confirmed.len(), parts);
-        let Some(SessionEvent::Acknowledged(last)) = confirmed.last() else { panic!("{confirmed:?}") };
+        assert_eq!(acknowledged.len(), parts);
+        let Some(SessionEvent::Acknowledged(last)) = acknowledged.last() else { panic!("{acknowledged:?}") };
         assert_eq!(
-            publisher.acknowledge("f1", stream, *last),
+            publisher.acknowledge("f1", publisher_session, *last),
             vec![(TABLE, publisher.table(TABLE).unwrap().0)]
         );
         assert_eq!(&reader.held(TABLE).unwrap().state, publisher.table(TABLE).unwrap().1);
@@ -272,22 +302,26 @@
     assert!(publish(&mut session, 44, &part));
     proxy.receive(&session.output());
     let Some(GenericPacket::V5_0Publish(message)) = proxy.received.pop() else { panic!("no message") };
-    let word = proxy.acknowledge(message.packet_id().unwrap(), PubackReasonCode::PayloadFormatInvalid);
-    assert_eq!(session.receive(ZERO, &word), vec![SessionEvent::Rejected(44, TABLE)]);
+    let puback = proxy.acknowledge(message.packet_id().unwrap(), PubackReasonCode::PayloadFormatInvalid);
+    assert_eq!(session.receive(ZERO, &puback), vec![SessionEvent::Rejected(44, TABLE)]);
     // The session does not limit what is sent: the publisher does.
     assert!((0..MAX_IN_FLIGHT).all(|k| publish(&mut session, 50 + k as u64, &part)));
 }
 
 /// Exchanges all output of both sides, in chunks, until neither has more.
-fn exchange(session: &mut Session, client: &mut Client, cut: usize) -> (Vec<SessionEvent>, Vec<ClientEvent>) {
+fn exchange(
+    session: &mut Session,
+    client: &mut Client,
+    chunk_size: usize,
+) -> (Vec<SessionEvent>, Vec<ClientEvent>) {
     let (mut events, mut client_events) = (vec![], vec![]);
     loop {
-        let (to, back) = (client.output(), session.output());
-        if to.is_empty() && back.is_empty() {
+        let (to_session, to_client) = (client.output(), session.output());
+        if to_session.is_empty() && to_client.is_empty() {
             return (events, client_events);
         }
-        to.chunks(cut).for_each(|chunk| events.extend(session.receive(ZERO, chunk)));
-        back.chunks(cut).for_each(|chunk| client_events.extend(client.receive(ZERO, chunk)));
+        to_session.chunks(chunk_size).for_each(|chunk| events.extend(session.receive(ZERO, chunk)));
+        to_client.chunks(chunk_size).for_each(|chunk| client_events.extend(client.receive(ZERO, chunk)));
     }
 }
 
--- a/crates/versioned-publisher/src/tests.rs
+++ b/crates/versioned-publisher/src/tests.rs
@@ -118,8 +118,8 @@
         }
         for _ in 0..count {
             let Some(sent) = self.publisher.next_part(Duration::ZERO, &format!("f{k}")) else { return };
-            let in_order = sent.1.changes.iter().map(|c| !c.takes_server_out());
-            assert!(in_order.clone().is_sorted(), "changes that take servers out come first");
+            let mut removals_first = sent.1.changes.iter().map(|change| !change.takes_server_out());
+            assert!(removals_first.by_ref().is_sorted(), "changes that take servers out come first");
             self.peers[k].in_flight.push_back(sent);
         }
         assert!(self.peers[k].in_flight.len() <= MAX_IN_FLIGHT + 1);
@@ -162,8 +162,8 @@
             Operation::Send(k, count) => self.send(k, count),
             Operation::Receive(k, count, acknowledges) => self.receive(k, count, acknowledges),
             Operation::Disconnect(k) => {
-                if let Some(stream) = self.peers[k].session.take() {
-                    assert!(self.publisher.disconnect(&format!("f{k}"), stream));
+                if let Some(session) = self.peers[k].session.take() {
+                    assert!(self.publisher.disconnect(&format!("f{k}"), session));
                     self.peers[k].in_flight.clear();
                 }
             }
@@ -189,7 +189,7 @@
 }
 
 proptest! {
-    // More by the environment, PROPTEST_CASES: docs/publish.md tells of a hundred thousand.
+    // More by the environment, PROPTEST_CASES: docs/publish.md reports a hundred thousand.
     #![proptest_config(ProptestConfig::default())]
     /// Whatever changes, disconnects, resumes and restarts come: what a subscriber holds was published, versions only
     /// rise, and once nothing changes it holds the latest.
@@ -260,30 +260,34 @@
     publisher.apply(TOPICS[0], (0..300).map(|s| entry(s, Some(1))).collect());
     let session = connected(&mut publisher, "f");
     let mut reader = UpdateReader::default();
+
     let (number, first) = publisher.next_part(Duration::ZERO, "f").unwrap();
     assert_eq!((first.part_count, reader.read(&first)), (3, ReadOutcome::Pending));
     publisher.acknowledge("f", session, number);
     publisher.apply(TOPICS[0], vec![entry(299, None), entry(0, Some(9))]);
     assert_eq!(reader.held(TOPICS[0]), None);
     drain(&mut publisher, "f", session, &mut reader);
+
     let held = reader.held(TOPICS[0]).unwrap();
     assert_eq!((held.version, &held.state), (2, publisher.table(TOPICS[0]).unwrap().1));
 }
 
 #[test]
 fn messages_of_an_earlier_epoch_and_of_an_earlier_session_change_nothing() {
-    let mut old = Publisher::new(1);
-    old.apply(TOPICS[0], vec![entry(1, Some(1))]);
-    connected(&mut old, "f");
-    let (_, retained) = old.next_part(Duration::ZERO, "f").unwrap();
+    let mut former = Publisher::new(1);
+    former.apply(TOPICS[0], vec![entry(1, Some(1))]);
+    connected(&mut former, "f");
+    let (_, retained) = former.next_part(Duration::ZERO, "f").unwrap();
     let mut publisher = Publisher::new(2);
     publisher.apply(TOPICS[0], vec![entry(2, Some(1))]);
     let first = connected(&mut publisher, "f");
     let mut reader = UpdateReader::default();
     drain(&mut publisher, "f", first, &mut reader);
     let held = reader.held(TOPICS[0]).cloned();
+
     assert_eq!(reader.read(&retained), ReadOutcome::Stale);
     assert_eq!(reader.held(TOPICS[0]).cloned(), held);
+
     let second = connected(&mut publisher, "f");
     let (number, _) = publisher.next_part(Duration::ZERO, "f").unwrap();
     assert!(!publisher.disconnect("f", first), "the old session");
@@ -308,12 +312,14 @@
         reader.read(&UpdatePart { base_version: Some(7), ..parts[0].clone() }),
         ReadOutcome::NeedsSnapshot
     );
+
     publisher.reject("f", session, 3, TOPICS[0]);
     let mut sent = 0;
     for k in 0..20 {
         publisher.apply(TOPICS[1], vec![entry(k, Some(1))]);
         sent += std::iter::from_fn(|| publisher.next_part(Duration::from_secs(1), "f")).count();
     }
+
     assert_eq!(sent, MAX_IN_FLIGHT, "no more than may be in flight");
     assert_eq!(publisher.overdue(Duration::from_secs(3), Duration::from_secs(3)), vec![]);
     assert_eq!(
