--- a/crates/daemon/src/commands/state.rs
+++ b/crates/daemon/src/commands/state.rs
@@ -3,29 +3,29 @@
 use super::CommandError;
 use crate::persistence::{restore_accepted, EDITS, LEARNED, ROSTER};
 use crate::wall_ms;
-use runloom_store::accepted::AcceptedState;
-use runloom_store::disk::{Folder, Lock};
-use runloom_store::learned::{LearnedServer, LearnedServers};
-use runloom_store::{describe, Layout, OpenedState, Store};
+use runloom_store::{
+    describe, AcceptedState, FileSummary, Folder, FolderLock, Layout, LearnedServer, LearnedServers,
+    OpenedState, Store,
+};
 use std::path::Path;
 
 const LAYOUTS: [Layout; 3] = [EDITS, ROSTER, LEARNED];
 
 fn open(folder: &Path, layout: Layout) -> Result<OpenedState, CommandError> {
-    let (_, opened) = Store::open(Folder::there(folder)?, layout)?;
+    let (_, opened) = Store::open(Folder::open_read_only(folder)?, layout)?;
     Ok(opened)
 }
 
 /// Prints the files, a line each.
 pub fn list(folder: &Path) -> Result<(), CommandError> {
-    for file in describe(&Folder::there(folder)?)? {
-        let head = match file.head {
-            Some((version, generation, entries)) => {
+    for file in describe(&Folder::open_read_only(folder)?)? {
+        let head = match file.summary {
+            Some(FileSummary { version, generation, entries }) => {
                 format!("version {version}  generation {generation}  entries {entries}")
             }
             None => "cannot be read".to_string(),
         };
-        println!("{}  {} bytes  {head}  rest {}", file.file, file.bytes, file.rest);
+        println!("{}  {} bytes  {head}  rest {}", file.file, file.size, file.trailing_bytes);
     }
     Ok(())
 }
@@ -39,7 +39,7 @@
     let accepted = restore_accepted(&edits).map_err(CommandError::StoredState)?.unwrap_or_default();
     print_accepted(&accepted, edits.entries.len());
     let learned = open(folder, LEARNED)?;
-    match learned.state.and_then(|bytes| LearnedServers::read(&bytes).ok()) {
+    match learned.state.and_then(|bytes| LearnedServers::decode(&bytes).ok()) {
         Some(learned) => print_learned(&learned),
         None => println!("nothing learned"),
     }
@@ -48,38 +48,38 @@
 
 fn print_accepted(accepted: &AcceptedState, journal_entries: usize) {
     println!("fleet: {} entries, {journal_entries} changes since the last snapshot", accepted.entries.len());
-    if accepted.before.is_some() {
+    if accepted.rollback_entries.is_some() {
         println!("a confirmed commit waits for its confirmation: a restart goes back to what stood before");
     }
     for entry in &accepted.entries {
         println!("  {entry}");
     }
-    for edit in &accepted.noted {
-        println!("edit {}  by {}  accepted {}  {}", edit.id, edit.who, edit.accepted, edit.digest);
+    for edit in &accepted.edits {
+        println!("edit {}  by {}  accepted {}  {}", edit.id, edit.author, edit.accepted_ms, edit.digest);
     }
 }
 
 fn print_learned(learned: &LearnedServers) {
     let now_ms = wall_ms();
-    println!("learned {} s ago:", seconds_between(learned.written, now_ms));
+    println!("learned {} s ago:", seconds_between(learned.written_ms, now_ms));
     for server in &learned.servers {
         print_learned_server(learned, server, now_ms);
     }
 }
 
 fn print_learned_server(learned: &LearnedServers, server: &LearnedServer, now_ms: u64) {
-    let hint = learned.hint(now_ms, &server.name, &server.address, server.started);
+    let hint = learned.hint(now_ms, &server.name, &server.address, server.started_ms);
     let counts = match hint {
-        Some(hint) => format!("counts now: swiftness {:.2}, doubt {:.2}", hint.swift, hint.doubt),
+        Some(hint) => format!("counts now: swiftness {:.2}, doubt {:.2}", hint.speed_factor, hint.suspicion),
         None => "counts no more".to_string(),
     };
-    let failed = match server.failed {
+    let failed = match server.last_ejected_ms {
         Some(at) => format!("{} s ago", seconds_between(at, now_ms)),
         None => "-".to_string(),
     };
     println!(
         "  {} at {}  swiftness {:.2}  failed {failed}  held {}  {counts}",
-        server.name, server.address, server.swift, server.held
+        server.name, server.address, server.speed_factor, server.is_long_ejected
     );
 }
 
@@ -123,8 +123,8 @@
     let has_content = if name == EDITS.name {
         restore_accepted(&opened).map_err(CommandError::StoredState)?.is_some()
     } else if name == LEARNED.name {
-        let learned = opened.state.as_deref().map(LearnedServers::read).transpose();
-        learned.map_err(CommandError::StoredState)?.is_some()
+        let learned = opened.state.as_deref().map(LearnedServers::decode).transpose();
+        learned.map_err(|error| CommandError::StoredState(error.to_string()))?.is_some()
     } else {
         opened.state.is_some()
     };
@@ -133,7 +133,7 @@
 
 /// Removes all but the newest generations, and prints the removed files.
 pub fn prune(folder: &Path) -> Result<(), CommandError> {
-    let _lock = Lock::take(folder)?;
+    let _lock = FolderLock::acquire(folder)?;
     for layout in LAYOUTS {
         let (mut store, _) = Store::open(Folder::open(folder)?, layout)?;
         for file in store.prune()? {
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -328,7 +328,8 @@
     fn announce_edits_in_force(&mut self) {
         let now = self.core.config.now;
         for edit in self.core.config.edit_history.take_completed(now) {
-            let event = RecordedEvent::Edit { id: edit.stored.id.clone(), who: edit.stored.author.clone() };
+            let event =
+                RecordedEvent::EditInForce { id: edit.stored.id.clone(), author: edit.stored.author.clone() };
             note_event(&mut self.core.control, now, event);
             let elapsed = now.saturating_sub(edit.stored_at.unwrap_or(now));
             tracing::info!(
