--- a/crates/daemon/src/commands/state.rs
+++ b/crates/daemon/src/commands/state.rs
@@ -1,7 +1,7 @@
 //! `runloom state`: a planner's state folder. Only [`prune`] writes, and only where no planner runs.
 
 use super::CommandError;
-use crate::persistence::{restore_accepted, EDITS, LEARNED, ROSTER};
+use crate::persistence::{restore_accepted, EDITS, ENDPOINT_LIST, LEARNED};
 use crate::wall_ms;
 use runloom_store::accepted::AcceptedState;
 use runloom_store::disk::{Folder, Lock};
@@ -9,7 +9,7 @@
 use runloom_store::{describe, Layout, OpenedState, Store};
 use std::path::Path;
 
-const LAYOUTS: [Layout; 3] = [EDITS, ROSTER, LEARNED];
+const LAYOUTS: [Layout; 3] = [EDITS, ENDPOINT_LIST, LEARNED];
 
 fn open(folder: &Path, layout: Layout) -> Result<OpenedState, CommandError> {
     let (_, opened) = Store::open(Folder::there(folder)?, layout)?;
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -10,7 +10,7 @@
 
 use crate::tls_credentials::CertificateHolder;
 use access_control::AccessControl;
-use data::{fleet_entries, fleet_entry_texts, is_same_part, part, FLEET_PART, ROSTER_PART};
+use data::{fleet_entries, fleet_entry_texts, is_same_part, part, ENDPOINT_LIST_PART, FLEET_PART};
 use endpoint_list::{EndpointList, EndpointListChange};
 use runloom_identity::access::{Entry, RequestedAccess, Rule};
 use runloom_identity::id::Id;
@@ -54,7 +54,7 @@
 
 /// The schema of what can be edited: `<fleet>` and `<roster>`.
 pub fn schema() -> Result<Schema, ConfigError> {
-    derive(FLEET_XSD, &[FLEET_PART, ROSTER_PART]).map(Schema::root).map_err(ConfigError::Schema)
+    derive(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
 }
 
 /// The configuration at one time.
@@ -184,9 +184,9 @@
     }
 
     /// The endpoint list as an element, for the file that a restart reads.
-    pub fn roster_element(&self) -> Element {
-        let roster = part(&self.accepted.data, ROSTER_PART);
-        roster.map_or_else(|| Element::new(FLEET, ROSTER_PART), |roster| (**roster).clone())
+    pub fn endpoint_list_element(&self) -> Element {
+        let roster = part(&self.accepted.data, ENDPOINT_LIST_PART);
+        roster.map_or_else(|| Element::new(FLEET, ENDPOINT_LIST_PART), |roster| (**roster).clone())
     }
 
     // Access.
@@ -285,9 +285,9 @@
     /// The patch in flight could not be written: returns to what is on disk, and drops what was accepted since. The
     /// endpoint list needs no disk and stays.
     pub fn roll_back(&mut self, why: String) {
-        let roster = part(&self.accepted.data, ROSTER_PART).cloned();
+        let roster = part(&self.accepted.data, ENDPOINT_LIST_PART).cloned();
         let mut data = (*self.persisted.data).clone();
-        data.children.retain(|child| child.name != ROSTER_PART);
+        data.children.retain(|child| child.name != ENDPOINT_LIST_PART);
         data.children.extend(roster);
         self.accepted = Revision { data: Arc::new(data), ..self.persisted.clone() };
         if let Some(InFlightPatch { edit_ids, .. }) = self.in_flight.take() {
@@ -312,7 +312,7 @@
             self.schema.check(&self.without_valid_servers(fleet_element))?;
             fleet = Some(Fleet::read(fleet_element).map_err(invalid_value)?);
         }
-        let endpoints = if is_same_part(wanted, &self.accepted.data, ROSTER_PART) {
+        let endpoints = if is_same_part(wanted, &self.accepted.data, ENDPOINT_LIST_PART) {
             EndpointListChange::default()
         } else {
             self.endpoints.difference(wanted, &self.schema)?
@@ -362,7 +362,7 @@
     }
 
     fn check_write_access(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        for part in [FLEET_PART, ROSTER_PART] {
+        for part in [FLEET_PART, ENDPOINT_LIST_PART] {
             if !is_same_part(change.wanted, &self.accepted.data, part) {
                 let write = [RequestedAccess::Write { part }];
                 self.access.check_any(self.now, change.who, &write).map_err(|error| vec![error])?;
--- a/crates/daemon/src/config_service/data.rs
+++ b/crates/daemon/src/config_service/data.rs
@@ -6,7 +6,7 @@
 /// Name of the fleet's element.
 pub(super) const FLEET_PART: &str = "fleet";
 /// Name of the endpoint list's element.
-pub(super) const ROSTER_PART: &str = "roster";
+pub(super) const ENDPOINT_LIST_PART: &str = "roster";
 
 /// A part of the data by its name.
 pub(super) fn part<'a>(data: &'a Element, name: &str) -> Option<&'a Arc<Element>> {
@@ -24,8 +24,8 @@
 }
 
 /// The entries of the endpoint list.
-pub(super) fn roster_entries(data: &Element) -> &[Arc<Element>] {
-    part(data, ROSTER_PART).map(|roster| roster.children.as_slice()).unwrap_or_default()
+pub(super) fn endpoint_entries(data: &Element) -> &[Arc<Element>] {
+    part(data, ENDPOINT_LIST_PART).map(|roster| roster.children.as_slice()).unwrap_or_default()
 }
 
 /// Whether a part is the same in two versions of the data.
--- a/crates/daemon/src/config_service/endpoint_list.rs
+++ b/crates/daemon/src/config_service/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list, `<roster>`: only entries that changed are validated and parsed.
 
-use super::data::{roster_entries, ROSTER_PART};
+use super::data::{endpoint_entries, ENDPOINT_LIST_PART};
 use super::validation::{invalid_value, SchemaCheck};
 use runloom_model::fleet::ListedServer;
 use runloom_model::FLEET;
@@ -46,9 +46,9 @@
         data: &Element,
         schema: &SchemaCheck,
     ) -> Result<EndpointListChange, Vec<RpcError>> {
-        let entries = roster_entries(data);
+        let entries = endpoint_entries(data);
         let mut changed = vec![];
-        let mut changed_elements = Element::new(FLEET, ROSTER_PART);
+        let mut changed_elements = Element::new(FLEET, ENDPOINT_LIST_PART);
         let mut known_count = 0;
         for element in entries {
             let known = self.elements.get(element.text_of("name").unwrap_or_default());
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -18,7 +18,7 @@
 pub const EDITS: Layout =
     Layout { name: "edits", version: 1, upgrades: &[], journal_most: MAX_JOURNAL_BYTES };
 /// The endpoint list, as snapshots.
-pub const ROSTER: Layout = Layout { name: "roster", version: 1, upgrades: &[], journal_most: 0 };
+pub const ENDPOINT_LIST: Layout = Layout { name: "roster", version: 1, upgrades: &[], journal_most: 0 };
 /// What was learned of servers, as snapshots.
 pub const LEARNED: Layout = Layout { name: "learned", version: 1, upgrades: &[], journal_most: 0 };
 /// Tasks that may wait for the thread: a batch of edits, a list, what was learned, and one more.
@@ -28,7 +28,7 @@
 
 enum Task {
     WriteEdits(Box<StatePatch>),
-    WriteRoster(String),
+    WriteEndpointList(String),
     WriteLearned(LearnedServers),
     /// Checks whether edits can be written again.
     Probe,
@@ -65,7 +65,7 @@
     /// Accepted edits.
     pub accepted: Option<AcceptedState>,
     /// The endpoint list, as XML.
-    pub roster: Option<String>,
+    pub endpoint_list: Option<String>,
     /// What was learned of servers.
     pub learned: Option<LearnedServers>,
 }
@@ -75,7 +75,7 @@
     path: PathBuf,
     lock: Lock,
     edits: Store<Folder>,
-    roster: Store<Folder>,
+    endpoint_list: Store<Folder>,
     learned: Store<Folder>,
 }
 
@@ -106,17 +106,17 @@
     pub fn open(folder: &Path) -> Result<(OpenedFolder, RestoredState), StartError> {
         let lock = Lock::take(folder)?;
         let (edits, opened_edits) = open_store(folder, EDITS)?;
-        let (roster, opened_roster) = open_store(folder, ROSTER)?;
+        let (endpoint_list, opened_list) = open_store(folder, ENDPOINT_LIST)?;
         let (learned, opened_learned) = open_store(folder, LEARNED)?;
         let accepted = restore_accepted(&opened_edits)
             .map_err(|reason| StartError::StoredEdits { folder: folder.to_path_buf(), reason })?;
         let restored = RestoredState {
             accepted,
-            roster: opened_roster.state.and_then(|text| String::from_utf8(text).ok()),
+            endpoint_list: opened_list.state.and_then(|text| String::from_utf8(text).ok()),
             // What was learned only serves as hints: without it the planner learns again.
             learned: opened_learned.state.and_then(|bytes| LearnedServers::read(&bytes).ok()),
         };
-        Ok((OpenedFolder { path: folder.to_path_buf(), lock, edits, roster, learned }, restored))
+        Ok((OpenedFolder { path: folder.to_path_buf(), lock, edits, endpoint_list, learned }, restored))
     }
 
     fn send(&self, task: Task) -> bool {
@@ -131,8 +131,8 @@
 
     /// Writes the endpoint list. False if the queue is full.
     #[must_use]
-    pub fn write_roster(&self, text: String) -> bool {
-        self.send(Task::WriteRoster(text))
+    pub fn write_endpoint_list(&self, text: String) -> bool {
+        self.send(Task::WriteEndpointList(text))
     }
 
     /// Writes what was learned. False if the queue is full.
@@ -170,8 +170,8 @@
     /// Writes a snapshot of the state that the planner starts from, and starts the thread. `waker` ends the event
     /// loop's wait when a task is done.
     pub fn start(self, accepted: AcceptedState, waker: Waker) -> Result<PersistenceWorker, StartError> {
-        let OpenedFolder { path, lock, edits, roster, learned } = self;
-        let mut stores = Stores { edits, accepted, roster, learned };
+        let OpenedFolder { path, lock, edits, endpoint_list, learned } = self;
+        let mut stores = Stores { edits, accepted, endpoint_list, learned };
         stores.write_snapshot().map_err(|error| in_folder(&path, error))?;
         let (tasks, queued_tasks) = sync_channel(MAX_QUEUED_TASKS);
         let (done, results) = sync_channel(MAX_QUEUED_TASKS);
@@ -194,7 +194,7 @@
     edits: Store<Folder>,
     /// The state that the edits' snapshot and journal amount to.
     accepted: AcceptedState,
-    roster: Store<Folder>,
+    endpoint_list: Store<Folder>,
     learned: Store<Folder>,
 }
 
@@ -210,7 +210,9 @@
                 let probed = self.write_snapshot_if_needed();
                 Some(PersistenceResult::Probed(probed.map_err(|error| error.to_string())))
             }
-            Task::WriteRoster(text) => failure("the list", self.roster.snapshot(text.as_bytes())),
+            Task::WriteEndpointList(text) => {
+                failure("the list", self.endpoint_list.snapshot(text.as_bytes()))
+            }
             Task::WriteLearned(learned) => {
                 failure("what was learned", self.learned.snapshot(&learned.write()))
             }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -119,7 +119,7 @@
     pub fn run(&mut self, event_loop: &mut EventLoop) -> io::Result<()> {
         let mut stop_by: Option<Duration> = None;
         loop {
-            for event in event_loop.wait(earliest([self.wakes_at(), stop_by]))? {
+            for event in event_loop.wait(earliest([self.next_wakeup(), stop_by]))? {
                 self.handle_event(event_loop, event);
             }
             self.finish_iteration(event_loop);
@@ -149,13 +149,13 @@
         }
     }
 
-    fn wakes_at(&self) -> Option<Duration> {
+    fn next_wakeup(&self) -> Option<Duration> {
         earliest([
             self.core.control.next_wakeup(),
             self.core.distributor.wakes_at(),
-            self.operators.wakes_at(),
+            self.operators.next_wakeup(),
             self.core.config.edit_history.next_wakeup(),
-            Some(self.durability.wakes_at()),
+            Some(self.durability.next_wakeup()),
         ])
     }
 
--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -48,7 +48,7 @@
     }
 
     /// When something is to be written next.
-    pub(super) fn wakes_at(&self) -> Duration {
+    pub(super) fn next_wakeup(&self) -> Duration {
         let list_write = self.last_list_write.map_or(Duration::ZERO, |at| at + LIST_WRITE_INTERVAL);
         if self.is_list_unsaved {
             self.next_learned_write.min(list_write)
@@ -143,7 +143,7 @@
         let is_due = self.last_list_write.is_none_or(|at| now >= at + LIST_WRITE_INTERVAL);
         if self.is_list_unsaved && is_due {
             self.last_list_write = Some(now);
-            let is_accepted = self.worker.write_roster(core.config.roster_element().to_text());
+            let is_accepted = self.worker.write_endpoint_list(core.config.endpoint_list_element().to_text());
             self.is_list_unsaved = !is_accepted;
         }
     }
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -56,7 +56,7 @@
         self.sessions.contains_key(&connection)
     }
 
-    pub(super) fn wakes_at(&self) -> Option<Duration> {
+    pub(super) fn next_wakeup(&self) -> Option<Duration> {
         self.service.wakes_at()
     }
 
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -59,12 +59,12 @@
         }
         edit_history = legacy_edit_history(&accepted);
     }
-    let roster = match &restored.roster {
+    let endpoint_list = match &restored.endpoint_list {
         Some(text) => Element::parse(text).ok(),
         None => files.read(LEGACY_ROSTER_FILE)?,
     };
-    if let Some(roster) = roster {
-        replace_child(&mut data, "roster", roster);
+    if let Some(endpoint_list) = endpoint_list {
+        replace_child(&mut data, "roster", endpoint_list);
     }
     Ok(ConfigService::new(Arc::new(data), edit_history)?)
 }
