--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -54,6 +54,14 @@
     Message { whole, binds, ..Message::default() }
 }
 
+/// Sends a proxy all messages that it lacks, each acknowledged at once.
+fn acknowledge_all(distributor: &mut Distributor, proxy: usize, now: Duration) {
+    while let Some(outgoing) = distributor.next_message(now, proxy) {
+        let (Outgoing::Edit { number, .. } | Outgoing::Part { number, .. }) = outgoing;
+        distributor.acknowledged(now, proxy, number);
+    }
+}
+
 /// A proxy at the other end, with the program's own code for either transport.
 struct Peer {
     transport: Transport,
@@ -416,21 +424,15 @@
         distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
         distributor.connect(0, pending_proxy("f0", transport, vec![]));
         distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
-        let deliver = |distributor: &mut Distributor, now| {
-            while let Some(outgoing) = distributor.next_message(now, 0) {
-                let (Outgoing::Edit { number, .. } | Outgoing::Part { number, .. }) = outgoing;
-                distributor.acknowledged(now, 0, number);
-            }
-        };
-        deliver(&mut distributor, ZERO);
+        acknowledge_all(&mut distributor, 0, ZERO);
         distributor.update_table(1, &weights(&[(1, 0.0)]));
         distributor.issue_command(0, 2, &Message::default());
         let report = |distributor: &mut Distributor, at, server| {
             distributor.check_report(at, 0, secs(1), [server].into_iter())
         };
         assert_eq!(report(&mut distributor, secs(9), "s1"), Verdict::Trusted, "not acknowledged yet");
-        deliver(&mut distributor, secs(10));
-        // Outer limit 1 s, a second for clocks, and the report's own span.
+        acknowledge_all(&mut distributor, 0, secs(10));
+        // A deadline of 1 s, a second for clocks, and the report's own window.
         assert_eq!(report(&mut distributor, secs(12), "s1"), Verdict::Trusted);
         assert_eq!(report(&mut distributor, secs(13), "s1"), Verdict::Trusted, "once");
         assert_eq!(report(&mut distributor, secs(14), "s0"), Verdict::Trusted);
@@ -445,7 +447,7 @@
             Outgoing::Part { part, .. } => assert_eq!(part.base_version, None),
         }
         distributor.acknowledged(secs(16), 0, number);
-        deliver(&mut distributor, secs(16));
+        acknowledge_all(&mut distributor, 0, secs(16));
         assert_eq!(report(&mut distributor, secs(20), "s1"), Verdict::Trusted);
         assert_eq!(report(&mut distributor, secs(21), "s1"), Verdict::Disconnect);
         assert_eq!(distributor.resync_count(), 1);
@@ -458,26 +460,24 @@
     distributor.update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
     distributor.connect(0, pending_proxy("f0", Transport::Published, vec![]));
     distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
+
     for (number, weight) in [(2, 0.0), (3, 1.0)] {
-        while let Some(Outgoing::Part { number, .. }) = distributor.next_message(ZERO, 0) {
-            distributor.acknowledged(ZERO, 0, number);
-        }
+        acknowledge_all(&mut distributor, 0, ZERO);
         distributor.update_table(1, &weights(&[(1, weight)]));
         distributor.issue_command(0, number, &Message::default());
     }
-    while let Some(Outgoing::Part { number, .. }) = distributor.next_message(ZERO, 0) {
-        distributor.acknowledged(ZERO, 0, number);
-    }
+    acknowledge_all(&mut distributor, 0, ZERO);
+
     for at in 10..20 {
         assert_eq!(distributor.check_report(secs(at), 0, secs(1), ["s1"].into_iter()), Verdict::Trusted);
     }
 }
 
-#[test]
-fn subsets_leave_out_low_weights_and_a_proxy_that_can_use_no_message_is_disconnected() {
+/// A distributor with one table of four servers, and proxy 0, which subscribes to subsets and is assigned to it.
+fn distributor_with_subset_proxy() -> Distributor {
     let mut distributor = distributor();
-    distributor
-        .update_table(1, &TableEdit { whole: true, ..weights(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]) });
+    let edit = weights(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]);
+    distributor.update_table(1, &TableEdit { whole: true, ..edit });
     let filters = vec![
         TopicFilter { kind: Some(TopicKind::Assignments), table: None },
         TopicFilter { kind: Some(TopicKind::Subset), table: None },
@@ -487,31 +487,53 @@
     assert!(subsets.can_apply_tables());
     distributor.connect(0, subsets);
     distributor.issue_command(0, 1, &assignments(true, &[("q", 1)]));
+    distributor
+}
+
+#[test]
+fn subsets_leave_out_low_weights() {
+    let mut distributor = distributor_with_subset_proxy();
     let mut peer = Peer::new(Transport::Published);
+
     while let Some(outgoing) = distributor.next_message(ZERO, 0) {
         let (number, rejected) = peer.apply(outgoing);
         assert_eq!(rejected, None);
         distributor.acknowledged(ZERO, 0, number);
     }
+
     assert_eq!(peer.entries("q"), [("s0".into(), 1), ("s1".into(), 1), ("s3".into(), 1)]);
-    // A weight that changes within the bound leaves the subset as it is: only an acknowledgement is requested.
+}
+
+#[test]
+fn a_weight_that_leaves_the_subset_unchanged_is_only_acknowledged() {
+    let mut distributor = distributor_with_subset_proxy();
+    acknowledge_all(&mut distributor, 0, ZERO);
+
     distributor.update_table(1, &weights(&[(1, 0.8)]));
     distributor.issue_command(0, 2, &Message::default());
+
     let Some(Outgoing::Part { part, number }) = distributor.next_message(ZERO, 0) else {
         panic!("no message")
     };
     assert!(part.topic.kind == TopicKind::Assignments && part.changes.is_empty());
     assert_eq!(distributor.acknowledged(ZERO, 0, number), Some(2));
+}
 
+#[test]
+fn a_proxy_that_can_use_no_message_is_disconnected() {
+    let mut distributor = distributor_with_subset_proxy();
+    acknowledge_all(&mut distributor, 0, ZERO);
     distributor.update_table(1, &weights(&[(0, 0.0)]));
-    distributor.issue_command(0, 3, &Message::default());
+    distributor.issue_command(0, 2, &Message::default());
     let subset = Topic { kind: TopicKind::Subset, table: 1 };
+
     let mut verdicts = vec![];
     while let Some(Outgoing::Part { number, .. }) =
         distributor.next_message(ZERO, 0).filter(|_| verdicts.len() < 20)
     {
         verdicts.push(distributor.rejected(ZERO, 0, number, subset).verdict);
     }
+
     assert_eq!(verdicts.iter().position(|v| *v == Verdict::Disconnect), Some(REJECTION_LIMIT as usize));
 }
 
@@ -526,13 +548,12 @@
         distributor.connect(p, pending_proxy(&format!("f{p}"), transport, vec![]));
         distributor.issue_command(p, 1, &assignments(true, &[("q", 1), ("r", 1)]));
         let mut peer = Peer::new(transport);
-        let deliver = |distributor: &mut Distributor, peer: &mut Peer| {
-            while let Some(outgoing) = distributor.next_message(ZERO, p) {
-                let (number, _) = peer.apply(outgoing);
-                distributor.acknowledged(ZERO, p, number);
-            }
-        };
-        deliver(&mut distributor, &mut peer);
+
+        while let Some(outgoing) = distributor.next_message(ZERO, p) {
+            let (number, _) = peer.apply(outgoing);
+            distributor.acknowledged(ZERO, p, number);
+        }
+
         assert_eq!(peer.tables.admission_limit("q"), Some((Some(2.5), RetryPolicy::Never)));
         assert_eq!(peer.tables.admission_limit("r"), Some((None, RetryPolicy::Twice)));
         assert_eq!(peer.entries("q"), [("s0".to_string(), 1)]);
