--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -11,7 +11,7 @@
 use runloom_event_log::RecordedEvent;
 use runloom_guard::{GuardConfig, SafetyGuard};
 use runloom_inventory::{Change, Server};
-use runloom_model::fleet::Fleet;
+use runloom_model::fleet::{Fleet, RaisedMultiple};
 use runloom_model::report::Report;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -112,7 +112,7 @@
             pending_events: vec![Event::Start { seed, config: Box::new(config) }],
             timers: BinaryHeap::new(),
             controller: Controller::default(),
-            reports: ReportAggregator::new(fleet.report, fleet.report_lines),
+            reports: ReportAggregator::new(fleet.report_period, fleet.reports_per_second),
             proxies: IdMap::default(),
             zones: index_zones(&fleet),
             kinds: IdMap::default(),
@@ -172,7 +172,7 @@
 
     /// Table entries on their way, each message's overhead included, as the channel's limit counts them.
     pub fn queued_entries(&self) -> usize {
-        let message_overhead = self.fleet.channel.overhead as usize;
+        let message_overhead = self.fleet.channel.message_overhead as usize;
         self.members.values().map(|member| member.queued_entries(message_overhead)).sum()
     }
 
@@ -196,8 +196,8 @@
         let is_same_config = config == self.fleet.deployment_config();
         let is_same_zones = zone_names(&fleet).eq(zone_names(&self.fleet));
         self.fleet = fleet;
-        if let Some((multiple, until)) = self.fleet.raised {
-            let until = self.wall_clock.to_controller_time(until).unwrap_or_default();
+        if let Some(RaisedMultiple { multiple, until_ms }) = self.fleet.raised_multiple {
+            let until = self.wall_clock.to_controller_time(until_ms).unwrap_or_default();
             self.guard.raise_overload_multiple(multiple, until);
         }
         if is_same_config && is_same_zones {
@@ -206,7 +206,7 @@
         self.guard.restart(GuardConfig::of(&config));
         self.success_rates.clear();
         self.zones = index_zones(&self.fleet);
-        self.reports = ReportAggregator::new(self.fleet.report, self.fleet.report_lines);
+        self.reports = ReportAggregator::new(self.fleet.report_period, self.fleet.reports_per_second);
         self.tables = PublishedTables::default();
         self.timers.clear();
         self.pending_events = vec![Event::Start { seed, config: Box::new(config) }];
@@ -477,14 +477,14 @@
 }
 
 fn zone_names(fleet: &Fleet) -> impl Iterator<Item = &str> {
-    fleet.zones.iter().map(|(name, _)| name.as_str())
+    fleet.zones.iter().map(|zone| zone.name.as_str())
 }
 
 /// Indices of the fleet's zones, in the fleet's order.
 fn index_zones(fleet: &Fleet) -> IdMap<String> {
     let mut zones = IdMap::default();
-    for (name, _) in &fleet.zones {
-        zones.index(name.clone());
+    for zone in &fleet.zones {
+        zones.index(zone.name.clone());
     }
     zones
 }
--- a/crates/daemon/src/commands/connection.rs
+++ b/crates/daemon/src/commands/connection.rs
@@ -5,7 +5,7 @@
 use crate::tls_credentials::TlsPolicy;
 use runloom_identity::access::{Permission, Principal, Rule};
 use runloom_identity::id::Id;
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -15,8 +15,9 @@
 use runloom_identity::access::{Entry, RequestedAccess, Rule};
 use runloom_identity::id::Id;
 use runloom_inventory::edit_history::{self, EditHistory};
-use runloom_model::fleet::{misfit, Fleet, ListedServer};
-use runloom_model::schema::derive;
+use runloom_model::fleet::Fleet;
+use runloom_model::listed_server::ListedServer;
+use runloom_model::schema_derivation::derive_schema;
 use runloom_model::{Schema, FLEET, FLEET_XSD, YANG};
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
@@ -54,7 +55,7 @@
 
 /// The schema of what can be edited: `<fleet>` and `<roster>`.
 pub fn schema() -> Result<Schema, ConfigError> {
-    derive(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
+    derive_schema(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
 }
 
 /// The configuration at one time.
@@ -160,7 +161,8 @@
         let list = self.endpoints.difference(&self.accepted.data, &self.schema);
         let list = list.map_err(|errors| ConfigError::EndpointList(first_message(errors)))?;
         let mut entries = list.changed.iter();
-        let invalid = entries.find_map(|entry| misfit(&self.accepted.fleet, &entry.name, &entry.server));
+        let invalid =
+            entries.find_map(|entry| entry.server.check_zone(&entry.name, &self.accepted.fleet).err());
         if let Some(invalid) = invalid {
             return Err(ConfigError::InvalidValue { path: invalid.path, reason: invalid.reason });
         }
@@ -350,7 +352,7 @@
         let changed = endpoints.changed.iter().map(|entry| (&entry.name, &entry.server));
         let kept = self.endpoints.servers.iter();
         let kept = kept.filter(|(name, _)| changed_fleet.is_some() && endpoints.keeps(name));
-        match changed.chain(kept).find_map(|(name, server)| misfit(fleet, name, server)) {
+        match changed.chain(kept).find_map(|(name, server)| server.check_zone(name, fleet).err()) {
             Some(invalid) => Err(invalid_value(invalid)),
             None => Ok(()),
         }
--- a/crates/daemon/src/config_service/endpoint_list.rs
+++ b/crates/daemon/src/config_service/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use super::data::{endpoint_entries, ENDPOINT_LIST_PART};
 use super::validation::{invalid_value, SchemaCheck};
-use runloom_model::fleet::ListedServer;
+use runloom_model::listed_server::ListedServer;
 use runloom_model::FLEET;
 use runloom_netconf::error::RpcError;
 use runloom_netconf::tree::Element;
--- a/crates/daemon/src/config_service/guard_check.rs
+++ b/crates/daemon/src/config_service/guard_check.rs
@@ -2,7 +2,8 @@
 
 use runloom_guard::edit_validation::{validate_edit, PoolServer};
 use runloom_inventory::merge_overrides;
-use runloom_model::fleet::{Fleet, ListedServer};
+use runloom_model::fleet::Fleet;
+use runloom_model::listed_server::ListedServer;
 use runloom_netconf::error::{RpcError, Tag};
 
 /// Longest time for which an edit may raise a limit of the guard, in milliseconds: a mass restart is over by then.
@@ -10,9 +11,9 @@
 
 /// Checks the end of a raised limit against the time now; both in milliseconds since 1970.
 pub(super) fn check_raised_limit(before: &Fleet, after: &Fleet, wall_ms: u64) -> Result<(), Vec<RpcError>> {
-    let is_changed = before.raised != after.raised;
-    let Some((_, until)) = after.raised.filter(|_| is_changed) else { return Ok(()) };
-    if until > wall_ms + MAX_RAISE_MS || until <= wall_ms {
+    let is_changed = before.raised_multiple != after.raised_multiple;
+    let Some(raised) = after.raised_multiple.filter(|_| is_changed) else { return Ok(()) };
+    if raised.until_ms > wall_ms + MAX_RAISE_MS || raised.until_ms <= wall_ms {
         let error = RpcError::application(Tag::InvalidValue, "a bound is raised for an hour at the most");
         return Err(vec![error.at("/fleet/guard/until").app("guard-until")]);
     }
@@ -38,7 +39,7 @@
     listed: impl Iterator<Item = (&'a String, &'a ListedServer)>,
     wall_ms: u64,
 ) -> Vec<PoolServer> {
-    let warm_after_ms = fleet.warm_after.as_millis() as u64;
+    let warm_after_ms = fleet.warm_up.as_millis() as u64;
     let seen = listed.map(|(name, listed)| {
         let server = merge_overrides(name, listed, fleet);
         let is_warm = server.started_ms.is_none_or(|at| at + warm_after_ms <= wall_ms);
--- a/crates/daemon/src/config_service/validation.rs
+++ b/crates/daemon/src/config_service/validation.rs
@@ -1,8 +1,8 @@
 //! Validation against the schema, and errors as NETCONF returns them.
 
 use super::ConfigError;
-use runloom_model::fleet::InvalidSettings;
 use runloom_model::schema::{SchemaValidator, SchemaViolation};
+use runloom_model::InvalidSettings;
 use runloom_model::FLEET_XSD;
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::tree::Element;
@@ -22,12 +22,12 @@
 
     /// The first violation, if there is one.
     pub(super) fn first_violation(&self, part: &Element) -> Option<SchemaViolation> {
-        self.0.faults(&part.to_text()).into_iter().next()
+        self.0.validate(&part.to_text()).into_iter().next()
     }
 
     /// Checks a part of the data; an error for each violation.
     pub(super) fn check(&self, part: &Element) -> Result<(), Vec<RpcError>> {
-        let violations = self.0.faults(&part.to_text());
+        let violations = self.0.validate(&part.to_text());
         if violations.is_empty() {
             return Ok(());
         }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -45,7 +45,7 @@
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop, IoEvent};
 use runloom_identity::access::RequestedAccess;
 use runloom_inventory::edit_history::Edit;
-use runloom_model::fleet::PlannerSettings;
+use runloom_model::planner_settings::PlannerSettings;
 use runloom_model::STATE;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeSet;
--- a/crates/daemon/src/planner_runtime/core.rs
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -95,7 +95,7 @@
 
     /// Time within which a proxy has to acknowledge what it was sent.
     pub(super) fn acknowledgement_timeout(&self) -> Duration {
-        self.config.fleet().grace.reply
+        self.config.fleet().grace.acknowledgement
     }
 
     /// The connection over which a proxy is connected.
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -4,7 +4,7 @@
 use crate::config_service::ConfigService;
 use runloom_control_session::ControlSession;
 use runloom_event_log::{RecordedEvent, Recorder, RecorderConfig, Writer};
-use runloom_model::fleet::PlannerSettings;
+use runloom_model::planner_settings::PlannerSettings;
 use std::io;
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
         seed: u64,
         epoch: u64,
     ) -> io::Result<EventRecording> {
-        let Some(folder) = &settings.record else {
+        let Some(folder) = &settings.record_folder else {
             return Ok(EventRecording { writer: None, is_stopped: false });
         };
         let recorder_config =
-            RecorderConfig { max_total_bytes: settings.record_bytes, ..RecorderConfig::default() };
+            RecorderConfig { max_total_bytes: settings.max_record_bytes, ..RecorderConfig::default() };
         let recorder = Recorder::open(folder, recorder_config)?;
         let start = RecordedEvent::PlannerStarted {
             build: BUILD.to_string(),
--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -2,7 +2,8 @@
 
 use crate::tls_credentials::{server_name, TlsPolicy, PROXY};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
-use runloom_model::fleet::{Fleet, PlannerSettings};
+use runloom_model::fleet::Fleet;
+use runloom_model::planner_settings::PlannerSettings;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -61,13 +62,15 @@
         let server_tls = Security::TlsServer(tls.server_config.clone());
         // RFC 8071: the side that calls home is the NETCONF server, and this side starts TLS.
         let client_tls = Security::TlsClient(tls.client_config.clone(), server_name(PROXY));
-        let (operators, edits) = event_loop.listen(settings.edits, server_tls.clone(), operator_limits())?;
-        let (call_home, home) = event_loop.listen(settings.home, client_tls, call_home_limits(fleet))?;
+        let (operators, edits) =
+            event_loop.listen(settings.operator_address, server_tls.clone(), operator_limits())?;
+        let (call_home, home) =
+            event_loop.listen(settings.call_home_address, client_tls, call_home_limits(fleet))?;
         let mut listen_if_set = |address: Option<SocketAddr>, security: Security, limits: BufferLimits| {
             address.map(|address| event_loop.listen(address, security, limits)).transpose()
         };
-        let subscribers = listen_if_set(settings.pubsub, server_tls, subscriber_limits())?;
-        let metrics = listen_if_set(settings.metrics, Security::Plain, metrics_limits())?;
+        let subscribers = listen_if_set(settings.subscription_address, server_tls, subscriber_limits())?;
+        let metrics = listen_if_set(settings.metrics_address, Security::Plain, metrics_limits())?;
         let pubsub_address = subscribers.map(|(_, address)| address);
         let metrics_address = metrics.map(|(_, address)| address);
         Ok(Listeners {
@@ -105,7 +108,7 @@
 
 /// A proxy that called home reports in each period.
 fn call_home_limits(fleet: &Fleet) -> BufferLimits {
-    let idle_timeout = (fleet.report * SILENT_REPORT_PERIODS).max(MIN_PROXY_IDLE_TIMEOUT);
+    let idle_timeout = (fleet.report_period * SILENT_REPORT_PERIODS).max(MIN_PROXY_IDLE_TIMEOUT);
     BufferLimits { idle_timeout: Some(idle_timeout), ..BufferLimits::default() }
 }
 
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -82,5 +82,5 @@
 
 /// The longest deadline of any traffic class.
 pub(super) fn max_deadline(fleet: &Fleet) -> Duration {
-    fleet.classes.iter().map(|class| class.outer_limit).max().unwrap_or_default()
+    fleet.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
 }
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -8,7 +8,7 @@
 use runloom_control_session::ServerHint;
 use runloom_inventory::edit_history::{EditHistory, StoredEdit};
 use runloom_inventory::{Inventory, Server};
-use runloom_model::fleet::PlannerSettings;
+use runloom_model::planner_settings::PlannerSettings;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
 use runloom_store::{AcceptedEdit, AcceptedState};
@@ -47,7 +47,7 @@
     settings: &PlannerSettings,
     restored: &mut RestoredState,
 ) -> Result<ConfigService, StartError> {
-    let mut data = (*settings.data).clone();
+    let mut data = (*settings.initial_data).clone();
     let mut edit_history = EditHistory::default();
     if let Some(accepted) = restored.accepted.take() {
         replace_child(&mut data, "fleet", stored_fleet(&accepted)?);
--- a/crates/daemon/src/planner_runtime/startup.rs
+++ b/crates/daemon/src/planner_runtime/startup.rs
@@ -18,7 +18,7 @@
 use runloom_distribution::Distributor;
 use runloom_event_loop::EventLoop;
 use runloom_inventory::Inventory;
-use runloom_model::fleet::PlannerSettings;
+use runloom_model::planner_settings::PlannerSettings;
 use std::collections::BTreeMap;
 
 /// The parts of a planner that depend on its settings and on its state folder.
@@ -44,8 +44,8 @@
     settings: &PlannerSettings,
     seed: u64,
 ) -> Result<StartedParts, StartError> {
-    let files = StateFile::open(&settings.folder)?;
-    let tls = TlsPolicy::load(&settings.papers)?;
+    let files = StateFile::open(&settings.state_folder)?;
+    let tls = TlsPolicy::load(&settings.tls)?;
     let OpenedState { files, worker, restored, config } = open_state(event_loop, files, settings)?;
     let listeners = Listeners::open(event_loop, settings, config.fleet(), &tls)?;
 
@@ -84,10 +84,10 @@
     files: StateFile,
     settings: &PlannerSettings,
 ) -> Result<OpenedState, StartError> {
-    let (opened, mut restored) = PersistenceWorker::open(&settings.folder)?;
+    let (opened, mut restored) = PersistenceWorker::open(&settings.state_folder)?;
     let mut config = restore::restore_config(&files, settings, &mut restored)?;
     let worker = opened.start(config.accepted_state(), event_loop.waker())?;
-    config.set_rules(settings.papers.rules.clone());
+    config.set_rules(settings.tls.rules.clone());
     restore::set_legacy_files_aside(&files)?;
     Ok(OpenedState { files, worker, restored, config })
 }
--- a/crates/daemon/src/planner_runtime/state_report.rs
+++ b/crates/daemon/src/planner_runtime/state_report.rs
@@ -104,9 +104,9 @@
 fn guard(core: &PlannerCore, now: Duration) -> Element {
     let guard = core.control.guard();
     let mut element = Element::new(STATE, "guard").with_leaf("judged", guard.validated_batches);
-    let raised = core.config.fleet().raised;
-    if let Some((_, until)) = raised.filter(|(_, until)| *until > core.config.wall_ms) {
-        element = element.with_leaf("raised-until", until);
+    let raised = core.config.fleet().raised_multiple;
+    if let Some(raised) = raised.filter(|raised| raised.until_ms > core.config.wall_ms) {
+        element = element.with_leaf("raised-until", raised.until_ms);
     }
     for (reason, count) in guard.rejection_counts() {
         let count = Element::new(STATE, "count").with_leaf("reason", reason).with_leaf("refused", count);
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -22,8 +22,8 @@
 use reports::Reporter;
 use requests::RequestsInFlight;
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
-use runloom_model::forwarder::{ProxySettings, TableDelivery};
-use runloom_model::schema::derive;
+use runloom_model::proxy_settings::{ProxySettings, TableDelivery};
+use runloom_model::schema_derivation::derive_schema;
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::service::{Limits, Service};
 use runloom_proxy::balancer::SelectionMethod;
@@ -79,21 +79,21 @@
         settings: ProxySettings,
         seed: u64,
     ) -> Result<(ProxyRuntime, SocketAddr), ProxyStartError> {
-        let tls = TlsPolicy::load(&settings.papers)?;
+        let tls = TlsPolicy::load(&settings.tls)?;
         let limits = BufferLimits {
             idle_timeout: Some(CLIENT_IDLE_TIMEOUT),
             max_unsent_bytes: MAX_UNSENT_BYTES,
             ..BufferLimits::default()
         };
-        let (listener, address) = event_loop.listen(settings.listen, Security::Plain, limits)?;
-        let schema = Schema::root(derive(PROXY_XSD, &["tables"]).map_err(ProxyStartError::Schema)?);
+        let (listener, address) = event_loop.listen(settings.listen_address, Security::Plain, limits)?;
+        let schema = Schema::root(derive_schema(PROXY_XSD, &["tables"]).map_err(ProxyStartError::Schema)?);
         let service = Service::new(schema, Limits::default());
         let now = event_loop.now();
         let security = planner_security(&settings, &tls);
         tracing::info!(forwarder = %settings.name, listen = %address, "forwarder started");
         let runtime = ProxyRuntime {
             proxy: new_proxy(&settings, seed),
-            reporter: Reporter::new(settings.report, now),
+            reporter: Reporter::new(settings.report_period, now),
             planner_link: PlannerLink::new(service, security, seed ^ REDIAL_SEED_MASK, now),
             settings,
             tls,
@@ -129,7 +129,7 @@
     }
 
     fn longest_deadline(&self) -> Duration {
-        self.settings.classes.iter().map(|class| class.outer_limit).max().unwrap_or_default()
+        self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
     /// The proxy's name.
@@ -240,16 +240,19 @@
 }
 
 fn new_proxy(settings: &ProxySettings, seed: u64) -> Proxy {
-    let circuit_breaker =
-        CircuitBreakerConfig { failure_limit: settings.shun_after, open_duration: settings.shun_for };
-    let config = ProxyConfig { selection: SelectionMethod::from_settings(&settings.pick), circuit_breaker };
-    Proxy::new(config, settings.classes.clone(), &settings.standing, seed)
+    let circuit_breaker = CircuitBreakerConfig {
+        failure_limit: settings.circuit_breaker_failures,
+        open_duration: settings.circuit_breaker_open,
+    };
+    let config =
+        ProxyConfig { selection: SelectionMethod::from_settings(&settings.selection), circuit_breaker };
+    Proxy::new(config, settings.classes.clone(), &settings.static_servers, seed)
 }
 
 /// The TLS role towards planners. A NETCONF server that calls home (RFC 8071) dials, and is the TLS server all the
 /// same.
 fn planner_security(settings: &ProxySettings, tls: &TlsPolicy) -> Security {
-    match settings.front {
+    match settings.table_delivery {
         TableDelivery::Edits => Security::TlsServer(tls.server_config.clone()),
         TableDelivery::Weights | TableDelivery::Subsets => {
             Security::TlsClient(tls.client_config.clone(), server_name(PLANNER))
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -5,7 +5,7 @@
 use super::{wall_seconds, ProxyRuntime};
 use crate::tls_credentials::CertificateHolder;
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop};
-use runloom_model::forwarder::TableDelivery;
+use runloom_model::proxy_settings::TableDelivery;
 use runloom_mqtt::client::{Client, TableFormat};
 use runloom_mqtt::ProxyInfo;
 use runloom_netconf::service::CAPABILITIES;
@@ -68,7 +68,7 @@
     }
 
     fn planner_to_dial(&self) -> Option<SocketAddr> {
-        let planners = &self.settings.planners;
+        let planners = &self.settings.planner_addresses;
         let position = self.planner_link.next_planner.checked_rem(planners.len())?;
         planners.get(position).copied()
     }
@@ -124,7 +124,7 @@
 
     /// Opens the protocol's side of a session; `planner` is the name of its certificate.
     fn open_protocol(&mut self, now: Duration, planner: &str) -> Option<PlannerProtocol> {
-        let format = match self.settings.front {
+        let format = match self.settings.table_delivery {
             TableDelivery::Edits => {
                 let id = self.planner_link.service.open_session(planner, now)?;
                 let session = Session::new(Role::Server { id }, &CAPABILITIES, SessionLimits::default());
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,8 +1,9 @@
 //! Settings files, validated against the schema. Faults name file, line, element and reason.
 
-use runloom_model::fleet::{InvalidSettings, PlannerSettings};
-use runloom_model::forwarder::ProxySettings;
+use runloom_model::planner_settings::PlannerSettings;
+use runloom_model::proxy_settings::ProxySettings;
 use runloom_model::schema::SchemaValidator;
+use runloom_model::InvalidSettings;
 use runloom_model::FLEET_XSD;
 use runloom_netconf::tree::Element;
 use std::fmt;
@@ -104,7 +105,7 @@
     let schema = SchemaValidator::new(FLEET_XSD).map_err(|reason| {
         vec![SettingsFault { element: "schema".into(), ..SettingsFault::of_file(reason) }]
     })?;
-    let violations = schema.faults(text);
+    let violations = schema.validate(text);
     if violations.is_empty() {
         return Ok(());
     }
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -11,7 +11,7 @@
 use runloom_identity::bundle::Trust;
 use runloom_identity::id::Id;
 use runloom_identity::svid::{self, Svid};
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use rustls::client::Resumption;
 use rustls::crypto::ring;
 use rustls::pki_types::{CertificateDer, ServerName, UnixTime};
@@ -112,7 +112,7 @@
     /// The holder of a certificate that TLS has verified.
     pub fn identify(&self, certificate: &[u8]) -> Result<CertificateHolder, HolderError> {
         let files = &self.credentials.files;
-        if files.by_identity() {
+        if files.uses_identities() {
             let svid = svid::read(certificate)?;
             Ok(CertificateHolder::by_identity(svid, &files.rules))
         } else {
--- a/crates/daemon/src/tls_credentials/files.rs
+++ b/crates/daemon/src/tls_credentials/files.rs
@@ -4,7 +4,7 @@
 use runloom_identity::bundle::{Bundle, Trust};
 use runloom_identity::id::Domain;
 use runloom_identity::svid::{self, Svid};
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use rustls::crypto::CryptoProvider;
 use rustls::pki_types::pem::{self, PemObject};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -88,7 +88,7 @@
 /// Reads the key. With identities, a key that others may read is rejected.
 fn read_key(files: &TlsFiles) -> Result<PrivateKeyDer<'static>, TlsError> {
     let path = &files.key;
-    if files.by_identity() {
+    if files.uses_identities() {
         let metadata = std::fs::metadata(path).map_err(|error| file_error(path, error))?;
         let mode = metadata.permissions().mode();
         if mode & OTHERS_MODE_MASK != 0 {
@@ -101,7 +101,7 @@
 
 fn read_own_identity(files: &TlsFiles, chain: &[CertificateDer<'static>]) -> Result<Option<Svid>, TlsError> {
     match chain.first() {
-        Some(leaf) if files.by_identity() => {
+        Some(leaf) if files.uses_identities() => {
             svid::read(leaf).map(Some).map_err(|error| file_error(&files.certificate, error))
         }
         _ => Ok(None),
--- a/crates/daemon/src/tls_credentials/verifier.rs
+++ b/crates/daemon/src/tls_credentials/verifier.rs
@@ -3,7 +3,7 @@
 use super::files::{Authorities, Credentials};
 use runloom_identity::bundle::Trust;
 use runloom_identity::svid;
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
 use rustls::client::{verify_server_cert_signed_by_trust_anchor, verify_server_name, ResolvesClientCert};
 use rustls::crypto::{verify_tls13_signature, CryptoProvider};
@@ -58,7 +58,7 @@
 
     /// The authorities that may issue a certificate: those of its identity's trust domain, or with DNS names all.
     pub(super) fn authorities_for(&self, certificate: &[u8]) -> Result<Authorities, rustls::Error> {
-        let domain = if self.files.by_identity() {
+        let domain = if self.files.uses_identities() {
             let svid = svid::read(certificate).map_err(|error| rustls::Error::General(error.to_string()))?;
             Some(svid.id.domain().clone())
         } else {
@@ -122,7 +122,7 @@
             self.provider.signature_verification_algorithms.all,
         )?;
         // A SPIFFE identity is the only name of its certificate; the rules decide whether it is the right one.
-        if !self.files.by_identity() {
+        if !self.files.uses_identities() {
             verify_server_name(&parsed, name)?;
         }
         Ok(ServerCertVerified::assertion())
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use proptest::prelude::*;
 use runloom_controller::RetryPolicy;
-use runloom_model::schema::derive;
+use runloom_model::schema_derivation::derive_schema;
 use runloom_model::table_update::{AdmissionLimit, EntryEdit, TableEdit, UpdateMessage};
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, ErrorOption, Operation as EditOperation};
@@ -77,7 +77,7 @@
 
 impl Peer {
     fn new(transport: Transport) -> Peer {
-        let schema = Schema::root(derive(PROXY_XSD, &["tables"]).unwrap());
+        let schema = Schema::root(derive_schema(PROXY_XSD, &["tables"]).unwrap());
         let data = Arc::new(Element::new("", "data"));
         Peer {
             transport,
--- a/crates/inventory/src/inventory.rs
+++ b/crates/inventory/src/inventory.rs
@@ -1,6 +1,7 @@
 //! The merged inventory of servers, and what changes in it.
 
-use runloom_model::fleet::{Fleet, ListedServer};
+use runloom_model::fleet::Fleet;
+use runloom_model::listed_server::ListedServer;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -43,15 +44,15 @@
 /// An operator's weight replaces the listed one, a drain by either counts, and the zone's share multiplies the
 /// weight.
 pub fn merge_overrides(name: &str, listed: &ListedServer, fleet: &Fleet) -> Server {
-    let overrides = fleet.words.get(name).cloned().unwrap_or_default();
+    let overrides = fleet.overrides.get(name).cloned().unwrap_or_default();
     Server {
         address: listed.address,
         zone: listed.zone.clone(),
         kind: listed.kind.clone(),
         cell: listed.cell,
-        is_draining: listed.draining || overrides.drain,
+        is_draining: listed.is_draining || overrides.is_draining,
         weight: overrides.weight.unwrap_or(listed.weight) * fleet.share_of(&listed.zone),
-        started_ms: listed.started,
+        started_ms: listed.started_ms,
     }
 }
 
--- a/crates/inventory/src/tests.rs
+++ b/crates/inventory/src/tests.rs
@@ -1,6 +1,7 @@
 use crate::edit_history::{EditHistory, EditLookup, MAX_EDITS, PUBLICATION_TIMEOUT};
 use crate::{Change, Inventory};
-use runloom_model::fleet::{Fleet, ListedServer};
+use runloom_model::fleet::Fleet;
+use runloom_model::listed_server::ListedServer;
 use runloom_netconf::tree::Element;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,20 +1,36 @@
-//! The data models: XSD for load and edit, YANG for tools, and typed views. The XSD is the one truth: the
-//! edit's [`Schema`] is derived from it, and a test holds the YANG modules against it.
+//! The data models: XSD for reading settings and edits, YANG for tools, and typed views.
+//!
+//! The XSD is the only source: the [`Schema`] of `<edit-config>` is derived from it, and a test compares the YANG
+//! modules with it.
 
+mod deployment_config;
 pub mod fleet;
-pub mod forwarder;
+mod leaf_reader;
+pub mod listed_server;
+pub mod planner_settings;
+pub mod proxy_settings;
 pub mod published_value;
 pub mod report;
 pub mod schema;
+pub mod schema_derivation;
+mod settings_error;
 pub mod table_update;
+pub mod tls_files;
+pub mod traffic_class;
 
 pub use runloom_netconf::schema::Schema;
+pub use settings_error::InvalidSettings;
 
+/// Namespace of the fleet and the endpoint list.
 pub const FLEET: &str = "urn:runloom:fleet";
+/// Namespace of a proxy's tables and reports.
 pub const PROXY: &str = "urn:runloom:proxy";
+/// Namespace of a planner's state.
 pub const STATE: &str = "urn:runloom:state";
 
+/// XSD of [`FLEET`], with the settings files.
 pub const FLEET_XSD: &str = include_str!("../schema/runloom-fleet.xsd");
+/// XSD of [`PROXY`].
 pub const PROXY_XSD: &str = include_str!("../schema/runloom-proxy.xsd");
 
 /// The YANG modules: identifier, revision, text.
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -1,140 +1,91 @@
-//! Schemas at work: judging a text by an XSD, and deriving from it what `<edit-config>` must know.
+//! Validation of documents by an XSD.
 
-use runloom_netconf::schema::{NodeKind, Schema};
 use runloom_netconf::tree::Element;
-use std::collections::BTreeMap;
 use std::fmt;
 use uppsala::XsdValidator;
 
-const XS: &str = "http://www.w3.org/2001/XMLSchema";
+/// The name in place of an element that is not known.
+const UNKNOWN_ELEMENT: &str = "?";
 
-/// One fault of a document: where, in which element, why.
+/// Where and why a document violates its schema.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchemaViolation {
+    /// Line, from 1 on; 0 if it is not known.
     pub line: usize,
+    /// Column, from 1 on; 0 if it is not known.
     pub column: usize,
+    /// Name of the element.
     pub element: String,
+    /// Why.
     pub reason: String,
 }
 
+impl SchemaViolation {
+    /// A document that is not well-formed.
+    fn malformed(line: usize, column: usize, reason: String) -> SchemaViolation {
+        SchemaViolation { line, column, element: UNKNOWN_ELEMENT.into(), reason }
+    }
+}
+
 impl fmt::Display for SchemaViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: <{}>: {}", self.line, self.column, self.element, self.reason)
     }
 }
 
-/// A compiled schema.
+/// A compiled XSD.
 pub struct SchemaValidator(XsdValidator);
 
 impl SchemaValidator {
-    /// Compiles an XSD that this package holds; the error says where it is broken.
+    /// Compiles an XSD; the error says where it is malformed.
     pub fn new(xsd: &str) -> Result<SchemaValidator, String> {
         let document = uppsala::parse(xsd).map_err(|e| e.to_string())?;
         XsdValidator::from_schema(&document).map(SchemaValidator).map_err(|e| e.to_string())
     }
 
-    /// All faults of a text, in order; none if it is valid.
-    pub fn faults(&self, text: &str) -> Vec<SchemaViolation> {
-        // The tree first: its bounds hold for whatever is read, and it allows no document type.
+    /// All violations of a document, in order; none if it is valid.
+    pub fn validate(&self, text: &str) -> Vec<SchemaViolation> {
+        // First as a tree, which limits the document's size and depth and allows no document type.
         if let Err(e) = Element::parse(text) {
-            return vec![SchemaViolation {
-                line: e.line,
-                column: e.column,
-                element: "?".into(),
-                reason: e.reason,
-            }];
+            return vec![SchemaViolation::malformed(e.line, e.column, e.reason)];
         }
         let document = match uppsala::parse(text) {
             Ok(document) => document,
-            Err(e) => {
-                return vec![SchemaViolation {
-                    line: 0,
-                    column: 0,
-                    element: "?".into(),
-                    reason: e.to_string(),
-                }]
-            }
+            Err(e) => return vec![SchemaViolation::malformed(0, 0, e.to_string())],
+        };
+        let violation = |error: uppsala::ValidationError| {
+            let line = error.line.unwrap_or(0);
+            let column = error.column.unwrap_or(0);
+            SchemaViolation { line, column, element: element_at(text, line, column), reason: error.message }
         };
-        let faults = self.0.validate(&document).into_iter().map(|e| {
-            let (line, column) = (e.line.unwrap_or(0), e.column.unwrap_or(0));
-            SchemaViolation { line, column, element: element_at(text, line, column), reason: e.message }
-        });
-        faults.collect()
+        self.0.validate(&document).into_iter().map(violation).collect()
     }
 }
 
 impl fmt::Debug for SchemaValidator {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Judge")
+        f.write_str("SchemaValidator")
     }
 }
 
-/// The name of the last tag that opens at or before a place.
+/// The name of the last start tag at or before a position.
 fn element_at(text: &str, line: usize, column: usize) -> String {
-    let before = text.lines().take(line.saturating_sub(1)).map(|l| l.len() + 1).sum::<usize>();
-    let end = (before + column).min(text.len());
-    let head = text.get(..end).unwrap_or(text);
-    let mut places = head.rmatch_indices('<').map(|(k, _)| k + 1);
-    let opens = |k: &usize| text[*k..].starts_with(|c: char| c.is_alphabetic());
-    let name = places.find(opens).map(|k| {
-        let name = text[k..].split(|c: char| c.is_whitespace() || c == '>' || c == '/').next();
-        name.unwrap_or("?").rsplit(':').next().unwrap_or("?").to_string()
-    });
-    name.unwrap_or_else(|| "?".into())
+    let line_start: usize = text.lines().take(line.saturating_sub(1)).map(|line| line.len() + 1).sum();
+    let end = (line_start + column).min(text.len());
+    let before = text.get(..end).unwrap_or(text);
+    let is_start_tag = |position: &usize| text[*position..].starts_with(|c: char| c.is_alphabetic());
+    let mut positions = before.rmatch_indices('<').map(|(position, _)| position + 1);
+    let name = positions.find(is_start_tag).map(|position| tag_name(&text[position..]));
+    name.unwrap_or(UNKNOWN_ELEMENT).to_string()
 }
 
-/// Derives the models' top nodes from XSDs written the way of this package: global elements, sequences, keys
-/// on the element that holds the list. Only the named top elements are taken.
-pub fn derive(xsd: &str, tops: &[&str]) -> Result<Vec<Schema>, String> {
-    let root = Element::parse(xsd).map_err(|e| e.reason)?;
-    let ns = root.attribute("", "targetNamespace").unwrap_or_default().to_string();
-    let types: BTreeMap<&str, &Element> = root
-        .children
-        .iter()
-        .filter(|c| c.is(XS, "complexType"))
-        .filter_map(|c| c.attribute("", "name").map(|name| (name, &**c)))
-        .collect();
-    let global = |top: &&str| {
-        let found =
-            root.children.iter().find(|c| c.is(XS, "element") && c.attribute("", "name") == Some(top));
-        found.map(|e| node(e, &ns, &types, &BTreeMap::new())).ok_or_else(|| format!("no element {top}"))
-    };
-    tops.iter().map(global).collect()
+/// The local name at the start of a tag.
+fn tag_name(tag: &str) -> &str {
+    let end = tag.find(|c: char| c.is_whitespace() || c == '>' || c == '/').unwrap_or(tag.len());
+    local_name(&tag[..end])
 }
 
-fn local(name: &str) -> &str {
+/// A name without its prefix.
+pub(crate) fn local_name(name: &str) -> &str {
     name.rsplit(':').next().unwrap_or(name)
 }
-
-fn node(
-    e: &Element,
-    ns: &str,
-    types: &BTreeMap<&str, &Element>,
-    keys: &BTreeMap<String, Vec<String>>,
-) -> Schema {
-    let name = e.attribute("", "name").unwrap_or_default().to_string();
-    let named = e.attribute("", "type").and_then(|t| types.get(local(t)).copied());
-    let complex = e.child("complexType").or(named);
-    let many = e.attribute("", "maxOccurs").is_some_and(|m| m != "1");
-    let Some(complex) = complex else {
-        let kind = if many { NodeKind::LeafList } else { NodeKind::Leaf };
-        return Schema { ns: ns.into(), name, kind, children: vec![] };
-    };
-    // The keys of the lists below stand on this element.
-    let mut below = BTreeMap::new();
-    for key in e.named("key") {
-        let list =
-            key.child("selector").and_then(|s| s.attribute("", "xpath")).map(local).unwrap_or_default();
-        let fields =
-            key.named("field").filter_map(|f| f.attribute("", "xpath")).map(|f| local(f).to_string());
-        below.insert(list.to_string(), fields.collect());
-    }
-    let children = complex.child("sequence").map(|s| {
-        s.named("element")
-            .filter(|c| c.attribute("", "name").is_some())
-            .map(|c| node(c, ns, types, &below))
-            .collect()
-    });
-    let kind = keys.get(&name).filter(|_| many).map_or(NodeKind::Container, |k| NodeKind::List(k.clone()));
-    Schema { ns: ns.into(), name, kind, children: children.unwrap_or_default() }
-}
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -1,5 +1,6 @@
 use crate::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
-use crate::schema::{derive, SchemaValidator};
+use crate::schema::SchemaValidator;
+use crate::schema_derivation::derive_schema;
 use crate::table_update::{AdmissionLimit, EntryEdit, TableEdit, UpdateMessage};
 use crate::*;
 use runloom_controller::RetryPolicy;
@@ -18,7 +19,7 @@
         [(FLEET_XSD, &["fleet", "roster"][..], YANG[0].2), (PROXY_XSD, &["tables"], YANG[1].2)]
     {
         let mut found = Vec::new();
-        for top in derive(xsd, tops).unwrap() {
+        for top in derive_schema(xsd, tops).unwrap() {
             names(&top, &mut found);
         }
         assert!(found.len() > 10);
@@ -30,7 +31,7 @@
 
 #[test]
 fn keys_and_leaf_lists_are_derived() {
-    let fleet = &derive(FLEET_XSD, &["fleet"]).unwrap()[0];
+    let fleet = &derive_schema(FLEET_XSD, &["fleet"]).unwrap()[0];
     assert_eq!(fleet.child(FLEET, "zone").unwrap().kind, NodeKind::List(vec!["name".into()]));
     let load = fleet.child(FLEET, "list").unwrap().child(FLEET, "load").unwrap();
     assert_eq!(load.kind, NodeKind::LeafList);
@@ -38,16 +39,17 @@
 
 #[test]
 fn a_fault_names_line_element_and_reason() {
-    let judge = SchemaValidator::new(FLEET_XSD).unwrap();
+    let validator = SchemaValidator::new(FLEET_XSD).unwrap();
     let text =
         "<roster xmlns='urn:runloom:fleet'>\n <server>\n  <name>s1</name>\n  <address>nowhere</address>\n\
         <zone>a</zone><mode>ready</mode></server></roster>";
-    let faults = judge.faults(text);
-    assert_eq!((faults[0].line, faults[0].element.as_str()), (4, "address"), "{faults:?}");
+    let violations = validator.validate(text);
+    assert_eq!((violations[0].line, violations[0].element.as_str()), (4, "address"), "{violations:?}");
     let twice =
         "<server><name>s1</name><address>1.1.1.1:1</address><zone>a</zone><mode>ready</mode></server>";
-    let faults = judge.faults(&format!("<roster xmlns='urn:runloom:fleet'>{twice}{twice}</roster>"));
-    assert!(!faults.is_empty(), "a key that stands twice");
+    let violations =
+        validator.validate(&format!("<roster xmlns='urn:runloom:fleet'>{twice}{twice}</roster>"));
+    assert!(!violations.is_empty(), "a key that stands twice");
 }
 
 #[test]
@@ -62,7 +64,7 @@
     let message = UpdateMessage { tables: [(1, table)].into(), assignments, ..UpdateMessage::default() };
     let edit = Element::parse(&message.to_xml()).unwrap();
     let tables = edit.child("config").unwrap().child("tables").unwrap();
-    let schema = Schema::root(derive(PROXY_XSD, &["tables"]).unwrap());
+    let schema = Schema::root(derive_schema(PROXY_XSD, &["tables"]).unwrap());
     let config = Element::new("", "config").with(tables.clone());
     let empty = std::sync::Arc::new(Element::new("", "data"));
     let applied = runloom_netconf::edit::apply(
@@ -74,7 +76,7 @@
     );
     assert_eq!(applied.errors, []);
     let data = applied.tree;
-    assert_eq!(SchemaValidator::new(PROXY_XSD).unwrap().faults(&data.children[0].to_text()), []);
+    assert_eq!(SchemaValidator::new(PROXY_XSD).unwrap().validate(&data.children[0].to_text()), []);
 }
 
 #[test]
--- /dev/null
+++ b/crates/model/src/traffic_class.rs
@@ -0,0 +1,65 @@
+//! Traffic classes, as a fleet's and a proxy's settings have them.
+
+use crate::leaf_reader::LeafReader;
+use crate::settings_error::InvalidSettings;
+use runloom_netconf::tree::Element;
+use std::time::Duration;
+
+/// Whether a request may be executed twice.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RetrySafety {
+    /// It may.
+    Safe,
+    /// Servers recognise it by a key.
+    Keyed,
+    /// It may not.
+    Unsafe,
+}
+
+/// A traffic class.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ClassSettings {
+    /// Its name.
+    pub name: String,
+    /// What one answered request is worth.
+    pub priority_weight: f64,
+    /// An answer within this time counts in full.
+    pub latency_objective: Duration,
+    /// A later answer counts for nothing.
+    pub deadline: Duration,
+    /// Whether a request may be executed twice.
+    pub retry_safety: RetrySafety,
+}
+
+impl ClassSettings {
+    /// Reads all `<class>` elements of `parent`.
+    pub(crate) fn read_all(parent: &Element) -> Result<Vec<ClassSettings>, InvalidSettings> {
+        parent.named("class").map(|element| ClassSettings::read(parent, element)).collect()
+    }
+
+    fn read(parent: &Element, element: &Element) -> Result<ClassSettings, InvalidSettings> {
+        let name = element.text_of("name").unwrap_or_default();
+        let path = format!("/{}/class[name='{name}']", parent.name);
+        let reader = LeafReader { element, path: &path };
+        let class = ClassSettings {
+            name: name.to_string(),
+            priority_weight: reader.number("payoff")?,
+            latency_objective: reader.duration("soft-limit-ms")?,
+            deadline: reader.duration("outer-limit-ms")?,
+            retry_safety: read_retry_safety(reader.text("repeats")),
+        };
+        if class.latency_objective.is_zero() || class.deadline < class.latency_objective {
+            let reason = "is under the soft limit, or there is no soft limit";
+            return Err(reader.invalid("outer-limit-ms", reason));
+        }
+        Ok(class)
+    }
+}
+
+fn read_retry_safety(word: &str) -> RetrySafety {
+    match word {
+        "safe" => RetrySafety::Safe,
+        "keyed" => RetrySafety::Keyed,
+        _ => RetrySafety::Unsafe,
+    }
+}
--- a/crates/proxy/src/endpoint_statistics.rs
+++ b/crates/proxy/src/endpoint_statistics.rs
@@ -1,8 +1,8 @@
 //! What this proxy knows of one endpoint, and what it counts between two reports.
 
 use crate::circuit_breaker::CircuitBreaker;
-use runloom_model::fleet::Class;
 use runloom_model::report::{latency_bucket, ClassOutcomes, LatencyBuckets, ServerOutcomes};
+use runloom_model::traffic_class::ClassSettings;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
     }
 
     /// Returns the counts for a report, if there are any, and starts over.
-    pub(crate) fn take_report(&mut self, server: &str, classes: &[Class]) -> Option<ServerOutcomes> {
+    pub(crate) fn take_report(&mut self, server: &str, classes: &[ClassSettings]) -> Option<ServerOutcomes> {
         if self.attempts == 0 {
             return None;
         }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -8,8 +8,8 @@
 use crate::route_tables::{RouteTables, TableEntry};
 use nanorand::WyRand;
 use runloom_controller::RetryPolicy;
-use runloom_model::fleet::Class;
 use runloom_model::report::{ClassArrivals, Report};
+use runloom_model::traffic_class::ClassSettings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Proxy {
     config: ProxyConfig,
-    classes: Vec<Class>,
+    classes: Vec<ClassSettings>,
     rng: WyRand,
     tables: RouteTables,
     endpoints: BTreeMap<String, Endpoint>,
@@ -74,7 +74,7 @@
     /// A proxy that sends all classes to `static_endpoints`, evenly, until a planner publishes tables.
     pub fn new(
         config: ProxyConfig,
-        classes: Vec<Class>,
+        classes: Vec<ClassSettings>,
         static_endpoints: &[(String, SocketAddr)],
         seed: u64,
     ) -> Proxy {
@@ -155,7 +155,7 @@
         class: usize,
         target: TableEntry,
     ) -> RequestAction {
-        let deadline = now + self.classes[class].outer_limit;
+        let deadline = now + self.classes[class].deadline;
         let limit = self.tables.admission_limit(&self.classes[class].name);
         let retry_policy = limit.map_or(RetryPolicy::IfNotExecuted, |limit| limit.retry_policy);
         // The policy is fixed now: tables that change meanwhile change no request in flight.
@@ -238,12 +238,12 @@
     ) -> Option<RequestAction> {
         let mut request = self.requests.remove(&id)?;
         let class = &self.classes[request.class];
-        let repeats = class.repeats;
+        let repeats = class.retry_safety;
         let is_success = outcome.is_success();
         let attempt = AttemptRecord {
             class: request.class,
             is_success,
-            within_objective: is_success && now <= request.arrived_at + class.soft_limit,
+            within_objective: is_success && now <= request.arrived_at + class.latency_objective,
             latency: now.saturating_sub(request.attempt_started_at),
             load: outcome.load(),
         };
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::retry::RetryBudget;
 use runloom_controller::RetryPolicy;
-use runloom_model::fleet::Repeats;
+use runloom_model::traffic_class::RetrySafety;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -156,7 +156,12 @@
     }
 
     /// Whether another attempt may follow one that ended with `outcome`.
-    pub(crate) fn may_retry(&mut self, now: Duration, outcome: &AttemptOutcome, repeats: Repeats) -> bool {
+    pub(crate) fn may_retry(
+        &mut self,
+        now: Duration,
+        outcome: &AttemptOutcome,
+        repeats: RetrySafety,
+    ) -> bool {
         now < self.deadline && self.retry_budget.allows_retry_after(outcome, repeats)
     }
 
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -2,7 +2,7 @@
 
 use crate::request::AttemptOutcome;
 use runloom_controller::RetryPolicy;
-use runloom_model::fleet::Repeats;
+use runloom_model::traffic_class::RetrySafety;
 
 /// What is left of one request's retry policy, which was fixed when the request arrived.
 #[derive(Debug, Clone)]
@@ -27,13 +27,13 @@
 
     /// Whether another attempt may follow one that ended with `outcome`. Whatever the policy says, a request that may
     /// have executed is retried only if its class is safe to repeat.
-    pub(crate) fn allows_retry_after(&mut self, outcome: &AttemptOutcome, repeats: Repeats) -> bool {
+    pub(crate) fn allows_retry_after(&mut self, outcome: &AttemptOutcome, repeats: RetrySafety) -> bool {
         let is_final = outcome.is_success() || *outcome == AttemptOutcome::DeadlineExceeded;
         if is_final || self.remaining == 0 {
             return false;
         }
         self.may_have_executed |= !outcome.proves_not_executed();
-        !self.may_have_executed || (!self.requires_proof && repeats == Repeats::Safe)
+        !self.may_have_executed || (!self.requires_proof && repeats == RetrySafety::Safe)
     }
 
     /// Takes one retry off the budget.
--- a/crates/proxy/src/tests.rs
+++ b/crates/proxy/src/tests.rs
@@ -1,7 +1,7 @@
 use super::balancer::SelectionMethod;
 use super::circuit_breaker::CircuitBreakerConfig;
 use super::*;
-use runloom_model::fleet::{Class, Repeats};
+use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use runloom_netconf::tree::Element;
 use statrs::distribution::{ChiSquared, ContinuousCDF};
 use std::time::Duration;
@@ -12,18 +12,18 @@
 /// Random choices may deviate from the weights by what happens once in a thousand runs.
 const SIGNIFICANCE: f64 = 0.001;
 
-fn class(repeats: Repeats) -> Class {
-    Class {
+fn class(repeats: RetrySafety) -> ClassSettings {
+    ClassSettings {
         name: "q".into(),
-        payoff: 1.0,
-        soft_limit: Duration::from_millis(500),
-        outer_limit: Duration::from_secs(1),
-        repeats,
+        priority_weight: 1.0,
+        latency_objective: Duration::from_millis(500),
+        deadline: Duration::from_secs(1),
+        retry_safety: repeats,
     }
 }
 
 /// A proxy whose table 1 has servers `s0`, `s1`, ... of these weights.
-fn proxy(selection: SelectionMethod, repeats: Repeats, level: &str, weights: &[f64]) -> Proxy {
+fn proxy(selection: SelectionMethod, repeats: RetrySafety, level: &str, weights: &[f64]) -> Proxy {
     let circuit_breaker = CircuitBreakerConfig { failure_limit: 3, open_duration: Duration::from_secs(5) };
     let mut proxy = Proxy::new(ProxyConfig { selection, circuit_breaker }, vec![class(repeats)], &[], 7);
     proxy.replace_tables(tables(level, weights));
@@ -68,7 +68,7 @@
     for method in
         [SelectionMethod::WeightedRandom, SelectionMethod::LeastRequestsOfTwo, SelectionMethod::RoundRobin]
     {
-        let mut proxy = proxy(method, Repeats::Safe, "", &weights);
+        let mut proxy = proxy(method, RetrySafety::Safe, "", &weights);
         let mut counts = [0.0; 5];
 
         for id in 0..u64::from(REQUESTS) {
@@ -89,7 +89,7 @@
 
 #[test]
 fn of_two_drawn_the_one_with_fewer_requests_is_selected() {
-    let mut proxy = proxy(SelectionMethod::LeastRequestsOfTwo, Repeats::Safe, "", &[1.0, 1.0]);
+    let mut proxy = proxy(SelectionMethod::LeastRequestsOfTwo, RetrySafety::Safe, "", &[1.0, 1.0]);
 
     let mut in_flight = [0u32; 2];
     for id in 0..1000 {
@@ -103,7 +103,7 @@
 
 #[test]
 fn three_failures_in_a_row_open_the_circuit_breaker_and_a_success_ends_the_row() {
-    let mut proxy = proxy(SelectionMethod::RoundRobin, Repeats::Never, &level("", "none"), &[1.0, 1e-9]);
+    let mut proxy = proxy(SelectionMethod::RoundRobin, RetrySafety::Unsafe, &level("", "none"), &[1.0, 1e-9]);
     let attempt = |proxy: &mut Proxy, id, outcome| {
         assert_eq!(selected_server(&proxy.request_arrived(ZERO, id, CLASS)), "s0");
         proxy.attempt_ended(ZERO, id, outcome);
@@ -122,7 +122,7 @@
 
 #[test]
 fn circuit_breakers_are_disregarded_where_all_are_open() {
-    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Never, &level("", "none"), &[1.0]);
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, RetrySafety::Unsafe, &level("", "none"), &[1.0]);
     for id in 0..4 {
         assert_eq!(selected_server(&proxy.request_arrived(ZERO, id, CLASS)), "s0");
         proxy.attempt_ended(ZERO, id, AttemptOutcome::ClosedAfterWrite);
@@ -140,7 +140,7 @@
         (AttemptOutcome::DeadlineExceeded, false),
     ] {
         let mut proxy =
-            proxy(SelectionMethod::WeightedRandom, Repeats::Never, &level("", "unrun"), &[1.0, 1.0]);
+            proxy(SelectionMethod::WeightedRandom, RetrySafety::Unsafe, &level("", "unrun"), &[1.0, 1.0]);
         let first = selected_server(&proxy.request_arrived(ZERO, 1, CLASS)).to_string();
 
         let next = proxy.attempt_ended(ZERO, 1, outcome.clone()).unwrap();
@@ -156,11 +156,11 @@
 #[test]
 fn a_request_that_may_have_executed_is_retried_only_where_safe_and_allowed() {
     for (repeats, further_tries, retries) in [
-        (Repeats::Safe, "two", 2),
-        (Repeats::Safe, "one", 1),
-        (Repeats::Safe, "unrun", 0),
-        (Repeats::Keyed, "two", 0),
-        (Repeats::Never, "two", 0),
+        (RetrySafety::Safe, "two", 2),
+        (RetrySafety::Safe, "one", 1),
+        (RetrySafety::Safe, "unrun", 0),
+        (RetrySafety::Keyed, "two", 0),
+        (RetrySafety::Unsafe, "two", 0),
     ] {
         let limit = level("", further_tries);
         let mut proxy = proxy(SelectionMethod::WeightedRandom, repeats, &limit, &[1.0, 1.0, 1.0]);
@@ -174,7 +174,7 @@
     }
     // A proof that comes after an attempt that may have executed says nothing of that one.
     let limit = level("", "two");
-    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Never, &limit, &[1.0, 1.0, 1.0]);
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, RetrySafety::Unsafe, &limit, &[1.0, 1.0, 1.0]);
     proxy.request_arrived(ZERO, 1, CLASS);
     let after_proof = proxy.attempt_ended(ZERO, 1, AttemptOutcome::ConnectionFailed);
     assert!(matches!(after_proof, Some(RequestAction::Send { .. })));
@@ -184,7 +184,8 @@
 
 #[test]
 fn the_retry_policy_of_a_request_in_flight_stays_when_tables_change() {
-    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Safe, &level("", "none"), &[1.0, 1.0]);
+    let mut proxy =
+        proxy(SelectionMethod::WeightedRandom, RetrySafety::Safe, &level("", "none"), &[1.0, 1.0]);
     proxy.request_arrived(ZERO, 1, CLASS);
 
     proxy.replace_tables(tables(&level("", "two"), &[1.0, 1.0]));
@@ -196,7 +197,7 @@
 #[test]
 fn requests_are_admitted_at_the_admission_rate_and_others_learn_when_to_come_back() {
     let limit = level("<pace>10</pace>", "none");
-    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Safe, &limit, &[1.0]);
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, RetrySafety::Safe, &limit, &[1.0]);
 
     let mut admitted = 0;
     for id in 0..1000u64 {
@@ -216,7 +217,7 @@
 
 #[test]
 fn a_request_without_an_endpoint_is_rejected_at_once() {
-    let mut proxy = proxy(SelectionMethod::LeastRequestsOfTwo, Repeats::Safe, "", &[]);
+    let mut proxy = proxy(SelectionMethod::LeastRequestsOfTwo, RetrySafety::Safe, "", &[]);
 
     let action = proxy.request_arrived(ZERO, 1, CLASS);
 
@@ -227,7 +228,7 @@
 #[test]
 fn a_cancelled_request_ends_once_and_counts_as_failed() {
     let one_second = Duration::from_secs(1);
-    let mut proxy = proxy(SelectionMethod::WeightedRandom, Repeats::Safe, "", &[1.0, 1.0]);
+    let mut proxy = proxy(SelectionMethod::WeightedRandom, RetrySafety::Safe, "", &[1.0, 1.0]);
     proxy.request_arrived(ZERO, 1, CLASS);
 
     proxy.cancel_request(one_second, 1);
--- a/crates/replay/src/force.rs
+++ b/crates/replay/src/force.rs
@@ -3,7 +3,7 @@
 
 use runloom_event_log::{Entry, RecordedEvent};
 use runloom_model::fleet::Fleet;
-use runloom_model::schema::derive;
+use runloom_model::schema_derivation::derive_schema;
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_netconf::edit::{apply, ErrorOption, Operation};
 use runloom_netconf::tree::Element;
@@ -57,7 +57,7 @@
 impl Force {
     pub fn new(fleet: Fleet, epoch: u64) -> Force {
         Force {
-            schema: Schema::root(derive(PROXY_XSD, &["tables"]).unwrap_or_default()),
+            schema: Schema::root(derive_schema(PROXY_XSD, &["tables"]).unwrap_or_default()),
             fleet,
             places: BTreeMap::new(),
             closed: BTreeMap::new(),
@@ -115,7 +115,7 @@
                         self.open.insert(s.name.clone(), s.started_ms);
                     }
                 }
-                for name in gone.iter().filter(|_| !self.fleet.only_drains_bind) {
+                for name in gone.iter().filter(|_| !self.fleet.only_draining_binds) {
                     self.closed.entry(name.clone()).or_insert(now);
                     self.open.remove(name);
                 }
@@ -138,10 +138,10 @@
     /// against the stated multiple of what it can do at its age, for longer than the stated span.
     fn look_cold(&mut self, now: Duration) {
         let wall = self.epoch + now.as_millis() as u64;
-        let warm_after = self.fleet.warm_after.as_secs_f64().max(0.001);
+        let warm_after = self.fleet.warm_up.as_secs_f64().max(0.001);
         let part = |started: &Option<u64>| {
             let age = started.map_or(f64::MAX, |at| wall.saturating_sub(at) as f64 / 1000.0);
-            (self.fleet.cold_from + (1.0 - self.fleet.cold_from) * age / warm_after).min(1.0)
+            (self.fleet.initial_capacity + (1.0 - self.fleet.initial_capacity) * age / warm_after).min(1.0)
         };
         let weight = |name: &str| self.weights.get(name).copied().unwrap_or(1.0).max(1e-9);
         for (name, _) in self.open.iter().filter(|(_, started)| part(started) >= 1.0) {
@@ -152,7 +152,7 @@
             self.open.iter().map(|(n, s)| (n.clone(), part(s))).filter(|(_, p)| *p < 1.0).collect();
         let mut over = BTreeMap::new();
         for (name, part) in cold.iter().filter(|_| self.can > 0.0) {
-            let bound = self.fleet.cold_multiple * part * self.can * weight(name);
+            let bound = self.fleet.overload_multiple * part * self.can * weight(name);
             if self.load(name) > bound {
                 over.insert(name.clone(), self.pushed.get(name).copied().unwrap_or(now));
             }
@@ -198,7 +198,7 @@
     /// A message went out.
     pub fn sent(&mut self, now: Duration, proxy: &str, number: u64, text: &str, lines: u32) {
         (self.messages, self.lines) = (self.messages + 1, self.lines + u64::from(lines));
-        let (most, over) = (self.fleet.channel.messages, self.fleet.channel.messages_over);
+        let (most, over) = (self.fleet.channel.message_limit, self.fleet.channel.message_window);
         let Some(place) = self.places.get_mut(proxy) else { return };
         place.flying.push_back((number, text.to_string(), lines));
         place.messages.push_back(now);
@@ -208,10 +208,10 @@
         if most > 0.0 && place.messages.len() as f64 > most {
             self.broken.insert("rule 5: too many messages to one proxy".into());
         }
-        let head = self.fleet.channel.overhead as u64;
+        let head = self.fleet.channel.message_overhead as u64;
         let waiting = self.places.values().flat_map(|p| &p.flying).map(|f| u64::from(f.2) + head).sum();
         self.lines_most = self.lines_most.max(waiting);
-        if waiting as f64 > self.fleet.channel.backlog {
+        if waiting as f64 > self.fleet.channel.queue_limit {
             self.broken.insert("rule 5: more lines waited than may".into());
         }
     }
@@ -242,7 +242,7 @@
         self.look_cold(now);
         let warm = |started: &Option<u64>| {
             let age = |at: &u64| (self.epoch + now.as_millis() as u64).saturating_sub(*at);
-            started.as_ref().is_none_or(|at| age(at) >= self.fleet.warm_after.as_millis() as u64)
+            started.as_ref().is_none_or(|at| age(at) >= self.fleet.warm_up.as_millis() as u64)
         };
         let any_warm = self.open.values().any(warm);
         for (name, place) in
@@ -255,7 +255,7 @@
                     place.bare.remove(&class.name);
                 } else {
                     let since = *place.bare.entry(class.name.clone()).or_insert(now);
-                    if now > since + self.fleet.grace.bare {
+                    if now > since + self.fleet.grace.max_unserved {
                         self.broken.insert(format!("rule 1: {name} had no server for {}", class.name));
                     }
                 }
--- a/crates/replay/src/infer.rs
+++ b/crates/replay/src/infer.rs
@@ -258,7 +258,7 @@
 
     fn word_drains(&self, server: &str, at: f64) -> bool {
         let fleet = self.fleets.iter().rfind(|(from, _)| *from <= at + 0.01);
-        fleet.is_some_and(|(_, f)| f.words.get(server).is_some_and(|w| w.drain))
+        fleet.is_some_and(|(_, f)| f.overrides.get(server).is_some_and(|w| w.is_draining))
     }
 }
 
@@ -444,11 +444,11 @@
     let mut edits = vec![];
     for pair in sight.fleets.windows(2) {
         let ((_, old), (at, new)) = (&pair[0], &pair[1]);
-        for (zone, share) in new.zones.iter().filter(|(z, share)| old.share_of(z) != *share) {
-            edits.push(Edit { at: *at, what: Word::Share(zone.clone(), *share) });
+        for zone in new.zones.iter().filter(|zone| old.share_of(&zone.name) != zone.share) {
+            edits.push(Edit { at: *at, what: Word::Share(zone.name.clone(), zone.share) });
         }
-        let drains = |f: &Fleet, name: &String| f.words.get(name).is_some_and(|w| w.drain);
-        for name in old.words.keys().chain(new.words.keys()).collect::<BTreeSet<_>>() {
+        let drains = |f: &Fleet, name: &String| f.overrides.get(name).is_some_and(|w| w.is_draining);
+        for name in old.overrides.keys().chain(new.overrides.keys()).collect::<BTreeSet<_>>() {
             if drains(old, name) != drains(new, name) {
                 edits.push(Edit { at: *at, what: Word::Drain(name.clone(), drains(new, name)) });
             }
@@ -556,7 +556,7 @@
         servers: sight.first.len(),
         forwarders: sight.proxies.len(),
         zones: sight.first.iter().map(|s| &sight.servers[s].zone).collect::<BTreeSet<_>>().len().max(1),
-        rate: sight.calm() / SPAN * first.planners.max(1.0),
+        rate: sight.calm() / SPAN * first.planner_count.max(1.0),
         work_ms: usual / 1000.0,
         cores: if busy > 0.0 { ((working / busy) as usize).max(1) } else { 2 },
         fleet: first,
@@ -584,17 +584,17 @@
             self.servers,
             self.forwarders,
             self.zones,
-            f.planners,
+            f.planner_count,
             self.rate,
             self.work_ms,
             self.cores,
-            ms(f.warm_after),
+            ms(f.warm_up),
             ms(f.grace.drain),
-            ms(f.grace.bare),
-            f.only_drains_bind,
-            f.pick,
-            f.levels,
-            f.channel.pace
+            ms(f.grace.max_unserved),
+            f.only_draining_binds,
+            f.selection,
+            f.admission,
+            f.channel.entries_per_second
         );
         for t in &self.troubles {
             let servers: String = t.servers.iter().map(|s| format!("<server>{s}</server>")).collect();
--- a/crates/replay/src/other.rs
+++ b/crates/replay/src/other.rs
@@ -128,15 +128,15 @@
         };
         let mut servers = servers.clone();
         for s in &mut servers {
-            let (was, now) = (self.recorded.words.get(&s.name), fixed.words.get(&s.name));
+            let (was, now) = (self.recorded.overrides.get(&s.name), fixed.overrides.get(&s.name));
             // Under an operator's weight the feed's is not known: it is taken for 1, as a list without weights has.
             let base = match was.and_then(|w| w.weight) {
                 Some(_) => 1.0,
                 None => s.weight / self.recorded.share_of(&s.zone),
             };
             s.weight = now.and_then(|w| w.weight).unwrap_or(base) * fixed.share_of(&s.zone);
-            let by_word = was.is_some_and(|w| w.drain);
-            s.is_draining = (s.is_draining && !by_word) || now.is_some_and(|w| w.drain);
+            let by_word = was.is_some_and(|w| w.is_draining);
+            s.is_draining = (s.is_draining && !by_word) || now.is_some_and(|w| w.is_draining);
         }
         Some(RecordedEvent::EndpointsListed { is_complete: *whole, servers, removed: gone.clone() })
     }
@@ -276,7 +276,8 @@
 impl Outcomes {
     fn of(entries: &[Entry], fleet: &Fleet) -> Outcomes {
         let told = entries.iter().any(|e| matches!(e.event, RecordedEvent::ClassOutcomes { .. }));
-        let classes: Vec<(String, f64)> = fleet.classes.iter().map(|c| (c.name.clone(), c.payoff)).collect();
+        let classes: Vec<(String, f64)> =
+            fleet.classes.iter().map(|c| (c.name.clone(), c.priority_weight)).collect();
         let by_class = told.then(|| classes.iter().map(|c| c.0.clone()).collect());
         let estimate = Estimate::new(if told { classes } else { vec![("all".into(), 1.0)] });
         Outcomes { estimate, by_class, met: vec![], gates: BTreeMap::new() }
--- a/crates/testbed/src/issuer.rs
+++ b/crates/testbed/src/issuer.rs
@@ -4,7 +4,7 @@
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, KeyPair, KeyUsagePurpose,
     SanType,
 };
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -13,8 +13,8 @@
 use runloom_daemon::tls_credentials::{CertificateHolder, PROXY};
 use runloom_event_loop::{EventLoop, IoEvent};
 use runloom_inventory::edit_history::EditHistory;
-use runloom_model::fleet::{Class, Repeats};
-use runloom_model::forwarder::ProxySettings;
+use runloom_model::proxy_settings::ProxySettings;
+use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use runloom_model::FLEET;
 use runloom_netconf::service::{Limits, Service};
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits as SessionBounds};
@@ -233,26 +233,26 @@
     for _ in 0..4 {
         servers.add(&mut turn, "z0", false).map_err(told)?;
     }
-    let class = |name: &str| Class {
+    let class = |name: &str| ClassSettings {
         name: name.into(),
-        payoff: 1.0,
-        soft_limit: Duration::from_secs(1),
-        outer_limit: Duration::from_secs(2),
-        repeats: Repeats::Safe,
+        priority_weight: 1.0,
+        latency_objective: Duration::from_secs(1),
+        deadline: Duration::from_secs(2),
+        retry_safety: RetrySafety::Safe,
     };
     let stand = ProxySettings {
         name: "f0".into(),
         zone: "z0".into(),
-        listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-        front: Default::default(),
-        planners: vec![],
-        papers,
-        pick: "less-busy".into(),
-        shun_after: 3,
-        shun_for: Duration::from_secs(4),
-        report: Duration::from_millis(500),
+        listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+        table_delivery: Default::default(),
+        planner_addresses: vec![],
+        tls: papers,
+        selection: "less-busy".into(),
+        circuit_breaker_failures: 3,
+        circuit_breaker_open: Duration::from_secs(4),
+        report_period: Duration::from_millis(500),
         classes: ["search", "shelf", "loan-checkout"].map(class).to_vec(),
-        standing: servers.all.iter().map(|s| (s.name.clone(), s.address)).collect(),
+        static_servers: servers.all.iter().map(|s| (s.name.clone(), s.address)).collect(),
     };
     let (give, take) = std::sync::mpsc::channel();
     std::thread::spawn(move || -> Told {
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -86,7 +86,7 @@
         Some(text) => text,
         None => std::fs::read_to_string(Path::new(name)).map_err(|e| format!("{name}: {e}"))?,
     };
-    let faults = SchemaValidator::new(include_str!("day.xsd"))?.faults(&text);
+    let faults = SchemaValidator::new(include_str!("day.xsd"))?.validate(&text);
     if !faults.is_empty() {
         return Err(faults.iter().map(|f| format!("{name}:{f}")).collect::<Vec<_>>().join("\n"));
     }
--- a/crates/testbed/src/staff.rs
+++ b/crates/testbed/src/staff.rs
@@ -3,7 +3,8 @@
 use crate::scenario::Edit;
 use runloom_daemon::client::{edit_config, Client, ClientError};
 use runloom_daemon::tls_credentials::TlsPolicy;
-use runloom_model::fleet::{ListedServer, TlsFiles};
+use runloom_model::listed_server::ListedServer;
+use runloom_model::tls_files::TlsFiles;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
@@ -59,7 +60,7 @@
 fn changes(old: &List, new: &List) -> Element {
     let mut roster = Element::new(FLEET, "roster");
     for (name, listed) in new.iter().filter(|(name, listed)| old.get(*name) != Some(listed)) {
-        roster = roster.with(listed.element(name).with_attribute(BASE, "operation", "replace"));
+        roster = roster.with(listed.to_element(name).with_attribute(BASE, "operation", "replace"));
     }
     for name in old.keys().filter(|name| !new.contains_key(*name)) {
         let gone = Element::new(FLEET, "server").with_attribute(BASE, "operation", "remove");
@@ -70,7 +71,7 @@
 
 fn whole(list: &List) -> Element {
     let roster = Element::new(FLEET, "roster").with_attribute(BASE, "operation", "replace");
-    list.iter().fold(roster, |r, (name, listed)| r.with(listed.element(name)))
+    list.iter().fold(roster, |r, (name, listed)| r.with(listed.to_element(name)))
 }
 
 /// Tells a planner the list as it changes, late as the lists' times say; the whole of it after each start.
@@ -117,7 +118,7 @@
         let (at, old) = (start.elapsed(), known.unwrap_or_default());
         let mut told = shared.told.lock().unwrap_or_else(|e| e.into_inner());
         for (server, listed) in &list {
-            let mode = if listed.draining { "draining" } else { "ready" };
+            let mode = if listed.is_draining { "draining" } else { "ready" };
             if old.get(server).is_none_or(|o| o != listed) {
                 told.push(Told { at, planner, server: server.clone(), mode, staff: false });
             }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -16,8 +16,10 @@
 use runloom_daemon::wall_ms;
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop, IoEvent};
 use runloom_identity::access::{Permission, Principal, Rule};
-use runloom_model::fleet::{Class, ListedServer, Repeats, TlsFiles};
-use runloom_model::forwarder::{ProxySettings, TableDelivery};
+use runloom_model::listed_server::ListedServer;
+use runloom_model::proxy_settings::{ProxySettings, TableDelivery};
+use runloom_model::tls_files::TlsFiles;
+use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use runloom_proxy::ProxyCounts;
 use runloom_versioned_publisher::{Topic, TopicKind, Version};
 use socket2::{Domain, Socket, Type};
@@ -403,7 +405,7 @@
         let d = &self.day;
         let zones: String = (0..d.zones).map(|z| format!("<zone><name>z{z}</name></zone>")).collect();
         let classes: String = CLASSES.iter().map(class_xml).collect();
-        let listed: String = self.list().iter().map(|(name, l)| l.element(name).to_text()).collect();
+        let listed: String = self.list().iter().map(|(name, l)| l.to_element(name).to_text()).collect();
         let folder = self.folder.join(format!("state-{planner}"));
         let place = self.folder.join(format!("record-{planner}"));
         let record = format!("<record><folder>{}</folder></record>", place.display());
@@ -442,13 +444,13 @@
     }
 
     fn start_forwarders(&mut self, issuer: &Issuer) -> Result<(), String> {
-        let repeats = |word: &str| if word == "safe" { Repeats::Safe } else { Repeats::Never };
-        let class = |c: &(&str, f64, u64, u64, &str, f64)| Class {
+        let repeats = |word: &str| if word == "safe" { RetrySafety::Safe } else { RetrySafety::Unsafe };
+        let class = |c: &(&str, f64, u64, u64, &str, f64)| ClassSettings {
             name: c.0.into(),
-            payoff: c.1,
-            soft_limit: Duration::from_millis(c.2),
-            outer_limit: Duration::from_millis(c.3),
-            repeats: repeats(c.4),
+            priority_weight: c.1,
+            latency_objective: Duration::from_millis(c.2),
+            deadline: Duration::from_millis(c.3),
+            retry_safety: repeats(c.4),
         };
         let mut listens = Vec::new();
         for f in 0..self.day.forwarders {
@@ -467,17 +469,17 @@
             let zone = format!("z{}", f % self.day.zones);
             let near = self.servers.all.iter().filter(|s| s.zone == zone).take(6);
             let stand = ProxySettings {
-                papers: self.papers(issuer, &name, PROXY)?,
+                tls: self.papers(issuer, &name, PROXY)?,
                 name,
-                standing: near.map(|s| (s.name.clone(), s.address)).collect(),
+                static_servers: near.map(|s| (s.name.clone(), s.address)).collect(),
                 zone,
-                listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-                front,
-                planners: homes,
-                pick: self.day.pick.clone(),
-                shun_after: 3,
-                shun_for: Duration::from_secs(4),
-                report: Duration::from_millis(500),
+                listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+                table_delivery: front,
+                planner_addresses: homes,
+                selection: self.day.pick.clone(),
+                circuit_breaker_failures: 3,
+                circuit_breaker_open: Duration::from_secs(4),
+                report_period: Duration::from_millis(500),
                 classes: CLASSES.iter().map(class).collect(),
             };
             let seed = self.seed ^ (f as u64 + 1).wrapping_mul(0x9e37_79b9);
@@ -518,9 +520,9 @@
                 zone: s.zone.clone(),
                 kind: "std".into(),
                 cell: 0,
-                draining: self.draining.contains(&s.name),
+                is_draining: self.draining.contains(&s.name),
                 weight: 1.0,
-                started: s.cold.then(|| (wall_ms() - age) / 1000 * 1000),
+                started_ms: s.cold.then(|| (wall_ms() - age) / 1000 * 1000),
             };
             list.insert(s.name.clone(), listed);
         }
@@ -534,10 +536,10 @@
         // A start is told as it was told first: reckoned anew it would be off by the rounding.
         if let Some((_, last)) = lists.last() {
             for (name, listed) in &mut list {
-                let old = last.get(name).and_then(|l| l.started);
+                let old = last.get(name).and_then(|l| l.started_ms);
                 let near = |a: u64, b: u64| a.abs_diff(b) <= 1000;
-                if let (Some(old), Some(new)) = (old, listed.started) {
-                    listed.started = Some(if near(old, new) { old } else { new });
+                if let (Some(old), Some(new)) = (old, listed.started_ms) {
+                    listed.started_ms = Some(if near(old, new) { old } else { new });
                 }
             }
         }
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -4,7 +4,7 @@
 
 use runloom_daemon::client::Client;
 use runloom_daemon::tls_credentials::TlsPolicy;
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use runloom_testbed::issuer::Issuer;
 use runloom_testbed::world::{free, tls_xml, Process};
 use std::net::SocketAddr;
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -8,8 +8,9 @@
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, EventLoop, IoEvent, Security};
 use runloom_identity::access::{Permission, Principal, Rule};
-use runloom_model::fleet::{Class, Repeats, TlsFiles};
-use runloom_model::forwarder::{ProxySettings, TableDelivery as Front};
+use runloom_model::proxy_settings::{ProxySettings, TableDelivery as Front};
+use runloom_model::tls_files::TlsFiles;
+use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use runloom_model::FLEET;
 use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
 use runloom_mqtt::ProxyInfo;
@@ -167,26 +168,26 @@
 
 impl Proxy {
     fn new(desk: &Desk, front: Front, papers: TlsFiles) -> Proxy {
-        let class = Class {
+        let class = ClassSettings {
             name: "q".into(),
-            payoff: 1.0,
-            soft_limit: Duration::from_millis(500),
-            outer_limit: Duration::from_millis(900),
-            repeats: Repeats::Safe,
+            priority_weight: 1.0,
+            latency_objective: Duration::from_millis(500),
+            deadline: Duration::from_millis(900),
+            retry_safety: RetrySafety::Safe,
         };
         let stand = ProxySettings {
             name: "f1".into(),
             zone: "a".into(),
-            listen: "127.0.0.1:0".parse().unwrap(),
-            front,
-            planners: vec![if front == Front::Edits { desk.home } else { desk.pubsub }],
-            papers,
-            pick: "chance".into(),
-            shun_after: 3,
-            shun_for: Duration::from_secs(4),
-            report: Duration::from_millis(500),
+            listen_address: "127.0.0.1:0".parse().unwrap(),
+            table_delivery: front,
+            planner_addresses: vec![if front == Front::Edits { desk.home } else { desk.pubsub }],
+            tls: papers,
+            selection: "chance".into(),
+            circuit_breaker_failures: 3,
+            circuit_breaker_open: Duration::from_secs(4),
+            report_period: Duration::from_millis(500),
             classes: vec![class],
-            standing: vec![("own".into(), "127.0.0.1:9".parse().unwrap())],
+            static_servers: vec![("own".into(), "127.0.0.1:9".parse().unwrap())],
         };
         let mut turn = EventLoop::new().unwrap();
         let (forwarder, _) = ProxyRuntime::start(&mut turn, stand, 3).unwrap();
