--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -113,6 +113,11 @@
         self.service.handle(self.now, session, &Rpc { rpc }, &mut self.host)
     }
 
+    /// Top nodes of the running datastore.
+    fn top_nodes(&self) -> usize {
+        self.host.running.children.len()
+    }
+
     /// The reply's error tag, or `ok`.
     fn tag(&mut self, session: u32, operation: &str) -> String {
         outcome(&self.send(session, operation))
@@ -130,6 +135,8 @@
     )
 }
 
+const LOCK_CANDIDATE: &str = "<lock><target><candidate/></target></lock>";
+const CONFIRMED_COMMIT: &str = "<commit><confirmed/><confirm-timeout>5</confirm-timeout></commit>";
 const ITEM: &str = "<item><name>x</name><size>1</size></item>";
 
 proptest! {
@@ -318,81 +325,123 @@
 
 #[test]
 fn a_failed_edit_changes_nothing_unless_it_continues_on_error() {
-    let (mut server, a, _) = Server::new();
-    let two = format!("{ITEM}<item nc:operation='delete'><name>y</name></item>");
-    assert_eq!(server.tag(a, &edit("running", &two)), "data-missing");
+    let (mut server, session, _) = Server::new();
+    let one_fails = format!("{ITEM}<item nc:operation='delete'><name>y</name></item>");
+    assert_eq!(server.tag(session, &edit("running", &one_fails)), "data-missing");
     assert_eq!((server.host.commits, server.host.running.children.len()), (0, 0));
+
     let continue_on_error =
         "<edit-config><target><running/></target><error-option>continue-on-error</error-option><config>\
         <top xmlns='urn:test'><first>1</first></top><odd xmlns='urn:test'/></config></edit-config>";
-    assert_eq!(server.tag(a, continue_on_error), "unknown-element");
+    assert_eq!(server.tag(session, continue_on_error), "unknown-element");
     assert_eq!(server.host.running.children[0].text_of("first"), Some("1"));
+}
+
+#[test]
+fn an_edit_with_default_operation_none_needs_an_existing_node() {
+    let (mut server, session, _) = Server::new();
     let none =
         edit("running", ITEM).replace("<config>", "<default-operation>none</default-operation><config>");
-    assert_eq!(server.tag(a, &none), "data-missing");
-    let only = edit("running", ITEM).replace("<config>", "<test-option>test-only</test-option><config>");
-    assert_eq!((server.tag(a, &only).as_str(), server.host.commits), ("ok", 1));
+
+    assert_eq!(server.tag(session, &none), "data-missing");
 }
 
 #[test]
-fn a_candidate_is_committed_or_discarded() {
-    let (mut server, a, b) = Server::new();
-    assert_eq!(server.tag(a, &edit("candidate", ITEM)), "ok");
+fn a_test_only_edit_is_not_committed() {
+    let (mut server, session, _) = Server::new();
+    let test_only = edit("running", ITEM).replace("<config>", "<test-option>test-only</test-option><config>");
+
+    assert_eq!((server.tag(session, &test_only).as_str(), server.host.commits), ("ok", 0));
+}
+
+#[test]
+fn a_changed_candidate_cannot_be_locked_until_it_is_discarded() {
+    let (mut server, first, second) = Server::new();
+    assert_eq!(server.tag(first, &edit("candidate", ITEM)), "ok");
     assert_eq!(server.host.commits, 0);
-    assert_eq!(server.tag(b, "<lock><target><candidate/></target></lock>"), "lock-denied");
-    server.send(a, "<discard-changes/>");
-    assert_eq!(server.tag(b, "<lock><target><candidate/></target></lock>"), "ok");
-    assert_eq!(server.tag(a, &edit("candidate", ITEM)), "in-use");
-    assert_eq!(server.tag(a, "<commit/>"), "in-use");
-    assert_eq!(server.tag(b, &edit("candidate", ITEM)), "ok");
-    server.service.close_session(b, &mut server.host);
-    assert_eq!(server.tag(a, "<commit/>"), "ok");
+    assert_eq!(server.tag(second, LOCK_CANDIDATE), "lock-denied");
+
+    server.send(first, "<discard-changes/>");
+
+    assert_eq!(server.tag(second, LOCK_CANDIDATE), "ok");
+}
+
+#[test]
+fn a_locked_candidate_is_reserved_for_its_session_and_discarded_with_it() {
+    let (mut server, first, second) = Server::new();
+    assert_eq!(server.tag(second, LOCK_CANDIDATE), "ok");
+    assert_eq!(server.tag(first, &edit("candidate", ITEM)), "in-use");
+    assert_eq!(server.tag(first, "<commit/>"), "in-use");
+    assert_eq!(server.tag(second, &edit("candidate", ITEM)), "ok");
+
+    server.service.close_session(second, &mut server.host);
+
+    assert_eq!(server.tag(first, "<commit/>"), "ok");
     assert_eq!(server.host.commits, 0, "the candidate is discarded with the lock's session");
-    assert_eq!(server.tag(a, &edit("candidate", "<item><name>x</name><size>bad</size></item>")), "ok");
-    assert_eq!(server.tag(a, "<validate><source><candidate/></source></validate>"), "invalid-value");
-    assert_eq!(server.tag(a, "<commit/>"), "invalid-value");
 }
 
 #[test]
-fn a_confirmed_commit_is_rolled_back_after_its_timeout_or_with_its_session() {
-    let first = |server: &Server| server.host.running.children.len();
-    let confirmed = "<commit><confirmed/><confirm-timeout>5</confirm-timeout></commit>";
-    let (mut server, a, _) = Server::new();
-    server.send(a, &edit("candidate", ITEM));
-    assert_eq!(server.tag(a, confirmed), "ok");
-    assert_eq!(first(&server), 1);
-    let due = server.service.wakes_at().unwrap();
-    server.service.handle_timeout(due, &mut server.host);
-    assert_eq!(first(&server), 0);
-
-    let (mut server, a, b) = Server::new();
-    server.send(a, &edit("candidate", ITEM));
-    server.send(a, confirmed);
-    assert_eq!(server.tag(b, &edit("running", ITEM)), "in-use");
-    server.service.close_session(a, &mut server.host);
-    assert_eq!(first(&server), 0);
-
-    let (mut server, a, b) = Server::new();
-    server.send(a, &edit("candidate", ITEM));
-    server.send(a, "<commit><confirmed/><persist>p</persist></commit>");
-    server.service.close_session(a, &mut server.host);
-    assert_eq!(first(&server), 1, "one with a persist-id outlives its session");
-    assert_eq!(server.tag(b, "<commit><persist-id>q</persist-id></commit>"), "invalid-value");
-    assert_eq!(server.tag(b, "<commit><persist-id>p</persist-id></commit>"), "ok");
-    assert_eq!((first(&server), server.service.wakes_at()), (1, None));
+fn an_invalid_candidate_is_rejected_when_it_is_validated_or_committed() {
+    let (mut server, session, _) = Server::new();
+    let invalid = edit("candidate", "<item><name>x</name><size>bad</size></item>");
+    assert_eq!(server.tag(session, &invalid), "ok");
+
+    assert_eq!(server.tag(session, "<validate><source><candidate/></source></validate>"), "invalid-value");
+    assert_eq!(server.tag(session, "<commit/>"), "invalid-value");
+}
+
+#[test]
+fn a_confirmed_commit_is_rolled_back_after_its_timeout() {
+    let (mut server, session, _) = Server::new();
+    server.send(session, &edit("candidate", ITEM));
+    assert_eq!(server.tag(session, CONFIRMED_COMMIT), "ok");
+    assert_eq!(server.top_nodes(), 1);
+
+    let times_out_at = server.service.wakes_at().unwrap();
+    server.service.handle_timeout(times_out_at, &mut server.host);
+
+    assert_eq!(server.top_nodes(), 0);
+}
+
+#[test]
+fn a_confirmed_commit_is_rolled_back_with_its_session_and_blocks_others_until_then() {
+    let (mut server, first, second) = Server::new();
+    server.send(first, &edit("candidate", ITEM));
+    server.send(first, CONFIRMED_COMMIT);
+    assert_eq!(server.tag(second, &edit("running", ITEM)), "in-use");
+
+    server.service.close_session(first, &mut server.host);
+
+    assert_eq!(server.top_nodes(), 0);
+}
+
+#[test]
+fn a_confirmed_commit_with_a_persist_id_outlives_its_session() {
+    let (mut server, first, second) = Server::new();
+    server.send(first, &edit("candidate", ITEM));
+    server.send(first, "<commit><confirmed/><persist>p</persist></commit>");
+
+    server.service.close_session(first, &mut server.host);
+
+    assert_eq!(server.top_nodes(), 1);
+    assert_eq!(server.tag(second, "<commit><persist-id>q</persist-id></commit>"), "invalid-value");
+    assert_eq!(server.tag(second, "<commit><persist-id>p</persist-id></commit>"), "ok");
+    assert_eq!((server.top_nodes(), server.service.wakes_at()), (1, None));
 }
 
 #[test]
 fn an_edit_repeated_with_its_id_takes_effect_once() {
-    let (mut server, a, b) = Server::new();
+    let (mut server, first, second) = Server::new();
     let item = edit("running", "<item nc:operation='create'><name>x</name></item>");
-    assert_eq!(outcome(&server.send_with_id(a, &item, "e1")), "ok");
-    assert_eq!(outcome(&server.send_with_id(b, &item, "e1")), "ok");
-    let other = server.send_with_id(b, &edit("running", ITEM), "e1");
+    assert_eq!(outcome(&server.send_with_id(first, &item, "e1")), "ok");
+    assert_eq!(outcome(&server.send_with_id(second, &item, "e1")), "ok");
+
+    let other = server.send_with_id(second, &edit("running", ITEM), "e1");
     assert_eq!(other.content[0].text_of("error-app-tag"), Some("edit-id-reused"));
-    server.send(a, &edit("candidate", "<item><name>z</name></item>"));
-    assert_eq!(outcome(&server.send_with_id(a, "<commit/>", "e2")), "ok");
-    assert_eq!(outcome(&server.send_with_id(b, "<commit/>", "e2")), "ok");
+
+    server.send(first, &edit("candidate", "<item><name>z</name></item>"));
+    assert_eq!(outcome(&server.send_with_id(first, "<commit/>", "e2")), "ok");
+    assert_eq!(outcome(&server.send_with_id(second, "<commit/>", "e2")), "ok");
     assert_eq!(server.host.commits, 2);
 }
 
