--- a/crates/distribution/src/distributor/delivery.rs
+++ b/crates/distribution/src/distributor/delivery.rs
@@ -5,7 +5,7 @@
 use crate::member::PendingCommand;
 use crate::pending_proxy::Transport;
 use crate::suspicion::Verdict;
-use runloom_model::order::{Message, TableEdit};
+use runloom_model::table_update::{TableEdit, UpdateMessage};
 use runloom_versioned_publisher::{TableUpdate, Topic, TopicKind, Version};
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
         for command in member.pending_commands.iter_mut().filter(|command| command.needs_empty_message()) {
             command.empty_message = Some(number);
         }
-        Some(Outgoing::Edit { number, text: Message::default().to_text().into(), entries: 0 })
+        Some(Outgoing::Edit { number, text: UpdateMessage::default().to_xml().into(), entries: 0 })
     }
 
     /// Writes updates as one edit.
@@ -49,19 +49,19 @@
         if let Some(edit) = self.shared_edits.get(&ids).filter(|_| can_share) {
             return Some(edit.clone());
         }
-        let mut message = Message { whole: member.is_first_message, ..Message::default() };
+        let mut message = UpdateMessage { replaces_all: member.is_first_message, ..UpdateMessage::default() };
         member.is_first_message = false;
         for update in &updates {
             add_update(&mut message, update);
         }
         if assigns {
             let left = std::mem::take(&mut member.leaving);
-            if !message.whole {
-                let gone = || TableEdit { gone: true, ..TableEdit::default() };
+            if !message.replaces_all {
+                let gone = || TableEdit { is_removed: true, ..TableEdit::default() };
                 message.tables.extend(left.into_keys().map(|table| (table, gone())));
             }
         }
-        let edit = EditText { text: message.to_text().into(), entries: message.lines() };
+        let edit = EditText { text: message.to_xml().into(), entries: message.entry_count() };
         if can_share {
             self.shared_edits.insert(ids, edit.clone());
         }
