--- a/crates/model/tests/wire_snapshot.rs
+++ b/crates/model/tests/wire_snapshot.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn edits_of_a_proxy_are_as_they_were() {
+fn table_updates_are_unchanged() {
     let mut seen = format!("{}\n{}\n", message(false).to_xml(), message(true).to_xml());
     seen += &format!("{}\n", format_entry("127.0.0.1:81", 0.75));
     table()
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_report_is_as_it_was() {
+fn reports_are_unchanged() {
     let class = ClassOutcomes {
         class: "lookup".into(),
         attempts: 9,
