--- a/crates/control-session/src/execution.rs
+++ b/crates/control-session/src/execution.rs
@@ -1,6 +1,7 @@
 //! Carries out the controller's commands: validation by the guard, changes of the tables, messages to the proxies.
 
 use crate::published_tables::OutgoingMessage;
+use crate::session::UNKNOWN_NAME;
 use crate::table_message::IndexNames;
 use crate::{Action, ControlSession, IssuedUpdate, CLOCK_LEAD};
 use runloom_controller::{ClassId, Command, Event, ProxyId, TableId};
@@ -75,7 +76,7 @@
                 execution.ack_request = Some(AckRequest { token: ack_token, all_proxies });
             }
             Command::CheckHealth { server } => {
-                let address = self.addresses.get(&server).copied();
+                let address = self.endpoints.address(server);
                 execution.actions.extend(address.map(|address| Action::CheckHealth { server, address }));
             }
             Command::SetTimer { after, token } => self.timers.push(Reverse((now + after, token))),
@@ -112,9 +113,9 @@
     /// Sends one message to each proxy that the changes concern, and to the `required` ones.
     fn send_messages(&mut self, now: Duration, required: &BTreeSet<ProxyId>, execution: &mut Execution) {
         let names = IndexNames {
-            server: &|server| self.servers.name(server).map_or("?", String::as_str),
-            address: &|server| address_text(self.addresses.get(&server)),
-            class: &|class| self.fleet.classes.get(class).map_or("?", |class| class.name.as_str()),
+            server: &|server| self.endpoints.name(server),
+            address: &|server| address_text(self.endpoints.address(server)),
+            class: &|class| self.fleet.classes.get(class).map_or(UNKNOWN_NAME, |class| class.name.as_str()),
         };
         for (table, edit) in self.tables.table_changes(&names) {
             execution.actions.push(Action::UpdateTable { table, edit });
@@ -148,6 +149,6 @@
     !matches!(command, Command::CheckHealth { .. } | Command::SetTimer { .. } | Command::LogEjection(_))
 }
 
-fn address_text(address: Option<&SocketAddr>) -> String {
-    address.map(SocketAddr::to_string).unwrap_or_default()
+fn address_text(address: Option<SocketAddr>) -> String {
+    address.map(|address| address.to_string()).unwrap_or_default()
 }
--- a/crates/control-session/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -7,11 +7,13 @@
 
 mod action;
 mod clock;
+mod endpoint_directory;
 mod execution;
 mod member;
 mod published_tables;
 pub mod recording;
 mod report_aggregator;
+mod reports;
 mod session;
 mod table_message;
 
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -198,21 +198,22 @@
             true
         }
         RecordedEvent::HealthChecked { server, result, elapsed_us, load_bits } => {
-            let Some(server) = session.server(server) else { return false };
-            let result = HEALTH_CHECK_RESULTS.get(usize::from(*result)).copied();
-            let result = result.unwrap_or(HealthCheckResult::Inconclusive);
-            session.record_health_check(
-                server,
-                result,
-                Duration::from_micros(*elapsed_us),
-                load_from_bits(load_bits),
-            );
-            true
+            let result = health_check_result(*result);
+            let elapsed = Duration::from_micros(*elapsed_us);
+            let load = load_from_bits(load_bits);
+            let server = session.server(server);
+            server.map(|server| session.record_health_check(server, result, elapsed, load)).is_some()
         }
         _ => true,
     }
 }
 
+/// The result of a number in a record; a number that is not known says nothing.
+fn health_check_result(number: u8) -> HealthCheckResult {
+    let known = HEALTH_CHECK_RESULTS.get(usize::from(number)).copied();
+    known.unwrap_or(HealthCheckResult::Inconclusive)
+}
+
 /// Replays an endpoint list; `None` if an address in it is malformed.
 fn replay_endpoint_list(
     session: &mut ControlSession,
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -1,31 +1,26 @@
 //! [`ControlSession`]: events in, actions out.
 
 use crate::clock::{truncate_to_microseconds, WallClock};
+use crate::endpoint_directory::EndpointDirectory;
 use crate::published_tables::{PublishedTable, PublishedTables};
 use crate::report_aggregator::ReportAggregator;
 use crate::{recording, Action, IssuedUpdate, Member, CLOCK_LEAD};
 use runloom_controller::{
     Command, Controller, EndpointRecord, EndpointUpdate, Event, HealthCheckResult, IdMap, LearnedState,
-    ListedState, ProxyId, ServerId, TableId, WarmStartHint, ZoneId,
+    ProxyId, ServerId, TableId, WarmStartHint, ZoneId,
 };
 use runloom_event_log::RecordedEvent;
 use runloom_guard::{GuardConfig, SafetyGuard};
-use runloom_inventory::{Change, Server};
+use runloom_inventory::Change;
 use runloom_model::fleet::{Fleet, RaisedMultiple};
-use runloom_model::report::Report;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Largest request rate, in requests a second, that a connecting proxy may claim.
 const MAX_REQUEST_RATE: f64 = 1e6;
-/// Shortest window, in seconds, over which a report's rate is computed.
-const MIN_RATE_WINDOW_SECONDS: f64 = 0.1;
 /// Name of an index that was never assigned.
-const UNKNOWN_NAME: &str = "?";
-/// The weight of a server that is removed without ever having been listed.
-const DEFAULT_WEIGHT: f64 = 1.0;
+pub(crate) const UNKNOWN_NAME: &str = "?";
 
 /// Changes commands before they are validated: for trials of the guard only.
 pub type CommandTamper = Box<dyn FnMut(Duration, &mut Vec<Command>)>;
@@ -70,22 +65,18 @@
     pub max_queued_entries: usize,
     pub(crate) guard: SafetyGuard,
     pub(crate) fleet: Fleet,
-    pub(crate) servers: IdMap<String>,
-    pub(crate) addresses: BTreeMap<ServerId, SocketAddr>,
+    pub(crate) endpoints: EndpointDirectory,
     pub(crate) tables: PublishedTables,
     pub(crate) members: BTreeMap<ProxyId, Member>,
     pub(crate) pending_events: Vec<Event>,
     /// Timers of the controller: when they fire, and their token.
     pub(crate) timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    pub(crate) reports: ReportAggregator,
+    pub(crate) zones: IdMap<String>,
+    /// Successful requests a second of each server, by the zone that sent them.
+    pub(crate) success_rates: BTreeMap<(ServerId, ZoneId), f64>,
     controller: Controller,
-    reports: ReportAggregator,
     proxies: IdMap<String>,
-    zones: IdMap<String>,
-    kinds: IdMap<String>,
-    weights: BTreeMap<ServerId, f64>,
-    /// Successful requests a second of each server, by the zone that sent them.
-    success_rates: BTreeMap<(ServerId, ZoneId), f64>,
-    endpoint_states: BTreeMap<ServerId, &'static str>,
     /// Time of the newest call, for the record.
     now: Duration,
     wall_clock: WallClock,
@@ -105,8 +96,7 @@
             messages_sent: 0,
             max_queued_entries: 0,
             guard: SafetyGuard::new(GuardConfig::of(&config)),
-            servers: IdMap::default(),
-            addresses: BTreeMap::new(),
+            endpoints: EndpointDirectory::default(),
             tables: PublishedTables::default(),
             members: BTreeMap::new(),
             pending_events: vec![Event::Start { seed, config: Box::new(config) }],
@@ -115,10 +105,7 @@
             reports: ReportAggregator::new(fleet.report_period, fleet.reports_per_second),
             proxies: IdMap::default(),
             zones: index_zones(&fleet),
-            kinds: IdMap::default(),
-            weights: BTreeMap::new(),
             success_rates: BTreeMap::new(),
-            endpoint_states: BTreeMap::new(),
             now: Duration::ZERO,
             wall_clock: WallClock { epoch_ms },
             fleet,
@@ -152,12 +139,12 @@
 
     /// The index of a server that has been listed.
     pub fn server(&self, name: &str) -> Option<ServerId> {
-        self.servers.get(name)
+        self.endpoints.index(name)
     }
 
     /// The name of a server, or `?`.
     pub fn server_name(&self, server: ServerId) -> &str {
-        self.servers.name(server).map_or(UNKNOWN_NAME, String::as_str)
+        self.endpoints.name(server)
     }
 
     /// The tables as published.
@@ -167,7 +154,7 @@
 
     /// State of each server by the newest list: `ready`, `draining` or `gone`.
     pub fn endpoint_states(&self) -> &BTreeMap<ServerId, &'static str> {
-        &self.endpoint_states
+        self.endpoints.states()
     }
 
     /// Table entries on their way, each message's overhead included, as the channel's limit counts them.
@@ -216,67 +203,23 @@
     /// Passes an endpoint list to the controller: the complete list or changes, as `update` says.
     pub fn update_endpoints(&mut self, update: EndpointUpdate, changes: Vec<(String, Change)>) {
         self.record(|| recording::endpoint_list(update, &changes));
-        let mut records = Vec::new();
-        for (name, change) in changes {
-            let server = self.servers.index(name);
-            let record = match change {
-                Change::Updated(listed) => self.endpoint_record(server, listed),
-                Change::Removed => self.removal_record(server),
-            };
-            records.push(record);
-        }
+        let to_record =
+            |(name, change)| self.endpoints.update(name, change, &mut self.zones, self.wall_clock);
+        let records: Vec<EndpointRecord> = changes.into_iter().map(to_record).collect();
         for record in &records {
-            self.track_endpoint(record);
+            let weight = self.endpoints.last_weight(record);
+            self.guard.update_endpoint(record.server, record.state, weight, record.started);
         }
         self.pending_events.push(Event::EndpointsListed { update, records });
     }
 
-    fn endpoint_record(&mut self, server: ServerId, listed: Server) -> EndpointRecord {
-        self.addresses.insert(server, listed.address);
-        self.endpoint_states.insert(server, if listed.is_draining { "draining" } else { "ready" });
-        EndpointRecord {
-            server,
-            zone: self.zones.index(listed.zone),
-            kind: self.kinds.index(listed.kind),
-            cell: listed.cell,
-            state: if listed.is_draining { ListedState::Draining } else { ListedState::Ready },
-            weight: listed.weight,
-            // A start before the controller's clock began is long ago.
-            started: listed.started_ms.and_then(|at| self.wall_clock.to_controller_time(at)),
-        }
-    }
-
-    fn removal_record(&mut self, server: ServerId) -> EndpointRecord {
-        self.endpoint_states.insert(server, "gone");
-        EndpointRecord {
-            server,
-            zone: 0,
-            kind: 0,
-            cell: 0,
-            state: ListedState::Removed,
-            weight: DEFAULT_WEIGHT,
-            started: None,
-        }
-    }
-
-    /// Passes a record to the guard; a removed server keeps its last weight there.
-    fn track_endpoint(&mut self, record: &EndpointRecord) {
-        let weight = if record.state == ListedState::Removed {
-            self.weights.get(&record.server).copied().unwrap_or(DEFAULT_WEIGHT)
-        } else {
-            record.weight
-        };
-        self.weights.insert(record.server, weight);
-        self.guard.update_endpoint(record.server, record.state, weight, record.started);
-    }
-
     /// Passes what an earlier process learned to the controller. It follows the endpoint list that names the
     /// servers; hints of other servers are left out.
     pub fn warm_start(&mut self, hints: &[ServerHint]) {
         self.record(|| recording::warm_start(hints));
         let known = hints.iter().filter_map(|hint| {
             Some(WarmStartHint {
-                server: self.servers.get(&hint.name)?,
+                server: self.endpoints.index(&hint.name)?,
                 speed_factor: hint.speed_factor,
                 suspicion: hint.suspicion,
             })
@@ -349,35 +292,6 @@
         }
     }
 
-    /// A proxy's report arrived. Entries that name no known server or class are left out.
-    pub fn handle_report(&mut self, now: Duration, proxy: ProxyId, report: &Report) {
-        let now = self.advance_clock(now);
-        if self.recorded_events.is_some() {
-            self.record_report(proxy, report);
-        }
-        let Some(member) = self.members.get_mut(&proxy) else { return };
-        member.last_report_at = Some(now);
-        let zone = self.zones.index(member.zone.clone());
-        for outcomes in &report.outcomes {
-            if let Some(server) = self.servers.get(&outcomes.server) {
-                self.reports.add_outcomes(now, zone, server, outcomes, report.window);
-            }
-        }
-        for arrivals in &report.arrivals {
-            if let Some(class) = self.fleet.classes.iter().position(|class| class.name == arrivals.class) {
-                self.reports.add_arrivals(now, proxy, class, arrivals, report.window);
-            }
-        }
-    }
-
-    fn record_report(&mut self, proxy: ProxyId, report: &Report) {
-        let name = self.proxy_name(proxy).to_string();
-        if let Some(outcomes) = recording::class_outcomes(&name, report) {
-            self.record(|| outcomes);
-        }
-        self.record(|| recording::report(name, report));
-    }
-
     /// A health check ended after `elapsed`; `load` is the load report that came with the answer.
     pub fn record_health_check(
         &mut self,
@@ -440,42 +354,20 @@
         self.guard.rejection_counts().values().sum()
     }
 
-    /// Passes the rates in the pending events from index `first` on to the guard.
-    fn report_rates_to_guard(&mut self, now: Duration, first: usize) {
-        for event in &self.pending_events[first..] {
-            match event {
-                Event::OutcomeReport { zone, server, attempts, failures, window, .. } => {
-                    let success_rate = rate(attempts.saturating_sub(*failures), *window);
-                    self.success_rates.insert((*server, *zone), success_rate);
-                    let of_server = self.success_rates.range((*server, 0)..=(*server, usize::MAX));
-                    let total: f64 = of_server.map(|(_, success_rate)| success_rate).sum();
-                    self.guard.record_success_rate(CLOCK_LEAD + now, *server, total);
-                }
-                Event::ArrivalReport { proxy, class, requests, window, .. } => {
-                    self.guard.record_arrival_rate(*proxy, *class, rate(*requests, *window));
-                }
-                _ => {}
-            }
-        }
-    }
-
-    fn advance_clock(&mut self, now: Duration) -> Duration {
+    /// Sets the time of this call, in the resolution of a record, and returns it.
+    pub(crate) fn advance_clock(&mut self, now: Duration) -> Duration {
         self.now = truncate_to_microseconds(now);
         self.now
     }
 
-    fn record(&mut self, event: impl FnOnce() -> RecordedEvent) {
+    /// Adds an entry to the record, if there is one.
+    pub(crate) fn record(&mut self, event: impl FnOnce() -> RecordedEvent) {
         if let Some(recorded_events) = &mut self.recorded_events {
             recorded_events.push((self.now, event()));
         }
     }
 }
 
-/// `count` in `window`, a second.
-fn rate(count: u64, window: Duration) -> f64 {
-    count as f64 / window.as_secs_f64().max(MIN_RATE_WINDOW_SECONDS)
-}
-
 fn zone_names(fleet: &Fleet) -> impl Iterator<Item = &str> {
     fleet.zones.iter().map(|zone| zone.name.as_str())
 }
--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -42,6 +42,7 @@
 }
 
 impl Servers {
+    /// No servers.
     pub fn new(config: GuardConfig) -> Servers {
         Servers {
             config,
@@ -57,6 +58,7 @@
         0..self.servers.len()
     }
 
+    /// A server that was listed.
     pub fn get(&self, server: ServerId) -> Option<&TrackedServer> {
         self.servers.get(server)
     }
@@ -68,6 +70,7 @@
         &mut self.servers[server]
     }
 
+    /// Takes a server's record of the endpoint list; `started` is `None` for long ago.
     pub fn update(
         &mut self,
         server: ServerId,
@@ -81,6 +84,7 @@
         tracked.started = started;
     }
 
+    /// Replaces the configured overload multiple until a time.
     pub fn raise_overload_multiple(&mut self, multiple: f64, until: Duration) {
         self.raised_multiple = Some(RaisedMultiple { multiple, until });
     }
--- a/crates/guard/src/fleet_state.rs
+++ b/crates/guard/src/fleet_state.rs
@@ -21,6 +21,7 @@
 }
 
 impl FleetState {
+    /// A state without servers, tables and proxies.
     pub fn new(config: GuardConfig) -> FleetState {
         FleetState {
             servers: Servers::new(config),
--- a/crates/guard/src/rules/cold_overload.rs
+++ b/crates/guard/src/rules/cold_overload.rs
@@ -24,6 +24,7 @@
 }
 
 impl ColdServers {
+    /// Finds the servers that are cold at `now`.
     pub fn find(state: &FleetState, now: Duration) -> ColdServers {
         let is_cold = |server: &ServerId| state.servers.is_cold(*server, now);
         let mut tables: BTreeMap<ServerId, Vec<TableId>> = BTreeMap::new();
--- a/crates/guard/src/tracked_table.rs
+++ b/crates/guard/src/tracked_table.rs
@@ -67,6 +67,7 @@
         &self.entries
     }
 
+    /// The number of the newest version, from 1 on; 0 before the first.
     pub fn newest_version(&self) -> u64 {
         self.newest_version
     }
@@ -76,6 +77,7 @@
         self.users.iter().filter(|(_, user)| !user.is_leaving).map(|(proxy, _)| *proxy).collect()
     }
 
+    /// How many proxies are assigned to it by the newest commands.
     pub fn assigned_count(&self) -> usize {
         self.users.values().filter(|user| !user.is_leaving).count()
     }
--- a/crates/store/src/generation.rs
+++ b/crates/store/src/generation.rs
@@ -16,10 +16,12 @@
 }
 
 impl FileId {
+    /// The snapshot of a generation.
     pub fn snapshot(generation: u64) -> FileId {
         FileId { kind: FileKind::Snapshot, generation }
     }
 
+    /// The journal of a generation.
     pub fn journal(generation: u64) -> FileId {
         FileId { kind: FileKind::Journal, generation }
     }
