--- a/crates/daemon/src/commands/connection.rs
+++ b/crates/daemon/src/commands/connection.rs
@@ -1,6 +1,6 @@
 //! The connection of an operator's command to a planner.
 
-use super::CommandError;
+use super::error::CommandError;
 use crate::client::Client;
 use crate::tls_credentials::TlsPolicy;
 use runloom_identity::access::{Permission, Principal, Rule};
--- a/crates/daemon/src/commands/edit.rs
+++ b/crates/daemon/src/commands/edit.rs
@@ -1,7 +1,7 @@
 //! `runloom edit`: edits a planner's fleet.
 
 use super::connection::ConnectionOptions;
-use super::{file_error, CommandError};
+use super::error::{file_error, CommandError};
 use crate::client::{edit_config, Client, ClientError};
 use crate::wall_ms;
 use runloom_model::{FLEET, STATE};
--- a/crates/daemon/src/commands/guard.rs
+++ b/crates/daemon/src/commands/guard.rs
@@ -1,6 +1,6 @@
 //! `runloom guard explain`: checks a rejection of a planner's log again, step by step.
 
-use super::{file_error, CommandError};
+use super::error::{file_error, CommandError};
 use runloom_guard::{replay_case, RejectionCase, RejectionCaseEntry};
 use std::path::Path;
 
--- a/crates/daemon/src/commands/record.rs
+++ b/crates/daemon/src/commands/record.rs
@@ -1,6 +1,6 @@
 //! `runloom record`: prints a planner's event log.
 
-use super::{file_error, CommandError};
+use super::error::{file_error, CommandError};
 use runloom_event_log::columns::EntryTotals;
 use runloom_event_log::{list_segments, read_segment, Entry, Segment, SegmentContent};
 use std::io::{self, Write};
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -1,7 +1,7 @@
 //! `runloom replay`: replays a recorded day with its own settings or with others, or turns it into a scenario of the
 //! testbed.
 
-use super::{file_error, CommandError};
+use super::error::{file_error, CommandError};
 use crate::planner_runtime::BUILD;
 use runloom_event_log::{for_each_entry, read_run, read_runs, Entry};
 use runloom_replay::exact::{Replay, Same};
--- a/crates/daemon/src/commands/show.rs
+++ b/crates/daemon/src/commands/show.rs
@@ -1,7 +1,7 @@
 //! `runloom show`: prints a planner's state or configuration.
 
 use super::connection::ConnectionOptions;
-use super::CommandError;
+use super::error::CommandError;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
--- a/crates/daemon/src/commands/state.rs
+++ b/crates/daemon/src/commands/state.rs
@@ -1,7 +1,7 @@
 //! `runloom state`: a planner's state folder. Only [`prune`] writes, and only where no planner runs.
 
-use super::CommandError;
-use crate::persistence::{restore_accepted, EDITS, ENDPOINT_LIST, LEARNED};
+use super::error::CommandError;
+use crate::persistence::{restore_accepted, RestoreError, EDITS, ENDPOINT_LIST, LEARNED};
 use crate::wall_ms;
 use runloom_store::{
     describe, AcceptedState, FileSummary, Folder, FolderLock, Layout, LearnedServer, LearnedServers,
@@ -36,7 +36,7 @@
     for note in &edits.notes {
         println!("note: {note}");
     }
-    let accepted = restore_accepted(&edits).map_err(CommandError::StoredState)?.unwrap_or_default();
+    let accepted = restore_accepted(&edits)?.unwrap_or_default();
     print_accepted(&accepted, edits.entries.len());
     let learned = open(folder, LEARNED)?;
     match learned.state.and_then(|bytes| LearnedServers::decode(&bytes).ok()) {
@@ -121,10 +121,10 @@
     let name = layout.name;
     let opened = open(folder, layout)?;
     let has_content = if name == EDITS.name {
-        restore_accepted(&opened).map_err(CommandError::StoredState)?.is_some()
+        restore_accepted(&opened)?.is_some()
     } else if name == LEARNED.name {
         let learned = opened.state.as_deref().map(LearnedServers::decode).transpose();
-        learned.map_err(|error| CommandError::StoredState(error.to_string()))?.is_some()
+        learned.map_err(RestoreError::from)?.is_some()
     } else {
         opened.state.is_some()
     };
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -5,9 +5,12 @@
 mod access_control;
 mod data;
 mod endpoint_list;
+mod error;
 mod guard_check;
 mod validation;
 
+pub use error::ConfigError;
+
 use crate::tls_credentials::CertificateHolder;
 use access_control::AccessControl;
 use data::{fleet_entries, fleet_entry_texts, is_same_part, part, ENDPOINT_LIST_PART, FLEET_PART};
@@ -27,31 +30,6 @@
 use std::time::Duration;
 use validation::{invalid_value, SchemaCheck};
 
-/// Why a configuration cannot be started from.
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    /// The program's own schema cannot be read.
-    #[error("the schema cannot be used: {0}")]
-    Schema(String),
-    /// The data has no fleet.
-    #[error("there is no <fleet>")]
-    MissingFleet,
-    /// The fleet violates the schema.
-    #[error("{0}")]
-    SchemaViolation(String),
-    /// A value does not fit the rest of the configuration.
-    #[error("{path}: {reason}")]
-    InvalidValue {
-        /// The element.
-        path: String,
-        /// What is wrong with its value.
-        reason: String,
-    },
-    /// The endpoint list is not valid.
-    #[error("the endpoint list is not valid: {0}")]
-    EndpointList(String),
-}
-
 /// The schema of what can be edited: `<fleet>` and `<roster>`.
 pub fn schema() -> Result<Schema, ConfigError> {
     derive(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
--- a/crates/daemon/src/config_service/validation.rs
+++ b/crates/daemon/src/config_service/validation.rs
@@ -1,6 +1,6 @@
 //! Validation against the schema, and errors as NETCONF returns them.
 
-use super::ConfigError;
+use super::error::ConfigError;
 use runloom_model::fleet::InvalidSettings;
 use runloom_model::schema::{SchemaValidator, SchemaViolation};
 use runloom_model::FLEET_XSD;
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,10 +1,9 @@
 //! Why a planner could not start.
 
 use crate::config_service::ConfigError;
+use crate::persistence::OpenError;
 use crate::tls_credentials::TlsError;
-use runloom_store::StoreError;
 use std::io;
-use std::path::PathBuf;
 
 /// Why a planner could not start.
 #[derive(Debug, thiserror::Error)]
@@ -15,22 +14,9 @@
     /// Certificates, keys or bundles cannot be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// A file of the state folder cannot be opened or written.
-    #[error("{folder}: {source}", folder = folder.display())]
-    Store {
-        /// The state folder.
-        folder: PathBuf,
-        /// What is wrong with the file.
-        source: StoreError,
-    },
-    /// Stored edits cannot be read back.
-    #[error("{folder}: the stored edits are corrupt: {reason}", folder = folder.display())]
-    StoredEdits {
-        /// The state folder.
-        folder: PathBuf,
-        /// What is wrong with them.
-        reason: String,
-    },
+    /// The state folder cannot be opened.
+    #[error(transparent)]
+    State(#[from] OpenError),
     /// The stored fleet is no XML.
     #[error("the stored fleet is malformed: {0}")]
     StoredFleet(String),
--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -1,11 +1,12 @@
 //! The planner's persistent state, written by a thread of its own so that a slow disk does not delay the event loop.
 //! One batch of edits is written at a time; the edits accepted meanwhile share the next batch and its sync.
 
-use crate::error::StartError;
 use runloom_event_loop::Waker;
 use runloom_store::{
-    AcceptedState, Folder, FolderLock, Layout, LearnedServers, OpenedState, StatePatch, Store, StoreError,
+    AcceptedState, DecodeError, Folder, FolderLock, Layout, LearnedServers, OpenedState, PatchError,
+    StatePatch, Store, StoreError,
 };
+use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread::JoinHandle;
@@ -33,19 +34,65 @@
     Probe,
 }
 
+/// Why something stored cannot be read back.
+#[derive(Debug, thiserror::Error)]
+pub enum RestoreError {
+    /// A snapshot or a patch cannot be decoded.
+    #[error(transparent)]
+    Decode(#[from] DecodeError),
+    /// A patch does not apply to the state before it.
+    #[error(transparent)]
+    Patch(#[from] PatchError),
+}
+
+/// Why a state folder cannot be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum OpenError {
+    /// The folder cannot be read or locked, or the thread cannot be started.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A file cannot be opened or written.
+    #[error("{folder}: {source}", folder = folder.display())]
+    Store {
+        /// The state folder.
+        folder: PathBuf,
+        /// What is wrong with the file.
+        source: StoreError,
+    },
+    /// Stored edits cannot be read back.
+    #[error("{folder}: the stored edits are corrupt: {source}", folder = folder.display())]
+    StoredEdits {
+        /// The state folder.
+        folder: PathBuf,
+        /// What is wrong with them.
+        source: RestoreError,
+    },
+}
+
+/// Why something could not be written.
+#[derive(Debug, thiserror::Error)]
+pub enum WriteError {
+    /// The disk, or a file on it.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// A patch does not apply to the state that was written last.
+    #[error(transparent)]
+    Patch(#[from] PatchError),
+}
+
 /// Result of a task.
 #[derive(Debug)]
 pub enum PersistenceResult {
     /// A batch of edits was written, in this time; or why it was not.
-    EditsWritten(Result<Duration, String>),
+    EditsWritten(Result<Duration, WriteError>),
     /// Whether edits can be written again.
-    Probed(Result<(), String>),
+    Probed(Result<(), StoreError>),
     /// The endpoint list, or what was learned, could not be written.
     WriteFailed {
         /// Which of the two.
         what: &'static str,
         /// Why.
-        why: String,
+        error: StoreError,
     },
 }
 
@@ -78,7 +125,7 @@
     learned: Store<Folder>,
 }
 
-fn open_store(folder: &Path, layout: Layout) -> Result<(Store<Folder>, OpenedState), StartError> {
+fn open_store(folder: &Path, layout: Layout) -> Result<(Store<Folder>, OpenedState), OpenError> {
     let (store, opened) =
         Store::open(Folder::open(folder)?, layout).map_err(|error| in_folder(folder, error))?;
     for note in &opened.notes {
@@ -87,30 +134,28 @@
     Ok((store, opened))
 }
 
-fn in_folder(folder: &Path, source: StoreError) -> StartError {
-    StartError::Store { folder: folder.to_path_buf(), source }
+fn in_folder(folder: &Path, source: StoreError) -> OpenError {
+    OpenError::Store { folder: folder.to_path_buf(), source }
 }
 
 /// The accepted state: a snapshot with the patches since then applied.
-pub fn restore_accepted(opened: &OpenedState) -> Result<Option<AcceptedState>, String> {
-    let mut accepted =
-        opened.state.as_deref().map(AcceptedState::decode).transpose().map_err(|error| error.to_string())?;
+pub fn restore_accepted(opened: &OpenedState) -> Result<Option<AcceptedState>, RestoreError> {
+    let mut accepted = opened.state.as_deref().map(AcceptedState::decode).transpose()?;
     for entry in &opened.entries {
-        let patch = StatePatch::decode(entry).map_err(|error| error.to_string())?;
-        accepted.get_or_insert_default().apply(patch).map_err(|error| error.to_string())?;
+        accepted.get_or_insert_default().apply(StatePatch::decode(entry)?)?;
     }
     Ok(accepted)
 }
 
 impl PersistenceWorker {
     /// Locks the state folder for this process, and reads what an earlier start stored.
-    pub fn open(folder: &Path) -> Result<(OpenedFolder, RestoredState), StartError> {
+    pub fn open(folder: &Path) -> Result<(OpenedFolder, RestoredState), OpenError> {
         let lock = FolderLock::acquire(folder)?;
         let (edits, opened_edits) = open_store(folder, EDITS)?;
         let (endpoint_list, opened_list) = open_store(folder, ENDPOINT_LIST)?;
         let (learned, opened_learned) = open_store(folder, LEARNED)?;
         let accepted = restore_accepted(&opened_edits)
-            .map_err(|reason| StartError::StoredEdits { folder: folder.to_path_buf(), reason })?;
+            .map_err(|source| OpenError::StoredEdits { folder: folder.to_path_buf(), source })?;
         let restored = RestoredState {
             accepted,
             endpoint_list: opened_list.state.and_then(|text| String::from_utf8(text).ok()),
@@ -170,7 +215,7 @@
 impl OpenedFolder {
     /// Writes a snapshot of the state that the planner starts from, and starts the thread. `waker` ends the event
     /// loop's wait when a task is done.
-    pub fn start(self, accepted: AcceptedState, waker: Waker) -> Result<PersistenceWorker, StartError> {
+    pub fn start(self, accepted: AcceptedState, waker: Waker) -> Result<PersistenceWorker, OpenError> {
         let OpenedFolder { path, lock, edits, endpoint_list, learned } = self;
         let mut stores = Stores { edits, accepted, endpoint_list, learned };
         stores.write_snapshot().map_err(|error| in_folder(&path, error))?;
@@ -207,10 +252,7 @@
                 let written = self.append(*patch).map(|()| start.elapsed());
                 Some(PersistenceResult::EditsWritten(written))
             }
-            Task::Probe => {
-                let probed = self.write_snapshot_if_needed();
-                Some(PersistenceResult::Probed(probed.map_err(|error| error.to_string())))
-            }
+            Task::Probe => Some(PersistenceResult::Probed(self.write_snapshot_if_needed())),
             Task::WriteEndpointList(text) => {
                 failure("the list", self.endpoint_list.snapshot(text.as_bytes()))
             }
@@ -232,14 +274,14 @@
         Ok(())
     }
 
-    fn append(&mut self, patch: StatePatch) -> Result<(), String> {
-        self.write_snapshot_if_needed().map_err(|error| error.to_string())?;
-        self.edits.append(&[patch.encode()]).map_err(|error| error.to_string())?;
+    fn append(&mut self, patch: StatePatch) -> Result<(), WriteError> {
+        self.write_snapshot_if_needed()?;
+        self.edits.append(&[patch.encode()])?;
         // The patch was made against the state written last, so it applies.
-        self.accepted.apply(patch).map_err(|error| error.to_string())
+        Ok(self.accepted.apply(patch)?)
     }
 }
 
 fn failure(what: &'static str, written: Result<(), StoreError>) -> Option<PersistenceResult> {
-    written.err().map(|error| PersistenceResult::WriteFailed { what, why: error.to_string() })
+    written.err().map(|error| PersistenceResult::WriteFailed { what, error })
 }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -22,6 +22,7 @@
 mod subscriber;
 mod test_hooks;
 
+pub use event_recording::BUILD;
 pub use listeners::ListenAddresses;
 pub use test_hooks::{CrashPoint, TestHooks};
 
@@ -57,9 +58,6 @@
 /// Time for connections to close in order when the planner stops.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The build, as event logs name it: another build may decide otherwise.
-pub const BUILD: &str = concat!("runloom ", env!("CARGO_PKG_VERSION"));
-
 /// A running planner.
 pub struct PlannerRuntime {
     core: PlannerCore,
--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -96,15 +96,17 @@
                 self.has_written_edits = true;
                 self.crash_at(CrashPoint::Written);
             }
-            PersistenceResult::EditsWritten(Err(why)) => roll_back_edits(core, operators, event_loop, why),
+            PersistenceResult::EditsWritten(Err(error)) => {
+                roll_back_edits(core, operators, event_loop, error.to_string());
+            }
             PersistenceResult::Probed(Ok(())) => {
                 if core.config.unavailable_reason.take().is_some() {
                     tracing::info!("edits can be written again");
                 }
             }
             PersistenceResult::Probed(Err(_)) => {}
-            PersistenceResult::WriteFailed { what, why } => {
-                tracing::warn!(what, why, "could not be written");
+            PersistenceResult::WriteFailed { what, error } => {
+                tracing::warn!(what, why = %error, "could not be written");
             }
         }
     }
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -1,6 +1,5 @@
 //! Recording of all that the decisions are told and command, for replay.
 
-use super::BUILD;
 use crate::config_service::ConfigService;
 use runloom_control_session::ControlSession;
 use runloom_event_log::{RecordedEvent, Recorder, RecorderConfig, Writer};
@@ -8,6 +7,9 @@
 use std::io;
 use std::time::Duration;
 
+/// The build, as event logs name it: another build may decide otherwise.
+pub const BUILD: &str = concat!("runloom ", env!("CARGO_PKG_VERSION"));
+
 /// The event log of a planner, if its settings name a folder for one.
 pub(super) struct EventRecording {
     writer: Option<Writer>,
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -3,9 +3,12 @@
 //! `planner.runloom`, `proxy.runloom`, or no role for operators, tools and feeds. Files that change are read again
 //! while the process runs, all of them or none.
 
+mod error;
 mod files;
 mod verifier;
 
+pub use error::{HolderError, TlsError};
+
 use files::{file_stamps, read_credentials, FileStamp};
 use runloom_identity::access::{decide, RequestedAccess, Rule};
 use runloom_identity::bundle::Trust;
@@ -17,7 +20,6 @@
 use rustls::pki_types::{CertificateDer, ServerName, UnixTime};
 use rustls::server::NoServerSessionStorage;
 use rustls::{ClientConfig, ServerConfig};
-use std::path::PathBuf;
 use std::sync::Arc;
 use verifier::LiveCredentials;
 use x509_parser::extensions::GeneralName;
@@ -27,33 +29,6 @@
 /// DNS name of the role of proxies.
 pub const PROXY: &str = "proxy.runloom";
 
-/// Why certificates, keys or trust bundles cannot be used.
-#[derive(Debug, thiserror::Error)]
-pub enum TlsError {
-    /// A file cannot be read, or does not hold what it should.
-    #[error("{path}: {reason}", path = path.display())]
-    File {
-        /// The file.
-        path: PathBuf,
-        /// What is wrong with it.
-        reason: String,
-    },
-    /// Certificate and key do not belong together, or do not suit TLS 1.3.
-    #[error("certificate and key do not fit TLS: {0}")]
-    Unusable(String),
-}
-
-/// Why a certificate has no holder.
-#[derive(Debug, thiserror::Error)]
-pub enum HolderError {
-    /// It has no DNS name of a holder.
-    #[error("it names nobody")]
-    NoName,
-    /// It is no X509-SVID.
-    #[error(transparent)]
-    Svid(#[from] svid::NotASvid),
-}
-
 /// Configurations for both ends of mutual TLS 1.3, with credentials that follow their files.
 #[derive(Clone)]
 pub struct TlsPolicy {
--- a/crates/daemon/src/tls_credentials/files.rs
+++ b/crates/daemon/src/tls_credentials/files.rs
@@ -1,6 +1,6 @@
 //! Certificates, keys and trust bundles as their files hold them.
 
-use super::TlsError;
+use super::error::TlsError;
 use runloom_identity::bundle::{Bundle, Trust};
 use runloom_identity::id::Domain;
 use runloom_identity::svid::{self, Svid};
--- a/crates/testbed/src/restart.rs
+++ b/crates/testbed/src/restart.rs
@@ -205,7 +205,9 @@
     }
     let start = Instant::now();
     let (_, opened) = Store::open(Folder::open(&folder.join("keeping")).map_err(io)?, EDITS).map_err(told)?;
-    let accepted = runloom_daemon::persistence::restore_accepted(&opened)?.ok_or("nothing was read back")?;
+    let accepted = runloom_daemon::persistence::restore_accepted(&opened)
+        .map_err(|e| e.to_string())?
+        .ok_or("nothing was read back")?;
     figure("read_back_entries", opened.entries.len() as f64, "edits");
     figure("read_back", start.elapsed().as_secs_f64() * 1e3, "ms");
     if accepted.entries.len() != 544 {
