--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -92,22 +92,41 @@
     Notified(Element),
 }
 
-/// Why the session has to end, in words.
+/// Why a session has to end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SessionError(pub String);
+pub enum SessionError {
+    /// The stream cannot be split into messages.
+    Framing(FramingError),
+    /// A message is not well-formed XML, with the reason.
+    MalformedMessage(String),
+    /// The first message is no `<hello>`.
+    MissingHello,
+    /// A client's `<hello>` has a session-id (RFC 6241, section 8.1).
+    UnexpectedSessionId,
+    /// A server's `<hello>` has no session-id.
+    MissingSessionId,
+    /// The two sides have no base capability in common.
+    NoCommonBase,
+    /// A server sent an element of this name that is neither reply nor notification.
+    UnexpectedMessage(String),
+}
 
 impl fmt::Display for SessionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
+        match self {
+            SessionError::Framing(error) => write!(f, "{error}"),
+            SessionError::MalformedMessage(reason) => write!(f, "malformed message: {reason}"),
+            SessionError::MissingHello => write!(f, "no <hello> at the start"),
+            SessionError::UnexpectedSessionId => write!(f, "a client's <hello> with a session-id"),
+            SessionError::MissingSessionId => write!(f, "a <hello> without a session-id"),
+            SessionError::NoCommonBase => write!(f, "no base capability in common"),
+            SessionError::UnexpectedMessage(name) => write!(f, "unexpected <{name}>"),
+        }
     }
 }
 
 impl std::error::Error for SessionError {}
 
-fn session_error(reason: &str) -> SessionError {
-    SessionError(reason.to_string())
-}
-
 /// One side of a session.
 #[derive(Debug)]
 pub struct Session {
@@ -172,7 +191,7 @@
             FramingError::BadChunk => Tag::MalformedMessage,
         };
         self.send_rpc_error(tag, &error.to_string());
-        SessionError(error.to_string())
+        SessionError::Framing(error)
     }
 
     fn handle_message(&mut self, message: &[u8]) -> Result<Option<SessionEvent>, SessionError> {
@@ -181,7 +200,7 @@
             Err(reason) => {
                 // RFC 6241, appendix A: nothing that follows a malformed message can be trusted.
                 self.send_rpc_error(Tag::MalformedMessage, &reason);
-                return Err(SessionError(format!("malformed message: {reason}")));
+                return Err(SessionError::MalformedMessage(reason));
             }
         };
         if !self.is_open {
@@ -195,15 +214,15 @@
 
     fn handle_hello(&mut self, element: &Element) -> Result<SessionEvent, SessionError> {
         if !element.is(BASE, "hello") {
-            return Err(session_error("no <hello> at the start"));
+            return Err(SessionError::MissingHello);
         }
         let session = element.text_of("session-id").map(|text| text.parse::<u32>());
         match (self.role, &session) {
             (Role::Server { .. }, Some(_)) => {
-                return Err(session_error("a client's <hello> with a session-id"));
+                return Err(SessionError::UnexpectedSessionId);
             }
             (Role::Client, None | Some(Err(_))) => {
-                return Err(session_error("a <hello> without a session-id"));
+                return Err(SessionError::MissingSessionId);
             }
             _ => {}
         }
@@ -211,7 +230,7 @@
         let capabilities: Vec<String> = list.iter().map(|capability| capability.text.clone()).collect();
         let has = |wanted: &str| capabilities.iter().any(|capability| capability == wanted);
         if !has(BASE_1_0) && !has(BASE_1_1) {
-            return Err(session_error("no base capability in common"));
+            return Err(SessionError::NoCommonBase);
         }
         self.is_chunked = has(BASE_1_1);
         if self.is_chunked {
@@ -341,5 +360,5 @@
         let event = element.children.iter().find(|child| child.name != "eventTime");
         return Ok(event.map(|event| SessionEvent::Notified((**event).clone())));
     }
-    Err(SessionError(format!("unexpected <{}>", element.name)))
+    Err(SessionError::UnexpectedMessage(element.name))
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -115,10 +115,10 @@
     /// Puts `tables` in force. Requests in flight go on unchanged.
     pub fn replace_tables(&mut self, tables: RouteTables) {
         self.tables = tables;
-        self.forget_unlisted_endpoints();
+        self.remove_unlisted_endpoints();
     }
 
-    fn forget_unlisted_endpoints(&mut self) {
+    fn remove_unlisted_endpoints(&mut self) {
         let tables = &self.tables;
         self.endpoints.retain(|server, endpoint| tables.contains(server) || !endpoint.is_idle());
     }
@@ -312,7 +312,7 @@
             }
         });
         let report = Report { window, outcomes, arrivals: arrivals.collect() };
-        self.forget_unlisted_endpoints();
+        self.remove_unlisted_endpoints();
         report
     }
 }
