--- a/crates/event-log/src/columns.rs
+++ b/crates/event-log/src/columns.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// Reads a file that [`write`] wrote.
+/// Reads a file that [`write()`] wrote.
 pub fn read(file: impl ChunkReader + 'static) -> Result<Vec<Entry>, ColumnError> {
     let reader = SerializedFileReader::new(file)?;
     let metadata = reader.metadata().file_metadata().key_value_metadata().cloned().unwrap_or_default();
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -122,7 +122,7 @@
         self.lost_entries += 1;
     }
 
-    /// Writes the buffer; after a failure not before [`RETRY_INTERVAL`] has passed.
+    /// Writes the buffer; after a failure not before `RETRY_INTERVAL` has passed.
     pub fn write(&mut self, now: Duration) {
         if self.buffer.is_empty() || (self.failure.is_some() && now < self.next_attempt) {
             return;
