--- a/crates/testbed/src/benchmarks/recording.rs
+++ b/crates/testbed/src/benchmarks/recording.rs
@@ -44,9 +44,9 @@
 
 fn run_session(folder: &Path, fleet: Fleet, is_recorded: bool) -> Result<RunTimes, String> {
     let mut session = ControlSession::new(fleet, 1, 1_000_000);
-    session.witness = is_recorded.then(Vec::new);
+    session.recorded_events = is_recorded.then(Vec::new);
     for proxy in 0..PROXY_COUNT {
-        session.joined(&format!("f{proxy}"), "z", REQUESTS_PER_PROXY, true);
+        session.connect_proxy(&format!("f{proxy}"), "z", REQUESTS_PER_PROXY, true);
     }
     let mut recorder = Recorder::open(folder, RecorderConfig::default()).map_err(|e| e.to_string())?;
     let mut times = RunTimes { session: Duration::ZERO, writing: Duration::ZERO };
@@ -54,9 +54,9 @@
         let now = REPORT_INTERVAL * round as u32;
         let reports: Vec<Report> = (0..PROXY_COUNT).map(|proxy| report(proxy, round)).collect();
         let start = Instant::now();
-        reports.iter().enumerate().for_each(|(proxy, report)| session.report(now, proxy, report));
-        session.turn(now);
-        let events = session.witness.as_mut().map(std::mem::take).unwrap_or_default();
+        reports.iter().enumerate().for_each(|(proxy, report)| session.handle_report(now, proxy, report));
+        session.step(now);
+        let events = session.recorded_events.as_mut().map(std::mem::take).unwrap_or_default();
         times.session += start.elapsed();
         let start = Instant::now();
         events.into_iter().for_each(|(at, event)| recorder.push(at, event));
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -254,7 +254,7 @@
     );
     println!(
         "retries {}  over the admission limit {}  without a table entry {}",
-        outcome.retries, outcome.counts.over_level, outcome.counts.no_line
+        outcome.retries, outcome.counts.over_admission_rate, outcome.counts.no_endpoint
     );
     println!("rejected or failed, by cause: {:?}", outcome.failures);
     println!(
--- a/crates/testbed/src/testbed/mod.rs
+++ b/crates/testbed/src/testbed/mod.rs
@@ -174,7 +174,7 @@
     /// Waits until all proxies are connected and have their tables.
     fn settle(&mut self) -> Result<(), String> {
         let begin = self.event_loop.now();
-        let has_tables = |proxy: &ObservedProxy| proxy.runtime.proxy().held().ordered;
+        let has_tables = |proxy: &ObservedProxy| proxy.runtime.proxy().tables().is_from_planner();
         while !self.proxies.iter().all(has_tables) {
             self.renew_identities()?;
             if self.event_loop.now() > begin + SETTLE_TIMEOUT {
--- a/crates/testbed/src/testbed/observation.rs
+++ b/crates/testbed/src/testbed/observation.rs
@@ -154,8 +154,8 @@
             self.record_warm_server_listed(now);
         }
         for (proxy, observed) in self.proxies.iter().enumerate() {
-            let tables = observed.runtime.proxy().held();
-            let is_empty = |class: &usize| tables.lines(CLASSES[*class].name).is_empty();
+            let tables = observed.runtime.proxy().tables();
+            let is_empty = |class: &usize| tables.entries(CLASSES[*class].name).is_empty();
             self.evidence.proxies.push(ProxyObservation {
                 at: now,
                 proxy,
--- a/crates/testbed/src/testbed/report.rs
+++ b/crates/testbed/src/testbed/report.rs
@@ -5,7 +5,7 @@
 use crate::management_clients::EditOutcome;
 use crate::planner_process::{read_metrics, PlannerProcess, ResourceUsage};
 use crate::rule_checker::{find_violations, OverloadedServer, RuleLimits};
-use runloom_proxy::Counts;
+use runloom_proxy::ProxyCounts;
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     /// Failed attempts of clients by their cause.
     pub failures: BTreeMap<String, u64>,
     /// Sums of the proxies' counters.
-    pub counts: Counts,
+    pub counts: ProxyCounts,
     /// Cold servers that failed because they were sent too much.
     pub overloaded_servers: usize,
     /// Median latency of answered requests in microseconds.
@@ -76,7 +76,7 @@
             service: totals.value_earned / totals.value_offered.max(1e-9),
             duplicated_effects: self.evidence.duplicated_effects,
             violations: find_violations(&self.evidence, &self.rule_limits()),
-            retries: counts.further,
+            retries: counts.retries,
             entries: self.entries_received,
             messages: self.evidence.messages.values().map(|times| times.len() as u64).sum(),
             edits: self.management.edit_outcomes(),
@@ -135,15 +135,15 @@
         }
     }
 
-    fn sum_proxy_counts(&self) -> Counts {
-        let mut sums = Counts::default();
+    fn sum_proxy_counts(&self) -> ProxyCounts {
+        let mut sums = ProxyCounts::default();
         for proxy in &self.proxies {
-            let counts = proxy.runtime.proxy().counts;
-            sums.came += counts.came;
-            sums.handled += counts.handled;
-            sums.further += counts.further;
-            sums.over_level += counts.over_level;
-            sums.no_line += counts.no_line;
+            let counts = proxy.runtime.proxy().counts();
+            sums.arrived += counts.arrived;
+            sums.succeeded += counts.succeeded;
+            sums.retries += counts.retries;
+            sums.over_admission_rate += counts.over_admission_rate;
+            sums.no_endpoint += counts.no_endpoint;
             sums.failed += counts.failed;
         }
         sums
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -285,7 +285,7 @@
     let outcome = play("last", scenario);
 
     // Then
-    assert!(outcome.counts.no_line > 10, "{outcome:?}");
+    assert!(outcome.counts.no_endpoint > 10, "{outcome:?}");
 }
 
 /// Each of two planners, one of which is killed and started again, writes an event log that replays to the same commands,
@@ -362,7 +362,7 @@
     let rejected: f64 =
         outcome.metrics.iter().filter(|(name, _)| is_rejection(name)).map(|(_, value)| value).sum();
     assert_eq!(
-        (outcome.violations.as_slice(), outcome.duplicated_effects, outcome.counts.no_line),
+        (outcome.violations.as_slice(), outcome.duplicated_effects, outcome.counts.no_endpoint),
         (&[][..], 0, 0),
         "{outcome:?}"
     );
