--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -410,6 +410,6 @@
 }
 
 fn listen(event_loop: &mut EventLoop, address: SocketAddr) -> io::Result<(ConnectionId, SocketAddr)> {
-    let limits = BufferLimits { idle: Some(IDLE_TIMEOUT), ..BufferLimits::default() };
+    let limits = BufferLimits { idle_timeout: Some(IDLE_TIMEOUT), ..BufferLimits::default() };
     event_loop.listen(address, Security::Plain, limits)
 }
--- a/crates/testbed/src/testbed/observation.rs
+++ b/crates/testbed/src/testbed/observation.rs
@@ -82,7 +82,7 @@
     fn dispatch_to_clients(&mut self, event: IoEvent) {
         match event {
             IoEvent::Bytes { conn, bytes } => self.clients.handle_bytes(&mut self.event_loop, conn, &bytes),
-            IoEvent::Closed { conn, why } if why != CloseReason::Finished => {
+            IoEvent::Closed { conn, reason } if reason != CloseReason::Finished => {
                 self.clients.handle_closed(&mut self.event_loop, conn);
             }
             _ => {}
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -110,7 +110,7 @@
         let issuer = Issuer::new(&folder.join("papers"))?;
         let mut event_loop = EventLoop::new().map_err(|e| e.to_string())?;
         // It runs all proxies at once, each of which would have a loop of its own.
-        event_loop.handshakes = usize::MAX;
+        event_loop.max_handshakes = usize::MAX;
         let servers = start_servers(&mut event_loop, &scenario).map_err(|e| e.to_string())?;
         let mut testbed = Testbed {
             rng: StdRng::seed_from_u64(seed),
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -59,7 +59,7 @@
 fn joins(planner: &PlannerWithOperator, papers: &TlsFiles, name: &str) -> bool {
     let Ok(policy) = TlsPolicy::load(papers) else { return false };
     let mut event_loop = EventLoop::new().unwrap();
-    let security = Security::Starts(policy.starts.clone(), server_name(PLANNER));
+    let security = Security::TlsClient(policy.starts.clone(), server_name(PLANNER));
     let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
     let hello = Hello { zone: "a".into(), rate: 1.0, fresh: true };
     let mut client = Subscription::new(event_loop.now(), "p", name, &hello, Wish::Weights, vec![]);
--- a/crates/testbed/tests/pubsub.rs
+++ b/crates/testbed/tests/pubsub.rs
@@ -41,7 +41,7 @@
         reader: UpdateReader,
     ) -> Subscriber {
         let mut event_loop = EventLoop::new().unwrap();
-        let security = Security::Starts(policy.starts.clone(), server_name(PLANNER));
+        let security = Security::TlsClient(policy.starts.clone(), server_name(PLANNER));
         let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
         let hello = Hello { zone: "a".into(), rate: 5.0, fresh: reader.topics().next().is_none() };
         let holds = reader.topics().filter_map(|t| reader.holds(t).map(|(e, v)| (t, e, v))).collect();
@@ -79,7 +79,7 @@
                         }
                     }
                 }
-                IoEvent::Closed { why, .. } => self.closed = Some(why),
+                IoEvent::Closed { reason, .. } => self.closed = Some(reason),
                 _ => {}
             }
         }
