--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -349,21 +349,21 @@
 /// The record as a day of the rig.
 fn inferred(folder: &Path, file: &Path) -> Result<(), String> {
     let days = runloom_event_log::folder::days(folder).map_err(|e| e.to_string())?;
-    let found = runloom_replay::infer::infer(&days).map_err(|e| e.to_string())?;
-    std::fs::write(file, found.xml()).map_err(|e| format!("{}: {e}", file.display()))?;
-    println!("{}: {} troubles, {} edits", file.display(), found.troubles.len(), found.edits.len());
-    found.left_out.iter().for_each(|what| println!("left out: {what}"));
+    let found = runloom_replay::scenario_inference::infer(&days).map_err(|e| e.to_string())?;
+    std::fs::write(file, found.to_xml()).map_err(|e| format!("{}: {e}", file.display()))?;
+    println!("{}: {} troubles, {} edits", file.display(), found.faults.len(), found.edits.len());
+    found.omissions.iter().for_each(|what| println!("left out: {what}"));
     Ok(())
 }
 
 /// Replays a day with its own setting, a segment in memory at a time.
-fn same_again(folder: &Path, back: usize) -> Result<runloom_replay::exact::Same, String> {
+fn same_again(folder: &Path, back: usize) -> Result<runloom_replay::exact::ReplaySummary, String> {
     use runloom_replay::exact::Replay;
     let (mut replay, mut broken) = (None, None);
     let mut take = |entry: Entry| {
         let went = match &mut replay {
             None => Replay::new(&entry, BUILD).map(|fresh| replay = Some(fresh)).map(|()| true),
-            Some(replay) => replay.take(&entry),
+            Some(replay) => replay.replay_entry(&entry),
         };
         went.unwrap_or_else(|e| {
             broken = Some(e.to_string());
@@ -373,7 +373,7 @@
     runloom_event_log::folder::each(folder, back, &mut take).map_err(|e| e.to_string())?;
     match (broken, replay) {
         (Some(why), _) => Err(why),
-        (None, Some(replay)) => Ok(replay.done()),
+        (None, Some(replay)) => Ok(replay.finish()),
         (None, None) => Err("there is no such start in the record".into()),
     }
 }
@@ -383,55 +383,56 @@
     let print = |value: serde_json::Value| println!("{value}");
     if fleet.is_none() && seed.is_none() && !unguarded && page.is_none() && until.is_none() {
         let same = same_again(folder, back)?;
-        match (&same.first, json) {
+        match (&same.first_difference, json) {
             (_, true) => print(serde_json::to_value(&same).map_err(|e| e.to_string())?),
             (None, _) => {
-                println!("the same: {} turns, {} messages, byte for byte", same.turns, same.messages);
+                println!("the same: {} turns, {} messages, byte for byte", same.steps, same.messages);
                 println!("sha-256 {}", same.digest);
             }
             (Some(d), _) => {
-                println!("other from {:.3} s on, after {} turns: {} ({})", d.at, d.turns, d.what, d.why)
+                println!("other from {:.3} s on, after {} turns: {} ({})", d.at_seconds, d.equal_steps, d.description, d.cause)
             }
         }
-        return same.first.map_or(Ok(()), |d| Err(format!("it differs: {}", d.what)));
+        return same.first_difference.map_or(Ok(()), |d| Err(format!("it differs: {}", d.description)));
     }
     let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
     let read = |f: &PathBuf| std::fs::read_to_string(f).map_err(|e| format!("{}: {e}", f.display()));
     let text = fleet.as_ref().map(read).transpose()?;
-    let fleet = text.map(|t| runloom_replay::fleet(&t)).transpose().map_err(|e| e.to_string())?;
-    let setting = runloom_replay::other::Setting { fleet, seed, unguarded, until };
-    let compared = runloom_replay::other::compare(&entries, &setting).map_err(|e| e.to_string())?;
+    let fleet = text.map(|t| runloom_replay::parse_fleet(&t)).transpose().map_err(|e| e.to_string())?;
+    let setting = runloom_replay::what_if::WhatIfSettings { fleet, seed, is_unguarded: unguarded, until };
+    let compared = runloom_replay::what_if::compare(&entries, &setting).map_err(|e| e.to_string())?;
     if let Some(file) = page {
-        let page = runloom_replay::page::page(&format!("{}, start {back}", folder.display()), &compared)?;
+        let page = runloom_replay::html_report::render(&format!("{}, start {back}", folder.display()), &compared)?;
         std::fs::write(&file, page).map_err(|e| format!("{}: {e}", file.display()))?;
     }
     if json {
         print(serde_json::to_value(&compared).map_err(|e| e.to_string())?);
         return Ok(());
     }
-    for (name, came) in [("as it was", &compared.was), ("as it would be", &compared.would)] {
+    for (name, came) in [("as it was", &compared.recorded), ("as it would be", &compared.changed)] {
         println!(
             "{name}: {} messages, {} lines, {} waiting at the most, {} refused",
-            came.messages, came.lines, came.lines_waiting_most, came.refused
+            came.messages, came.entries, came.max_queued_entries, came.rejected
         );
-        let broken = &came.rules_broken;
+        let broken = &came.violations;
         println!("  {}", if broken.is_empty() { "rules kept".into() } else { broken.join("; ") });
     }
     let s = &compared.service;
-    println!("service, queries answered within their soft limit, by payoff: was {:.4}", s.was);
-    match s.would {
-        Some((value, low, high)) => {
+    println!("service, queries answered within their soft limit, by payoff: was {:.4}", s.recorded);
+    match s.changed {
+        Some(estimate) => {
+            let (value, low, high) = estimate.into();
             println!("  would be {value:.4}, 95% of such days from {low:.4} to {high:.4}")
         }
         None => println!("  would be unknown: the record does not say"),
     }
     for c in &s.classes {
-        let would = c.would.map_or("unknown".into(), |w| format!("{w:.4}"));
-        println!("  {}: was {:.4}, would be {would}, of {} queries", c.class, c.was, c.queries);
+        let would = c.changed.map_or("unknown".into(), |w| format!("{w:.4}"));
+        println!("  {}: was {:.4}, would be {would}, of {} queries", c.class, c.recorded, c.requests);
     }
     println!(
         "  support {:.3}; the estimate carries {:.0} of {:.0} s",
-        s.support, s.carries, compared.seconds
+        s.support, s.valid_seconds, compared.seconds
     );
     Ok(())
 }
--- /dev/null
+++ b/crates/replay/src/estimate/interval.rs
@@ -0,0 +1,55 @@
+//! The interval of an estimate.
+
+use super::blocks::{Block, ClassTotals};
+use super::{Estimate, IntervalEstimate, CONFIDENCE};
+use nanorand::{Rng, WyRand};
+use statrs::distribution::{ContinuousCDF, StudentsT};
+use statrs::statistics::Statistics;
+
+/// Samples of the bootstrap.
+const BOOTSTRAP_SAMPLES: usize = 400;
+/// Attempts in time that are added, and as many late ones, so that a log without a late answer is not taken for certain
+/// (Agresti and Coull).
+const ADDED_ATTEMPTS: f64 = 2.0;
+/// Stands for the sum of squared weights where that is 0.
+const MIN_SQUARED_WEIGHTS: f64 = 1e-9;
+/// Used where the distribution cannot be made.
+const DEFAULT_T_QUANTILE: f64 = 2.0;
+
+impl Estimate {
+    /// The interval for the outcome of another such period: the variance by resampling blocks with replacement, once for
+    /// the estimate and once for the period, and at least that of so many attempts.
+    pub(super) fn interval(&self, blocks: &[Block], value: f64, seed: u64) -> IntervalEstimate {
+        let variance = self.bootstrap_variance(blocks, value, seed).max(attempt_variance(blocks, value));
+        let deviation = (2.0 * variance).sqrt();
+        let degrees_of_freedom = (blocks.len() - 1).max(1) as f64;
+        let t = StudentsT::new(0.0, 1.0, degrees_of_freedom)
+            .map_or(DEFAULT_T_QUANTILE, |distribution| distribution.inverse_cdf(0.5 + CONFIDENCE / 2.0));
+        IntervalEstimate {
+            value,
+            lower: (value - t * deviation).max(0.0),
+            upper: (value + t * deviation).min(1.0),
+        }
+    }
+
+    fn bootstrap_variance(&self, blocks: &[Block], value: f64, seed: u64) -> f64 {
+        let mut rng = WyRand::new_seed(seed);
+        let mut draw_sample = || {
+            let sample: Vec<Block> =
+                blocks.iter().map(|_| blocks[rng.generate_range(0..blocks.len())].clone()).collect();
+            self.service_of(&sample, ClassTotals::changed_service).unwrap_or(value)
+        };
+        (0..BOOTSTRAP_SAMPLES).map(|_| draw_sample()).collect::<Vec<f64>>().variance()
+    }
+}
+
+/// The variance that the number of attempts leaves, as the unweighted number that they are worth (Kish).
+fn attempt_variance(blocks: &[Block], value: f64) -> f64 {
+    let totals = || blocks.iter().flat_map(|block| &block.classes);
+    let attempts: f64 = totals().map(|totals| totals.attempts).sum();
+    let squared_weights = totals().map(|totals| totals.squared_weights).sum::<f64>().max(MIN_SQUARED_WEIGHTS);
+    let effective_attempts = attempts * attempts / squared_weights;
+    let padded_attempts = effective_attempts + 2.0 * ADDED_ATTEMPTS;
+    let share = (value * effective_attempts + ADDED_ATTEMPTS) / padded_attempts;
+    share * (1.0 - share) / padded_attempts
+}
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -1,6 +1,6 @@
-//! The same again: every turn's orders against those recorded.
+//! Replay with the recorded settings: the commands of each step are compared with the recorded ones.
 
-use crate::{at, fleet, set_out, turned, Unusable};
+use crate::{parse_fleet, seconds_of, start_session, take_step, time_of, ReplayError};
 use runloom_control_session::recording::replay_event;
 use runloom_control_session::ControlSession;
 use runloom_event_log::entry::SentUpdate;
@@ -8,144 +8,211 @@
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 
-/// Where a replay first gave other orders.
+/// Where a replay first issued other commands.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Difference {
-    /// Turns that were the same before it.
-    pub turns: u64,
+    /// Steps before it that were the same.
+    #[serde(rename = "turns")]
+    pub equal_steps: u64,
     /// Seconds since the planner's start.
-    pub at: f64,
-    pub what: String,
-    /// Why that may be: another build, entries that were lost.
-    pub why: String,
+    #[serde(rename = "at")]
+    pub at_seconds: f64,
+    /// What differs.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// The likely cause: another build, entries that were lost.
+    #[serde(rename = "why")]
+    pub cause: String,
 }
 
+/// What a replay came to.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
-pub struct Same {
+pub struct ReplaySummary {
+    /// Entries that were replayed.
     pub entries: u64,
-    pub turns: u64,
+    /// Steps among them.
+    #[serde(rename = "turns")]
+    pub steps: u64,
+    /// Recorded messages of these steps.
     pub messages: u64,
-    /// SHA-256 over all that was ordered now: to whom, under which number, which text.
+    /// SHA-256 over all messages of the replay: recipient, number and text.
     pub digest: String,
-    pub first: Option<Difference>,
+    /// The first difference, if there is one.
+    #[serde(rename = "first")]
+    pub first_difference: Option<Difference>,
 }
 
-/// A replay under way, entry by entry.
+/// A replay in progress, entry by entry.
 pub struct Replay {
-    driver: ControlSession,
-    same: Same,
-    sum: Sha256,
-    lost: bool,
-    recorded_by: String,
+    session: ControlSession,
+    summary: ReplaySummary,
+    hash: Sha256,
+    has_gap: bool,
+    recorded_build: String,
     build: String,
 }
 
 impl Replay {
-    /// Sets out from a record's first entry, the planner's start. `build` is this program's, for the reason of a
-    /// difference.
-    pub fn new(first: &Entry, build: &str) -> Result<Replay, Unusable> {
-        let RecordedEvent::Start { build: theirs, .. } = &first.what else { return Err(Unusable::NoStart) };
+    /// Starts from a log's first entry, the planner's start. `build` is this program's, to explain a difference.
+    ///
+    /// # Errors
+    /// Fails if the entry is no start, or its fleet is invalid.
+    pub fn new(first: &Entry, build: &str) -> Result<Replay, ReplayError> {
+        let RecordedEvent::Start { build: recorded_build, .. } = &first.what else {
+            return Err(ReplayError::NoStart);
+        };
         Ok(Replay {
-            driver: set_out(std::slice::from_ref(first), None, None)?,
-            same: Same::default(),
-            sum: Sha256::new(),
-            lost: false,
-            recorded_by: theirs.clone(),
+            session: start_session(std::slice::from_ref(first), None, None)?,
+            summary: ReplaySummary::default(),
+            hash: Sha256::new(),
+            has_gap: false,
+            recorded_build: recorded_build.clone(),
             build: build.to_string(),
         })
     }
 
-    /// The next entry. False: it differs from here on, and nothing more is wanted.
-    pub fn take(&mut self, entry: &Entry) -> Result<bool, Unusable> {
-        self.same.entries += 1;
-        self.lost |= matches!(entry.what, RecordedEvent::Lost { .. });
-        let difference = match &entry.what {
-            RecordedEvent::Turn { sent, .. } => {
-                self.driver.step(at(entry));
-                let ours = turned(&mut self.driver);
-                self.same.turns += 1;
-                self.same.messages += sent.len() as u64;
-                if let Some(RecordedEvent::Turn { texts, sent, .. }) = &ours {
-                    digest(&mut self.sum, texts, sent);
-                }
-                differs(&entry.what, ours.as_ref())
-            }
-            RecordedEvent::Refit { fleet: text, seed } => {
-                self.driver.reconfigure(fleet(text)?, *seed);
-                None
+    /// Replays the next entry. Returns false at the first difference, after which no more entries may be given.
+    ///
+    /// # Errors
+    /// Fails if a recorded fleet is invalid.
+    pub fn replay_entry(&mut self, entry: &Entry) -> Result<bool, ReplayError> {
+        self.summary.entries += 1;
+        let difference = self.find_difference(entry)?;
+        if let Some(recorded) = &mut self.session.recorded_events {
+            recorded.clear();
+        }
+        let Some(description) = difference else { return Ok(true) };
+        self.summary.first_difference = Some(Difference {
+            equal_steps: self.summary.steps.saturating_sub(1),
+            at_seconds: seconds_of(entry),
+            description,
+            cause: self.likely_cause(),
+        });
+        Ok(false)
+    }
+
+    fn find_difference(&mut self, entry: &Entry) -> Result<Option<String>, ReplayError> {
+        match &entry.what {
+            RecordedEvent::Turn { sent, .. } => Ok(self.replay_step(entry, sent.len())),
+            RecordedEvent::Refit { fleet, seed } => {
+                self.session.reconfigure(parse_fleet(fleet)?, *seed);
+                Ok(None)
             }
             RecordedEvent::Lost { entries } => {
-                Some(format!("{entries} entries were lost when the disk was full"))
+                self.has_gap = true;
+                Ok(Some(format!("{entries} entries were lost when the disk was full")))
+            }
+            event => {
+                let is_known = replay_event(&mut self.session, time_of(entry), event);
+                Ok((!is_known).then(|| format!("{} of {} is not known", event.kind(), event.name())))
             }
-            what => (!replay_event(&mut self.driver, at(entry), what))
-                .then(|| format!("{} of {} is not known", what.kind(), what.name())),
-        };
-        if let Some(witness) = &mut self.driver.recorded_events {
-            witness.clear();
         }
-        let Some(what) = difference else { return Ok(true) };
-        let (turns, at, why) = (self.same.turns.saturating_sub(1), entry.at as f64 / 1e6, self.why());
-        self.same.first = Some(Difference { turns, at, what, why });
-        Ok(false)
     }
 
-    fn why(&self) -> String {
-        match () {
-            () if self.lost => "the record has a gap".into(),
-            () if self.recorded_by != self.build => {
-                format!("it was recorded by {}, this is {}", self.recorded_by, self.build)
-            }
-            () => "same build: the decisions were changed without a new version, or the record was".into(),
+    fn replay_step(&mut self, entry: &Entry, recorded_messages: usize) -> Option<String> {
+        self.session.step(time_of(entry));
+        let replayed = take_step(&mut self.session);
+        self.summary.steps += 1;
+        self.summary.messages += recorded_messages as u64;
+        if let Some(RecordedEvent::Turn { texts, sent, .. }) = &replayed {
+            hash_messages(&mut self.hash, texts, sent);
+        }
+        describe_difference(&entry.what, replayed.as_ref())
+    }
+
+    fn likely_cause(&self) -> String {
+        if self.has_gap {
+            "the record has a gap".into()
+        } else if self.recorded_build != self.build {
+            format!("it was recorded by {}, this is {}", self.recorded_build, self.build)
+        } else {
+            "same build: the decisions were changed without a new version, or the record was".into()
         }
     }
 
-    pub fn done(mut self) -> Same {
-        self.same.digest = self.sum.finalize().iter().map(|b| format!("{b:02x}")).collect();
-        self.same
+    /// Ends the replay.
+    #[must_use]
+    pub fn finish(mut self) -> ReplaySummary {
+        self.summary.digest = self.hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+        self.summary
     }
 }
 
-/// Replays a record with its own setting.
-pub fn replay(entries: &[Entry], build: &str) -> Result<Same, Unusable> {
-    let (first, rest) = entries.split_first().ok_or(Unusable::NoStart)?;
+/// Replays a complete log, up to the first difference.
+///
+/// # Errors
+/// Fails if the log does not begin with a start, or a recorded fleet is invalid.
+pub fn replay(entries: &[Entry], build: &str) -> Result<ReplaySummary, ReplayError> {
+    let (first, rest) = entries.split_first().ok_or(ReplayError::NoStart)?;
     let mut replay = Replay::new(first, build)?;
     for entry in rest {
-        if !replay.take(entry)? {
+        if !replay.replay_entry(entry)? {
             break;
         }
     }
-    Ok(replay.done())
+    Ok(replay.finish())
 }
 
-fn digest(sum: &mut Sha256, texts: &[String], sent: &[SentUpdate]) {
-    for s in sent {
-        // A line break ends each part: none of them holds one.
-        let text = texts.get(s.text as usize).map_or("", String::as_str);
-        sum.update(format!("{} {}\n{text}\n", s.proxy, s.number));
+fn hash_messages(hash: &mut Sha256, texts: &[String], sent: &[SentUpdate]) {
+    for update in sent {
+        // Neither names nor texts contain a line break, so that it separates them.
+        let text = texts.get(update.text as usize).map_or("", String::as_str);
+        hash.update(format!("{} {}\n{text}\n", update.proxy, update.number));
     }
 }
 
-/// What two turns differ in, if they do; how long they took is no matter.
-fn differs(theirs: &RecordedEvent, ours: Option<&RecordedEvent>) -> Option<String> {
-    let RecordedEvent::Turn { texts, sent, probes, log, refused, .. } = theirs else { return None };
-    let Some(RecordedEvent::Turn { texts: t, sent: s, probes: p, log: l, refused: r, .. }) = ours else {
+/// What two steps differ in, if they do. How long they took does not count.
+fn describe_difference(recorded: &RecordedEvent, replayed: Option<&RecordedEvent>) -> Option<String> {
+    let RecordedEvent::Turn { texts, sent, probes, log, refused, .. } = recorded else { return None };
+    let Some(RecordedEvent::Turn {
+        texts: replayed_texts,
+        sent: replayed_sent,
+        probes: replayed_probes,
+        log: replayed_log,
+        refused: replayed_refused,
+        ..
+    }) = replayed
+    else {
         return Some("a turn in which the decisions were not asked".into());
     };
-    let text =
-        |sent: &SentUpdate, texts: &[String]| texts.get(sent.text as usize).cloned().unwrap_or_default();
-    for (a, b) in sent.iter().zip(s) {
-        if (&a.proxy, a.number) != (&b.proxy, b.number) {
-            return Some(format!("message {} to {} is now {} to {}", a.number, a.proxy, b.number, b.proxy));
-        }
-        if text(a, texts) != text(b, t) {
-            return Some(format!("message {} to {} has another text", a.number, a.proxy));
-        }
+    let recorded_messages = Messages { sent, texts };
+    let replayed_messages = Messages { sent: replayed_sent, texts: replayed_texts };
+    if let Some(difference) = recorded_messages.describe_difference(&replayed_messages) {
+        Some(difference)
+    } else if probes != replayed_probes {
+        Some("other probes".into())
+    } else if refused != replayed_refused {
+        Some("other refusals".into())
+    } else if log != replayed_log {
+        Some("another log".into())
+    } else {
+        None
+    }
+}
+
+/// The messages of one step.
+struct Messages<'a> {
+    sent: &'a [SentUpdate],
+    texts: &'a [String],
+}
+
+impl Messages<'_> {
+    fn text(&self, update: &SentUpdate) -> &str {
+        self.texts.get(update.text as usize).map_or("", String::as_str)
     }
-    match () {
-        () if sent.len() != s.len() => Some(format!("{} messages are now {}", sent.len(), s.len())),
-        () if probes != p => Some("other probes".into()),
-        () if refused != r => Some("other refusals".into()),
-        () if log != l => Some("another log".into()),
-        () => None,
+
+    fn describe_difference(&self, replayed: &Messages) -> Option<String> {
+        for (old, new) in self.sent.iter().zip(replayed.sent) {
+            let (number, proxy) = (old.number, &old.proxy);
+            if (proxy, number) != (&new.proxy, new.number) {
+                return Some(format!("message {number} to {proxy} is now {} to {}", new.number, new.proxy));
+            }
+            if self.text(old) != replayed.text(new) {
+                return Some(format!("message {number} to {proxy} has another text"));
+            }
+        }
+        let (recorded_count, replayed_count) = (self.sent.len(), replayed.sent.len());
+        (recorded_count != replayed_count)
+            .then(|| format!("{recorded_count} messages are now {replayed_count}"))
     }
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,13 +1,15 @@
-//! A recorded day again, in the record's own time and without sockets. With the same setting and build the
-//! orders are the same, byte for byte, or it says where they first differ. With another setting it gives what
-//! would have been ordered, which rules that would have broken, and an estimate of service with its error.
+//! Replay of an event log in its own time and without sockets.
+//!
+//! With the same settings and build, the commands are the same byte for byte ([`exact`]). With other settings, a replay
+//! shows which commands would have been issued, which rules would have been broken, and an estimate of service with its
+//! error ([`what_if`]). A log can also be turned into a scenario for the testbed ([`scenario_inference`]).
 
 pub mod estimate;
 pub mod exact;
-pub mod force;
-pub mod infer;
-pub mod other;
-pub mod page;
+pub mod html_report;
+pub mod rule_tracker;
+pub mod scenario_inference;
+pub mod what_if;
 
 use runloom_control_session::ControlSession;
 use runloom_event_log::{Entry, RecordedEvent};
@@ -15,45 +17,63 @@
 use runloom_netconf::tree::Element;
 use std::time::Duration;
 
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// Why an event log cannot be replayed.
 #[derive(Debug, thiserror::Error, PartialEq)]
-pub enum Unusable {
+pub enum ReplayError {
+    /// Its first entry is not a start.
     #[error("the record does not begin with a planner's start")]
     NoStart,
+    /// A recorded or given `<fleet>` is invalid.
     #[error("the fleet cannot be read: {0}")]
-    Fleet(String),
+    InvalidFleet(String),
 }
 
-/// Reads `<fleet>` as a record or a file has it.
-pub fn fleet(text: &str) -> Result<Fleet, Unusable> {
-    let e = Element::parse(text).map_err(|e| Unusable::Fleet(e.reason))?;
-    Fleet::read(&e).map_err(|m| Unusable::Fleet(format!("{}: {}", m.path, m.reason)))
+/// Reads a `<fleet>` element as an event log or a file has it.
+///
+/// # Errors
+/// Returns [`ReplayError::InvalidFleet`] with the path of the element that is invalid.
+pub fn parse_fleet(text: &str) -> Result<Fleet, ReplayError> {
+    let element = Element::parse(text).map_err(|e| ReplayError::InvalidFleet(e.reason))?;
+    Fleet::read(&element).map_err(|e| ReplayError::InvalidFleet(format!("{}: {}", e.path, e.reason)))
 }
 
-/// The driver as it was at the start of a record; another fleet or seed may stand in for the recorded ones.
-pub(crate) fn set_out(
+/// The control session as it was at the start of a log, or with another fleet or seed.
+pub(crate) fn start_session(
     entries: &[Entry],
-    other: Option<&Fleet>,
+    other_fleet: Option<&Fleet>,
     other_seed: Option<u64>,
-) -> Result<ControlSession, Unusable> {
-    let Some(RecordedEvent::Start { seed, epoch, fleet: text, .. }) = entries.first().map(|e| &e.what) else {
-        return Err(Unusable::NoStart);
+) -> Result<ControlSession, ReplayError> {
+    let Some(RecordedEvent::Start { seed, epoch, fleet, .. }) = entries.first().map(|entry| &entry.what)
+    else {
+        return Err(ReplayError::NoStart);
+    };
+    let fleet = match other_fleet {
+        Some(fleet) => fleet.clone(),
+        None => parse_fleet(fleet)?,
     };
-    let fleet = other.map_or_else(|| fleet(text), |f| Ok(f.clone()))?;
-    let mut driver = ControlSession::new(fleet, other_seed.unwrap_or(*seed), *epoch);
-    driver.recorded_events = Some(vec![]);
-    Ok(driver)
+    let mut session = ControlSession::new(fleet, other_seed.unwrap_or(*seed), *epoch);
+    session.recorded_events = Some(vec![]);
+    Ok(session)
 }
 
-/// What the last call came to, if it was a turn with decisions.
-pub(crate) fn turned(driver: &mut ControlSession) -> Option<RecordedEvent> {
-    let witness = driver.recorded_events.as_mut()?;
-    let last = std::mem::take(witness).pop()?;
-    matches!(last.1, RecordedEvent::Turn { .. }).then_some(last.1)
+/// What the session recorded of its last call, if that was a step in which the controller was asked.
+pub(crate) fn take_step(session: &mut ControlSession) -> Option<RecordedEvent> {
+    let recorded = session.recorded_events.as_mut()?;
+    let (_, event) = std::mem::take(recorded).pop()?;
+    matches!(event, RecordedEvent::Turn { .. }).then_some(event)
 }
 
-pub(crate) fn at(entry: &Entry) -> Duration {
+/// Time of an entry since the planner's start.
+pub(crate) fn time_of(entry: &Entry) -> Duration {
     Duration::from_micros(entry.at)
 }
 
+/// Seconds of an entry since the planner's start.
+pub(crate) fn seconds_of(entry: &Entry) -> f64 {
+    entry.at as f64 / MICROSECONDS_PER_SECOND
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/replay/src/rule_tracker/mod.rs
@@ -0,0 +1,259 @@
+//! The tables in force at each proxy, from the messages that went out and when they were acknowledged, and which rules
+//! they break.
+
+mod cold_servers;
+mod proxy_state;
+
+use cold_servers::ColdServerLoad;
+use proxy_state::{InFlightMessage, ProxyState};
+use runloom_event_log::entry::{RecordedArrivals, RecordedOutcome, RecordedServer};
+use runloom_event_log::{Entry, RecordedEvent};
+use runloom_model::fleet::Fleet;
+use runloom_model::schema::derive;
+use runloom_model::{Schema, PROXY_XSD};
+use runloom_proxy::RouteTables;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// How often tables are checked: often enough for grace periods of seconds and for reports twice a second.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// A report's window counts as no shorter than this, in seconds.
+const MIN_REPORT_SECONDS: f64 = 0.1;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+/// A server's weight counts as no lower than this.
+const MIN_WEIGHT: f64 = 1e-9;
+
+/// Servers by what the endpoint list says of them.
+#[derive(Default)]
+struct ListedServers {
+    /// Servers that drain or were removed, with the time since when.
+    closed: BTreeMap<String, Duration>,
+    /// Servers that take requests, with their start in milliseconds since 1970; `None` for a warm one.
+    open: BTreeMap<String, Option<u64>>,
+    weights: BTreeMap<String, f64>,
+}
+
+impl ListedServers {
+    fn update(&mut self, now: Duration, server: &RecordedServer) {
+        self.weights.insert(server.name.clone(), server.weight);
+        if server.draining {
+            self.close(now, &server.name);
+        } else {
+            self.closed.remove(&server.name);
+            self.open.insert(server.name.clone(), server.started);
+        }
+    }
+
+    fn close(&mut self, now: Duration, server: &str) {
+        self.closed.entry(server.to_string()).or_insert(now);
+        self.open.remove(server);
+    }
+
+    fn weight(&self, server: &str) -> f64 {
+        self.weights.get(server).copied().unwrap_or(1.0).max(MIN_WEIGHT)
+    }
+}
+
+/// Rates of the proxies' last reports.
+#[derive(Default)]
+struct ReportedRates {
+    /// Requests a second by proxy and class.
+    arrivals: BTreeMap<(String, String), f64>,
+    /// Successful attempts a second by server and proxy.
+    successes: BTreeMap<(String, String), f64>,
+}
+
+impl ReportedRates {
+    fn update(
+        &mut self,
+        proxy: &str,
+        window_us: u64,
+        outcomes: &[RecordedOutcome],
+        arrivals: &[RecordedArrivals],
+    ) {
+        let seconds = (window_us as f64 / MICROSECONDS_PER_SECOND).max(MIN_REPORT_SECONDS);
+        for class in arrivals {
+            let rate = class.queries as f64 / seconds;
+            self.arrivals.insert((proxy.to_string(), class.class.clone()), rate);
+        }
+        for outcome in outcomes {
+            let rate = outcome.tries.saturating_sub(outcome.failed) as f64 / seconds;
+            self.successes.insert((outcome.server.clone(), proxy.to_string()), rate);
+        }
+    }
+
+    fn arrival_rate(&self, proxy: &str, class: &str) -> f64 {
+        self.arrivals.get(&(proxy.to_string(), class.to_string())).copied().unwrap_or(0.0)
+    }
+
+    /// Successful attempts a second of all proxies at a server.
+    fn success_rate(&self, server: &str) -> f64 {
+        let from = (server.to_string(), String::new());
+        let of_server = self.successes.range(from..).take_while(|((name, _), _)| name == server);
+        of_server.map(|(_, rate)| rate).sum::<f64>()
+    }
+}
+
+/// Follows an event log, with the tables as they come in force, and checks the rules.
+pub struct RuleTracker {
+    schema: Schema,
+    fleet: Fleet,
+    /// Milliseconds since 1970 at the planner's start.
+    epoch: u64,
+    proxies: BTreeMap<String, ProxyState>,
+    servers: ListedServers,
+    rates: ReportedRates,
+    cold_servers: ColdServerLoad,
+    checked_at: Duration,
+    violations: BTreeSet<String>,
+    /// The most table entries that were on their way at a time, with the messages' overhead.
+    pub max_queued_entries: u64,
+    /// Messages so far.
+    pub messages: u64,
+    /// Table entries in them.
+    pub entries: u64,
+}
+
+impl RuleTracker {
+    /// Starts with no proxies and servers. `epoch` is the planner's start in milliseconds since 1970.
+    pub fn new(fleet: Fleet, epoch: u64) -> RuleTracker {
+        RuleTracker {
+            schema: Schema::root(derive(PROXY_XSD, &["tables"]).unwrap_or_default()),
+            fleet,
+            epoch,
+            proxies: BTreeMap::new(),
+            servers: ListedServers::default(),
+            rates: ReportedRates::default(),
+            cold_servers: ColdServerLoad::default(),
+            checked_at: Duration::ZERO,
+            violations: BTreeSet::new(),
+            max_queued_entries: 0,
+            messages: 0,
+            entries: 0,
+        }
+    }
+
+    /// The violations so far, each once.
+    pub fn violations(&self) -> Vec<String> {
+        self.violations.iter().cloned().collect()
+    }
+
+    /// The tables in force at a proxy, if they are a planner's.
+    pub fn tables(&self, proxy: &str) -> Option<&RouteTables> {
+        self.proxies.get(proxy).map(|state| &state.tables).filter(|tables| tables.is_from_planner())
+    }
+
+    /// Handles an event that is no command of the planner: connections, lists and reports.
+    pub fn handle_event(&mut self, entry: &Entry) {
+        let now = Duration::from_micros(entry.at);
+        match &entry.what {
+            RecordedEvent::Joined { proxy, .. } => self.connect_proxy(now, proxy),
+            RecordedEvent::Left { proxy } => {
+                if let Some(state) = self.proxies.get_mut(proxy) {
+                    state.disconnect();
+                }
+            }
+            RecordedEvent::Listed { servers, gone, .. } => {
+                servers.iter().for_each(|server| self.servers.update(now, server));
+                for server in gone.iter().filter(|_| !self.fleet.only_drains_bind) {
+                    self.servers.close(now, server);
+                }
+            }
+            RecordedEvent::Report { proxy, span, met, came } => self.rates.update(proxy, *span, met, came),
+            _ => {}
+        }
+    }
+
+    /// A proxy that reconnects keeps the tables that it was seen to acknowledge.
+    fn connect_proxy(&mut self, now: Duration, proxy: &str) {
+        let state = match self.proxies.remove(proxy) {
+            Some(previous) => previous.reconnected(now),
+            None => ProxyState::connected(now),
+        };
+        self.proxies.insert(proxy.to_string(), state);
+    }
+
+    /// A message went out to a proxy.
+    pub fn record_sent(&mut self, now: Duration, proxy: &str, number: u64, text: &str, entries: u32) {
+        self.messages += 1;
+        self.entries += u64::from(entries);
+        let channel = &self.fleet.channel;
+        let Some(state) = self.proxies.get_mut(proxy) else { return };
+        state.in_flight.push_back(InFlightMessage { number, text: text.to_string(), entries });
+        let recent_messages = state.count_message(now, channel.messages_over);
+        if channel.messages > 0.0 && recent_messages as f64 > channel.messages {
+            self.violations.insert("rule 5: too many messages to one proxy".into());
+        }
+        let overhead = channel.overhead as u64;
+        let in_flight = self.proxies.values().flat_map(|state| &state.in_flight);
+        let queued = in_flight.map(|message| u64::from(message.entries) + overhead).sum();
+        self.max_queued_entries = self.max_queued_entries.max(queued);
+        if queued as f64 > channel.backlog {
+            self.violations.insert("rule 5: more lines waited than may".into());
+        }
+    }
+
+    /// A proxy acknowledged a message: it and all before it are in force there.
+    pub fn record_acknowledged(&mut self, proxy: &str, number: u64) {
+        if let Some(state) = self.proxies.get_mut(proxy) {
+            state.acknowledge(&self.schema, number);
+        }
+    }
+
+    /// Checks all tables in force, once an interval.
+    pub fn check_tables(&mut self, now: Duration) {
+        if now < self.checked_at + CHECK_INTERVAL {
+            return;
+        }
+        self.checked_at = now;
+        self.check_cold_servers(now);
+        let has_warm_server = self.has_warm_server(now);
+        for (name, state) in &mut self.proxies {
+            if state.connected_at <= now && state.tables.is_from_planner() {
+                let violations = state.check(name, now, &self.fleet, &self.servers, has_warm_server);
+                self.violations.extend(violations);
+            }
+        }
+    }
+
+    fn has_warm_server(&self, now: Duration) -> bool {
+        let wall_ms = self.epoch + now.as_millis() as u64;
+        let warm_after_ms = self.fleet.warm_after.as_millis() as u64;
+        let is_warm = |started: &Option<u64>| {
+            started.is_none_or(|started| wall_ms.saturating_sub(started) >= warm_after_ms)
+        };
+        self.servers.open.values().any(is_warm)
+    }
+
+    /// Requests a second that the tables in force send to a server.
+    fn request_rate(&self, server: &str) -> f64 {
+        let mut total = 0.0;
+        for (proxy, state) in &self.proxies {
+            for class in &self.fleet.classes {
+                let share = state.share_of(&class.name, server);
+                if share > 0.0 {
+                    total += share * self.rates.arrival_rate(proxy, &class.name);
+                }
+            }
+        }
+        total
+    }
+
+    /// Each server's share (0 to 1) of the tables in force, all proxies and classes alike.
+    pub fn server_shares(&self) -> BTreeMap<String, f64> {
+        let mut shares: BTreeMap<String, f64> = BTreeMap::new();
+        let mut table_count = 0.0;
+        for state in self.proxies.values().filter(|state| state.tables.is_from_planner()) {
+            for class in &self.fleet.classes {
+                let entries = state.tables.entries(&class.name);
+                let weights: f64 = entries.iter().map(|entry| entry.weight).sum();
+                table_count += if entries.is_empty() { 0.0 } else { 1.0 };
+                for entry in entries {
+                    *shares.entry(entry.server).or_default() += entry.weight / weights;
+                }
+            }
+        }
+        shares.values_mut().for_each(|share| *share /= f64::max(table_count, 1.0));
+        shares
+    }
+}
--- /dev/null
+++ b/crates/replay/src/scenario_inference/edits.rs
@@ -0,0 +1,39 @@
+//! Operators' edits, by the changes from each recorded fleet to the next.
+
+use super::observation::LogObservation;
+use super::{FleetChange, InferredEdit};
+use runloom_model::fleet::Fleet;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Edits with the scenario's names; drains of servers that the scenario does not have are left out.
+pub(super) fn find_edits(
+    observation: &LogObservation,
+    names: &BTreeMap<String, String>,
+) -> Vec<InferredEdit> {
+    let mut edits = vec![];
+    for pair in observation.fleets.windows(2) {
+        let ((_, old), (at, new)) = (&pair[0], &pair[1]);
+        let changes = zone_share_changes(old, new).into_iter().chain(drain_changes(old, new, names));
+        edits.extend(changes.map(|change| InferredEdit { at: at.max(0.0), change }));
+    }
+    edits
+}
+
+fn zone_share_changes(old: &Fleet, new: &Fleet) -> Vec<FleetChange> {
+    let changed = new.zones.iter().filter(|(zone, share)| old.share_of(zone) != *share);
+    changed.map(|(zone, share)| FleetChange::ZoneShare { zone: zone.clone(), share: *share }).collect()
+}
+
+fn drain_changes(old: &Fleet, new: &Fleet, names: &BTreeMap<String, String>) -> Vec<FleetChange> {
+    let drains = |fleet: &Fleet, name: &str| fleet.words.get(name).is_some_and(|entry| entry.drain);
+    let servers: BTreeSet<&String> = old.words.keys().chain(new.words.keys()).collect();
+    let mut changes = vec![];
+    for server in servers {
+        let is_draining = drains(new, server);
+        let Some(name) = names.get(server) else { continue };
+        if drains(old, server) != is_draining {
+            changes.push(FleetChange::Drain { server: name.clone(), is_draining });
+        }
+    }
+    changes
+}
--- /dev/null
+++ b/crates/replay/src/tests/rule_tracker.rs
@@ -0,0 +1,109 @@
+use super::{log_of_a_minute, EPOCH, FLEET};
+use crate::rule_tracker::RuleTracker;
+use runloom_event_log::entry::{RecordedArrivals, RecordedOutcome, RecordedServer};
+use runloom_event_log::{Entry, RecordedEvent};
+use runloom_model::order::{Message, TableEdit};
+use std::time::Duration;
+
+const DRAIN_TIME_US: u64 = 30_000_000;
+
+fn tracker() -> RuleTracker {
+    RuleTracker::new(crate::parse_fleet(FLEET).unwrap(), EPOCH)
+}
+
+/// Replays an entry with the recorded commands and acknowledgements.
+fn track(tracker: &mut RuleTracker, entry: &Entry) {
+    let now = Duration::from_micros(entry.at);
+    tracker.handle_event(entry);
+    match &entry.what {
+        RecordedEvent::Turn { texts, sent, .. } => {
+            for update in sent {
+                let text = &texts[update.text as usize];
+                tracker.record_sent(now, &update.proxy, update.number, text, update.lines);
+            }
+        }
+        RecordedEvent::Applied { proxy, number } => tracker.record_acknowledged(proxy, *number),
+        _ => {}
+    }
+    tracker.check_tables(now);
+}
+
+#[test]
+fn tables_that_keep_a_drained_server_violate_rule_three() {
+    // Given a log with the drain, and without the messages that answer it.
+    let mut log = log_of_a_minute();
+    log.retain(|entry| !(matches!(entry.what, RecordedEvent::Turn { .. }) && entry.at >= DRAIN_TIME_US));
+    let mut tracker = tracker();
+
+    // When
+    log.iter().for_each(|entry| track(&mut tracker, entry));
+
+    // Then
+    let violations = tracker.violations();
+    let is_expected = |violation: &String| violation.starts_with("rule 3") && violation.contains("s5");
+    assert!(violations.iter().any(is_expected), "{violations:?}");
+}
+
+fn listed(name: &str, started: Option<u64>) -> RecordedServer {
+    RecordedServer {
+        name: name.into(),
+        address: "127.0.0.1:9".into(),
+        zone: "a".into(),
+        kind: String::new(),
+        cell: 0,
+        draining: false,
+        weight: 1.0,
+        started,
+    }
+}
+
+/// A proxy with thirty requests a second, a warm server that succeeds with ten of them, and a cold one.
+fn events_with_a_cold_server() -> [RecordedEvent; 3] {
+    let outcome =
+        RecordedOutcome { server: "warm".into(), tries: 10, failed: 0, took: 9, in_time: 9, load: vec![] };
+    let arrivals = RecordedArrivals { class: "q".into(), queries: 30, unanswered: 0 };
+    [
+        RecordedEvent::Joined { proxy: "f".into(), zone: "a".into(), rate: 30.0, fresh: true },
+        RecordedEvent::Listed {
+            whole: true,
+            servers: vec![listed("warm", None), listed("cold", Some(EPOCH))],
+            gone: vec![],
+        },
+        RecordedEvent::Report {
+            proxy: "f".into(),
+            span: 1_000_000,
+            met: vec![outcome],
+            came: vec![arrivals],
+        },
+    ]
+}
+
+/// A message with both servers in the table, and the cold one at a weight.
+fn message_with_cold_weight(cold_weight: f64) -> Message {
+    let address = || "127.0.0.1:9".to_string();
+    let entries = [("warm".to_string(), (address(), 1.0)), ("cold".to_string(), (address(), cold_weight))];
+    let table = TableEdit { lines: entries.into(), ..Default::default() };
+    let binds = [("q".to_string(), 1)].into();
+    Message { tables: [(1, table)].into(), binds, ..Default::default() }
+}
+
+/// Violations while the cold server has a weight beside the warm one's of 1.
+fn violations_with_cold_weight(cold_weight: f64) -> Vec<String> {
+    let mut tracker = tracker();
+    for what in events_with_a_cold_server() {
+        tracker.handle_event(&Entry { at: 0, what });
+    }
+    let message = message_with_cold_weight(cold_weight);
+    tracker.record_sent(Duration::ZERO, "f", 1, &message.to_text(), 3);
+    tracker.record_acknowledged("f", 1);
+    (0..8).for_each(|check| tracker.check_tables(Duration::from_millis(1000 + 500 * check)));
+    tracker.violations()
+}
+
+/// Ten requests a second are a warm server's capacity: a cold one bears eight at its start, and thirteen some seconds
+/// later.
+#[test]
+fn a_cold_server_that_tables_overload_violates_rule_four() {
+    assert_eq!(violations_with_cold_weight(0.3), Vec::<String>::new());
+    assert_eq!(violations_with_cold_weight(9.0), ["rule 4: cold would be pushed over"]);
+}
--- /dev/null
+++ b/crates/replay/src/what_if/admission.rs
@@ -0,0 +1,19 @@
+//! What an admission rate lets in.
+
+/// A token bucket as a proxy keeps it, with room for a second's requests, updated from report to report.
+#[derive(Default)]
+pub(super) struct TokenBucket {
+    tokens: f64,
+}
+
+impl TokenBucket {
+    /// How many of `arrived` requests over `seconds` are admitted at a rate a second; all without a rate.
+    pub fn admit(&mut self, rate: Option<f64>, arrived: f64, seconds: f64) -> f64 {
+        let Some(rate) = rate else { return arrived };
+        let available = self.tokens + rate * seconds;
+        let admitted = arrived.min(available);
+        let capacity = if rate > 0.0 { rate.max(1.0) } else { 0.0 };
+        self.tokens = (available - admitted).min(capacity);
+        admitted
+    }
+}
--- /dev/null
+++ b/crates/replay/src/what_if/outcome_feed.rs
@@ -0,0 +1,165 @@
+//! Feeds the estimate with what proxies reported.
+
+use super::admission::TokenBucket;
+use super::Side;
+use crate::estimate::{Estimate, Flow, Outcomes, ReportedOutcomes, Shares};
+use crate::{time_of, MICROSECONDS_PER_SECOND};
+use runloom_event_log::entry::{RecordedArrivals, RecordedClassOutcome, RecordedOutcome};
+use runloom_event_log::{Entry, RecordedEvent};
+use runloom_model::fleet::Fleet;
+use std::collections::BTreeMap;
+
+/// The class that stands for all where a log has no outcomes by class.
+const COMBINED_CLASS: &str = "all";
+
+/// Token buckets of one proxy and class.
+#[derive(Default)]
+struct SideBuckets {
+    recorded: TokenBucket,
+    changed: TokenBucket,
+}
+
+/// Takes reports to the estimate: by class where the log has outcomes by class, else all classes as one.
+pub(super) struct OutcomeFeed {
+    estimate: Estimate,
+    /// Names of the classes; `None` for a log without outcomes by class.
+    classes: Option<Vec<String>>,
+    /// Outcomes by class, which stand in the log before the report that they belong to.
+    class_outcomes: Vec<RecordedClassOutcome>,
+    buckets: BTreeMap<(String, usize), SideBuckets>,
+}
+
+impl OutcomeFeed {
+    pub fn new(entries: &[Entry], fleet: &Fleet) -> OutcomeFeed {
+        let has_classes = entries.iter().any(|e| matches!(e.what, RecordedEvent::Outcomes { .. }));
+        let classes: Vec<(String, f64)> =
+            fleet.classes.iter().map(|class| (class.name.clone(), class.payoff)).collect();
+        let names = has_classes.then(|| classes.iter().map(|(name, _)| name.clone()).collect());
+        let estimated = if has_classes { classes } else { vec![(COMBINED_CLASS.into(), 1.0)] };
+        OutcomeFeed {
+            estimate: Estimate::new(estimated),
+            classes: names,
+            class_outcomes: vec![],
+            buckets: BTreeMap::new(),
+        }
+    }
+
+    pub fn into_estimate(self) -> Estimate {
+        self.estimate
+    }
+
+    /// Handles an entry that both sides have replayed.
+    pub fn handle_entry(&mut self, entry: &Entry, recorded: &Side, changed: &Side) {
+        match &entry.what {
+            RecordedEvent::Outcomes { met, .. } => self.class_outcomes = met.clone(),
+            RecordedEvent::Report { proxy, span, met, came } => match self.classes.clone() {
+                Some(classes) => {
+                    let outcomes = std::mem::take(&mut self.class_outcomes);
+                    let seconds = *span as f64 / MICROSECONDS_PER_SECOND;
+                    for (class, name) in classes.iter().enumerate() {
+                        let report = ClassReport { entry, proxy, class, name, seconds };
+                        self.add_class(&report, &outcomes, came, recorded, changed);
+                    }
+                }
+                None => self.add_combined(entry, proxy, met, came, recorded, changed),
+            },
+            _ => {}
+        }
+    }
+
+    fn add_class(
+        &mut self,
+        report: &ClassReport,
+        outcomes: &[RecordedClassOutcome],
+        arrivals: &[RecordedArrivals],
+        recorded: &Side,
+        changed: &Side,
+    ) {
+        let of_class = arrivals.iter().filter(|arrivals| arrivals.class == report.name);
+        let arrived = of_class.map(|arrivals| arrivals.queries as f64).sum();
+        let buckets = self.buckets.entry((report.proxy.to_string(), report.class)).or_default();
+        let flow = Flow {
+            arrived,
+            recorded: buckets.recorded.admit(report.admission_rate(recorded), arrived, report.seconds),
+            changed: buckets.changed.admit(report.admission_rate(changed), arrived, report.seconds),
+        };
+        let of_class = outcomes.iter().filter(|outcome| outcome.class == report.name);
+        let outcomes: BTreeMap<String, Outcomes> = of_class
+            .map(|o| (o.server.clone(), Outcomes { attempts: o.tries, in_time: o.in_time }))
+            .collect();
+        let requests = BTreeMap::from([(report.name, 1.0)]);
+        let shares = |side: &Side| request_shares(side, report.proxy, &requests);
+        if let (Some(old), Some(new)) = (shares(recorded), shares(changed)) {
+            self.estimate.add_report(&ReportedOutcomes {
+                at: time_of(report.entry),
+                proxy: report.proxy,
+                class: report.class,
+                outcomes: &outcomes,
+                recorded_shares: &old,
+                changed_shares: &new,
+                flow,
+            });
+        }
+    }
+
+    /// Adds a report of all classes together, to which no admission rate applies.
+    fn add_combined(
+        &mut self,
+        entry: &Entry,
+        proxy: &str,
+        outcomes: &[RecordedOutcome],
+        arrivals: &[RecordedArrivals],
+        recorded: &Side,
+        changed: &Side,
+    ) {
+        let requests: BTreeMap<&str, f64> =
+            arrivals.iter().map(|arrivals| (arrivals.class.as_str(), arrivals.queries as f64)).collect();
+        let shares = |side: &Side| request_shares(side, proxy, &requests);
+        let (Some(old), Some(new)) = (shares(recorded), shares(changed)) else { return };
+        let outcomes: BTreeMap<String, Outcomes> = outcomes
+            .iter()
+            .map(|o| (o.server.clone(), Outcomes { attempts: o.tries, in_time: o.in_time }))
+            .collect();
+        let attempts = outcomes.values().map(|outcomes| outcomes.attempts as f64).sum();
+        self.estimate.add_report(&ReportedOutcomes {
+            at: time_of(entry),
+            proxy,
+            class: 0,
+            outcomes: &outcomes,
+            recorded_shares: &old,
+            changed_shares: &new,
+            flow: Flow { arrived: attempts, recorded: attempts, changed: attempts },
+        });
+    }
+}
+
+/// One class of a proxy's report.
+struct ClassReport<'a> {
+    entry: &'a Entry,
+    proxy: &'a str,
+    class: usize,
+    name: &'a str,
+    /// The time that it covers.
+    seconds: f64,
+}
+
+impl ClassReport<'_> {
+    fn admission_rate(&self, side: &Side) -> Option<f64> {
+        side.tracker.tables(self.proxy)?.admission_limit(self.name)?.0
+    }
+}
+
+/// The share of a proxy's requests that each server gets by the tables in force there; `requests` weighs the classes.
+fn request_shares(side: &Side, proxy: &str, requests: &BTreeMap<&str, f64>) -> Option<Shares> {
+    let tables = side.tracker.tables(proxy)?;
+    let total: f64 = requests.values().sum();
+    let mut shares = Shares::new();
+    for (class, count) in requests {
+        let entries = tables.entries(class);
+        let weights: f64 = entries.iter().map(|entry| entry.weight).sum();
+        for entry in entries {
+            *shares.entry(entry.server).or_insert(0.0) += entry.weight / weights * count / total.max(1.0);
+        }
+    }
+    Some(shares)
+}
--- a/crates/testbed/src/benchmarks/estimate_accuracy.rs
+++ b/crates/testbed/src/benchmarks/estimate_accuracy.rs
@@ -4,7 +4,7 @@
 use super::BenchmarkResult;
 use crate::scenario::SHIPPED;
 use runloom_event_log::{folder, Entry, RecordedEvent};
-use runloom_replay::other::{compare, Setting};
+use runloom_replay::what_if::{compare, WhatIfSettings};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -140,21 +140,22 @@
     std::fs::create_dir_all(run.folder).map_err(|e| e.to_string())?;
     let fleet_file = run.folder.join("fleet.xml");
     std::fs::write(&fleet_file, &fleet_xml).map_err(|e| e.to_string())?;
-    let fleet = runloom_replay::fleet(&fleet_xml).map_err(|e| e.to_string())?;
-    let setting = Setting { fleet: Some(fleet), ..Setting::default() };
+    let fleet = runloom_replay::parse_fleet(&fleet_xml).map_err(|e| e.to_string())?;
+    let setting = WhatIfSettings { fleet: Some(fleet), ..WhatIfSettings::default() };
     let estimated = compare(base, &setting).map_err(|e| e.to_string())?.service;
     let entries = Run { fleet_file: Some(&fleet_file), ..*run }.event_log()?;
-    let until = (estimated.carries > 0.0).then(|| Duration::from_secs_f64(estimated.carries));
-    let same_time = Setting { until, ..Setting::default() };
-    let actual = compare(&entries, &same_time).map_err(|e| e.to_string())?.service.was;
-    let (estimate, verdict) = match estimated.would {
+    let until = (estimated.valid_seconds > 0.0).then(|| Duration::from_secs_f64(estimated.valid_seconds));
+    let same_time = WhatIfSettings { until, ..WhatIfSettings::default() };
+    let actual = compare(&entries, &same_time).map_err(|e| e.to_string())?.service.recorded;
+    let (estimate, verdict) = match estimated.changed {
         None => ("unknown".to_string(), "unknown"),
-        Some((value, low, high)) => {
+        Some(estimate) => {
+            let (value, low, high) = estimate.into();
             let is_within = low <= actual && actual <= high;
             (format!("{value:.4} ({low:.4} to {high:.4})"), if is_within { "held" } else { "missed" })
         }
     };
-    let (was, carries, support) = (estimated.was, estimated.carries, estimated.support);
+    let (was, carries, support) = (estimated.recorded, estimated.valid_seconds, estimated.support);
     Ok(format!("{was:.4} | {estimate} | {support:.2} | {carries:.0} | {actual:.4} | {verdict} |"))
 }
 
--- a/crates/testbed/src/benchmarks/recording.rs
+++ b/crates/testbed/src/benchmarks/recording.rs
@@ -24,7 +24,7 @@
 /// Time that 592 x 544 at 2,600 requests a second take of a core: the same reports to the same session without an event
 /// log and with one, and the thread that writes it.
 pub(super) fn measure(folder: &Path) -> BenchmarkResult {
-    let fleet = runloom_replay::fleet(&small_fleet_xml("z")).map_err(|e| e.to_string())?;
+    let fleet = runloom_replay::parse_fleet(&small_fleet_xml("z")).map_err(|e| e.to_string())?;
     let unrecorded = run_session(folder, fleet.clone(), false)?;
     let recorded = run_session(folder, fleet, true)?;
     let print = |name: &str, time: Duration| {
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -88,10 +88,10 @@
     while Instant::now() < end {
         for event in event_loop.wait(Some(event_loop.now() + POLL_INTERVAL)).unwrap() {
             match event {
-                IoEvent::Bytes { bytes, .. } => {
-                    if client.take(event_loop.now(), &bytes).contains(&ClientEvent::Joined) {
-                        return true;
-                    }
+                IoEvent::Bytes { bytes, .. }
+                    if client.take(event_loop.now(), &bytes).contains(&ClientEvent::Joined) =>
+                {
+                    return true;
                 }
                 IoEvent::Closed { .. } => return false,
                 _ => {}
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -166,24 +166,24 @@
 /// `back` is how many starts before the last one the entries are of.
 fn assert_replays_to_the_same_commands(log: &Path, entries: &[Entry], back: usize) {
     let replay = runloom_replay::exact::replay(entries, runloom_daemon::planner_runtime::BUILD).unwrap();
-    assert_eq!(replay.first, None, "{} {back}", log.display());
-    assert!(replay.turns > 10 && replay.messages >= 3, "{replay:?}");
+    assert_eq!(replay.first_difference, None, "{} {back}", log.display());
+    assert!(replay.steps > 10 && replay.messages >= 3, "{replay:?}");
     let other_process =
         std::process::Command::new(program()).arg("again").arg(log).arg(back.to_string()).output().unwrap();
     assert_eq!(String::from_utf8(other_process.stdout).unwrap().trim(), replay.digest);
 }
 
 fn assert_scenario_is_inferred(folder: &Folder, days: &[Vec<Entry>]) {
-    let inferred = runloom_replay::infer::infer(days).unwrap();
-    let fault = |kind| inferred.troubles.iter().find(|fault| fault.kind == kind);
+    let inferred = runloom_replay::scenario_inference::infer(days).unwrap();
+    let fault = |kind| inferred.faults.iter().find(|fault| fault.kind == kind);
     assert_eq!(fault("crash").map(|crash| crash.servers.len()), Some(2), "{inferred:?}");
     assert_eq!(fault("planner-kill").is_some(), days.len() == 2, "{inferred:?}");
-    assert_eq!((inferred.servers, inferred.edits.len()), (8, 1), "{inferred:?}");
+    assert_eq!((inferred.server_count, inferred.edits.len()), (8, 1), "{inferred:?}");
     // The testbed can play it.
     let file = folder.0.join("day.xml");
-    std::fs::write(&file, inferred.xml()).unwrap();
+    std::fs::write(&file, inferred.to_xml()).unwrap();
     let read = runloom_testbed::scenario::read(&file.display().to_string()).unwrap();
-    assert_eq!((read.server_count, read.faults.len()), (8, inferred.troubles.len()));
+    assert_eq!((read.server_count, read.faults.len()), (8, inferred.faults.len()));
 }
 
 /// Ten thousand unsafe commands pass through a running planner, and none reaches a proxy, by what the sockets showed.
