--- a/crates/replay/src/tests/exact.rs
+++ b/crates/replay/src/tests/exact.rs
@@ -54,8 +54,8 @@
     let mut log = Vec::new();
     for edit in 0..10_000u64 {
         let number = edit as usize % 5;
-        let Change::Is(listed) = server(number, false) else { unreachable!() };
-        let change = Change::Is(Server { weight: 1.0 + (edit % 4) as f64, ..listed });
+        let Change::Updated(listed) = server(number, false) else { unreachable!() };
+        let change = Change::Updated(Server { weight: 1.0 + (edit % 4) as f64, ..listed });
         session.update_endpoints(EndpointUpdate::Delta, vec![(format!("s{number}"), change)]);
         let now = Duration::from_millis(360 * (edit + 1));
         step_and_acknowledge(&mut session, now, Duration::from_millis(5));
--- a/crates/replay/src/tests/mod.rs
+++ b/crates/replay/src/tests/mod.rs
@@ -34,14 +34,14 @@
 const LATE_SERVER: usize = 1;
 
 fn server(number: usize, draining: bool) -> Change {
-    Change::Is(Server {
+    Change::Updated(Server {
         address: ([127, 0, 0, 1], 9000 + number as u16).into(),
         zone: zone(number).into(),
         kind: "std".into(),
         cell: 0,
-        draining,
+        is_draining: draining,
         weight: 1.0,
-        started: None,
+        started_ms: None,
     })
 }
 
--- a/crates/testbed/src/benchmarks/safety_guard.rs
+++ b/crates/testbed/src/benchmarks/safety_guard.rs
@@ -39,7 +39,7 @@
         let weight = 1.0 + 0.001 * (round % 100) as f64;
         let batch = (0..tables).map(|server| set_entry(server, tables, weight)).collect();
         let start = Instant::now();
-        guard.judge(now, batch);
+        guard.validate(now, batch);
         times.record(start.elapsed());
         acknowledge(&mut guard, proxies, round);
     }
@@ -59,18 +59,18 @@
 ) -> Result<SafetyGuard, String> {
     let is_cold = |server: usize| server % 10 == 9;
     let mut guard = SafetyGuard::new(GuardConfig {
-        classes: 3,
-        planners: 1.0,
-        cold_from: 0.2,
-        warm_after: Duration::from_secs(15),
-        multiple: 4.0,
-        only_drains_bind: false,
+        class_count: 3,
+        planner_count: 1.0,
+        initial_capacity: 0.2,
+        warm_up: Duration::from_secs(15),
+        overload_multiple: 4.0,
+        only_draining_binds: false,
     });
     for server in 0..servers {
-        guard.listed(server, ListedState::Ready, 1.0, is_cold(server).then_some(now));
+        guard.update_endpoint(server, ListedState::Ready, 1.0, is_cold(server).then_some(now));
     }
     for proxy in 0..proxies {
-        guard.joined(proxy, 4.0);
+        guard.connect_proxy(proxy, 4.0);
     }
     let first_weight = |server: usize| if is_cold(server) { 0.1 } else { 1.0 };
     let mut first: Vec<Command> =
@@ -80,7 +80,7 @@
         table: (proxy % tables) as u16,
         class_mask: 0,
     }));
-    let passed = guard.judge(now, first).passed.len();
+    let passed = guard.validate(now, first).accepted.len();
     if passed != servers + proxies {
         return Err(format!("{passed} of {} first commands passed", servers + proxies));
     }
@@ -93,9 +93,9 @@
 
 fn acknowledge(guard: &mut SafetyGuard, proxies: usize, round: u64) {
     for proxy in 0..proxies {
-        guard.sent(proxy, round + 1);
+        guard.record_sent(proxy, round + 1);
         if proxy % LATE_PROXY_PERIOD != 7 || round % LATE_PROXY_BATCHES == 0 {
-            guard.confirmed(proxy, round + 1);
+            guard.acknowledge(proxy, round + 1);
         }
     }
 }
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -8,9 +8,9 @@
 use crate::testbed::Testbed;
 use runloom_distribution::{Distributor, Outgoing, PendingProxy, Transport};
 use runloom_model::order::{ClassArrivals, ClassOutcomes, Message, Report, ServerOutcomes, TableEdit};
-use runloom_mqtt::client::{Client, Told as ClientEvent, Wish};
-use runloom_mqtt::session::{Hello, Session, SessionEvent};
-use runloom_mqtt::{body, report};
+use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
+use runloom_mqtt::session::{Session, SessionEvent};
+use runloom_mqtt::{body, report, ProxyInfo};
 use runloom_versioned_publisher::{Topic, TopicFilter, TopicKind, UpdatePart, Version};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -39,8 +39,8 @@
 /// 592 proxies on one table of 544 servers, of which a tenth changes with each step, on one core and without sockets or
 /// TLS: what it takes to make all messages, with the protocol's own state for those that subscribe.
 pub(super) fn measure() -> BenchmarkResult {
-    measure_transport("pubsub", Transport::Parts)?;
-    measure_transport("netconf", Transport::Whole)?;
+    measure_transport("pubsub", Transport::Published)?;
+    measure_transport("netconf", Transport::Edits)?;
     measure_reading_reports();
     Ok(())
 }
@@ -60,7 +60,7 @@
     print_figure(&format!("{name}.messages_per_second"), messages / seconds, "messages/s");
     print_figure(&format!("{name}.step_to_all"), seconds / STEP_COUNT as f64 * 1e3, "ms");
     print_figure(&format!("{name}.bytes_a_message"), totals.bytes as f64 / messages, "bytes");
-    if transport == Transport::Parts {
+    if transport == Transport::Published {
         // The planner's session, its state of the proxy, and what passed.
         let bytes = (resident_bytes() - memory_before) / PROXY_COUNT as f64;
         print_figure(&format!("{name}.memory_a_proxy"), bytes / 1024.0, "KiB");
@@ -74,19 +74,19 @@
 
 fn subscriber(proxy: usize) -> Client {
     let now = Duration::ZERO;
-    Client::new(now, "p", &proxy_name(proxy), &Hello::default(), Wish::Weights, vec![])
+    Client::new(now, "p", &proxy_name(proxy), &ProxyInfo::default(), TableFormat::Weights, vec![])
 }
 
 fn pending_proxy(proxy: usize, transport: Transport) -> PendingProxy {
     PendingProxy {
-        conn: proxy,
+        connection: proxy,
         name: proxy_name(proxy),
         zone: "z".to_string(),
-        rate: 1.0,
-        fresh: true,
-        way: transport,
-        wanted: vec![TopicFilter::ALL],
-        holds: vec![],
+        request_rate: 1.0,
+        has_no_table: true,
+        transport,
+        filters: vec![TopicFilter::ALL],
+        held: vec![],
     }
 }
 
@@ -125,8 +125,8 @@
         let mut session = Session::new(Duration::ZERO, "p", &proxy_name(proxy));
         let mut client = client;
         for _ in 0..2 {
-            session.take(Duration::ZERO, &client.output());
-            client.take(Duration::ZERO, &session.output());
+            session.receive(Duration::ZERO, &client.output());
+            client.receive(Duration::ZERO, &session.output());
         }
         Subscription { session, client }
     }
@@ -134,9 +134,9 @@
     /// Lets the client acknowledge what the session sent, and returns the client's bytes.
     fn acknowledge(&mut self, sent: &[u8]) -> Vec<u8> {
         let now = Duration::ZERO;
-        for event in self.client.take(now, sent) {
-            if let ClientEvent::Part(id, _) = event {
-                self.client.answer(now, id, true);
+        for event in self.client.receive(now, sent) {
+            if let ClientEvent::Part { packet_id, .. } = event {
+                self.client.acknowledge(now, packet_id);
             }
         }
         self.client.output()
@@ -147,8 +147,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PartKey {
     topic: Topic,
-    from: Option<Version>,
-    to: Version,
+    base_version: Option<Version>,
+    version: Version,
     part: usize,
 }
 
@@ -184,10 +184,10 @@
 impl DeliveryRun {
     fn new(transport: Transport, clients: Vec<Client>) -> DeliveryRun {
         let mut distributor = Distributor::new(1, PUBLISHER_INTERVAL, PUBLISHER_INTERVAL);
-        distributor.table(1, &snapshot_edit());
+        distributor.update_table(1, &snapshot_edit());
         let mut subscriptions = BTreeMap::new();
         for (proxy, client) in clients.into_iter().enumerate() {
-            distributor.joined(proxy, pending_proxy(proxy, transport));
+            distributor.connect(proxy, pending_proxy(proxy, transport));
             subscriptions.insert(proxy, Subscription::new(proxy, client));
         }
         DeliveryRun { transport, distributor, subscriptions, totals: DeliveryTotals::default() }
@@ -217,16 +217,16 @@
     fn send(&mut self, step: usize) -> StepMessages {
         let message = if step == 0 { assign_table() } else { Message::default() };
         if step > 0 {
-            self.distributor.table(1, &delta_edit(step));
+            self.distributor.update_table(1, &delta_edit(step));
         }
-        (0..PROXY_COUNT).for_each(|proxy| self.distributor.ordered(proxy, step as u64 + 1, &message));
+        (0..PROXY_COUNT).for_each(|proxy| self.distributor.issue_command(proxy, step as u64 + 1, &message));
         let mut sent = StepMessages::default();
         let mut bodies = PartBodies::new();
         for proxy in self.distributor.take_ready() {
-            while let Some(outgoing) = self.distributor.next(Duration::ZERO, proxy) {
+            while let Some(outgoing) = self.distributor.next_message(Duration::ZERO, proxy) {
                 sent.totals.messages += 1;
                 match outgoing {
-                    Outgoing::Message { number, text, .. } => {
+                    Outgoing::Edit { number, text, .. } => {
                         sent.totals.bytes += text.len() as u64;
                         sent.edits.push((proxy, number));
                     }
@@ -234,7 +234,7 @@
                 }
             }
         }
-        if self.transport == Transport::Parts {
+        if self.transport == Transport::Published {
             let outputs = self.subscriptions.iter_mut().map(|(proxy, s)| (*proxy, s.session.output()));
             sent.subscriber_bytes.extend(outputs);
         }
@@ -244,10 +244,15 @@
 
     /// Queues a part for a subscriber; its body is written once for all.
     fn send_part(&mut self, proxy: usize, number: u64, part: &UpdatePart, bodies: &mut PartBodies) {
-        let key = PartKey { topic: part.topic, from: part.from, to: part.to, part: part.part };
-        let body = bodies.entry(key).or_insert_with(|| body::write(part).into()).clone();
+        let key = PartKey {
+            topic: part.topic,
+            base_version: part.base_version,
+            version: part.version,
+            part: part.part,
+        };
+        let body = bodies.entry(key).or_insert_with(|| body::encode(part).into()).clone();
         if let Some(subscription) = self.subscriptions.get_mut(&proxy) {
-            subscription.session.tell(Duration::ZERO, number, part.topic, body);
+            subscription.session.publish(Duration::ZERO, number, part.topic, body);
         }
     }
 
@@ -256,22 +261,23 @@
         let now = Duration::ZERO;
         for (proxy, bytes) in answers {
             let Some(subscription) = self.subscriptions.get_mut(&proxy) else { continue };
-            for event in subscription.session.take(now, &bytes) {
-                if let SessionEvent::Confirmed(number) = event {
-                    self.distributor.confirmed(now, proxy, number);
+            for event in subscription.session.receive(now, &bytes) {
+                if let SessionEvent::Acknowledged(number) = event {
+                    self.distributor.acknowledged(now, proxy, number);
                 }
             }
         }
         for (proxy, number) in edits {
-            self.distributor.confirmed(now, proxy, number);
+            self.distributor.acknowledged(now, proxy, number);
         }
     }
 
     /// Proxies that acknowledged the last step.
     fn proxies_at_last_step(&self) -> usize {
         let publisher = self.distributor.publisher();
-        let has_last_step =
-            |proxy: &usize| publisher.taken(&proxy_name(*proxy), TABLE) == Some(STEP_COUNT as u64 + 1);
+        let has_last_step = |proxy: &usize| {
+            publisher.acknowledged_version(&proxy_name(*proxy), TABLE) == Some(STEP_COUNT as u64 + 1)
+        };
         (0..PROXY_COUNT).filter(has_last_step).count()
     }
 }
@@ -283,11 +289,11 @@
 
 /// Reports that one core parses in a second.
 fn measure_reading_reports() {
-    let body = report::write(&sample_report());
+    let body = report::encode(&sample_report());
     let start = Instant::now();
     let mut count = 0;
     while start.elapsed() < REPORT_READING_TIME {
-        count += usize::from(report::read(&body).is_ok());
+        count += usize::from(report::decode(&body).is_ok());
     }
     let reports_per_second = count as f64 / start.elapsed().as_secs_f64();
     print_figure("reports_read_per_second", reports_per_second, "reports/s");
--- a/crates/testbed/src/testbed/fault_injection.rs
+++ b/crates/testbed/src/testbed/fault_injection.rs
@@ -257,7 +257,7 @@
 
     fn break_streams(&mut self, fault: &ScheduledFault) {
         for proxy in self.first_proxies(fault) {
-            self.proxies[proxy].runtime.break_stream(&mut self.event_loop);
+            self.proxies[proxy].runtime.break_planner_session(&mut self.event_loop);
         }
     }
 
@@ -269,7 +269,7 @@
 
     fn set_stalled(&mut self, proxies: &[usize], is_stalled: bool) {
         for proxy in proxies {
-            self.proxies[*proxy].runtime.set_deaf(&mut self.event_loop, is_stalled);
+            self.proxies[*proxy].runtime.set_unresponsive(&mut self.event_loop, is_stalled);
         }
     }
 
--- a/crates/testbed/src/testbed/mod.rs
+++ b/crates/testbed/src/testbed/mod.rs
@@ -217,7 +217,7 @@
         for _ in 0..due {
             let proxy = self.rng.random_range(0..self.proxies.len());
             let class = self.rng.random_range(0..CLASSES.len());
-            self.proxies[proxy].runtime.meets(at, class, self.scenario.service_time);
+            self.proxies[proxy].runtime.simulate_request(at, class, self.scenario.service_time);
         }
     }
 
@@ -231,7 +231,7 @@
         let interval = (now.as_millis() / OBSERVATION_INTERVAL.as_millis()) as usize;
         for proxy in 0..self.slow_reader_count() {
             let is_stalled = (proxy + interval) % SLOW_READER_PERIOD != 0;
-            self.proxies[proxy].runtime.set_deaf(&mut self.event_loop, is_stalled);
+            self.proxies[proxy].runtime.set_unresponsive(&mut self.event_loop, is_stalled);
         }
     }
 
@@ -246,7 +246,7 @@
         self.servers.poll(&mut self.event_loop, &mut self.rng);
         self.clients.poll(&mut self.event_loop, &mut self.rng);
         for proxy in 0..self.proxies.len() {
-            self.proxies[proxy].runtime.turned(&mut self.event_loop);
+            self.proxies[proxy].runtime.run_due_tasks(&mut self.event_loop);
             self.adopt_connections(proxy);
             self.observe_updates(proxy);
             self.observe_connection(proxy);
--- a/crates/testbed/src/testbed/observation.rs
+++ b/crates/testbed/src/testbed/observation.rs
@@ -33,7 +33,7 @@
 impl Testbed {
     /// Records which connections a proxy opened or accepted.
     pub(super) fn adopt_connections(&mut self, proxy: usize) {
-        for conn in std::mem::take(&mut self.proxies[proxy].runtime.made) {
+        for conn in self.proxies[proxy].runtime.take_opened_connections() {
             self.connection_owners.insert(conn, proxy);
         }
     }
@@ -64,7 +64,7 @@
         if let IoEvent::Closed { conn, .. } = &event {
             self.connection_owners.remove(conn);
         }
-        self.proxies[proxy].runtime.happened(&mut self.event_loop, event);
+        self.proxies[proxy].runtime.handle_event(&mut self.event_loop, event);
         self.adopt_connections(proxy);
     }
 
@@ -109,10 +109,10 @@
     /// Records the updates that a proxy received.
     pub(super) fn observe_updates(&mut self, proxy: usize) {
         let now = self.now();
-        for (entries, version) in std::mem::take(&mut self.proxies[proxy].runtime.taken) {
-            self.entries_received += entries as u64;
+        for update in self.proxies[proxy].runtime.take_applied_updates() {
+            self.entries_received += update.entries as u64;
             self.evidence.messages.entry(proxy).or_default().push(now);
-            if let Some(version) = version.filter(|(topic, _)| topic.kind == TopicKind::Weights) {
+            if let Some(version) = update.version.filter(|(topic, _)| topic.kind == TopicKind::Weights) {
                 self.record_update_lag(now, proxy, version);
             }
             self.restart.record_update(now, proxy, self.scenario.proxy_count);
@@ -131,7 +131,7 @@
     pub(super) fn observe_connection(&mut self, proxy: usize) {
         let now = self.now();
         let observed = &mut self.proxies[proxy];
-        let streams = observed.runtime.streams;
+        let streams = observed.runtime.session_count();
         if streams != observed.streams {
             observed.streams = streams;
             let generation =
@@ -139,7 +139,7 @@
             generation.last = now;
             generation.proxy_count += 1;
         }
-        let planner = observed.runtime.planner().and_then(|address| {
+        let planner = observed.runtime.connected_planner().and_then(|address| {
             let listens = |p: &PlannerProcess| p.addresses.home == address || p.addresses.pubsub == address;
             self.planners.iter().position(listens)
         });
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -12,8 +12,8 @@
 use runloom_identity::access::{Permission, Principal, Rule};
 use runloom_model::fleet::{Class, Repeats, TlsFiles};
 use runloom_model::forwarder::{ProxySettings, TableDelivery};
-use runloom_mqtt::client::{Client as Subscription, Told as ClientEvent, Wish};
-use runloom_mqtt::session::Hello;
+use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
+use runloom_mqtt::ProxyInfo;
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 use runloom_testbed::issuer::Issuer;
@@ -82,14 +82,14 @@
     let mut event_loop = EventLoop::new().unwrap();
     let security = Security::TlsClient(policy.starts.clone(), server_name(PLANNER));
     let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
-    let hello = Hello { zone: "a".into(), rate: 1.0, fresh: true };
-    let mut client = Subscription::new(event_loop.now(), "p", name, &hello, Wish::Weights, vec![]);
+    let info = ProxyInfo { zone: "a".into(), request_rate: 1.0, has_no_table: true };
+    let mut client = Subscription::new(event_loop.now(), "p", name, &info, TableFormat::Weights, vec![]);
     let end = Instant::now() + TIMEOUT;
     while Instant::now() < end {
         for event in event_loop.wait(Some(event_loop.now() + POLL_INTERVAL)).unwrap() {
             match event {
                 IoEvent::Bytes { bytes, .. }
-                    if client.take(event_loop.now(), &bytes).contains(&ClientEvent::Joined) =>
+                    if client.receive(event_loop.now(), &bytes).contains(&ClientEvent::Connected) =>
                 {
                     return true;
                 }
@@ -97,7 +97,7 @@
                 _ => {}
             }
         }
-        if client.over().is_some() {
+        if client.end().is_some() {
             return false;
         }
         let bytes = client.output();
@@ -281,9 +281,9 @@
         while self.event_loop.now() < until {
             let wakeup = self.runtime.wakes_at().map_or(until, |at| at.min(until));
             for event in self.event_loop.wait(Some(wakeup)).unwrap() {
-                self.runtime.happened(&mut self.event_loop, event);
+                self.runtime.handle_event(&mut self.event_loop, event);
             }
-            self.runtime.turned(&mut self.event_loop);
+            self.runtime.run_due_tasks(&mut self.event_loop);
         }
     }
 
@@ -305,7 +305,7 @@
     }
 
     fn is_connected(&self) -> bool {
-        self.runtime.is_joined()
+        self.runtime.is_connected()
     }
 
     /// Servers of its table.
@@ -505,7 +505,7 @@
     proxy.wait_until_connected_with_all_servers();
     proxy.run_for(Duration::from_millis(1200));
     assert!(proxy.is_connected());
-    let streams = proxy.runtime.streams;
+    let streams = proxy.runtime.session_count();
 
     // When
     std::fs::copy(&new_trust, &planner_trust).unwrap();
@@ -521,7 +521,9 @@
     }
 
     // Then
-    proxy.wait_until("connected again", |proxy| proxy.is_connected() && proxy.runtime.streams > streams);
+    proxy.wait_until("connected again", |proxy| {
+        proxy.is_connected() && proxy.runtime.session_count() > streams
+    });
     drain(&planner, "s2");
     proxy.wait_until("the drain", |proxy| proxy.has_servers(&["s1", "s3"]));
 }
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -10,12 +10,10 @@
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
 use runloom_model::FLEET;
-use runloom_mqtt::client::{Client, SessionEnd, Told as ClientEvent, Wish};
-use runloom_mqtt::report;
-use runloom_mqtt::session::Hello;
+use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
+use runloom_mqtt::{report, ConnectionEnd, ProxyInfo};
 use runloom_netconf::tree::Element;
-use runloom_versioned_publisher::reader::{ReadOutcome, UpdateReader};
-use runloom_versioned_publisher::{Key, Topic, TopicKind, UpdatePart};
+use runloom_versioned_publisher::{Key, ReadOutcome, Topic, TopicKind, UpdatePart, UpdateReader};
 use std::time::{Duration, Instant};
 
 /// Far beyond what anything here takes.
@@ -49,11 +47,10 @@
         let security = Security::TlsClient(policy.starts.clone(), server_name(PLANNER));
         let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
         let has_no_table = reader.topics().next().is_none();
-        let hello = Hello { zone: "a".into(), rate: 5.0, fresh: has_no_table };
-        let held_version = |topic| reader.holds(topic).map(|(epoch, version)| (topic, epoch, version));
-        let held = reader.topics().filter_map(held_version).collect();
+        let info = ProxyInfo { zone: "a".into(), request_rate: 5.0, has_no_table };
+        let held = reader.held_versions();
         let now = event_loop.now();
-        let client = Client::new(now, planner_name, proxy_name, &hello, Wish::Weights, held);
+        let client = Client::new(now, planner_name, proxy_name, &info, TableFormat::Weights, held);
         Subscriber { event_loop, conn, client, reader, parts: vec![], acknowledges: true, closed: None }
     }
 
@@ -64,7 +61,7 @@
             assert!(
                 Instant::now() < end,
                 "waited for: {condition}; session: {:?}, connection: {:?}",
-                self.client.over(),
+                self.client.end(),
                 self.closed
             );
             self.poll(POLL_INTERVAL);
@@ -76,7 +73,7 @@
     }
 
     fn wait_until_rejected(&mut self, reason: &str) {
-        let is_rejected = |subscriber: &Subscriber| matches!(subscriber.client.over(), Some(SessionEnd::Refused(why)) if why.contains(reason));
+        let is_rejected = |subscriber: &Subscriber| matches!(subscriber.client.end(), Some(ConnectionEnd::Rejected(why)) if why.contains(reason));
         self.wait_until(reason, is_rejected);
     }
 
@@ -100,23 +97,25 @@
 
     fn handle_bytes(&mut self, bytes: &[u8]) {
         let now = self.event_loop.now();
-        for event in self.client.take(now, bytes) {
-            let ClientEvent::Part(id, part) = event else { continue };
-            let is_valid = matches!(self.reader.take(&part), ReadOutcome::Now(_) | ReadOutcome::Waits);
+        for event in self.client.receive(now, bytes) {
+            let ClientEvent::Part { packet_id, part } = event else { continue };
+            let is_valid = matches!(self.reader.read(&part), ReadOutcome::Applied(_) | ReadOutcome::Pending);
             self.parts.push(part);
-            if self.acknowledges {
-                self.client.answer(now, id, is_valid);
+            match (self.acknowledges, is_valid) {
+                (true, true) => self.client.acknowledge(now, packet_id),
+                (true, false) => self.client.reject(now, packet_id),
+                (false, _) => {}
             }
         }
     }
 
     /// Servers of the table that it is assigned.
     fn servers(&self) -> Vec<String> {
-        let assignments = self.reader.held(Topic { kind: TopicKind::Binds, table: 0 });
+        let assignments = self.reader.held(Topic { kind: TopicKind::Assignments, table: 0 });
         let table = assignments.and_then(|held| held.state.values().next()?.parse().ok());
         let topic = Topic { kind: TopicKind::Weights, table: table.unwrap_or_default() };
         let server = |key: &Key| match key {
-            Key::Line(server) => Some(server.clone()),
+            Key::Entry(server) => Some(server.clone()),
             _ => None,
         };
         let held = self.reader.held(topic).into_iter();
@@ -129,7 +128,8 @@
 
     /// Whether it received a snapshot of its table after the first `count` parts.
     fn received_snapshot_after(&self, count: usize) -> bool {
-        let is_snapshot = |part: &UpdatePart| part.topic.kind == TopicKind::Weights && part.from.is_none();
+        let is_snapshot =
+            |part: &UpdatePart| part.topic.kind == TopicKind::Weights && part.base_version.is_none();
         self.parts[count..].iter().any(is_snapshot)
     }
 
@@ -143,13 +143,13 @@
         let outcomes = ServerOutcomes { server: server.into(), tries: 3, ..ServerOutcomes::default() };
         let arrivals = ClassArrivals { class: "q".into(), queries: 3, unanswered: 0 };
         let report = Report { span: REPORT_INTERVAL, met: vec![outcomes], came: vec![arrivals] };
-        self.client.report(self.event_loop.now(), report::write(&report));
+        self.client.send_report(self.event_loop.now(), report::encode(&report));
     }
 
     /// Drops the connection and keeps what was received.
     fn disconnect(self) -> UpdateReader {
         let mut reader = self.reader;
-        reader.broke();
+        reader.end_session();
         reader
     }
 }
@@ -200,7 +200,7 @@
     // Then
     let is_table = |part: &&UpdatePart| part.topic.kind == TopicKind::Weights;
     let tables: Vec<&UpdatePart> = subscriber.parts.iter().filter(is_table).collect();
-    assert!(tables[0].from.is_some() && tables[0].changes[0].takes_out(), "{tables:?}");
+    assert!(tables[0].base_version.is_some() && tables[0].changes[0].takes_server_out(), "{tables:?}");
     wait_until_in_force(&planner, "d", &mut subscriber);
 }
 
@@ -263,9 +263,9 @@
     let reader = subscriber.disconnect();
     let mut subscriber = Subscriber::connect(&planner, &policy, "p", "f1", reader);
     subscriber.wait_until("the tables of the restarted planner", |subscriber| {
-        subscriber.parts.iter().any(|part| part.topic.kind == TopicKind::Binds)
+        subscriber.parts.iter().any(|part| part.topic.kind == TopicKind::Assignments)
     });
-    let is_later_snapshot = |part: &UpdatePart| part.epoch > epoch && part.from.is_none();
+    let is_later_snapshot = |part: &UpdatePart| part.epoch > epoch && part.base_version.is_none();
     assert!(subscriber.parts.iter().all(is_later_snapshot), "{:?}", subscriber.parts);
     assert!(subscriber.has_servers(&["s1", "s3"]), "{:?}", subscriber.servers());
     assert_ne!(edit_state(&mut planner.client(), "d"), "");
@@ -326,7 +326,7 @@
     // Then
     subscriber.wait_until("another epoch", |subscriber| {
         let last = subscriber.parts.last();
-        last.is_some_and(|part| part.epoch > epoch && part.topic.kind == TopicKind::Binds)
+        last.is_some_and(|part| part.epoch > epoch && part.topic.kind == TopicKind::Assignments)
     });
     assert!(subscriber.closed.is_none() && subscriber.has_servers(&ALL_SERVERS));
 
