--- a/crates/daemon/src/proxy_runtime/mod.rs
+++ b/crates/daemon/src/proxy_runtime/mod.rs
@@ -250,9 +250,9 @@
 /// same.
 fn planner_security(settings: &ProxySettings, tls: &TlsPolicy) -> Security {
     match settings.front {
-        TableDelivery::Edits => Security::TlsServer(tls.answers.clone()),
+        TableDelivery::Edits => Security::TlsServer(tls.server_config.clone()),
         TableDelivery::Weights | TableDelivery::Subsets => {
-            Security::TlsClient(tls.starts.clone(), server_name(PLANNER))
+            Security::TlsClient(tls.client_config.clone(), server_name(PLANNER))
         }
     }
 }
--- a/crates/replay/src/rule_tracker/proxy_state.rs
+++ b/crates/replay/src/rule_tracker/proxy_state.rs
@@ -3,7 +3,7 @@
 use super::ListedServers;
 use runloom_model::fleet::Fleet;
 use runloom_model::Schema;
-use runloom_netconf::edit::{apply, Operation};
+use runloom_netconf::edit::{apply, ErrorOption, Operation};
 use runloom_netconf::tree::Element;
 use runloom_proxy::route_tables::TableEntry;
 use runloom_proxy::RouteTables;
@@ -80,9 +80,9 @@
     fn apply(&mut self, schema: &Schema, text: &str) {
         let Ok(edit) = Element::parse(text) else { return };
         let Some(config) = edit.child("config") else { return };
-        let (data, errors) = apply(schema, &self.data, config, Operation::Merge, false);
-        if errors.is_empty() {
-            self.data = data;
+        let applied = apply(schema, &self.data, config, Operation::Merge, ErrorOption::StopOnError);
+        if applied.errors.is_empty() {
+            self.data = applied.tree;
         }
     }
 
--- a/crates/testbed/src/benchmarks/edit_throughput.rs
+++ b/crates/testbed/src/benchmarks/edit_throughput.rs
@@ -4,7 +4,7 @@
 use super::fixtures::small_fleet_xml;
 use super::BenchmarkResult;
 use runloom_daemon::client::edit_config;
-use runloom_daemon::config_service::{schema, Desk};
+use runloom_daemon::config_service::{schema, ConfigService};
 use runloom_daemon::tls_credentials::CertificateHolder;
 use runloom_inventory::edit_history::EditHistory;
 use runloom_model::FLEET;
@@ -36,20 +36,21 @@
 }
 
 fn measure_edits(client: &str, datastore_part: &str, count: u32, data: &Arc<Element>) -> BenchmarkResult {
-    let mut config = Desk::new(data.clone(), EditHistory::default())?;
-    config.met(&CertificateHolder { name: "feed".into(), ..CertificateHolder::default() });
-    let mut service = Service::new(schema()?, Limits { edits: 1e9, ..Limits::default() });
-    let id = service.open("feed", Duration::ZERO).ok_or("no session")?;
+    let mut config = ConfigService::new(data.clone(), EditHistory::default()).map_err(|e| e.to_string())?;
+    config.register_client(&CertificateHolder { name: "feed".into(), ..CertificateHolder::default() });
+    let schema = schema().map_err(|e| e.to_string())?;
+    let mut service = Service::new(schema, Limits { edits_per_second: 1e9, ..Limits::default() });
+    let id = service.open_session("feed", Duration::ZERO).ok_or("no session")?;
     let mut near = Session::new(Role::Client, &[], SessionLimits::default());
     let mut far = Session::new(Role::Server { id }, &[], SessionLimits::default());
-    far.take(&near.output(usize::MAX)).map_err(|e| e.to_string())?;
-    near.take(&far.output(usize::MAX)).map_err(|e| e.to_string())?;
+    far.receive(&near.output(usize::MAX)).map_err(|e| e.to_string())?;
+    near.receive(&far.output(usize::MAX)).map_err(|e| e.to_string())?;
     let messages: Vec<Vec<u8>> =
         (0..count).map(|number| edit_message(&mut near, datastore_part, number)).collect();
     let mut accepted = 0u32;
     let start = Instant::now();
     for bytes in &messages {
-        for event in far.take(bytes).map_err(|e| e.to_string())? {
+        for event in far.receive(bytes).map_err(|e| e.to_string())? {
             let SessionEvent::Rpc(rpc) = event else { continue };
             let answer = service.handle(Duration::ZERO, id, &rpc, &mut config);
             accepted += u32::from(answer.content.first().is_some_and(|element| element.name == "ok"));
@@ -72,6 +73,6 @@
         .with_leaf("weight", 1.0 + f64::from(number % 7));
     let edit = edit_config("running", Element::new(FLEET, datastore_part).with(server));
     let id = (datastore_part == "fleet").then(|| format!("e{number}"));
-    session.ask_with(edit, id.as_deref());
+    session.send_rpc_with_id(edit, id.as_deref());
     session.output(usize::MAX)
 }
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -4,7 +4,7 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 use rand_distr::{Distribution, LogNormal};
-use runloom_daemon::http::{write_answer, Message, Reader};
+use runloom_daemon::http::{serialize_response, Message, MessageReader};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -96,7 +96,7 @@
     pub has_cold_start: bool,
     /// When it failed for good, being overloaded while cold.
     pub overloaded_at: Option<Duration>,
-    readers: BTreeMap<ConnectionId, Reader>,
+    readers: BTreeMap<ConnectionId, MessageReader>,
     running: Vec<RunningJob>,
     queue: VecDeque<Job>,
     /// Times of the requests within the overload window.
@@ -296,7 +296,7 @@
             event_loop.hold(conn, true);
         }
         self.connections.insert(conn, id);
-        self.all[id].readers.insert(conn, Reader::queries());
+        self.all[id].readers.insert(conn, MessageReader::requests());
     }
 
     /// A connection ended.
@@ -317,7 +317,9 @@
         let Some(id) = self.connections.get(&conn).copied() else { return };
         let Some(reader) = self.all[id].readers.get_mut(&conn) else { return };
         reader.push(bytes);
-        while let Some(Ok(Some(request))) = self.all[id].readers.get_mut(&conn).map(Reader::next_message) {
+        while let Some(Ok(Some(request))) =
+            self.all[id].readers.get_mut(&conn).map(MessageReader::next_message)
+        {
             if request.path == "/health" {
                 self.answer_health_check(event_loop, id, conn);
             } else {
@@ -329,7 +331,7 @@
     fn answer_health_check(&self, event_loop: &mut EventLoop, id: usize, conn: ConnectionId) {
         let server = &self.all[id];
         if server.behavior.answers() {
-            event_loop.write(conn, &write_answer(200, &server.load_headers(), b"well\n"));
+            event_loop.write(conn, &serialize_response(200, &server.load_headers(), b"well\n"));
         }
     }
 
@@ -352,7 +354,7 @@
         match server.behavior {
             ServerBehavior::Hanging | ServerBehavior::Unreachable => return,
             ServerBehavior::Failing(share) if rng.random::<f64>() < share => {
-                return event_loop.write(conn, &write_answer(500, &[], b""));
+                return event_loop.write(conn, &serialize_response(500, &[], b""));
             }
             _ => {}
         }
@@ -366,7 +368,8 @@
             server.queue.push_back(job);
         } else {
             // Tells the proxy that the request did not start.
-            event_loop.write(conn, &write_answer(503, &[("runloom-turned-away".into(), "1".into())], b""));
+            event_loop
+                .write(conn, &serialize_response(503, &[("runloom-turned-away".into(), "1".into())], b""));
         }
     }
 
@@ -394,7 +397,7 @@
                 let server = &mut self.all[id];
                 server.update_utilization(elapsed, self.capacity.cores);
                 if server.behavior.answers() {
-                    event_loop.write(job.conn, &write_answer(200, &server.load_headers(), b"done\n"));
+                    event_loop.write(job.conn, &serialize_response(200, &server.load_headers(), b"done\n"));
                 }
                 if let Some(next) = server.queue.pop_front() {
                     self.start_job(id, now, next, rng);
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
-use runloom_daemon::http::{write_query, Message, Reader};
+use runloom_daemon::http::{serialize_request, Message, MessageReader};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
 use runloom_model::fleet::{Class, Repeats};
 use std::collections::{BTreeMap, VecDeque};
@@ -101,7 +101,7 @@
 
 struct ClientConnection {
     proxy: usize,
-    reader: Reader,
+    reader: MessageReader,
     request: Option<ClientRequest>,
 }
 
@@ -213,7 +213,7 @@
         };
         let path = format!("/{}/{}", CLASSES[request.class].name, request.key);
         let message = Message { method: "POST".into(), path, ..Message::default() };
-        event_loop.write(conn, &write_query(&message));
+        event_loop.write(conn, &serialize_request(&message));
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.request = Some(request);
         }
@@ -226,7 +226,7 @@
         }
         let address = self.proxies[proxy];
         let conn = event_loop.dial(address, &Security::Plain, BufferLimits::default()).ok()?;
-        let connection = ClientConnection { proxy, reader: Reader::answers(), request: None };
+        let connection = ClientConnection { proxy, reader: MessageReader::responses(), request: None };
         self.connections.insert(conn, connection);
         Some(conn)
     }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -140,10 +140,12 @@
         Command::Again { folder, back } => print_replay_digest(&folder, back),
         Command::Writes { folder } => benchmarks::write_until_killed(&folder).map(|()| true),
         Command::Planner { settings, seed, dies, spoil, unguarded } => {
-            let dies = dies.as_deref().and_then(CrashPoint::named);
+            let dies = dies.as_deref().and_then(CrashPoint::from_name);
             let spoil = spoil.as_deref().and_then(command_corruption::tamper_by_name);
-            let hooks = TestHooks { dies, unguarded, spoil };
-            runloom_daemon::run::planner(&settings, Some(seed), hooks).map(|()| true)
+            let hooks = TestHooks { crash_point: dies, skip_guard: unguarded, command_tamper: spoil };
+            runloom_daemon::run::planner(&settings, Some(seed), hooks)
+                .map(|()| true)
+                .map_err(|e| e.to_string())
         }
     }
 }
--- a/crates/testbed/src/management_clients.rs
+++ b/crates/testbed/src/management_clients.rs
@@ -3,7 +3,7 @@
 //! Each runs on a thread of its own, with one session after the other.
 
 use crate::scenario::ScheduledEdit;
-use runloom_daemon::client::{edit_config, Client, Failed};
+use runloom_daemon::client::{edit_config, Client, ClientError};
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::fleet::{ListedServer, TlsFiles};
 use runloom_model::{FLEET, STATE};
@@ -158,7 +158,7 @@
 }
 
 impl PlannerEndpoint {
-    fn connect(&self) -> Result<Client, Failed> {
+    fn connect(&self) -> Result<Client, ClientError> {
         Client::open(self.address, &self.policy, REQUEST_TIMEOUT)
     }
 }
@@ -183,7 +183,7 @@
     })
 }
 
-fn run_feed_session(planner: &PlannerEndpoint) -> Result<(), Failed> {
+fn run_feed_session(planner: &PlannerEndpoint) -> Result<(), ClientError> {
     let mut client = planner.connect()?;
     let mut sent: Option<ServerList> = None;
     while !planner.state.is_finished() {
@@ -268,7 +268,7 @@
     while !planner.state.is_finished() && !outcome.is_settled() {
         match run_edit_session(planner, edit, &mut outcome) {
             Ok(()) => {}
-            Err(Failed::Refused(reason)) => outcome.rejection = Some(reason),
+            Err(ClientError::Rejected(reason)) => outcome.rejection = Some(reason),
             Err(error) => {
                 tracing::debug!(edit = %edit.id, error = %error, "the edit is sent again under the same id");
             }
@@ -283,7 +283,7 @@
     planner: &PlannerEndpoint,
     edit: &ScheduledEdit,
     outcome: &mut EditOutcome,
-) -> Result<(), Failed> {
+) -> Result<(), ClientError> {
     let mut client = planner.connect()?;
     if outcome.accepted.is_none() {
         send_edit(planner, edit, &mut client, outcome)?;
@@ -300,12 +300,12 @@
     edit: &ScheduledEdit,
     client: &mut Client,
     outcome: &mut EditOutcome,
-) -> Result<(), Failed> {
+) -> Result<(), ClientError> {
     outcome.attempts += 1;
     let operation = edit_config("running", fleet_edit(edit));
     if edit.drops_connection && outcome.attempts == 1 {
         client.send(operation, Some(&edit.id));
-        return Err(Failed::Ended("dropped on purpose".into()));
+        return Err(ClientError::Ended("dropped on purpose".into()));
     }
     client.ask(operation, Some(&edit.id))?;
     let at = planner.epoch.elapsed();
@@ -333,7 +333,7 @@
     fleet
 }
 
-fn update_in_force(client: &mut Client, id: &str, outcome: &mut EditOutcome) -> Result<(), Failed> {
+fn update_in_force(client: &mut Client, id: &str, outcome: &mut EditOutcome) -> Result<(), ClientError> {
     let reply = client.get(Element::new(STATE, "state").with(Element::new(STATE, "edit")))?;
     let state = reply.child("data").and_then(|data| data.child("state"));
     let edit = state.and_then(|s| s.named("edit").find(|e| e.text_of("id") == Some(id)).cloned());
--- a/crates/testbed/tests/durability.rs
+++ b/crates/testbed/tests/durability.rs
@@ -5,7 +5,7 @@
 use help::requests::{create_weighted_server, edit_ids, read_config, server_names};
 use help::PlannerWithOperator;
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::state;
+use runloom_daemon::commands::state;
 use runloom_netconf::tree::Element;
 use runloom_store::disk::Lock;
 use std::collections::BTreeSet;
@@ -88,7 +88,7 @@
         assert_acknowledged_are_stored(&stored.servers, &acknowledged, round);
         assert_acknowledged_are_stored(&stored.ids, &acknowledged, round);
         let folder = planner.folder.0.join("state");
-        assert_eq!(state::verify(&folder), Ok(true), "round {round}");
+        assert!(state::verify(&folder).unwrap(), "round {round}");
         assert!(Lock::take(&folder).is_err(), "the planner has the folder");
     }
     assert!(acknowledged.len() as u64 > kill_count() / 2, "{} edits in all", acknowledged.len());
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -80,7 +80,7 @@
 fn may_connect(planner: &PlannerWithOperator, credentials: &TlsFiles, name: &str) -> bool {
     let Ok(policy) = TlsPolicy::load(credentials) else { return false };
     let mut event_loop = EventLoop::new().unwrap();
-    let security = Security::TlsClient(policy.starts.clone(), server_name(PLANNER));
+    let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER));
     let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
     let info = ProxyInfo { zone: "a".into(), request_rate: 1.0, has_no_table: true };
     let mut client = Subscription::new(event_loop.now(), "p", name, &info, TableFormat::Weights, vec![]);
@@ -435,22 +435,22 @@
     let id = "spiffe://valle.example/staff/x";
     let credentials = trust_planner(issue(&planner.issuer, "x", id, HOUR), PLANNER_ID);
     let mut policy = TlsPolicy::load(&credentials).unwrap();
-    let certificate_in_use = policy.own().unwrap();
-    assert!(!policy.renew().unwrap());
+    let certificate_in_use = policy.own_identity().unwrap();
+    assert!(!policy.reload().unwrap());
     let certificate = std::fs::read(&credentials.certificate).unwrap();
     let key = std::fs::read(&credentials.key).unwrap();
     let write = |path: &Path, contents: &[u8]| std::fs::write(path, contents).unwrap();
 
     // When, then
     write(&credentials.certificate, &certificate[..certificate.len() / 2]);
-    assert!(policy.renew().is_err(), "half of a file");
+    assert!(policy.reload().is_err(), "half of a file");
     write(&credentials.certificate, &certificate);
     let other_key = std::fs::read(issue(&planner.issuer, "y", PLANNER_ID, HOUR).key).unwrap();
     write(&credentials.key, &other_key);
-    assert!(policy.renew().is_err(), "another certificate's key");
-    assert_eq!(policy.own().unwrap(), certificate_in_use);
+    assert!(policy.reload().is_err(), "another certificate's key");
+    assert_eq!(policy.own_identity().unwrap(), certificate_in_use);
     write(&credentials.key, &key);
-    assert!(policy.renew().unwrap());
+    assert!(policy.reload().unwrap());
     std::fs::set_permissions(&credentials.key, std::fs::Permissions::from_mode(0o644)).unwrap();
     assert!(TlsPolicy::load(&credentials).err().unwrap().to_string().contains("others may read"));
     let without_id = trust_planner(planner.issuer.issue("z", None).unwrap(), PLANNER_ID);
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -44,7 +44,7 @@
         reader: UpdateReader,
     ) -> Subscriber {
         let mut event_loop = EventLoop::new().unwrap();
-        let security = Security::TlsClient(policy.starts.clone(), server_name(PLANNER));
+        let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER));
         let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
         let has_no_table = reader.topics().next().is_none();
         let info = ProxyInfo { zone: "a".into(), request_rate: 5.0, has_no_table };
