--- a/crates/daemon/src/commands.rs
+++ b/crates/daemon/src/commands.rs
@@ -49,7 +49,7 @@
     Tls(#[from] TlsError),
     /// The identity of the planner is no SPIFFE id.
     #[error(transparent)]
-    PlannerId(#[from] runloom_identity::id::NotAnId),
+    PlannerId(#[from] runloom_identity::id::InvalidId),
     /// The planner cannot be reached, or rejected an operation.
     #[error(transparent)]
     Client(#[from] ClientError),
--- a/crates/daemon/src/commands/connection.rs
+++ b/crates/daemon/src/commands/connection.rs
@@ -3,8 +3,8 @@
 use super::CommandError;
 use crate::client::Client;
 use crate::tls_credentials::TlsPolicy;
-use runloom_identity::access::{Permission, Principal, Rule};
-use runloom_identity::id::Id;
+use runloom_identity::access::{AccessRule, Permission, Principal};
+use runloom_identity::id::SpiffeId;
 use runloom_model::fleet::TlsFiles;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -32,8 +32,8 @@
     pub fn open(&self) -> Result<Client, CommandError> {
         let mut rules = vec![];
         if let Some(planner_id) = &self.planner_id {
-            let id = Id::read(planner_id)?;
-            rules.push(Rule { whom: Principal::One(id), may: Permission::Order });
+            let id = SpiffeId::parse(planner_id)?;
+            rules.push(AccessRule { principal: Principal::Exact(id), permission: Permission::Command });
         }
         let files = TlsFiles {
             certificate: self.certificate.clone(),
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -12,8 +12,9 @@
 use access_control::AccessControl;
 use data::{fleet_entries, fleet_entry_texts, is_same_part, part, FLEET_PART, ROSTER_PART};
 use endpoint_list::{EndpointList, EndpointListChange};
-use runloom_identity::access::{Entry, RequestedAccess, Rule};
-use runloom_identity::id::Id;
+use runloom_identity::access::{AccessRule, RequestedAccess};
+use runloom_identity::denial_log::DenialEntry;
+use runloom_identity::id::SpiffeId;
 use runloom_inventory::edit_history::{self, EditHistory};
 use runloom_model::fleet::{misfit, Fleet, ListedServer};
 use runloom_model::schema::derive;
@@ -192,7 +193,7 @@
     // Access.
 
     /// Sets who may do what, by identity. Without rules the kind of certificate alone decides.
-    pub fn set_rules(&mut self, rules: Vec<Rule>) {
+    pub fn set_rules(&mut self, rules: Vec<AccessRule>) {
         self.access.rules = rules;
     }
 
@@ -202,18 +203,18 @@
     }
 
     /// Audits an access that the rules deny.
-    pub fn audit_denial(&mut self, id: &Id, access: RequestedAccess) {
+    pub fn audit_denial(&mut self, id: &SpiffeId, access: RequestedAccess) {
         self.access.audit_denial(self.now, id, access);
     }
 
     /// Takes the entries of the audit that are to be logged.
-    pub fn take_audit_entries(&mut self) -> Vec<Entry> {
+    pub fn take_audit_entries(&mut self) -> Vec<DenialEntry> {
         std::mem::take(&mut self.access.entries)
     }
 
     /// Number of denied accesses.
     pub fn denied_count(&self) -> u64 {
-        self.access.audit.refused
+        self.access.audit.denied
     }
 
     // Persistence.
--- a/crates/daemon/src/config_service/access_control.rs
+++ b/crates/daemon/src/config_service/access_control.rs
@@ -1,8 +1,9 @@
 //! Who may read and edit the configuration.
 
 use crate::tls_credentials::CertificateHolder;
-use runloom_identity::access::{decide, Audit, Entry, RequestedAccess, Rule};
-use runloom_identity::id::Id;
+use runloom_identity::access::{check_access, AccessRule, RequestedAccess};
+use runloom_identity::denial_log::{DenialEntry, DenialLog};
+use runloom_identity::id::SpiffeId;
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::Access;
 use std::collections::BTreeMap;
@@ -14,14 +15,14 @@
 /// Authorization by rules on identities; without rules, by the kind of certificate alone.
 #[derive(Default)]
 pub(super) struct AccessControl {
-    pub rules: Vec<Rule>,
+    pub rules: Vec<AccessRule>,
     /// Whether a client, by its name, is a proxy.
     is_proxy: BTreeMap<String, bool>,
     /// Identities of clients, by name.
-    identities: BTreeMap<String, Id>,
-    pub audit: Audit,
+    identities: BTreeMap<String, SpiffeId>,
+    pub audit: DenialLog,
     /// Entries of the audit that are not logged yet.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<DenialEntry>,
 }
 
 fn access_denied(reason: String) -> RpcError {
@@ -38,9 +39,9 @@
     }
 
     /// Audits an access that the rules deny.
-    pub(super) fn audit_denial(&mut self, now: Duration, id: &Id, access: RequestedAccess) {
-        if let Err(why) = decide(&self.rules, id, access) {
-            self.entries.extend(self.audit.note(now, id, access, why));
+    pub(super) fn audit_denial(&mut self, now: Duration, id: &SpiffeId, access: RequestedAccess) {
+        if let Err(why) = check_access(&self.rules, id, access) {
+            self.entries.extend(self.audit.record(now, id, access, why));
         }
     }
 
@@ -54,7 +55,7 @@
             Access::Edit => {
                 self.check_any(now, client, &PARTS.map(|part| RequestedAccess::Write { part }))?;
             }
-            Access::Kill => self.check_any(now, client, &[RequestedAccess::Kill])?,
+            Access::Kill => self.check_any(now, client, &[RequestedAccess::KillSession])?,
         }
         // A proxy does not edit a planner's configuration; the planner is its client.
         let is_proxy = self.is_proxy.get(client).copied().unwrap_or(true);
@@ -76,7 +77,7 @@
         }
         let denied = || access_denied(format!("{client} may not do this here"));
         let id = self.identities.get(client).cloned().ok_or_else(denied)?;
-        if accesses.iter().any(|access| decide(&self.rules, &id, *access).is_ok()) {
+        if accesses.iter().any(|access| check_access(&self.rules, &id, *access).is_ok()) {
             return Ok(());
         }
         if let Some(access) = accesses.first() {
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -217,7 +217,7 @@
     ) {
         if let Some(identity) = holder.as_ref().and_then(|holder| holder.identity.as_ref()) {
             let name = identity.id.name().unwrap_or_default();
-            self.core.config.audit_denial(&identity.id, RequestedAccess::Join { name });
+            self.core.config.audit_denial(&identity.id, RequestedAccess::Connect { name });
         }
         tracing::warn!(who = ?holder, "connection rejected: the certificate's holder may not connect here");
         self.core.identities.forget(connection);
@@ -346,10 +346,10 @@
     fn log_denials(&mut self) {
         for entry in self.core.config.take_audit_entries() {
             tracing::warn!(
-                who = %entry.who,
-                wish = %entry.wish,
+                who = %entry.identity,
+                wish = %entry.access,
                 reason = entry.reason,
-                more = entry.more,
+                more = entry.suppressed,
                 "access denied"
             );
         }
--- a/crates/daemon/src/planner_runtime/identities.rs
+++ b/crates/daemon/src/planner_runtime/identities.rs
@@ -97,8 +97,8 @@
 
     fn warn_of_expiry(&mut self, now: Duration, wall: i64) {
         let Some(own) = self.tls.own_identity() else { return };
-        let seconds_left = own.until - wall;
-        let is_renewal_due = seconds_left < (own.until - own.from) / RENEWAL_DUE_FRACTION;
+        let seconds_left = own.not_after - wall;
+        let is_renewal_due = seconds_left < (own.not_after - own.not_before) / RENEWAL_DUE_FRACTION;
         let may_warn = self.last_expiry_warning.is_none_or(|at| now >= at + EXPIRY_WARNING_INTERVAL);
         if is_renewal_due && may_warn {
             self.last_expiry_warning = Some(now);
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -93,7 +93,7 @@
     metrics::counter!("runloom_proxies_doubted_total").absolute(core.distributor.resync_count());
     metrics::counter!("runloom_reports_unread_total").absolute(core.statistics.malformed_reports);
     if let Some(own) = core.identities.tls().own_identity() {
-        gauge("runloom_identity_ends_seconds", (own.until - (wall_ms() / 1000) as i64) as f64);
+        gauge("runloom_identity_ends_seconds", (own.not_after - (wall_ms() / 1000) as i64) as f64);
     }
 }
 
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -116,7 +116,7 @@
 
     /// When a session is to be replaced, in seconds since 1970; `None` without identities that end.
     fn session_renewal_time(&self, planner: &CertificateHolder) -> Option<i64> {
-        let own_end = self.tls.own_identity()?.until;
+        let own_end = self.tls.own_identity()?.not_after;
         let end = planner.identity.as_ref().map_or(own_end, |identity| own_end.min(identity.expires_at));
         let now = wall_seconds();
         Some(now + ((end - now) * RENEW_AFTER_THIRDS / 3).max(MIN_SESSION_SECONDS))
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -7,9 +7,9 @@
 mod verifier;
 
 use files::{file_stamps, read_credentials, FileStamp};
-use runloom_identity::access::{decide, RequestedAccess, Rule};
-use runloom_identity::bundle::Trust;
-use runloom_identity::id::Id;
+use runloom_identity::access::{check_access, AccessRule, RequestedAccess};
+use runloom_identity::bundle::TrustStore;
+use runloom_identity::id::SpiffeId;
 use runloom_identity::svid::{self, Svid};
 use runloom_model::fleet::TlsFiles;
 use rustls::client::Resumption;
@@ -51,7 +51,7 @@
     NoName,
     /// It is no X509-SVID.
     #[error(transparent)]
-    Svid(#[from] svid::NotASvid),
+    Svid(#[from] svid::InvalidSvid),
 }
 
 /// Configurations for both ends of mutual TLS 1.3, with credentials that follow their files.
@@ -71,7 +71,7 @@
     pub fn load(files: &TlsFiles) -> Result<TlsPolicy, TlsError> {
         let provider = Arc::new(ring::default_provider());
         let stamps = file_stamps(files);
-        let mut trust = Trust::default();
+        let mut trust = TrustStore::default();
         let credentials = read_credentials(files, &provider, &mut trust)?;
         let credentials = Arc::new(LiveCredentials::new(files.clone(), provider, credentials, trust));
         Ok(TlsPolicy {
@@ -113,7 +113,7 @@
     pub fn identify(&self, certificate: &[u8]) -> Result<CertificateHolder, HolderError> {
         let files = &self.credentials.files;
         if files.by_identity() {
-            let svid = svid::read(certificate)?;
+            let svid = svid::parse(certificate)?;
             Ok(CertificateHolder::by_identity(svid, &files.rules))
         } else {
             CertificateHolder::by_dns_names(certificate).ok_or(HolderError::NoName)
@@ -158,7 +158,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderIdentity {
     /// The SPIFFE id.
-    pub id: Id,
+    pub id: SpiffeId,
     /// Seconds since 1970.
     pub expires_at: i64,
 }
@@ -178,13 +178,13 @@
 
 impl CertificateHolder {
     /// Planners and proxies are named by the last segment of their identity's path, others by the complete identity.
-    fn by_identity(svid: Svid, rules: &[Rule]) -> CertificateHolder {
-        let Svid { id, until, .. } = svid;
+    fn by_identity(svid: Svid, rules: &[AccessRule]) -> CertificateHolder {
+        let Svid { id, not_after, .. } = svid;
         let last_segment = id.name().unwrap_or_default().to_string();
-        let is_proxy = decide(rules, &id, RequestedAccess::Join { name: &last_segment }).is_ok();
-        let is_planner = decide(rules, &id, RequestedAccess::Order).is_ok();
+        let is_proxy = check_access(rules, &id, RequestedAccess::Connect { name: &last_segment }).is_ok();
+        let is_planner = check_access(rules, &id, RequestedAccess::Command).is_ok();
         let name = if is_proxy || is_planner { last_segment } else { id.to_string() };
-        let identity = Some(HolderIdentity { id, expires_at: until });
+        let identity = Some(HolderIdentity { id, expires_at: not_after });
         CertificateHolder { name, is_planner, is_proxy, identity }
     }
 
--- a/crates/daemon/src/tls_credentials/files.rs
+++ b/crates/daemon/src/tls_credentials/files.rs
@@ -1,8 +1,8 @@
 //! Certificates, keys and trust bundles as their files hold them.
 
 use super::TlsError;
-use runloom_identity::bundle::{Bundle, Trust};
-use runloom_identity::id::Domain;
+use runloom_identity::bundle::{Bundle, TrustStore};
+use runloom_identity::id::TrustDomain;
 use runloom_identity::svid::{self, Svid};
 use runloom_model::fleet::TlsFiles;
 use rustls::crypto::CryptoProvider;
@@ -35,7 +35,7 @@
 pub(super) struct Credentials {
     pub key: Arc<CertifiedKey>,
     /// By trust domain; by `None` where certificates name their holders by DNS names.
-    pub authorities: BTreeMap<Option<Domain>, Authorities>,
+    pub authorities: BTreeMap<Option<TrustDomain>, Authorities>,
     /// The process's own identity, if certificates hold SPIFFE identities.
     pub own_identity: Option<Svid>,
 }
@@ -63,7 +63,7 @@
 pub(super) fn read_credentials(
     files: &TlsFiles,
     provider: &Arc<CryptoProvider>,
-    trust: &mut Trust,
+    trust: &mut TrustStore,
 ) -> Result<Credentials, TlsError> {
     let chain = read_certificates(&files.certificate)?;
     let key = read_key(files)?;
@@ -102,7 +102,7 @@
 fn read_own_identity(files: &TlsFiles, chain: &[CertificateDer<'static>]) -> Result<Option<Svid>, TlsError> {
     match chain.first() {
         Some(leaf) if files.by_identity() => {
-            svid::read(leaf).map(Some).map_err(|error| file_error(&files.certificate, error))
+            svid::parse(leaf).map(Some).map_err(|error| file_error(&files.certificate, error))
         }
         _ => Ok(None),
     }
@@ -118,7 +118,7 @@
 
 /// A trust domain's bundle, and the file that it was read from.
 struct DomainBundle<'a> {
-    domain: Domain,
+    domain: TrustDomain,
     bundle: Bundle,
     path: &'a Path,
 }
@@ -129,18 +129,18 @@
     own: &Svid,
     own_authorities: Vec<Vec<u8>>,
     provider: &Arc<CryptoProvider>,
-    trust: &mut Trust,
-) -> Result<BTreeMap<Option<Domain>, Authorities>, TlsError> {
-    if let Some(index) = own_authorities.iter().position(|der| !svid::vouches(der)) {
+    trust: &mut TrustStore,
+) -> Result<BTreeMap<Option<TrustDomain>, Authorities>, TlsError> {
+    if let Some(index) = own_authorities.iter().position(|der| !svid::is_authority(der)) {
         return Err(file_error(&files.trust, format!("certificate {} is no authority's", index + 1)));
     }
     let mut bundles = vec![];
     for (domain, path) in &files.federated {
-        let domain = Domain::read(domain).map_err(|error| file_error(path, error))?;
+        let domain = TrustDomain::parse(domain).map_err(|error| file_error(path, error))?;
         bundles.push(DomainBundle { domain, bundle: read_bundle(path)?, path });
     }
     bundles.push(DomainBundle {
-        domain: own.id.domain().clone(),
+        domain: own.id.trust_domain().clone(),
         bundle: Bundle { authorities: own_authorities, ..Bundle::default() },
         path: &files.trust,
     });
@@ -149,7 +149,7 @@
     for DomainBundle { domain, bundle, path } in bundles {
         let of_domain = build_authorities(&bundle.authorities, path, provider)?;
         authorities.insert(Some(domain.clone()), of_domain);
-        new_trust.take(domain, bundle).map_err(|error| file_error(path, error))?;
+        new_trust.insert(domain, bundle).map_err(|error| file_error(path, error))?;
     }
     *trust = new_trust;
     Ok(authorities)
@@ -157,7 +157,7 @@
 
 fn read_bundle(path: &Path) -> Result<Bundle, TlsError> {
     let document = std::fs::read(path).map_err(|error| file_error(path, error))?;
-    Bundle::read(&document).map_err(|error| file_error(path, error))
+    Bundle::parse(&document).map_err(|error| file_error(path, error))
 }
 
 fn build_authorities(
--- a/crates/daemon/src/tls_credentials/verifier.rs
+++ b/crates/daemon/src/tls_credentials/verifier.rs
@@ -1,7 +1,7 @@
 //! Credentials that can be replaced while TLS configurations use them.
 
 use super::files::{Authorities, Credentials};
-use runloom_identity::bundle::Trust;
+use runloom_identity::bundle::TrustStore;
 use runloom_identity::svid;
 use runloom_model::fleet::TlsFiles;
 use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 struct InForce {
     credentials: Arc<Credentials>,
-    trust: Trust,
+    trust: TrustStore,
 }
 
 /// The credentials that new connections use: certificate, key and authorities.
@@ -34,7 +34,7 @@
         files: TlsFiles,
         provider: Arc<CryptoProvider>,
         credentials: Credentials,
-        trust: Trust,
+        trust: TrustStore,
     ) -> LiveCredentials {
         let in_force = InForce { credentials: Arc::new(credentials), trust };
         LiveCredentials { files, provider, in_force: RwLock::new(in_force) }
@@ -46,12 +46,12 @@
     }
 
     /// The bundles in force.
-    pub(super) fn trust(&self) -> Trust {
+    pub(super) fn trust(&self) -> TrustStore {
         self.in_force.read().unwrap_or_else(PoisonError::into_inner).trust.clone()
     }
 
     /// Puts other credentials in force, for new connections.
-    pub(super) fn replace(&self, credentials: Credentials, trust: Trust) {
+    pub(super) fn replace(&self, credentials: Credentials, trust: TrustStore) {
         let in_force = InForce { credentials: Arc::new(credentials), trust };
         *self.in_force.write().unwrap_or_else(PoisonError::into_inner) = in_force;
     }
@@ -59,8 +59,8 @@
     /// The authorities that may issue a certificate: those of its identity's trust domain, or with DNS names all.
     pub(super) fn authorities_for(&self, certificate: &[u8]) -> Result<Authorities, rustls::Error> {
         let domain = if self.files.by_identity() {
-            let svid = svid::read(certificate).map_err(|error| rustls::Error::General(error.to_string()))?;
-            Some(svid.id.domain().clone())
+            let svid = svid::parse(certificate).map_err(|error| rustls::Error::General(error.to_string()))?;
+            Some(svid.id.trust_domain().clone())
         } else {
             None
         };
--- a/crates/identity/src/access.rs
+++ b/crates/identity/src/access.rs
@@ -1,64 +1,77 @@
-//! Who may do what. What no rule allows is refused. In the spirit of RFC 8341, with the program's own few actions.
+//! Who may do what. What no rule allows is denied. Modelled on RFC 8341, with the few actions of this program.
 
-use crate::id::Id;
-use std::collections::BTreeMap;
-use std::time::Duration;
+use crate::id::{InvalidId, SpiffeId};
+use std::fmt;
 
-/// What one end wishes of the other.
+/// Stands for every part of the datastore.
+const ALL_PARTS: &str = "*";
+/// Ends a principal that stands for all identities one segment below.
+const CHILDREN_SUFFIX: &str = "/*";
+
+/// What a peer asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestedAccess<'a> {
-    /// A planner orders this process's tables.
-    Order,
-    /// A proxy joins and reports under this name.
-    Join {
+    /// A planner sends commands to this process.
+    Command,
+    /// A proxy connects and reports under a name.
+    Connect {
+        /// The name.
         name: &'a str,
     },
-    /// A part of the datastore, by its top node.
+    /// A part of the datastore is read.
     Read {
+        /// The part's top element.
         part: &'a str,
     },
+    /// A part of the datastore is changed.
     Write {
+        /// The part's top element.
         part: &'a str,
     },
-    /// Ends another's session.
-    Kill,
+    /// Another's session is ended.
+    KillSession,
 }
 
-impl RequestedAccess<'_> {
-    fn word(&self) -> String {
+impl fmt::Display for RequestedAccess<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RequestedAccess::Order => "order tables".into(),
-            RequestedAccess::Join { name } => format!("join as {name}"),
-            RequestedAccess::Read { part } => format!("read {part}"),
-            RequestedAccess::Write { part } => format!("write {part}"),
-            RequestedAccess::Kill => "end another's session".into(),
+            RequestedAccess::Command => f.write_str("order tables"),
+            RequestedAccess::Connect { name } => write!(f, "join as {name}"),
+            RequestedAccess::Read { part } => write!(f, "read {part}"),
+            RequestedAccess::Write { part } => write!(f, "write {part}"),
+            RequestedAccess::KillSession => f.write_str("end another's session"),
         }
     }
 }
 
-/// Whom a rule is about.
+/// The identities that a rule is about.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Principal {
-    One(Id),
-    /// Every identity one step below this one: `.../proxy/*`.
-    Below(Id),
+    /// This identity.
+    Exact(SpiffeId),
+    /// Every identity one segment below this one: `.../proxy/*`.
+    ChildrenOf(SpiffeId),
 }
 
 impl Principal {
-    /// Reads an ID, or one that ends in `/*`.
-    pub fn read(text: &str) -> Result<Principal, crate::id::NotAnId> {
-        match text.strip_suffix("/*") {
-            Some(above) => Id::read(above).map(Principal::Below),
-            None => Id::read(text).map(Principal::One),
+    /// Parses an identity, or one that ends in `/*`.
+    ///
+    /// # Errors
+    /// Returns why the text is no identity.
+    pub fn parse(text: &str) -> Result<Principal, InvalidId> {
+        match text.strip_suffix(CHILDREN_SUFFIX) {
+            Some(parent) => SpiffeId::parse(parent).map(Principal::ChildrenOf),
+            None => SpiffeId::parse(text).map(Principal::Exact),
         }
     }
 
-    fn covers(&self, id: &Id) -> bool {
+    fn includes(&self, id: &SpiffeId) -> bool {
         match self {
-            Principal::One(one) => one == id,
-            Principal::Below(above) => {
-                let rest = id.path().strip_prefix(above.path()).and_then(|r| r.strip_prefix('/'));
-                id.domain() == above.domain() && rest.is_some_and(|r| !r.is_empty() && !r.contains('/'))
+            Principal::Exact(exact) => exact == id,
+            Principal::ChildrenOf(parent) => {
+                let child = id.path().strip_prefix(parent.path()).and_then(|rest| rest.strip_prefix('/'));
+                let is_one_segment = child.is_some_and(|child| !child.is_empty() && !child.contains('/'));
+                id.trust_domain() == parent.trust_domain() && is_one_segment
             }
         }
     }
@@ -67,116 +80,88 @@
 /// What a rule allows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Permission {
-    Order,
-    /// Join, under the last part of its own path.
-    Join,
-    /// Parts of the datastore by their top node; `*`: all.
+    /// To send commands.
+    Command,
+    /// To connect under the last segment of one's own path.
+    Connect,
+    /// To read parts of the datastore, by their top elements; `*` for all.
     Read(Vec<String>),
+    /// To change and read parts of the datastore, likewise.
     Write(Vec<String>),
-    Kill,
+    /// To end others' sessions.
+    KillSession,
 }
 
+/// A permission of some identities.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Rule {
-    pub whom: Principal,
-    pub may: Permission,
+pub struct AccessRule {
+    /// Whom it is about.
+    pub principal: Principal,
+    /// What it allows.
+    pub permission: Permission,
 }
 
-/// Why a wish was refused.
+/// Why access was denied. Later variants take precedence where several apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AccessDenied {
     /// No rule is about this identity.
-    Unknown,
-    /// Some are, and none allows it.
+    UnknownIdentity,
+    /// No rule about this identity allows it.
     NotAllowed,
-    /// It goes by another's name.
-    OthersName,
+    /// It connects under another's name.
+    NameMismatch,
 }
 
 impl AccessDenied {
-    pub fn word(self) -> &'static str {
+    /// The reason as text.
+    pub fn reason(self) -> &'static str {
         match self {
-            AccessDenied::Unknown => "no rule knows it",
+            AccessDenied::UnknownIdentity => "no rule knows it",
             AccessDenied::NotAllowed => "no rule allows it",
-            AccessDenied::OthersName => "that is another's name",
+            AccessDenied::NameMismatch => "that is another's name",
         }
     }
 }
 
-/// Decides by rules alone; costs some comparisons of texts.
-pub fn decide(rules: &[Rule], id: &Id, action: RequestedAccess) -> Result<(), AccessDenied> {
-    let mut refused = AccessDenied::Unknown;
-    for rule in rules.iter().filter(|r| r.whom.covers(id)) {
-        let of = |parts: &[String], part: &str| parts.iter().any(|p| p == "*" || p == part);
-        let allowed = match (&rule.may, action) {
-            (Permission::Order, RequestedAccess::Order) | (Permission::Kill, RequestedAccess::Kill) => true,
-            // An instance speaks for itself alone.
-            (Permission::Join, RequestedAccess::Join { name }) if id.name() == Some(name) => true,
-            (Permission::Join, RequestedAccess::Join { .. }) => {
-                refused = refused.max(AccessDenied::OthersName);
-                false
-            }
-            (Permission::Read(parts), RequestedAccess::Read { part }) => of(parts, part),
-            // Who may write a part may read it.
-            (Permission::Write(parts), RequestedAccess::Read { part } | RequestedAccess::Write { part }) => {
-                of(parts, part)
-            }
-            _ => false,
-        };
-        if allowed {
-            return Ok(());
+/// Decides by rules alone.
+///
+/// # Errors
+/// Returns the most specific reason of the rules about this identity.
+pub fn check_access(
+    rules: &[AccessRule],
+    id: &SpiffeId,
+    access: RequestedAccess,
+) -> Result<(), AccessDenied> {
+    let mut denied = AccessDenied::UnknownIdentity;
+    for rule in rules.iter().filter(|rule| rule.principal.includes(id)) {
+        match check_permission(&rule.permission, id, access) {
+            Ok(()) => return Ok(()),
+            Err(reason) => denied = denied.max(reason),
         }
-        refused = refused.max(AccessDenied::NotAllowed);
     }
-    Err(refused)
-}
-
-/// One refusal, for people.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
-    pub at: Duration,
-    pub who: String,
-    pub wish: String,
-    pub reason: &'static str,
-    /// Alike ones since, that got no entry of their own.
-    pub more: u64,
+    Err(denied)
 }
 
-/// What was refused: one who asks a thousand times a second must flood neither the log nor memory.
-#[derive(Debug, Default)]
-pub struct Audit {
-    /// The newest entry of each wish, and alike ones since that were counted alone.
-    latest: BTreeMap<(String, String), (Duration, u64)>,
-    pub refused: u64,
-}
-
-/// Alike refusals get one entry in this time.
-const AGAIN: Duration = Duration::from_secs(10);
-/// Wishes remembered; past it the oldest are forgotten, and may be told again sooner.
-const LATEST_MOST: usize = 512;
-
-impl Audit {
-    /// Notes a refusal. The entry to be written, if it is not one of many alike.
-    pub fn note(
-        &mut self,
-        now: Duration,
-        id: &Id,
-        action: RequestedAccess,
-        why: AccessDenied,
-    ) -> Option<Entry> {
-        self.refused += 1;
-        let key = (id.to_string(), action.word());
-        if let Some((at, more)) = self.latest.get_mut(&key) {
-            if now < *at + AGAIN {
-                *more += 1;
-                return None;
-            }
-        }
-        if self.latest.len() >= LATEST_MOST {
-            let oldest = self.latest.iter().min_by_key(|(_, (at, _))| *at).map(|(key, _)| key.clone());
-            oldest.map(|key| self.latest.remove(&key));
+fn check_permission(
+    permission: &Permission,
+    id: &SpiffeId,
+    access: RequestedAccess,
+) -> Result<(), AccessDenied> {
+    let includes = |parts: &[String], part: &str| parts.iter().any(|p| p == ALL_PARTS || p == part);
+    let is_allowed = match (permission, access) {
+        (Permission::Command, RequestedAccess::Command)
+        | (Permission::KillSession, RequestedAccess::KillSession) => true,
+        (Permission::Connect, RequestedAccess::Connect { name }) if id.name() == Some(name) => true,
+        (Permission::Connect, RequestedAccess::Connect { .. }) => return Err(AccessDenied::NameMismatch),
+        (Permission::Read(parts), RequestedAccess::Read { part }) => includes(parts, part),
+        (Permission::Write(parts), RequestedAccess::Read { part } | RequestedAccess::Write { part }) => {
+            includes(parts, part)
         }
-        let more = self.latest.insert(key.clone(), (now, 0)).map_or(0, |(_, more)| more);
-        Some(Entry { at: now, who: key.0, wish: key.1, reason: why.word(), more })
+        _ => false,
+    };
+    if is_allowed {
+        Ok(())
+    } else {
+        Err(AccessDenied::NotAllowed)
     }
 }
--- a/crates/identity/src/bundle.rs
+++ b/crates/identity/src/bundle.rs
@@ -1,42 +1,66 @@
-//! Trust bundles, by the SPIFFE trust domain and bundle standard, section 4: a JWK set whose `x509-svid` keys carry the
-//! authorities of one trust domain. A document is taken whole or not at all.
+//! Trust bundles by the SPIFFE trust domain and bundle standard, section 4: a JWK set whose `x509-svid` keys carry the
+//! authorities of one trust domain. A document is taken completely or not at all.
 
-use crate::id::Domain;
-use crate::svid::vouches;
+use crate::id::TrustDomain;
+use crate::svid::is_authority;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A document larger than this is none: some hundreds of authorities.
-pub const DOCUMENT_MOST: usize = 1 << 20;
-/// Authorities of one domain: some in rotation, of several issuers.
-const AUTHORITIES_MOST: usize = 64;
+/// The largest document in bytes; it has room for some hundreds of authorities.
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
+/// Authorities of one trust domain: some in rotation, of several issuers.
+const MAX_AUTHORITIES: usize = 64;
+/// The `use` of keys that carry authorities.
+const X509_SVID_USE: &str = "x509-svid";
 
-/// Why a document is no bundle.
+/// Why a document is no bundle, or cannot replace the one in use.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NotABundle {
-    #[error("it is larger than {DOCUMENT_MOST} bytes")]
+pub enum InvalidBundle {
+    /// The document is larger than [`MAX_DOCUMENT_BYTES`].
+    #[error("it is larger than {MAX_DOCUMENT_BYTES} bytes")]
     TooLarge,
+    /// The document is no JWK set.
     #[error("it cannot be read: {0}")]
     Malformed(String),
-    #[error("authority {0}: {1}")]
-    Authority(usize, &'static str),
-    /// One that vouches for nobody would end every stream: it is said so in so many words, or it is a mistake.
+    /// An authority is invalid.
+    #[error("authority {index}: {reason}")]
+    Authority {
+        /// Its place among the document's authorities.
+        index: usize,
+        /// What is wrong.
+        reason: &'static str,
+    },
+    /// There is no authority. Such a bundle would end every stream, so that it is taken for a mistake.
     #[error("it has no authority")]
     Empty,
-    #[error("its sequence number {0} is lower than {1}, which is held")]
-    Older(u64, u64),
+    /// The bundle in use has a higher sequence number.
+    #[error("its sequence number {sequence} is lower than {current}, which is held")]
+    Outdated {
+        /// Its sequence number.
+        sequence: u64,
+        /// The number of the bundle in use.
+        current: u64,
+    },
 }
 
+impl InvalidBundle {
+    fn authority(index: usize, reason: &'static str) -> InvalidBundle {
+        InvalidBundle::Authority { index, reason }
+    }
+}
+
+/// The authorities of one trust domain.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Bundle {
-    /// Certificates of the authorities, DER.
+    /// DER certificates.
     pub authorities: Vec<Vec<u8>>,
+    /// It grows with each change.
     pub sequence: Option<u64>,
-    /// How often it should be looked for.
-    pub refresh: Option<Duration>,
+    /// How often it should be read again.
+    pub refresh_interval: Option<Duration>,
 }
 
 #[derive(Deserialize)]
@@ -53,65 +77,73 @@
     x5c: Option<Vec<String>>,
 }
 
+impl Key {
+    /// The DER certificate of an authority at a place among the document's.
+    fn authority(&self, index: usize) -> Result<Vec<u8>, InvalidBundle> {
+        let [certificate] = self.x5c.as_deref().unwrap_or_default() else {
+            return Err(InvalidBundle::authority(index, "it has not one certificate"));
+        };
+        let certificate = STANDARD.decode(certificate);
+        let certificate =
+            certificate.map_err(|_| InvalidBundle::authority(index, "its certificate is no base64"))?;
+        if !is_authority(&certificate) {
+            return Err(InvalidBundle::authority(index, "its certificate is no authority's"));
+        }
+        Ok(certificate)
+    }
+}
+
 impl Bundle {
-    pub fn read(document: &[u8]) -> Result<Bundle, NotABundle> {
-        if document.len() > DOCUMENT_MOST {
-            return Err(NotABundle::TooLarge);
+    /// Parses a document. Keys of other or no use are ignored (section 4.2.2).
+    ///
+    /// # Errors
+    /// Returns what is wrong with the document or one of its authorities.
+    pub fn parse(document: &[u8]) -> Result<Bundle, InvalidBundle> {
+        if document.len() > MAX_DOCUMENT_BYTES {
+            return Err(InvalidBundle::TooLarge);
         }
-        let read: Document =
-            serde_json::from_slice(document).map_err(|e| NotABundle::Malformed(e.to_string()))?;
-        let mut authorities = Vec::new();
-        // 4.2.2: keys of other or no purpose are passed over.
-        let keys = read.keys.iter().filter(|k| k.purpose.as_deref() == Some("x509-svid"));
-        for (k, key) in keys.enumerate() {
-            let [certificate] = key.x5c.as_deref().unwrap_or_default() else {
-                return Err(NotABundle::Authority(k, "it has not one certificate"));
-            };
-            let certificate = STANDARD.decode(certificate);
-            let certificate =
-                certificate.map_err(|_| NotABundle::Authority(k, "its certificate is no base64"))?;
-            if !vouches(&certificate) {
-                return Err(NotABundle::Authority(k, "its certificate is no authority's"));
-            }
-            authorities.push(certificate);
+        let document: Document =
+            serde_json::from_slice(document).map_err(|e| InvalidBundle::Malformed(e.to_string()))?;
+        let keys = document.keys.iter().filter(|key| key.purpose.as_deref() == Some(X509_SVID_USE));
+        let authorities =
+            keys.enumerate().map(|(index, key)| key.authority(index)).collect::<Result<Vec<_>, _>>()?;
+        if authorities.is_empty() {
+            return Err(InvalidBundle::Empty);
         }
-        match authorities.len() {
-            0 => return Err(NotABundle::Empty),
-            n if n > AUTHORITIES_MOST => return Err(NotABundle::Authority(n, "they are too many")),
-            _ => {}
+        if authorities.len() > MAX_AUTHORITIES {
+            return Err(InvalidBundle::authority(authorities.len(), "they are too many"));
         }
-        let refresh = read.spiffe_refresh_hint.map(Duration::from_secs);
-        Ok(Bundle { authorities, sequence: read.spiffe_sequence, refresh })
+        let refresh_interval = document.spiffe_refresh_hint.map(Duration::from_secs);
+        Ok(Bundle { authorities, sequence: document.spiffe_sequence, refresh_interval })
     }
 }
 
-/// Bundles by trust domain: one's own, and those that were put beside it by hand.
+/// Bundles by trust domain: one's own, and those that were configured beside it.
 #[derive(Debug, Clone, Default)]
-pub struct Trust {
-    bundles: BTreeMap<Domain, Bundle>,
+pub struct TrustStore {
+    bundles: BTreeMap<TrustDomain, Bundle>,
 }
 
-impl Trust {
-    /// Takes a domain's bundle in place of the one held. True: it is another.
-    pub fn take(&mut self, domain: Domain, bundle: Bundle) -> Result<bool, NotABundle> {
-        let held = self.bundles.get(&domain);
-        // A copy that comes late must not bring back an authority that was struck.
-        if let (Some(old), Some(new)) = (held.and_then(|h| h.sequence), bundle.sequence) {
-            if new < old {
-                return Err(NotABundle::Older(new, old));
+impl TrustStore {
+    /// Replaces a trust domain's bundle, and returns whether it changed.
+    ///
+    /// # Errors
+    /// Returns [`InvalidBundle::Outdated`] for a bundle that is older than the one in use: it could bring back an
+    /// authority that was removed.
+    pub fn insert(&mut self, trust_domain: TrustDomain, bundle: Bundle) -> Result<bool, InvalidBundle> {
+        let current = self.bundles.get(&trust_domain);
+        if let (Some(current), Some(sequence)) = (current.and_then(|c| c.sequence), bundle.sequence) {
+            if sequence < current {
+                return Err(InvalidBundle::Outdated { sequence, current });
             }
         }
-        let changed = held != Some(&bundle);
-        self.bundles.insert(domain, bundle);
-        Ok(changed)
-    }
-
-    /// The authorities of one domain and no other: none vouches for identities of another.
-    pub fn authorities(&self, domain: &Domain) -> &[Vec<u8>] {
-        self.bundles.get(domain).map(|b| b.authorities.as_slice()).unwrap_or_default()
+        let has_changed = current != Some(&bundle);
+        self.bundles.insert(trust_domain, bundle);
+        Ok(has_changed)
     }
 
-    pub fn domains(&self) -> impl Iterator<Item = &Domain> {
-        self.bundles.keys()
+    /// The authorities of one trust domain; they are valid for its identities only.
+    pub fn authorities(&self, trust_domain: &TrustDomain) -> &[Vec<u8>] {
+        self.bundles.get(trust_domain).map(|bundle| bundle.authorities.as_slice()).unwrap_or_default()
     }
 }
--- a/crates/identity/src/id.rs
+++ b/crates/identity/src/id.rs
@@ -1,95 +1,118 @@
-//! IDs by the SPIFFE-ID standard, section 2: `spiffe://`, a trust domain, a path. There is one way to write each: what
-//! only looks alike is refused, and no text is brought into form.
+//! Identities by the SPIFFE-ID standard, section 2: `spiffe://`, a trust domain, a path.
+//!
+//! Each identity has one spelling: texts are rejected rather than normalised.
 
 use std::fmt;
 
-/// The longest ID (2.3), and the longest trust domain in it (2.1), bytes.
-pub const ID_MOST: usize = 2048;
-pub const DOMAIN_MOST: usize = 255;
+const SCHEME: &str = "spiffe://";
+/// The longest identity in bytes (section 2.3).
+pub const MAX_ID_BYTES: usize = 2048;
+/// The longest trust domain in bytes (section 2.1).
+pub const MAX_TRUST_DOMAIN_BYTES: usize = 255;
 
-/// Why a text is no ID.
+/// Why a text is no identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum NotAnId {
+pub enum InvalidId {
+    /// It has another scheme.
     #[error("it does not begin with spiffe://")]
     Scheme,
-    #[error("it is longer than {ID_MOST} bytes")]
+    /// It is longer than [`MAX_ID_BYTES`].
+    #[error("it is longer than {MAX_ID_BYTES} bytes")]
     TooLong,
+    /// Its trust domain is invalid.
     #[error("its trust domain is empty, too long, or has other characters than a-z, 0-9, '.', '-' and '_'")]
-    Domain,
+    TrustDomain,
+    /// A segment of its path is not allowed.
     #[error("a segment of its path is empty, '.' or '..', or it ends with a slash")]
-    Segment,
+    PathSegment,
+    /// A character of its path is not allowed.
     #[error("its path has other characters than letters, digits, '.', '-' and '_'")]
-    Path,
+    PathCharacter,
 }
 
-/// A trust domain's name.
+/// The name of a trust domain.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Domain(String);
+pub struct TrustDomain(String);
 
-impl Domain {
-    pub fn read(text: &str) -> Result<Domain, NotAnId> {
-        let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || matches!(c, '.' | '-' | '_');
-        if text.is_empty() || text.len() > DOMAIN_MOST || !text.chars().all(fits) {
-            return Err(NotAnId::Domain);
+impl TrustDomain {
+    /// Parses a name.
+    ///
+    /// # Errors
+    /// Returns [`InvalidId::TrustDomain`] for every invalid name.
+    pub fn parse(text: &str) -> Result<TrustDomain, InvalidId> {
+        let is_allowed =
+            |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || matches!(c, '.' | '-' | '_');
+        if text.is_empty() || text.len() > MAX_TRUST_DOMAIN_BYTES || !text.chars().all(is_allowed) {
+            return Err(InvalidId::TrustDomain);
         }
-        Ok(Domain(text.to_string()))
+        Ok(TrustDomain(text.to_string()))
     }
 
+    /// The name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-impl fmt::Display for Domain {
+impl fmt::Display for TrustDomain {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-/// An identity. Its path is empty for that of a trust domain itself.
+/// A SPIFFE identity. The path is empty for that of a trust domain itself.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Id {
-    domain: Domain,
+pub struct SpiffeId {
+    trust_domain: TrustDomain,
     path: String,
 }
 
-impl Id {
-    pub fn read(text: &str) -> Result<Id, NotAnId> {
-        if text.len() > ID_MOST {
-            return Err(NotAnId::TooLong);
+impl SpiffeId {
+    /// Parses an identity.
+    ///
+    /// # Errors
+    /// Returns the first rule of the standard that the text breaks.
+    pub fn parse(text: &str) -> Result<SpiffeId, InvalidId> {
+        if text.len() > MAX_ID_BYTES {
+            return Err(InvalidId::TooLong);
         }
-        let rest = text.strip_prefix("spiffe://").ok_or(NotAnId::Scheme)?;
-        let (domain, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-        let domain = Domain::read(domain)?;
-        for segment in path.split('/').skip(1) {
-            if matches!(segment, "" | "." | "..") {
-                return Err(NotAnId::Segment);
-            }
-            // No percent-encoding, no query, no fragment: none of their characters is among these.
-            if !segment.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_')) {
-                return Err(NotAnId::Path);
-            }
-        }
-        Ok(Id { domain, path: path.to_string() })
+        let rest = text.strip_prefix(SCHEME).ok_or(InvalidId::Scheme)?;
+        let (trust_domain, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
+        let trust_domain = TrustDomain::parse(trust_domain)?;
+        path.split('/').skip(1).try_for_each(check_segment)?;
+        Ok(SpiffeId { trust_domain, path: path.to_string() })
     }
 
-    pub fn domain(&self) -> &Domain {
-        &self.domain
+    /// The trust domain.
+    pub fn trust_domain(&self) -> &TrustDomain {
+        &self.trust_domain
     }
 
-    /// With its leading slash, or empty.
+    /// The path with its leading slash, or an empty text.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// The last part of its path: what an instance goes by.
+    /// The last segment of the path, which is the name of an instance.
     pub fn name(&self) -> Option<&str> {
         self.path.rsplit_once('/').map(|(_, name)| name)
     }
 }
 
-impl fmt::Display for Id {
+/// Checks a path segment. There is no percent-encoding, query or fragment: their characters are not allowed.
+fn check_segment(segment: &str) -> Result<(), InvalidId> {
+    if matches!(segment, "" | "." | "..") {
+        return Err(InvalidId::PathSegment);
+    }
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
+    if !segment.chars().all(is_allowed) {
+        return Err(InvalidId::PathCharacter);
+    }
+    Ok(())
+}
+
+impl fmt::Display for SpiffeId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "spiffe://{}{}", self.domain, self.path)
+        write!(f, "{SCHEME}{}{}", self.trust_domain, self.path)
     }
 }
--- a/crates/identity/src/svid.rs
+++ b/crates/identity/src/svid.rs
@@ -1,92 +1,135 @@
-//! Certificates that carry an identity, by the X509-SVID standard, sections 2 to 5. What chains to a bundle is checked by
-//! TLS; here is what the standard asks of the leaf beyond that.
+//! Certificates that carry an identity, by the X509-SVID standard, sections 2 to 5.
+//!
+//! TLS checks that a certificate chains to a bundle; here is what the standard requires of the leaf beyond that.
 
-use crate::id::{Id, NotAnId};
-use x509_parser::extensions::GeneralName;
-use x509_parser::prelude::{FromDer, X509Certificate};
+use crate::id::{InvalidId, SpiffeId};
+use x509_parser::extensions::{GeneralName, X509Extension};
+use x509_parser::prelude::{FromDer, X509Certificate, X509Error};
 
 /// An identity as a certificate carries it. Times are seconds since 1970.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Svid {
-    pub id: Id,
-    pub from: i64,
-    pub until: i64,
-    /// Bytes of the serial number, to tell two certificates of one identity apart.
+    /// The identity.
+    pub id: SpiffeId,
+    /// The certificate's first valid second.
+    pub not_before: i64,
+    /// The certificate's last valid second.
+    pub not_after: i64,
+    /// Bytes of the serial number, which differs between two certificates of one identity.
     pub serial: Vec<u8>,
 }
 
 /// Why a certificate carries no identity.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NotASvid {
+pub enum InvalidSvid {
+    /// It cannot be parsed.
     #[error("it is no certificate")]
     Malformed,
+    /// It has no URI, or several.
     #[error("it has {0} URIs where one is wanted")]
-    Uris(usize),
+    UriCount(usize),
+    /// Its URI is no identity.
     #[error("its URI is no identity: {0}")]
-    Id(#[from] NotAnId),
+    Id(#[from] InvalidId),
+    /// Its identity is that of a trust domain.
     #[error("it names a trust domain and no workload")]
     NoPath,
+    /// It is an authority, or may sign certificates or revocation lists.
     #[error("it may sign certificates")]
-    Signs,
+    MaySign,
+    /// It may not be used for digital signatures.
     #[error("it may not make signatures")]
-    NoSignature,
+    NoDigitalSignature,
+    /// It may be used for one end of TLS only.
     #[error("its extended usages leave out one end of TLS")]
-    Usage,
+    ExtendedKeyUsage,
+    /// It has an unknown critical extension.
     #[error("it has a critical extension that is not known here")]
-    Critical,
+    UnknownCriticalExtension,
 }
 
-/// The identity on a leaf certificate. There is no other name to fall back on.
-pub fn read(certificate: &[u8]) -> Result<Svid, NotASvid> {
-    let (rest, parsed) = X509Certificate::from_der(certificate).map_err(|_| NotASvid::Malformed)?;
+impl From<X509Error> for InvalidSvid {
+    fn from(_: X509Error) -> Self {
+        InvalidSvid::Malformed
+    }
+}
+
+/// Parses the identity of a DER leaf certificate. Other names of the certificate do not count.
+///
+/// # Errors
+/// Returns the first rule of the standard that the certificate breaks.
+pub fn parse(certificate: &[u8]) -> Result<Svid, InvalidSvid> {
+    let (rest, certificate) = X509Certificate::from_der(certificate).map_err(|_| InvalidSvid::Malformed)?;
     if !rest.is_empty() {
-        return Err(NotASvid::Malformed);
+        return Err(InvalidSvid::Malformed);
     }
-    let malformed = |_| NotASvid::Malformed;
-    let names = parsed.subject_alternative_name().map_err(malformed)?;
-    let uris: Vec<&str> = names
-        .iter()
-        .flat_map(|names| &names.value.general_names)
-        .filter_map(|name| if let GeneralName::URI(uri) = name { Some(*uri) } else { None })
-        .collect();
-    let [uri] = uris[..] else { return Err(NotASvid::Uris(uris.len())) };
-    let id = Id::read(uri)?;
+    let id = parse_id(&certificate)?;
+    check_key_usage(&certificate)?;
+    check_extended_key_usage(&certificate)?;
+    if certificate.extensions().iter().any(is_unknown_critical) {
+        return Err(InvalidSvid::UnknownCriticalExtension);
+    }
+    let validity = certificate.validity();
+    Ok(Svid {
+        id,
+        not_before: validity.not_before.timestamp(),
+        not_after: validity.not_after.timestamp(),
+        serial: certificate.raw_serial().to_vec(),
+    })
+}
+
+/// Section 2: exactly one URI, which is an identity with a path.
+fn parse_id(certificate: &X509Certificate) -> Result<SpiffeId, InvalidSvid> {
+    let names = certificate.subject_alternative_name()?;
+    let names = names.iter().flat_map(|names| &names.value.general_names);
+    let uri = |name: &GeneralName| match name {
+        GeneralName::URI(uri) => Some(uri.to_string()),
+        _ => None,
+    };
+    let uris: Vec<String> = names.filter_map(uri).collect();
+    let [uri] = uris.as_slice() else { return Err(InvalidSvid::UriCount(uris.len())) };
+    let id = SpiffeId::parse(uri)?;
     if id.path().is_empty() {
-        return Err(NotASvid::NoPath);
+        return Err(InvalidSvid::NoPath);
     }
-    // 4.1: a leaf must not be an authority; 4.3: nor sign certificates or lists of revoked ones.
-    if parsed.basic_constraints().map_err(malformed)?.is_some_and(|c| c.value.ca) {
-        return Err(NotASvid::Signs);
+    Ok(id)
+}
+
+/// Section 4.1: a leaf is no authority. Section 4.3: it signs neither certificates nor revocation lists.
+fn check_key_usage(certificate: &X509Certificate) -> Result<(), InvalidSvid> {
+    if certificate.basic_constraints()?.is_some_and(|constraints| constraints.value.ca) {
+        return Err(InvalidSvid::MaySign);
     }
-    if let Some(usage) = parsed.key_usage().map_err(malformed)? {
-        if usage.value.key_cert_sign() || usage.value.crl_sign() {
-            return Err(NotASvid::Signs);
-        }
-        if !usage.value.digital_signature() {
-            return Err(NotASvid::NoSignature);
-        }
+    let Some(usage) = certificate.key_usage()? else { return Ok(()) };
+    if usage.value.key_cert_sign() || usage.value.crl_sign() {
+        return Err(InvalidSvid::MaySign);
     }
-    // 4.4: with extended usages, both ends of TLS.
-    if let Some(usage) = parsed.extended_key_usage().map_err(malformed)? {
-        let both = usage.value.server_auth && usage.value.client_auth;
-        if !both && !usage.value.any {
-            return Err(NotASvid::Usage);
-        }
+    if !usage.value.digital_signature() {
+        return Err(InvalidSvid::NoDigitalSignature);
     }
-    let known = |e: &x509_parser::extensions::X509Extension| !e.parsed_extension().unsupported();
-    if parsed.extensions().iter().any(|e| e.critical && !known(e)) {
-        return Err(NotASvid::Critical);
+    Ok(())
+}
+
+/// Section 4.4: extended usages, if there are any, include both ends of TLS.
+fn check_extended_key_usage(certificate: &X509Certificate) -> Result<(), InvalidSvid> {
+    let Some(usage) = certificate.extended_key_usage()? else { return Ok(()) };
+    let has_both_ends = usage.value.server_auth && usage.value.client_auth;
+    if !has_both_ends && !usage.value.any {
+        return Err(InvalidSvid::ExtendedKeyUsage);
     }
-    let valid = parsed.validity();
-    let (from, until) = (valid.not_before.timestamp(), valid.not_after.timestamp());
-    Ok(Svid { id, from, until, serial: parsed.raw_serial().to_vec() })
+    Ok(())
+}
+
+fn is_unknown_critical(extension: &X509Extension) -> bool {
+    extension.critical && extension.parsed_extension().unsupported()
 }
 
-/// Whether a certificate may vouch for identities of its domain: an authority that signs certificates, and whose own
-/// identity, if it has one, is its trust domain's.
-pub fn vouches(certificate: &[u8]) -> bool {
-    let Ok((_, parsed)) = X509Certificate::from_der(certificate) else { return false };
-    let is_authority = parsed.basic_constraints().ok().flatten().is_some_and(|c| c.value.ca);
-    let may_sign = parsed.key_usage().ok().flatten().is_none_or(|u| u.value.key_cert_sign());
+/// Whether a DER certificate is an authority that may sign certificates.
+pub fn is_authority(certificate: &[u8]) -> bool {
+    let Ok((_, certificate)) = X509Certificate::from_der(certificate) else { return false };
+    let constraints = certificate.basic_constraints().ok().flatten();
+    let usage = certificate.key_usage().ok().flatten();
+    let is_authority = constraints.is_some_and(|constraints| constraints.value.ca);
+    let may_sign = usage.is_none_or(|usage| usage.value.key_cert_sign());
     is_authority && may_sign
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -6,7 +6,7 @@
     ServiceLimits, SlowStartConfig, TrafficClass,
 };
 use runloom_controller::DeploymentConfig;
-use runloom_identity::access::{Permission, Principal, Rule};
+use runloom_identity::access::{AccessRule, Permission, Principal};
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -357,7 +357,7 @@
     /// Other trust domains, and where their bundles are.
     pub federated: Vec<(String, PathBuf)>,
     /// Who may do what, by SPIFFE identities; none: by DNS names.
-    pub rules: Vec<Rule>,
+    pub rules: Vec<AccessRule>,
 }
 
 impl TlsFiles {
@@ -369,20 +369,22 @@
         let mut rules = Vec::new();
         for may in tls.named("may") {
             let whom = may.text_of("whom").unwrap_or_default();
-            let misfit = |e: runloom_identity::id::NotAnId| InvalidSettings {
+            let misfit = |e: runloom_identity::id::InvalidId| InvalidSettings {
                 path: format!("/tls/may[whom='{whom}']/whom"),
                 reason: e.to_string(),
             };
-            let whom = Principal::read(whom).map_err(misfit)?;
+            let whom = Principal::parse(whom).map_err(misfit)?;
             let parts = |name| may.named(name).map(|e| e.text.clone()).collect::<Vec<String>>();
             let all = [
-                may.child("order").map(|_| Permission::Order),
-                may.child("join").map(|_| Permission::Join),
-                may.child("kill").map(|_| Permission::Kill),
+                may.child("order").map(|_| Permission::Command),
+                may.child("join").map(|_| Permission::Connect),
+                may.child("kill").map(|_| Permission::KillSession),
                 may.child("read").map(|_| Permission::Read(parts("read"))),
                 may.child("write").map(|_| Permission::Write(parts("write"))),
             ];
-            rules.extend(all.into_iter().flatten().map(|may| Rule { whom: whom.clone(), may }));
+            rules.extend(
+                all.into_iter().flatten().map(|may| AccessRule { principal: whom.clone(), permission: may }),
+            );
         }
         let bundle = |e: &std::sync::Arc<Element>| {
             let text = |name| e.text_of(name).unwrap_or_default();
--- a/crates/testbed/src/benchmarks/identity.rs
+++ b/crates/testbed/src/benchmarks/identity.rs
@@ -5,8 +5,8 @@
 use super::BenchmarkResult;
 use crate::scenario::{DeliveryMode, Scenario};
 use crate::testbed::Testbed;
-use runloom_identity::access::{decide, Permission, Principal, RequestedAccess, Rule};
-use runloom_identity::id::Id;
+use runloom_identity::access::{check_access, AccessRule, Permission, Principal, RequestedAccess};
+use runloom_identity::id::SpiffeId;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -28,22 +28,23 @@
     measure_renewals("592x544", 592, 544, folder, program)
 }
 
-fn access_rules() -> Result<Vec<Rule>, String> {
-    let principal = |id: &str| Principal::read(id).map_err(|e| e.to_string());
+fn access_rules() -> Result<Vec<AccessRule>, String> {
+    let principal = |id: &str| Principal::parse(id).map_err(|e| e.to_string());
     let mut rules = Vec::new();
     for number in 0..OTHER_RULE_COUNT {
-        let whom = principal(&format!("spiffe://valle.example/staff/member-{number}"))?;
-        rules.push(Rule { whom, may: Permission::Read(vec!["fleet".into()]) });
+        let member = principal(&format!("spiffe://valle.example/staff/member-{number}"))?;
+        rules.push(AccessRule { principal: member, permission: Permission::Read(vec!["fleet".into()]) });
     }
-    rules.push(Rule { whom: principal(PLANNER_ID)?, may: Permission::Order });
+    rules.push(AccessRule { principal: principal(PLANNER_ID)?, permission: Permission::Command });
     Ok(rules)
 }
 
 fn measure_access_check() -> BenchmarkResult {
     let rules = access_rules()?;
-    let id = Id::read(PLANNER_ID).map_err(|e| e.to_string())?;
+    let id = SpiffeId::parse(PLANNER_ID).map_err(|e| e.to_string())?;
     let start = Instant::now();
-    let is_allowed = |_: &u32| decide(std::hint::black_box(&rules), &id, RequestedAccess::Order).is_ok();
+    let is_allowed =
+        |_: &u32| check_access(std::hint::black_box(&rules), &id, RequestedAccess::Command).is_ok();
     let allowed = (0..CHECK_COUNT).filter(is_allowed).count();
     let nanoseconds = start.elapsed().as_secs_f64() / f64::from(CHECK_COUNT) * 1e9;
     print_figure("check_of_100_rules", nanoseconds, "ns");
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -15,7 +15,7 @@
 use runloom_daemon::proxy_runtime::ProxyRuntime;
 use runloom_daemon::tls_credentials::{PLANNER, PROXY};
 use runloom_event_loop::EventLoop;
-use runloom_identity::access::{Permission, Principal, Rule};
+use runloom_identity::access::{AccessRule, Permission, Principal};
 use runloom_model::fleet::TlsFiles;
 use runloom_model::forwarder::{ProxySettings, TableDelivery};
 use std::collections::BTreeMap;
@@ -55,9 +55,10 @@
 
 /// Adds rules to some credentials by which the scenario's planners may send commands.
 fn trust_planners(credentials: TlsFiles, scenario: &Scenario) -> TlsFiles {
-    let principal = |planner| Principal::read(&spiffe_id(&planner_name(planner))).ok();
+    let principal = |planner| Principal::parse(&spiffe_id(&planner_name(planner))).ok();
     let principals = (0..scenario.planner_count).filter_map(principal);
-    let rules = principals.map(|whom| Rule { whom, may: Permission::Order }).collect();
+    let rules =
+        principals.map(|principal| AccessRule { principal, permission: Permission::Command }).collect();
     TlsFiles { rules, ..credentials }
 }
 
--- a/crates/testbed/tests/identity.rs
+++ b/crates/testbed/tests/identity.rs
@@ -9,7 +9,7 @@
 use runloom_daemon::proxy_runtime::ProxyRuntime;
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, EventLoop, IoEvent, Security};
-use runloom_identity::access::{Permission, Principal, Rule};
+use runloom_identity::access::{AccessRule, Permission, Principal};
 use runloom_model::fleet::{Class, Repeats, TlsFiles};
 use runloom_model::forwarder::{ProxySettings, TableDelivery};
 use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
@@ -44,7 +44,8 @@
 
 /// Credentials of a holder that takes commands from one planner only.
 fn trust_planner(credentials: TlsFiles, planner: &str) -> TlsFiles {
-    let rules = vec![Rule { whom: Principal::read(planner).unwrap(), may: Permission::Order }];
+    let rules =
+        vec![AccessRule { principal: Principal::parse(planner).unwrap(), permission: Permission::Command }];
     TlsFiles { rules, ..credentials }
 }
 
