--- a/crates/testbed/src/benchmarks/mod.rs
+++ b/crates/testbed/src/benchmarks/mod.rs
@@ -1,6 +1,7 @@
 //! Measurements: one figure a line, `name value unit`. The names carry the sizes.
 
 mod edit_throughput;
+mod end_to_end;
 mod estimate_accuracy;
 mod figures;
 mod fixtures;
@@ -11,7 +12,6 @@
 mod restart;
 mod safety_guard;
 mod table_delivery;
-mod whole_path;
 
 pub use estimate_accuracy::measure as measure_estimate_accuracy;
 pub use recording::write_until_killed;
@@ -30,10 +30,10 @@
     match name {
         "edits" => edit_throughput::measure(),
         "overhead" => proxy_overhead::measure(folder),
-        "small" => whole_path::measure_small(folder, program),
-        "large" => whole_path::measure_large(folder, program),
-        "alone" => whole_path::measure_without_sockets(folder, program),
-        "unrecorded" => whole_path::measure_unrecorded(folder, program),
+        "small" => end_to_end::measure_small(folder, program),
+        "large" => end_to_end::measure_large(folder, program),
+        "alone" => end_to_end::measure_without_sockets(folder, program),
+        "unrecorded" => end_to_end::measure_unrecorded(folder, program),
         "recording" => recording::measure(folder),
         "guard" => safety_guard::measure(),
         "spoilt" => safety_guard::measure_corrupted_commands(folder, program),
--- a/crates/testbed/src/issuer.rs
+++ b/crates/testbed/src/issuer.rs
@@ -30,7 +30,7 @@
         let key = KeyPair::generate().map_err(text)?;
         let mut params = CertificateParams::new(vec![]).map_err(text)?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-        params.distinguished_name.push(DnType::CommonName, "runloom rig");
+        params.distinguished_name.push(DnType::CommonName, "runloom testbed");
         let authority = params.self_signed(&key).map_err(text)?;
         std::fs::write(folder.join("trust.pem"), authority.pem()).map_err(text)?;
         Ok(Issuer { folder: folder.to_path_buf(), key, authority })
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,6 +1,6 @@
 //! The testbed's command line.
 
-use clap::{Parser, Subcommand, ValueEnum};
+use clap::{Args, Parser, Subcommand, ValueEnum};
 use runloom_daemon::planner_runtime::{CrashPoint, TestHooks};
 use runloom_testbed::management_clients::EditOutcome;
 use runloom_testbed::scenario::{self, DeliveryMode, Scenario};
@@ -34,32 +34,7 @@
     /// A short demonstration: a planner, proxies, servers, clients, and a drain by an operator's edit.
     Demo,
     /// Plays a scenario: a file, or quiet, bad-day, edits-under-failure, restart-storm, deploy, surge. Exit code 1 if a rule was broken.
-    Day {
-        file: String,
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-        /// With json, the last line is one JSON object.
-        #[arg(long, value_enum, default_value_t = ReportFormat::Text)]
-        report: ReportFormat,
-        /// Keeps settings, logs and state here.
-        #[arg(long)]
-        keep: Option<PathBuf>,
-        /// Corrupts the planners' commands in this way, as `measure spoilt` does.
-        #[arg(long)]
-        spoil: Option<String>,
-        /// Without the safety guard.
-        #[arg(long)]
-        unguarded: bool,
-        /// Another `<fleet>` for the planners than the scenario's own, as `runloom replay --fleet` takes it.
-        #[arg(long)]
-        fleet: Option<PathBuf>,
-        /// How proxies receive their tables.
-        #[arg(long, value_enum, default_value_t)]
-        front: DeliveryMode,
-        /// Planners and proxies have SPIFFE identities that live so many seconds, and get new ones at half of it.
-        #[arg(long)]
-        lives: Option<u64>,
-    },
+    Day(DayArguments),
     /// Takes a measurement: edits, overhead, small, large, alone, unrecorded, recording, guard, spoilt, pairs, fronts, slow, storm, restart, keeping, identity; one figure a line, `name value unit`.
     Measure {
         name: String,
@@ -87,16 +62,44 @@
         #[arg(long)]
         seed: u64,
         /// The process exits at this point of an edit: before-kept, kept, replied.
-        #[arg(long)]
-        dies: Option<String>,
+        #[arg(long = "dies", value_name = "DIES")]
+        crash_point: Option<String>,
         /// Commands are corrupted in this way.
-        #[arg(long)]
-        spoil: Option<String>,
+        #[arg(long = "spoil", value_name = "SPOIL")]
+        corruption: Option<String>,
         #[arg(long)]
         unguarded: bool,
     },
 }
 
+#[derive(Args)]
+struct DayArguments {
+    file: String,
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// With json, the last line is one JSON object.
+    #[arg(long, value_enum, default_value_t = ReportFormat::Text)]
+    report: ReportFormat,
+    /// Keeps settings, logs and state here.
+    #[arg(long)]
+    keep: Option<PathBuf>,
+    /// Corrupts the planners' commands in this way, as `measure spoilt` does.
+    #[arg(long = "spoil", value_name = "SPOIL")]
+    corruption: Option<String>,
+    /// Without the safety guard.
+    #[arg(long)]
+    unguarded: bool,
+    /// Another `<fleet>` for the planners than the scenario's own, as `runloom replay --fleet` takes it.
+    #[arg(long)]
+    fleet: Option<PathBuf>,
+    /// How proxies receive their tables.
+    #[arg(long = "front", value_name = "FRONT", value_enum, default_value_t)]
+    delivery: DeliveryMode,
+    /// Planners and proxies have SPIFFE identities that live so many seconds, and get new ones at half of it.
+    #[arg(long = "lives", value_name = "LIVES")]
+    identity_seconds: Option<u64>,
+}
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let is_planner = matches!(arguments.command, Command::Planner { .. });
@@ -124,25 +127,14 @@
             keep: None,
             planner_arguments: vec![],
         }),
-        Command::Day { file, seed, report, keep, spoil, unguarded, fleet, front, lives } => play(DayRun {
-            name: &file,
-            scenario: Scenario {
-                delivery: front,
-                identity_lifetime: lives.map(Duration::from_secs),
-                ..read_with_fleet(&file, fleet)?
-            },
-            seed,
-            report,
-            keep,
-            planner_arguments: planner_arguments(spoil, unguarded),
-        }),
+        Command::Day(arguments) => play_day(arguments),
         Command::Measure { name, keep, seed } => measure(&name, keep, seed),
         Command::Again { folder, back } => print_replay_digest(&folder, back),
         Command::Writes { folder } => benchmarks::write_until_killed(&folder).map(|()| true),
-        Command::Planner { settings, seed, dies, spoil, unguarded } => {
-            let dies = dies.as_deref().and_then(CrashPoint::from_name);
-            let spoil = spoil.as_deref().and_then(command_corruption::tamper_by_name);
-            let hooks = TestHooks { crash_point: dies, skip_guard: unguarded, command_tamper: spoil };
+        Command::Planner { settings, seed, crash_point, corruption, unguarded } => {
+            let crash_point = crash_point.as_deref().and_then(CrashPoint::from_name);
+            let command_tamper = corruption.as_deref().and_then(command_corruption::tamper_by_name);
+            let hooks = TestHooks { crash_point, skip_guard: unguarded, command_tamper };
             runloom_daemon::run::planner(&settings, Some(seed), hooks)
                 .map(|()| true)
                 .map_err(|e| e.to_string())
@@ -150,10 +142,26 @@
     }
 }
 
-fn planner_arguments(spoil: Option<String>, unguarded: bool) -> Vec<String> {
-    let spoil = spoil.map(|corruption| format!("--spoil={corruption}"));
+fn play_day(arguments: DayArguments) -> Result<bool, String> {
+    let scenario = read_with_fleet(&arguments.file, arguments.fleet)?;
+    play(DayRun {
+        name: &arguments.file,
+        scenario: Scenario {
+            delivery: arguments.delivery,
+            identity_lifetime: arguments.identity_seconds.map(Duration::from_secs),
+            ..scenario
+        },
+        seed: arguments.seed,
+        report: arguments.report,
+        keep: arguments.keep,
+        planner_arguments: planner_arguments(arguments.corruption, arguments.unguarded),
+    })
+}
+
+fn planner_arguments(corruption: Option<String>, unguarded: bool) -> Vec<String> {
+    let corruption = corruption.map(|corruption| format!("--spoil={corruption}"));
     let unguarded = unguarded.then(|| "--unguarded".to_string());
-    spoil.into_iter().chain(unguarded).collect()
+    corruption.into_iter().chain(unguarded).collect()
 }
 
 /// Reads a scenario, and the planners' `<fleet>` from a file if there is one.
--- a/crates/testbed/src/planner_process.rs
+++ b/crates/testbed/src/planner_process.rs
@@ -47,7 +47,7 @@
     /// For management clients.
     pub edits: SocketAddr,
     /// For proxies that call home.
-    pub home: SocketAddr,
+    pub call_home: SocketAddr,
     /// For proxies that subscribe.
     pub pubsub: SocketAddr,
     /// For metrics.
@@ -60,15 +60,15 @@
     /// # Errors
     /// Returns the cause if no socket can be opened.
     pub fn reserve() -> std::io::Result<PlannerAddresses> {
-        let [edits, home, pubsub, metrics] = reserve_addresses()?;
-        Ok(PlannerAddresses { edits, home, pubsub, metrics })
+        let [edits, call_home, pubsub, metrics] = reserve_addresses()?;
+        Ok(PlannerAddresses { edits, call_home, pubsub, metrics })
     }
 
     /// The addresses as elements of a planner's settings.
     pub fn to_xml(&self) -> String {
         format!(
             "<edits>{}</edits><home>{}</home><pubsub>{}</pubsub><metrics>{}</metrics>",
-            self.edits, self.home, self.pubsub, self.metrics
+            self.edits, self.call_home, self.pubsub, self.metrics
         )
     }
 
@@ -89,7 +89,7 @@
         let addresses = || {
             Some(PlannerAddresses {
                 edits: address("edits")?,
-                home: address("home")?,
+                call_home: address("home")?,
                 pubsub: address("pubsub")?,
                 metrics: address("metrics")?,
             })
--- a/crates/testbed/src/testbed/observation.rs
+++ b/crates/testbed/src/testbed/observation.rs
@@ -140,7 +140,8 @@
             generation.proxy_count += 1;
         }
         let planner = observed.runtime.connected_planner().and_then(|address| {
-            let listens = |p: &PlannerProcess| p.addresses.home == address || p.addresses.pubsub == address;
+            let listens =
+                |p: &PlannerProcess| p.addresses.call_home == address || p.addresses.pubsub == address;
             self.planners.iter().position(listens)
         });
         if planner != observed.connection.map(|connection| connection.planner) {
--- a/crates/testbed/src/testbed/planner_settings.rs
+++ b/crates/testbed/src/testbed/planner_settings.rs
@@ -8,9 +8,9 @@
 use runloom_model::fleet::TlsFiles;
 
 /// Proxies may connect, operators may change the fleet and the state, and the feed may change the endpoint list.
-const ACCESS_RULES: &str = "<may><whom>spiffe://rig.example/proxy/*</whom><join/></may>\
-    <may><whom>spiffe://rig.example/tool/staff</whom><write>fleet</write><write>state</write></may>\
-    <may><whom>spiffe://rig.example/tool/feed</whom><write>roster</write></may>";
+const ACCESS_RULES: &str = "<may><whom>spiffe://testbed.example/proxy/*</whom><join/></may>\
+    <may><whom>spiffe://testbed.example/tool/staff</whom><write>fleet</write><write>state</write></may>\
+    <may><whom>spiffe://testbed.example/tool/feed</whom><write>roster</write></may>";
 
 /// Entries that may wait in a channel: what it sends in this time.
 const MAX_QUEUE_SECONDS: u64 = 2;
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -42,7 +42,7 @@
         name if name.starts_with("planner") => "planner",
         _ => "proxy",
     };
-    format!("spiffe://rig.example/{kind}/{name}")
+    format!("spiffe://testbed.example/{kind}/{name}")
 }
 
 fn planner_name(planner: usize) -> String {
@@ -252,7 +252,7 @@
     /// The planners' addresses for a proxy, which starts with another planner than its neighbour.
     fn planner_addresses(&self, delivery: TableDelivery, proxy: usize) -> Vec<SocketAddr> {
         let address = |planner: &PlannerProcess| match delivery {
-            TableDelivery::Edits => planner.addresses.home,
+            TableDelivery::Edits => planner.addresses.call_home,
             _ => planner.addresses.pubsub,
         };
         let mut addresses: Vec<SocketAddr> = self.planners.iter().map(address).collect();
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -2,6 +2,7 @@
 
 #![allow(dead_code)] // Each test program uses a part of it.
 
+pub mod identities;
 pub mod requests;
 
 use runloom_daemon::client::Client;
