--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -12,7 +12,7 @@
 use runloom_guard::{GuardConfig, SafetyGuard};
 use runloom_inventory::{Change, Server};
 use runloom_model::fleet::Fleet;
-use runloom_model::order::Report;
+use runloom_model::report::Report;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -296,11 +296,11 @@
         request_rate: f64,
         has_no_table: bool,
     ) -> ProxyId {
-        self.record(|| RecordedEvent::Joined {
+        self.record(|| RecordedEvent::ProxyConnected {
             proxy: name.to_string(),
             zone: zone.to_string(),
-            rate: request_rate,
-            fresh: has_no_table,
+            request_rate,
+            has_no_table,
         });
         let proxy = self.proxies.index(name.to_string());
         self.remove_member(proxy);
@@ -320,7 +320,7 @@
     /// A proxy's connection ended.
     pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
         let name = self.proxy_name(proxy).to_string();
-        self.record(|| RecordedEvent::Left { proxy: name });
+        self.record(|| RecordedEvent::ProxyDisconnected { proxy: name });
         self.remove_member(proxy);
     }
 
@@ -337,7 +337,7 @@
         let now = self.advance_clock(now);
         if self.recorded_events.is_some() {
             let name = self.proxy_name(proxy).to_string();
-            self.record(|| RecordedEvent::Applied { proxy: name, number });
+            self.record(|| RecordedEvent::UpdateAcknowledged { proxy: name, number });
         }
         let Some(member) = self.members.get_mut(&proxy) else { return };
         self.guard.acknowledge(proxy, number);
@@ -358,14 +358,14 @@
         let Some(member) = self.members.get_mut(&proxy) else { return };
         member.last_report_at = Some(now);
         let zone = self.zones.index(member.zone.clone());
-        for outcomes in &report.met {
+        for outcomes in &report.outcomes {
             if let Some(server) = self.servers.get(&outcomes.server) {
-                self.reports.add_outcomes(now, zone, server, outcomes, report.span);
+                self.reports.add_outcomes(now, zone, server, outcomes, report.window);
             }
         }
-        for arrivals in &report.came {
+        for arrivals in &report.arrivals {
             if let Some(class) = self.fleet.classes.iter().position(|class| class.name == arrivals.class) {
-                self.reports.add_arrivals(now, proxy, class, arrivals, report.span);
+                self.reports.add_arrivals(now, proxy, class, arrivals, report.window);
             }
         }
     }
--- a/crates/daemon/src/commands.rs
+++ b/crates/daemon/src/commands.rs
@@ -87,7 +87,7 @@
     },
     /// An event log cannot be read.
     #[error(transparent)]
-    EventLog(#[from] runloom_event_log::folder::Unreadable),
+    EventLog(#[from] runloom_event_log::ReadError),
     /// A recorded day cannot be replayed.
     #[error(transparent)]
     Replay(#[from] runloom_replay::ReplayError),
--- a/crates/daemon/src/commands/record.rs
+++ b/crates/daemon/src/commands/record.rs
@@ -1,7 +1,8 @@
 //! `runloom record`: prints a planner's event log.
 
 use super::{file_error, CommandError};
-use runloom_event_log::{columns, folder, Entry, Segment};
+use runloom_event_log::columns::EntryTotals;
+use runloom_event_log::{list_segments, read_segment, Entry, Segment, SegmentContent};
 use std::io::{self, Write};
 use std::path::Path;
 
@@ -34,9 +35,9 @@
 
 fn write_record(folder: &Path, view: &RecordView, out: &mut impl Write) -> Result<(), CommandError> {
     let mut corrupt = 0;
-    for segment in folder::segments(folder).map_err(file_error(folder))? {
-        match folder::read(&segment) {
-            Ok((entries, torn_bytes)) => write_segment(&segment, &entries, torn_bytes, view, out)?,
+    for segment in list_segments(folder).map_err(file_error(folder))? {
+        match read_segment(&segment) {
+            Ok(content) => write_segment(&segment, &content, view, out)?,
             Err(error) => {
                 corrupt += 1;
                 writeln!(out, "{error}")?;
@@ -52,24 +53,23 @@
 
 fn write_segment(
     segment: &Segment,
-    entries: &[Entry],
-    torn_bytes: usize,
+    content: &SegmentContent,
     view: &RecordView,
     out: &mut impl Write,
 ) -> Result<(), CommandError> {
     match view {
-        RecordView::Segments => write_summary(segment, entries, torn_bytes, out)?,
+        RecordView::Segments => write_summary(segment, content, out)?,
         RecordView::Entries { kind, name } => {
             let matches = |entry: &&Entry| {
-                kind.as_ref().is_none_or(|kind| entry.what.kind() == kind)
-                    && name.as_ref().is_none_or(|name| entry.what.name() == name)
+                kind.as_ref().is_none_or(|kind| entry.event.kind() == kind)
+                    && name.as_ref().is_none_or(|name| entry.event.name() == name)
             };
-            for entry in entries.iter().filter(matches) {
+            for entry in content.entries.iter().filter(matches) {
                 write_entry(entry, out)?;
             }
         }
         RecordView::Json => {
-            for entry in entries {
+            for entry in &content.entries {
                 writeln!(out, "{}", serde_json::to_string(entry)?)?;
             }
         }
@@ -81,16 +81,12 @@
     micros as f64 / MICROS_PER_SECOND
 }
 
-fn write_summary(
-    segment: &Segment,
-    entries: &[Entry],
-    torn_bytes: usize,
-    out: &mut impl Write,
-) -> io::Result<()> {
-    let kind = if segment.columnar { "parquet" } else { "journal" };
-    let from = entries.first().map_or(0.0, |entry| seconds(entry.at));
-    let to = entries.last().map_or(0.0, |entry| seconds(entry.at));
-    let tail = match torn_bytes {
+fn write_summary(segment: &Segment, content: &SegmentContent, out: &mut impl Write) -> io::Result<()> {
+    let entries = &content.entries;
+    let kind = if segment.is_columnar { "parquet" } else { "journal" };
+    let from = entries.first().map_or(0.0, |entry| seconds(entry.at_us));
+    let to = entries.last().map_or(0.0, |entry| seconds(entry.at_us));
+    let tail = match content.torn_bytes {
         0 => String::new(),
         bytes => format!(", a torn tail of {bytes} bytes left out"),
     };
@@ -98,13 +94,13 @@
         out,
         "{:08} {kind} {} bytes, {} entries, {from:.1} to {to:.1} s{tail}",
         segment.number,
-        segment.bytes,
+        segment.size,
         entries.len()
     )
 }
 
 fn write_entry(entry: &Entry, out: &mut impl Write) -> io::Result<()> {
-    let (requests, failed, table_entries) = columns::sums(&entry.what);
-    let sums = format!("queries {requests} failed {failed} lines {table_entries}");
-    writeln!(out, "{:>12.6} {:8} {:16} {sums}", seconds(entry.at), entry.what.kind(), entry.what.name())
+    let EntryTotals { requests, failures, table_entries } = EntryTotals::of(&entry.event);
+    let sums = format!("queries {requests} failed {failures} lines {table_entries}");
+    writeln!(out, "{:>12.6} {:8} {:16} {sums}", seconds(entry.at_us), entry.event.kind(), entry.event.name())
 }
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -3,7 +3,7 @@
 
 use super::{file_error, CommandError};
 use crate::planner_runtime::BUILD;
-use runloom_event_log::{folder, Entry};
+use runloom_event_log::{for_each_entry, read_run, read_runs, Entry};
 use runloom_replay::exact::{Replay, ReplaySummary};
 use runloom_replay::html_report;
 use runloom_replay::what_if::{compare, Comparison, SideSummary, WhatIfSettings};
@@ -40,7 +40,7 @@
 
 /// Writes an event log as a scenario of the testbed.
 pub fn infer_scenario(folder: &Path, file: &Path) -> Result<(), CommandError> {
-    let days = folder::days(folder)?;
+    let days = read_runs(folder)?;
     let scenario = runloom_replay::scenario_inference::infer(&days)?;
     std::fs::write(file, scenario.to_xml()).map_err(file_error(file))?;
     println!("{}: {} troubles, {} edits", file.display(), scenario.faults.len(), scenario.edits.len());
@@ -96,7 +96,7 @@
             false
         })
     };
-    folder::each(folder, starts_back, &mut take_entry)?;
+    for_each_entry(folder, starts_back, &mut take_entry)?;
     match (failure, replay) {
         (Some(error), _) => Err(error.into()),
         (None, Some(replay)) => Ok(replay.finish()),
@@ -106,7 +106,7 @@
 
 /// Replays with other settings, and prints how commands and service would have differed.
 fn compare_alternative(options: &ReplayOptions) -> Result<(), CommandError> {
-    let entries = folder::day(&options.folder, options.starts_back)?;
+    let entries = read_run(&options.folder, options.starts_back)?;
     let setting = read_setting(&options.alternative)?;
     let compared = compare(&entries, &setting)?;
     if let Some(file) = &options.page {
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -10,7 +10,7 @@
 
 use crate::tls_credentials::CertificateHolder;
 use access_control::AccessControl;
-use data::{fleet_entries, fleet_entry_texts, is_same_part, part, FLEET_PART, ROSTER_PART};
+use data::{fleet_entries, fleet_entry_texts, is_same_part, part, ENDPOINT_LIST_PART, FLEET_PART};
 use endpoint_list::{EndpointList, EndpointListChange};
 use runloom_identity::access::{AccessRule, RequestedAccess};
 use runloom_identity::denial_log::DenialEntry;
@@ -22,7 +22,7 @@
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, ListPiece, StatePatch};
+use runloom_store::{list_chunks, AcceptedEdit, AcceptedState, EntrySource, ListChunk, StatePatch};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -55,7 +55,7 @@
 
 /// The schema of what can be edited: `<fleet>` and `<roster>`.
 pub fn schema() -> Result<Schema, ConfigError> {
-    derive(FLEET_XSD, &[FLEET_PART, ROSTER_PART]).map(Schema::root).map_err(ConfigError::Schema)
+    derive(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
 }
 
 /// The configuration at one time.
@@ -110,7 +110,12 @@
 
 fn stored_edit(edit: &edit_history::Edit) -> AcceptedEdit {
     let stored = edit.stored.clone();
-    AcceptedEdit { id: stored.id, who: stored.author, digest: stored.digest, accepted: stored.accepted_ms }
+    AcceptedEdit {
+        id: stored.id,
+        author: stored.author,
+        digest: stored.digest,
+        accepted_ms: stored.accepted_ms,
+    }
 }
 
 /// Identifies the content of an edit: SHA-256 in hexadecimal.
@@ -185,9 +190,9 @@
     }
 
     /// The endpoint list as an element, for the file that a restart reads.
-    pub fn roster_element(&self) -> Element {
-        let roster = part(&self.accepted.data, ROSTER_PART);
-        roster.map_or_else(|| Element::new(FLEET, ROSTER_PART), |roster| (**roster).clone())
+    pub fn endpoint_list_element(&self) -> Element {
+        let roster = part(&self.accepted.data, ENDPOINT_LIST_PART);
+        roster.map_or_else(|| Element::new(FLEET, ENDPOINT_LIST_PART), |roster| (**roster).clone())
     }
 
     // Access.
@@ -233,8 +238,8 @@
     pub fn accepted_state(&self) -> AcceptedState {
         AcceptedState {
             entries: fleet_entry_texts(&self.accepted.data),
-            before: self.accepted.fleet_texts_before(),
-            noted: self.edit_history.edits().map(stored_edit).collect(),
+            rollback_entries: self.accepted.fleet_texts_before(),
+            edits: self.edit_history.edits().map(stored_edit).collect(),
         }
     }
 
@@ -247,9 +252,9 @@
         let before = self.accepted.fleet_texts_before();
         let edits = self.edit_history.edits().filter(|edit| edit_ids.contains(&edit.stored.id));
         let patch = StatePatch {
-            pieces: self.changed_pieces(),
-            noted: edits.map(stored_edit).collect(),
-            before: (before != self.persisted.fleet_texts_before()).then_some(before),
+            chunks: self.changed_chunks(),
+            edits: edits.map(stored_edit).collect(),
+            rollback_entries: (before != self.persisted.fleet_texts_before()).then_some(before),
         };
         self.in_flight = Some(InFlightPatch { revision: self.accepted.clone(), edit_ids });
         self.is_unsaved = false;
@@ -258,7 +263,7 @@
 
     /// The entries of the fleet as references to those on disk, or as text where they are new; `None` if all are the
     /// same.
-    fn changed_pieces(&self) -> Option<Vec<ListPiece>> {
+    fn changed_chunks(&self) -> Option<Vec<ListChunk>> {
         let old = fleet_entries(&self.persisted.data);
         let new = fleet_entries(&self.accepted.data);
         let is_same = old.len() == new.len() && old.iter().zip(new).all(|(old, new)| Arc::ptr_eq(old, new));
@@ -267,10 +272,11 @@
         }
         let indexed = old.iter().enumerate().map(|(index, entry)| (Arc::as_ptr(entry), index as u32));
         let old_indexes: BTreeMap<*const Element, u32> = indexed.collect();
-        let index_or_text = |entry: &Arc<Element>| {
-            old_indexes.get(&Arc::as_ptr(entry)).copied().ok_or_else(|| entry.to_text())
+        let source = |entry: &Arc<Element>| {
+            let index = old_indexes.get(&Arc::as_ptr(entry)).copied();
+            index.map_or_else(|| EntrySource::New(entry.to_text()), EntrySource::Existing)
         };
-        Some(pieces(new.iter().map(index_or_text)))
+        Some(list_chunks(new.iter().map(source)))
     }
 
     /// The patch in flight is on disk.
@@ -286,9 +292,9 @@
     /// The patch in flight could not be written: returns to what is on disk, and drops what was accepted since. The
     /// endpoint list needs no disk and stays.
     pub fn roll_back(&mut self, why: String) {
-        let roster = part(&self.accepted.data, ROSTER_PART).cloned();
+        let roster = part(&self.accepted.data, ENDPOINT_LIST_PART).cloned();
         let mut data = (*self.persisted.data).clone();
-        data.children.retain(|child| child.name != ROSTER_PART);
+        data.children.retain(|child| child.name != ENDPOINT_LIST_PART);
         data.children.extend(roster);
         self.accepted = Revision { data: Arc::new(data), ..self.persisted.clone() };
         if let Some(InFlightPatch { edit_ids, .. }) = self.in_flight.take() {
@@ -313,7 +319,7 @@
             self.schema.check(&self.without_valid_servers(fleet_element))?;
             fleet = Some(Fleet::read(fleet_element).map_err(invalid_value)?);
         }
-        let endpoints = if is_same_part(wanted, &self.accepted.data, ROSTER_PART) {
+        let endpoints = if is_same_part(wanted, &self.accepted.data, ENDPOINT_LIST_PART) {
             EndpointListChange::default()
         } else {
             self.endpoints.difference(wanted, &self.schema)?
@@ -363,7 +369,7 @@
     }
 
     fn check_write_access(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        for part in [FLEET_PART, ROSTER_PART] {
+        for part in [FLEET_PART, ENDPOINT_LIST_PART] {
             if !is_same_part(change.wanted, &self.accepted.data, part) {
                 let write = [RequestedAccess::Write { part }];
                 self.access.check_any(self.now, change.who, &write).map_err(|error| vec![error])?;
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -119,7 +119,7 @@
     pub fn run(&mut self, event_loop: &mut EventLoop) -> io::Result<()> {
         let mut stop_by: Option<Duration> = None;
         loop {
-            for event in event_loop.wait(earliest([self.wakes_at(), stop_by]))? {
+            for event in event_loop.wait(earliest([self.next_wakeup(), stop_by]))? {
                 self.handle_event(event_loop, event);
             }
             self.finish_iteration(event_loop);
@@ -149,13 +149,13 @@
         }
     }
 
-    fn wakes_at(&self) -> Option<Duration> {
+    fn next_wakeup(&self) -> Option<Duration> {
         earliest([
             self.core.control.next_wakeup(),
             self.core.distributor.wakes_at(),
-            self.operators.wakes_at(),
+            self.operators.next_wakeup(),
             self.core.config.edit_history.next_wakeup(),
-            Some(self.durability.wakes_at()),
+            Some(self.durability.next_wakeup()),
         ])
     }
 
@@ -328,7 +328,8 @@
     fn announce_edits_in_force(&mut self) {
         let now = self.core.config.now;
         for edit in self.core.config.edit_history.take_completed(now) {
-            let event = RecordedEvent::Edit { id: edit.stored.id.clone(), who: edit.stored.author.clone() };
+            let event =
+                RecordedEvent::EditInForce { id: edit.stored.id.clone(), author: edit.stored.author.clone() };
             note_event(&mut self.core.control, now, event);
             let elapsed = now.saturating_sub(edit.stored_at.unwrap_or(now));
             tracing::info!(
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -58,7 +58,7 @@
     /// # Errors
     /// Fails if the entry is no start, or its fleet is invalid.
     pub fn new(first: &Entry, build: &str) -> Result<Replay, ReplayError> {
-        let RecordedEvent::Start { build: recorded_build, .. } = &first.what else {
+        let RecordedEvent::PlannerStarted { build: recorded_build, .. } = &first.event else {
             return Err(ReplayError::NoStart);
         };
         Ok(Replay {
@@ -92,13 +92,13 @@
     }
 
     fn find_difference(&mut self, entry: &Entry) -> Result<Option<String>, ReplayError> {
-        match &entry.what {
-            RecordedEvent::Turn { sent, .. } => Ok(self.replay_step(entry, sent.len())),
-            RecordedEvent::Refit { fleet, seed } => {
+        match &entry.event {
+            RecordedEvent::Step { sent, .. } => Ok(self.replay_step(entry, sent.len())),
+            RecordedEvent::Reconfigured { fleet, seed } => {
                 self.session.reconfigure(parse_fleet(fleet)?, *seed);
                 Ok(None)
             }
-            RecordedEvent::Lost { entries } => {
+            RecordedEvent::EntriesLost { entries } => {
                 self.has_gap = true;
                 Ok(Some(format!("{entries} entries were lost when the disk was full")))
             }
@@ -114,10 +114,10 @@
         let replayed = take_step(&mut self.session);
         self.summary.steps += 1;
         self.summary.messages += recorded_messages as u64;
-        if let Some(RecordedEvent::Turn { texts, sent, .. }) = &replayed {
+        if let Some(RecordedEvent::Step { texts, sent, .. }) = &replayed {
             hash_messages(&mut self.hash, texts, sent);
         }
-        describe_difference(&entry.what, replayed.as_ref())
+        describe_difference(&entry.event, replayed.as_ref())
     }
 
     fn likely_cause(&self) -> String {
@@ -156,20 +156,22 @@
 fn hash_messages(hash: &mut Sha256, texts: &[String], sent: &[SentUpdate]) {
     for update in sent {
         // Neither names nor texts contain a line break, so that it separates them.
-        let text = texts.get(update.text as usize).map_or("", String::as_str);
+        let text = texts.get(update.text_index as usize).map_or("", String::as_str);
         hash.update(format!("{} {}\n{text}\n", update.proxy, update.number));
     }
 }
 
 /// What two steps differ in, if they do. How long they took does not count.
 fn describe_difference(recorded: &RecordedEvent, replayed: Option<&RecordedEvent>) -> Option<String> {
-    let RecordedEvent::Turn { texts, sent, probes, log, refused, .. } = recorded else { return None };
-    let Some(RecordedEvent::Turn {
+    let RecordedEvent::Step { texts, sent, health_checks, log, rejections, .. } = recorded else {
+        return None;
+    };
+    let Some(RecordedEvent::Step {
         texts: replayed_texts,
         sent: replayed_sent,
-        probes: replayed_probes,
+        health_checks: replayed_health_checks,
         log: replayed_log,
-        refused: replayed_refused,
+        rejections: replayed_rejections,
         ..
     }) = replayed
     else {
@@ -179,9 +181,9 @@
     let replayed_messages = Messages { sent: replayed_sent, texts: replayed_texts };
     if let Some(difference) = recorded_messages.describe_difference(&replayed_messages) {
         Some(difference)
-    } else if probes != replayed_probes {
+    } else if health_checks != replayed_health_checks {
         Some("other probes".into())
-    } else if refused != replayed_refused {
+    } else if rejections != replayed_rejections {
         Some("other refusals".into())
     } else if log != replayed_log {
         Some("another log".into())
@@ -198,7 +200,7 @@
 
 impl Messages<'_> {
     fn text(&self, update: &SentUpdate) -> &str {
-        self.texts.get(update.text as usize).map_or("", String::as_str)
+        self.texts.get(update.text_index as usize).map_or("", String::as_str)
     }
 
     fn describe_difference(&self, replayed: &Messages) -> Option<String> {
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -45,7 +45,8 @@
     other_fleet: Option<&Fleet>,
     other_seed: Option<u64>,
 ) -> Result<ControlSession, ReplayError> {
-    let Some(RecordedEvent::Start { seed, epoch, fleet, .. }) = entries.first().map(|entry| &entry.what)
+    let Some(RecordedEvent::PlannerStarted { seed, epoch_ms, fleet, .. }) =
+        entries.first().map(|entry| &entry.event)
     else {
         return Err(ReplayError::NoStart);
     };
@@ -53,7 +54,7 @@
         Some(fleet) => fleet.clone(),
         None => parse_fleet(fleet)?,
     };
-    let mut session = ControlSession::new(fleet, other_seed.unwrap_or(*seed), *epoch);
+    let mut session = ControlSession::new(fleet, other_seed.unwrap_or(*seed), *epoch_ms);
     session.recorded_events = Some(vec![]);
     Ok(session)
 }
@@ -62,17 +63,17 @@
 pub(crate) fn take_step(session: &mut ControlSession) -> Option<RecordedEvent> {
     let recorded = session.recorded_events.as_mut()?;
     let (_, event) = std::mem::take(recorded).pop()?;
-    matches!(event, RecordedEvent::Turn { .. }).then_some(event)
+    matches!(event, RecordedEvent::Step { .. }).then_some(event)
 }
 
 /// Time of an entry since the planner's start.
 pub(crate) fn time_of(entry: &Entry) -> Duration {
-    Duration::from_micros(entry.at)
+    Duration::from_micros(entry.at_us)
 }
 
 /// Seconds of an entry since the planner's start.
 pub(crate) fn seconds_of(entry: &Entry) -> f64 {
-    entry.at as f64 / MICROSECONDS_PER_SECOND
+    entry.at_us as f64 / MICROSECONDS_PER_SECOND
 }
 
 #[cfg(test)]
--- a/crates/replay/src/rule_tracker/mod.rs
+++ b/crates/replay/src/rule_tracker/mod.rs
@@ -36,11 +36,11 @@
 impl ListedServers {
     fn update(&mut self, now: Duration, server: &RecordedServer) {
         self.weights.insert(server.name.clone(), server.weight);
-        if server.draining {
+        if server.is_draining {
             self.close(now, &server.name);
         } else {
             self.closed.remove(&server.name);
-            self.open.insert(server.name.clone(), server.started);
+            self.open.insert(server.name.clone(), server.started_ms);
         }
     }
 
@@ -73,11 +73,11 @@
     ) {
         let seconds = (window_us as f64 / MICROSECONDS_PER_SECOND).max(MIN_REPORT_SECONDS);
         for class in arrivals {
-            let rate = class.queries as f64 / seconds;
+            let rate = class.requests as f64 / seconds;
             self.arrivals.insert((proxy.to_string(), class.class.clone()), rate);
         }
         for outcome in outcomes {
-            let rate = outcome.tries.saturating_sub(outcome.failed) as f64 / seconds;
+            let rate = outcome.attempts.saturating_sub(outcome.failures) as f64 / seconds;
             self.successes.insert((outcome.server.clone(), proxy.to_string()), rate);
         }
     }
@@ -145,21 +145,23 @@
 
     /// Handles an event that is no command of the planner: connections, lists and reports.
     pub fn handle_event(&mut self, entry: &Entry) {
-        let now = Duration::from_micros(entry.at);
-        match &entry.what {
-            RecordedEvent::Joined { proxy, .. } => self.connect_proxy(now, proxy),
-            RecordedEvent::Left { proxy } => {
+        let now = Duration::from_micros(entry.at_us);
+        match &entry.event {
+            RecordedEvent::ProxyConnected { proxy, .. } => self.connect_proxy(now, proxy),
+            RecordedEvent::ProxyDisconnected { proxy } => {
                 if let Some(state) = self.proxies.get_mut(proxy) {
                     state.disconnect();
                 }
             }
-            RecordedEvent::Listed { servers, gone, .. } => {
+            RecordedEvent::EndpointsListed { servers, removed, .. } => {
                 servers.iter().for_each(|server| self.servers.update(now, server));
-                for server in gone.iter().filter(|_| !self.fleet.only_drains_bind) {
+                for server in removed.iter().filter(|_| !self.fleet.only_drains_bind) {
                     self.servers.close(now, server);
                 }
             }
-            RecordedEvent::Report { proxy, span, met, came } => self.rates.update(proxy, *span, met, came),
+            RecordedEvent::Report { proxy, window_us, outcomes, arrivals } => {
+                self.rates.update(proxy, *window_us, outcomes, arrivals)
+            }
             _ => {}
         }
     }
--- a/crates/replay/src/scenario_inference/observation.rs
+++ b/crates/replay/src/scenario_inference/observation.rs
@@ -152,11 +152,12 @@
         let mut observation = LogObservation::default();
         let mut first_epoch = None;
         for entries in starts {
-            let Some(RecordedEvent::Start { epoch, fleet, .. }) = entries.first().map(|entry| &entry.what)
+            let Some(RecordedEvent::PlannerStarted { epoch_ms, fleet, .. }) =
+                entries.first().map(|entry| &entry.event)
             else {
                 return Err(ReplayError::NoStart);
             };
-            let epoch_offset_ms = epoch.saturating_sub(*first_epoch.get_or_insert(*epoch));
+            let epoch_offset_ms = epoch_ms.saturating_sub(*first_epoch.get_or_insert(*epoch_ms));
             let start = observation.begin_start(epoch_offset_ms as f64 / 1000.0, parse_fleet(fleet)?);
             observation.read_start(start, entries)?;
         }
@@ -181,16 +182,16 @@
         for entry in entries {
             let at = start + seconds_of(entry);
             self.end = self.end.max(at);
-            match &entry.what {
-                RecordedEvent::Turn { sent, .. } => {
+            match &entry.event {
+                RecordedEvent::Step { sent, .. } => {
                     for SentUpdate { proxy, number, .. } in sent {
                         in_flight.entry(proxy).or_default().push((*number, at));
                     }
                 }
-                RecordedEvent::Applied { proxy, number } => {
+                RecordedEvent::UpdateAcknowledged { proxy, number } => {
                     self.record_acknowledged(at, *number, in_flight.entry(proxy).or_default());
                 }
-                RecordedEvent::Left { proxy } => {
+                RecordedEvent::ProxyDisconnected { proxy } => {
                     in_flight.remove(proxy.as_str());
                     self.disconnects.push(at);
                 }
@@ -210,21 +211,21 @@
 
     fn read_event(&mut self, at: f64, event: &RecordedEvent) -> Result<(), ReplayError> {
         match event {
-            RecordedEvent::Listed { servers, gone, .. } => self.record_list(at, servers, gone),
-            RecordedEvent::Joined { proxy, .. } => {
+            RecordedEvent::EndpointsListed { servers, removed, .. } => self.record_list(at, servers, removed),
+            RecordedEvent::ProxyConnected { proxy, .. } => {
                 self.proxies.insert(proxy.clone());
             }
-            RecordedEvent::Refit { fleet, .. } => self.fleets.push((at, parse_fleet(fleet)?)),
-            RecordedEvent::Probed { server, found, .. } => {
-                self.outcomes_mut(server, at).health_checks.record(*found);
+            RecordedEvent::Reconfigured { fleet, .. } => self.fleets.push((at, parse_fleet(fleet)?)),
+            RecordedEvent::HealthChecked { server, result, .. } => {
+                self.outcomes_mut(server, at).health_checks.record(*result);
             }
-            RecordedEvent::Report { met, came, .. } => {
-                let requests: u64 = came.iter().map(|class| class.queries).sum();
-                let attempts: u64 = met.iter().map(|outcome| outcome.tries).sum();
+            RecordedEvent::Report { outcomes, arrivals, .. } => {
+                let requests: u64 = arrivals.iter().map(|class| class.requests).sum();
+                let attempts: u64 = outcomes.iter().map(|outcome| outcome.attempts).sum();
                 // Clients retry rejected requests: of two rejections one is a retry of the same request.
                 let retries = requests.saturating_sub(attempts) / 2;
                 *self.requests.entry(second_of(at)).or_default() += requests - retries;
-                met.iter().for_each(|outcome| self.record_outcome(at, outcome));
+                outcomes.iter().for_each(|outcome| self.record_outcome(at, outcome));
             }
             _ => {}
         }
@@ -246,7 +247,7 @@
     fn record_listed(&mut self, at: f64, listed: &RecordedServer) {
         let server = self.servers.entry(listed.name.clone()).or_default();
         server.zone = listed.zone.clone();
-        let listed = Some(ListedServer { is_draining: listed.draining, started: listed.started });
+        let listed = Some(ListedServer { is_draining: listed.is_draining, started: listed.started_ms });
         if server.listings.last().is_none_or(|last| last.server != listed) {
             server.listings.push(Listing { at, server: listed });
         }
@@ -259,14 +260,14 @@
 
     fn record_outcome(&mut self, at: f64, outcome: &RecordedOutcome) {
         // The load report's second value is the utilization; a missing value is a NaN.
-        let utilization = outcome.load.get(1).map(|bits| f64::from_bits(*bits));
+        let utilization = outcome.load_bits.get(1).map(|bits| f64::from_bits(*bits));
         let utilization = utilization.filter(|utilization| utilization.is_finite());
         self.utilizations.extend(utilization.map(|utilization| (second_of(at), utilization)));
-        let successes = outcome.tries.saturating_sub(outcome.failed);
+        let successes = outcome.attempts.saturating_sub(outcome.failures);
         let outcomes = self.outcomes_mut(&outcome.server, at);
-        outcomes.attempts += outcome.tries;
-        outcomes.failures += outcome.failed;
-        outcomes.total_latency_us += outcome.took as f64 * successes as f64;
+        outcomes.attempts += outcome.attempts;
+        outcomes.failures += outcome.failures;
+        outcomes.total_latency_us += outcome.mean_latency_us as f64 * successes as f64;
     }
 
     /// Finds the times with far more requests than in the median second.
--- a/crates/replay/src/tests/exact.rs
+++ b/crates/replay/src/tests/exact.rs
@@ -23,13 +23,13 @@
 fn a_difference_is_reported_with_its_time_and_likely_cause() {
     // Given
     let mut changed = log_of_a_minute();
-    let has_late_message = |entry: &Entry| matches!(&entry.what, RecordedEvent::Turn { sent, .. } if entry.at > 20_000_000 && !sent.is_empty());
+    let has_late_message = |entry: &Entry| matches!(&entry.event, RecordedEvent::Step { sent, .. } if entry.at_us > 20_000_000 && !sent.is_empty());
     let position = changed.iter().position(has_late_message).unwrap();
-    if let RecordedEvent::Turn { texts, .. } = &mut changed[position].what {
+    if let RecordedEvent::Step { texts, .. } = &mut changed[position].event {
         texts[0].push(' ');
     }
     let mut with_gap = log_of_a_minute();
-    let gap = Entry { at: with_gap[position].at, what: RecordedEvent::Lost { entries: 3 } };
+    let gap = Entry { at_us: with_gap[position].at_us, event: RecordedEvent::EntriesLost { entries: 3 } };
     with_gap.insert(position, gap);
 
     // When
@@ -38,7 +38,7 @@
     let without_start = replay(&changed[1..], "test");
 
     // Then
-    assert_eq!(difference.at_seconds, changed[position].at as f64 / 1e6);
+    assert_eq!(difference.at_seconds, changed[position].at_us as f64 / 1e6);
     assert!(difference.description.contains("another text"), "{difference:?}");
     assert!(difference.cause.contains("recorded by test"), "{difference:?}");
     assert!(gap_difference.cause.contains("gap"));
--- a/crates/replay/src/tests/mod.rs
+++ b/crates/replay/src/tests/mod.rs
@@ -10,7 +10,7 @@
 use runloom_controller::EndpointUpdate;
 use runloom_event_log::{Entry, RecordedEvent};
 use runloom_inventory::{Change, Server};
-use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, Report, ServerOutcomes};
 use std::time::Duration;
 
 const FLEET: &str = "<fleet xmlns='urn:runloom:fleet'><zone><name>a</name></zone><zone><name>b</name></zone><class>\
@@ -56,11 +56,11 @@
 /// A session that records, with all servers listed.
 fn recording_session() -> ControlSession {
     let mut session = ControlSession::new(crate::parse_fleet(FLEET).unwrap(), SEED, EPOCH);
-    let start = RecordedEvent::Start {
+    let start = RecordedEvent::PlannerStarted {
         build: "test".into(),
         planner: "p".into(),
         seed: SEED,
-        epoch: EPOCH,
+        epoch_ms: EPOCH,
         fleet: FLEET.into(),
     };
     session.recorded_events = Some(vec![(Duration::ZERO, start)]);
@@ -81,7 +81,7 @@
 
 fn take_entries(session: &mut ControlSession) -> Vec<Entry> {
     let recorded = std::mem::take(session.recorded_events.as_mut().unwrap());
-    recorded.into_iter().map(|(at, what)| Entry { at: at.as_micros() as u64, what }).collect()
+    recorded.into_iter().map(|(at, event)| Entry { at_us: at.as_micros() as u64, event }).collect()
 }
 
 /// A proxy's report in the log of a minute: the late server answers all requests, but not in time.
@@ -90,19 +90,19 @@
         let is_late = number == LATE_SERVER && step > LATE_FROM_STEP;
         ServerOutcomes {
             server: format!("s{number}"),
-            tries: 4,
-            failed: 0,
-            took: Duration::from_millis(if is_late { 90 } else { 40 }),
-            in_time: if is_late { 0 } else { 4 },
+            attempts: 4,
+            failures: 0,
+            mean_latency: Duration::from_millis(if is_late { 90 } else { 40 }),
+            within_objective: if is_late { 0 } else { 4 },
             load: vec![],
             classes: vec![],
         }
     };
     let server_count = if step < DRAIN_STEP { SERVER_COUNT } else { SERVER_COUNT - 1 };
     Report {
-        span: Duration::from_secs(1),
-        met: (0..server_count).map(outcomes).collect(),
-        came: vec![ClassArrivals { class: "q".into(), queries: 24, unanswered: 0 }],
+        window: Duration::from_secs(1),
+        outcomes: (0..server_count).map(outcomes).collect(),
+        arrivals: vec![ClassArrivals { class: "q".into(), requests: 24, unanswered: 0 }],
     }
 }
 
--- a/crates/replay/src/tests/scenario_inference.rs
+++ b/crates/replay/src/tests/scenario_inference.rs
@@ -11,8 +11,8 @@
     // Given
     let first_start = log_of_a_minute();
     let mut second_start = log_of_a_minute();
-    if let RecordedEvent::Start { epoch, .. } = &mut second_start[0].what {
-        *epoch -= 500_000;
+    if let RecordedEvent::PlannerStarted { epoch_ms, .. } = &mut second_start[0].event {
+        *epoch_ms -= 500_000;
     }
 
     // When
--- a/crates/replay/src/what_if/mod.rs
+++ b/crates/replay/src/what_if/mod.rs
@@ -92,14 +92,14 @@
         let mut in_flight: BTreeMap<(String, u64), u64> = BTreeMap::new();
         let mut delays: BTreeMap<String, Vec<u64>> = BTreeMap::new();
         for entry in entries {
-            match &entry.what {
-                RecordedEvent::Turn { sent, .. } => {
+            match &entry.event {
+                RecordedEvent::Step { sent, .. } => {
                     let keys = sent.iter().map(|update| (update.proxy.clone(), update.number));
-                    in_flight.extend(keys.map(|key| (key, entry.at)));
+                    in_flight.extend(keys.map(|key| (key, entry.at_us)));
                 }
-                RecordedEvent::Applied { proxy, number } => {
+                RecordedEvent::UpdateAcknowledged { proxy, number } => {
                     if let Some(sent_at) = in_flight.remove(&(proxy.clone(), *number)) {
-                        delays.entry(proxy.clone()).or_default().push(entry.at.saturating_sub(sent_at));
+                        delays.entry(proxy.clone()).or_default().push(entry.at_us.saturating_sub(sent_at));
                     }
                 }
                 _ => {}
@@ -134,8 +134,8 @@
     fn new(entries: &[Entry], settings: &WhatIfSettings) -> Result<Side, ReplayError> {
         let mut session = start_session(entries, settings.fleet.as_ref(), settings.seed)?;
         session.is_guarded = !settings.is_unguarded;
-        let epoch = match entries.first().map(|entry| &entry.what) {
-            Some(RecordedEvent::Start { epoch, .. }) => *epoch,
+        let epoch = match entries.first().map(|entry| &entry.event) {
+            Some(RecordedEvent::PlannerStarted { epoch_ms, .. }) => *epoch_ms,
             _ => 0,
         };
         let tracker = RuleTracker::new(session.fleet().clone(), epoch);
@@ -152,13 +152,13 @@
 
     fn step(&mut self, now: Duration, ack_delays: &AckDelays) {
         self.session.step(now);
-        let Some(RecordedEvent::Turn { texts, sent, refused, .. }) = take_step(&mut self.session) else {
+        let Some(RecordedEvent::Step { texts, sent, rejections, .. }) = take_step(&mut self.session) else {
             return;
         };
-        self.rejected += refused.len() as u64;
+        self.rejected += rejections.len() as u64;
         for update in sent {
-            let SentUpdate { proxy, number, text, lines } = update;
-            self.tracker.record_sent(now, &proxy, number, &texts[text as usize], lines);
+            let SentUpdate { proxy, number, text_index, entries } = update;
+            self.tracker.record_sent(now, &proxy, number, &texts[text_index as usize], entries);
             self.pending_acks.insert((now + ack_delays.of(&proxy), proxy), number);
         }
     }
@@ -188,10 +188,12 @@
     fn replay_entry(&mut self, entry: &Entry, ack_delays: &AckDelays) -> Result<(), ReplayError> {
         let now = time_of(entry);
         self.advance(now, ack_delays);
-        match &entry.what {
+        match &entry.event {
             // Steps and acknowledgements are the side's own.
-            RecordedEvent::Turn { .. } | RecordedEvent::Applied { .. } | RecordedEvent::Lost { .. } => {}
-            RecordedEvent::Refit { fleet, seed } => {
+            RecordedEvent::Step { .. }
+            | RecordedEvent::UpdateAcknowledged { .. }
+            | RecordedEvent::EntriesLost { .. } => {}
+            RecordedEvent::Reconfigured { fleet, seed } => {
                 self.recorded_fleet = parse_fleet(fleet)?;
                 if self.fixed_fleet.is_none() {
                     self.session.reconfigure(self.recorded_fleet.clone(), *seed);
@@ -199,7 +201,8 @@
             }
             event => self.replay_event(entry, event),
         }
-        if matches!(entry.what, RecordedEvent::Joined { .. } | RecordedEvent::Listed { .. }) {
+        if matches!(entry.event, RecordedEvent::ProxyConnected { .. } | RecordedEvent::EndpointsListed { .. })
+        {
             self.step(now, ack_delays);
         }
         self.tracker.check_tables(now);
@@ -207,12 +210,12 @@
     }
 
     fn replay_event(&mut self, entry: &Entry, event: &RecordedEvent) {
-        if let RecordedEvent::Left { proxy } = event {
+        if let RecordedEvent::ProxyDisconnected { proxy } = event {
             self.pending_acks.retain(|(_, pending), _| pending != proxy);
         }
-        let changed = self.change_list(event).map(|what| Entry { at: entry.at, what });
+        let changed = self.change_list(event).map(|event| Entry { at_us: entry.at_us, event });
         let entry = changed.as_ref().unwrap_or(entry);
-        replay_event(&mut self.session, time_of(entry), &entry.what);
+        replay_event(&mut self.session, time_of(entry), &entry.event);
         self.tracker.handle_event(entry);
     }
 
@@ -220,10 +223,10 @@
     /// fleet's shares, weights and drains already.
     fn change_list(&self, event: &RecordedEvent) -> Option<RecordedEvent> {
         let fixed_fleet = self.fixed_fleet.as_ref()?;
-        let RecordedEvent::Listed { whole, servers, gone } = event else { return None };
+        let RecordedEvent::EndpointsListed { is_complete, servers, removed } = event else { return None };
         let mut servers = servers.clone();
         servers.iter_mut().for_each(|server| self.change_server(fixed_fleet, server));
-        Some(RecordedEvent::Listed { whole: *whole, servers, gone: gone.clone() })
+        Some(RecordedEvent::EndpointsListed { is_complete: *is_complete, servers, removed: removed.clone() })
     }
 
     fn change_server(&self, fixed_fleet: &Fleet, server: &mut RecordedServer) {
@@ -237,8 +240,8 @@
         let weight = fixed.and_then(|entry| entry.weight).unwrap_or(feed_weight);
         server.weight = weight * fixed_fleet.share_of(&server.zone);
         let is_drained_by_operator = recorded.is_some_and(|entry| entry.drain);
-        let is_drained_by_feed = server.draining && !is_drained_by_operator;
-        server.draining = is_drained_by_feed || fixed.is_some_and(|entry| entry.drain);
+        let is_drained_by_feed = server.is_draining && !is_drained_by_operator;
+        server.is_draining = is_drained_by_feed || fixed.is_some_and(|entry| entry.drain);
     }
 
     fn summary(&self) -> SideSummary {
@@ -271,8 +274,8 @@
         recorded.replay_entry(entry, &ack_delays)?;
         changed.replay_entry(entry, &ack_delays)?;
         seconds = seconds_of(entry);
-        entries_timeline.record(entry.at, recorded.tracker.entries, changed.tracker.entries);
-        rejected_timeline.record(entry.at, recorded.rejected, changed.rejected);
+        entries_timeline.record(entry.at_us, recorded.tracker.entries, changed.tracker.entries);
+        rejected_timeline.record(entry.at_us, recorded.rejected, changed.rejected);
         outcomes.handle_entry(entry, &recorded, &changed);
     }
     let estimate = outcomes.into_estimate();
--- a/crates/replay/src/what_if/outcome_feed.rs
+++ b/crates/replay/src/what_if/outcome_feed.rs
@@ -31,7 +31,7 @@
 
 impl OutcomeFeed {
     pub fn new(entries: &[Entry], fleet: &Fleet) -> OutcomeFeed {
-        let has_classes = entries.iter().any(|e| matches!(e.what, RecordedEvent::Outcomes { .. }));
+        let has_classes = entries.iter().any(|e| matches!(e.event, RecordedEvent::ClassOutcomes { .. }));
         let classes: Vec<(String, f64)> =
             fleet.classes.iter().map(|class| (class.name.clone(), class.payoff)).collect();
         let names = has_classes.then(|| classes.iter().map(|(name, _)| name.clone()).collect());
@@ -50,19 +50,21 @@
 
     /// Handles an entry that both sides have replayed.
     pub fn handle_entry(&mut self, entry: &Entry, recorded: &Side, changed: &Side) {
-        match &entry.what {
-            RecordedEvent::Outcomes { met, .. } => self.class_outcomes = met.clone(),
-            RecordedEvent::Report { proxy, span, met, came } => match self.classes.clone() {
-                Some(classes) => {
-                    let outcomes = std::mem::take(&mut self.class_outcomes);
-                    let seconds = *span as f64 / MICROSECONDS_PER_SECOND;
-                    for (class, name) in classes.iter().enumerate() {
-                        let report = ClassReport { entry, proxy, class, name, seconds };
-                        self.add_class(&report, &outcomes, came, recorded, changed);
+        match &entry.event {
+            RecordedEvent::ClassOutcomes { outcomes, .. } => self.class_outcomes = outcomes.clone(),
+            RecordedEvent::Report { proxy, window_us, outcomes: reported, arrivals } => {
+                match self.classes.clone() {
+                    Some(classes) => {
+                        let outcomes = std::mem::take(&mut self.class_outcomes);
+                        let seconds = *window_us as f64 / MICROSECONDS_PER_SECOND;
+                        for (class, name) in classes.iter().enumerate() {
+                            let report = ClassReport { entry, proxy, class, name, seconds };
+                            self.add_class(&report, &outcomes, arrivals, recorded, changed);
+                        }
                     }
+                    None => self.add_combined(entry, proxy, reported, arrivals, recorded, changed),
                 }
-                None => self.add_combined(entry, proxy, met, came, recorded, changed),
-            },
+            }
             _ => {}
         }
     }
@@ -76,7 +78,7 @@
         changed: &Side,
     ) {
         let of_class = arrivals.iter().filter(|arrivals| arrivals.class == report.name);
-        let arrived = of_class.map(|arrivals| arrivals.queries as f64).sum();
+        let arrived = of_class.map(|arrivals| arrivals.requests as f64).sum();
         let buckets = self.buckets.entry((report.proxy.to_string(), report.class)).or_default();
         let flow = Flow {
             arrived,
@@ -85,7 +87,7 @@
         };
         let of_class = outcomes.iter().filter(|outcome| outcome.class == report.name);
         let outcomes: BTreeMap<String, Outcomes> = of_class
-            .map(|o| (o.server.clone(), Outcomes { attempts: o.tries, in_time: o.in_time }))
+            .map(|o| (o.server.clone(), Outcomes { attempts: o.attempts, in_time: o.within_objective }))
             .collect();
         let requests = BTreeMap::from([(report.name, 1.0)]);
         let shares = |side: &Side| request_shares(side, report.proxy, &requests);
@@ -113,12 +115,12 @@
         changed: &Side,
     ) {
         let requests: BTreeMap<&str, f64> =
-            arrivals.iter().map(|arrivals| (arrivals.class.as_str(), arrivals.queries as f64)).collect();
+            arrivals.iter().map(|arrivals| (arrivals.class.as_str(), arrivals.requests as f64)).collect();
         let shares = |side: &Side| request_shares(side, proxy, &requests);
         let (Some(old), Some(new)) = (shares(recorded), shares(changed)) else { return };
         let outcomes: BTreeMap<String, Outcomes> = outcomes
             .iter()
-            .map(|o| (o.server.clone(), Outcomes { attempts: o.tries, in_time: o.in_time }))
+            .map(|o| (o.server.clone(), Outcomes { attempts: o.attempts, in_time: o.within_objective }))
             .collect();
         let attempts = outcomes.values().map(|outcomes| outcomes.attempts as f64).sum();
         self.estimate.add_report(&ReportedOutcomes {
@@ -145,7 +147,7 @@
 
 impl ClassReport<'_> {
     fn admission_rate(&self, side: &Side) -> Option<f64> {
-        side.tracker.tables(self.proxy)?.admission_limit(self.name)?.0
+        side.tracker.tables(self.proxy)?.admission_limit(self.name)?.rate
     }
 }
 
--- a/crates/testbed/src/benchmarks/estimate_accuracy.rs
+++ b/crates/testbed/src/benchmarks/estimate_accuracy.rs
@@ -3,7 +3,7 @@
 
 use super::BenchmarkResult;
 use crate::scenario::SHIPPED;
-use runloom_event_log::{folder, Entry, RecordedEvent};
+use runloom_event_log::{read_run, Entry, RecordedEvent};
 use runloom_replay::what_if::{compare, WhatIfSettings};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -88,7 +88,7 @@
         if !log.exists() {
             self.play()?;
         }
-        folder::day(&log, 0).map_err(|e| e.to_string())
+        read_run(&log, 0).map_err(|e| e.to_string())
     }
 
     fn play(&self) -> BenchmarkResult {
@@ -107,8 +107,8 @@
 
 /// The settings that an event log begins with.
 fn recorded_fleet(entries: &[Entry]) -> Result<String, String> {
-    match entries.first().map(|entry| &entry.what) {
-        Some(RecordedEvent::Start { fleet, .. }) => Ok(fleet.clone()),
+    match entries.first().map(|entry| &entry.event) {
+        Some(RecordedEvent::PlannerStarted { fleet, .. }) => Ok(fleet.clone()),
         _ => Err("the event log has no start".into()),
     }
 }
--- a/crates/testbed/src/benchmarks/persistence.rs
+++ b/crates/testbed/src/benchmarks/persistence.rs
@@ -10,9 +10,7 @@
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
-use runloom_store::accepted::{pieces, AcceptedEdit, AcceptedState, StatePatch};
-use runloom_store::disk::Folder;
-use runloom_store::Store;
+use runloom_store::{list_chunks, AcceptedEdit, AcceptedState, EntrySource, Folder, StatePatch, Store};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -52,9 +50,9 @@
 fn accepted_edit(number: usize) -> AcceptedEdit {
     AcceptedEdit {
         id: format!("e{number}"),
-        who: "staff".into(),
+        author: "staff".into(),
         digest: "d".repeat(64),
-        accepted: number as u64,
+        accepted_ms: number as u64,
     }
 }
 
@@ -65,26 +63,26 @@
 fn accepted_state() -> AcceptedState {
     AcceptedState {
         entries: (0..FLEET_ENTRIES).map(fleet_entry).collect(),
-        before: None,
-        noted: (0..HISTORY_EDITS).map(accepted_edit).collect(),
+        rollback_entries: None,
+        edits: (0..HISTORY_EDITS).map(accepted_edit).collect(),
     }
 }
 
 /// The stored form of an edit that replaces one entry and leaves the others.
 fn state_patch(number: usize) -> Vec<u8> {
-    let piece = |entry: usize| match entry == number % FLEET_ENTRIES {
-        true => Err(fleet_entry(entry)),
-        false => Ok(entry as u32),
+    let source = |entry: usize| match entry == number % FLEET_ENTRIES {
+        true => EntrySource::New(fleet_entry(entry)),
+        false => EntrySource::Existing(entry as u32),
     };
-    let pieces = pieces((0..FLEET_ENTRIES).map(piece));
-    StatePatch { pieces: Some(pieces), noted: vec![accepted_edit(number)], before: None }.write()
+    let chunks = Some(list_chunks((0..FLEET_ENTRIES).map(source)));
+    StatePatch { chunks, edits: vec![accepted_edit(number)], rollback_entries: None }.encode()
 }
 
 fn measure_snapshot(store: &mut Store<Folder>, state: &AcceptedState) -> BenchmarkResult {
     let start = Instant::now();
-    store.snapshot(&state.write()).map_err(|e| e.to_string())?;
+    store.snapshot(&state.encode()).map_err(|e| e.to_string())?;
     print_figure("snapshot_544_words_1024_edits", milliseconds(start.elapsed()), "ms");
-    let kib = state.write().len() as f64 / 1024.0;
+    let kib = state.encode().len() as f64 / 1024.0;
     print_figure("snapshot_544_words_1024_edits_size", kib, "KiB");
     Ok(())
 }
@@ -112,9 +110,9 @@
 
 /// Appends as many edits as a planner does before it writes a snapshot.
 fn fill_store(store: &mut Store<Folder>, state: &AcceptedState) -> BenchmarkResult {
-    store.snapshot(&state.write()).map_err(|e| e.to_string())?;
+    store.snapshot(&state.encode()).map_err(|e| e.to_string())?;
     let mut number = 0;
-    while !store.wants_snapshot() {
+    while !store.needs_snapshot() {
         store.append(&[state_patch(number)]).map_err(|e| e.to_string())?;
         number += 1;
     }
--- a/crates/testbed/src/benchmarks/recording.rs
+++ b/crates/testbed/src/benchmarks/recording.rs
@@ -6,7 +6,7 @@
 use runloom_control_session::ControlSession;
 use runloom_event_log::{RecordedEvent, Recorder, RecorderConfig};
 use runloom_model::fleet::Fleet;
-use runloom_model::order::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -70,17 +70,22 @@
 fn report(proxy: u64, round: u64) -> Report {
     let outcomes = |number: u64| ServerOutcomes {
         server: format!("s{}", (proxy * 7 + round * SERVERS_PER_REPORT + number) % SERVER_COUNT),
-        tries: 1,
-        failed: 0,
-        took: Duration::from_millis(40),
-        in_time: 1,
+        attempts: 1,
+        failures: 0,
+        mean_latency: Duration::from_millis(40),
+        within_objective: 1,
         load: vec![1.0],
-        classes: vec![ClassOutcomes { class: "q".into(), tries: 1, in_time: 1, took: [(16, 1)].into() }],
+        classes: vec![ClassOutcomes {
+            class: "q".into(),
+            attempts: 1,
+            within_objective: 1,
+            latencies: [(16, 1)].into(),
+        }],
     };
     Report {
-        span: REPORT_INTERVAL,
-        met: (0..SERVERS_PER_REPORT).map(outcomes).collect(),
-        came: vec![ClassArrivals { class: "q".into(), queries: SERVERS_PER_REPORT, unanswered: 0 }],
+        window: REPORT_INTERVAL,
+        outcomes: (0..SERVERS_PER_REPORT).map(outcomes).collect(),
+        arrivals: vec![ClassArrivals { class: "q".into(), requests: SERVERS_PER_REPORT, unanswered: 0 }],
     }
 }
 
@@ -90,18 +95,22 @@
 /// # Errors
 /// Returns the cause if the log cannot be opened.
 pub fn write_until_killed(folder: &Path) -> BenchmarkResult {
-    let config =
-        RecorderConfig { segment: 20_000, sync: Duration::from_millis(5), ..RecorderConfig::default() };
+    let config = RecorderConfig {
+        max_segment_bytes: 20_000,
+        sync_interval: Duration::from_millis(5),
+        ..RecorderConfig::default()
+    };
     let mut recorder = Recorder::open(folder, config).map_err(|e| e.to_string())?;
     let (build, planner, fleet) = (String::new(), String::new(), String::new());
-    recorder.push(Duration::ZERO, RecordedEvent::Start { build, planner, seed: 0, epoch: 0, fleet });
+    recorder
+        .push(Duration::ZERO, RecordedEvent::PlannerStarted { build, planner, seed: 0, epoch_ms: 0, fleet });
     let start = Instant::now();
     let mut count = 0;
     while start.elapsed() < MAX_WRITING_TIME {
         for _ in 0..EVENTS_PER_WRITE {
             count += 1;
             let proxy = "f".repeat(count as usize % 90);
-            recorder.push(Duration::from_micros(count), RecordedEvent::Left { proxy });
+            recorder.push(Duration::from_micros(count), RecordedEvent::ProxyDisconnected { proxy });
         }
         recorder.write(start.elapsed());
     }
--- a/crates/testbed/src/benchmarks/restart.rs
+++ b/crates/testbed/src/benchmarks/restart.rs
@@ -7,9 +7,7 @@
 use crate::testbed::{ScenarioOutcome, Testbed};
 use runloom_daemon::persistence::LEARNED;
 use runloom_netconf::tree::Element;
-use runloom_store::disk::Folder;
-use runloom_store::learned::{LearnedServer, LearnedServers};
-use runloom_store::Store;
+use runloom_store::{Folder, LearnedServer, LearnedServers, Store};
 use statrs::statistics::Statistics;
 use std::path::Path;
 
@@ -42,9 +40,9 @@
 fn change_hints(state: &Path, change: impl FnOnce(Option<LearnedServers>) -> Option<LearnedServers>) {
     let Ok(folder) = Folder::open(state) else { return };
     let Ok((mut store, opened)) = Store::open(folder, LEARNED) else { return };
-    let hints = opened.state.and_then(|bytes| LearnedServers::read(&bytes).ok());
+    let hints = opened.state.and_then(|bytes| LearnedServers::decode(&bytes).ok());
     if let Some(hints) = change(hints) {
-        let _ = store.snapshot(&hints.write());
+        let _ = store.snapshot(&hints.encode());
     }
 }
 
@@ -55,9 +53,9 @@
 fn age_hints(state: &Path) {
     change_hints(state, |hints| {
         let mut hints = hints?;
-        hints.written -= OUTDATED_AGE_MS;
+        hints.written_ms -= OUTDATED_AGE_MS;
         for server in &mut hints.servers {
-            server.failed = server.failed.map(|at| at - OUTDATED_AGE_MS);
+            server.last_ejected_ms = server.last_ejected_ms.map(|at| at - OUTDATED_AGE_MS);
         }
         Some(hints)
     });
@@ -77,24 +75,26 @@
             hints.servers.iter().any(|server| server.name == name && is_faulty(server))
         };
         let healthy = roster.named("server").filter(|listed| !is_suspected(listed));
-        let servers =
-            healthy.take(WRONGLY_SUSPECTED_SERVERS).map(|listed| wrong_hint(listed, hints.written)).collect();
-        Some(LearnedServers { written: hints.written, servers })
+        let servers = healthy
+            .take(WRONGLY_SUSPECTED_SERVERS)
+            .map(|listed| wrong_hint(listed, hints.written_ms))
+            .collect();
+        Some(LearnedServers { written_ms: hints.written_ms, servers })
     });
 }
 
 fn is_faulty(server: &LearnedServer) -> bool {
-    server.failed.is_some() || server.swift < SLOW_SPEED_FACTOR
+    server.last_ejected_ms.is_some() || server.speed_factor < SLOW_SPEED_FACTOR
 }
 
-fn wrong_hint(listed: &Element, written: u64) -> LearnedServer {
+fn wrong_hint(listed: &Element, written_ms: u64) -> LearnedServer {
     LearnedServer {
         name: listed.text_of("name").unwrap_or_default().to_string(),
         address: listed.text_of("address").unwrap_or_default().to_string(),
-        started: listed.text_of("started").and_then(|text| text.parse().ok()),
-        swift: WRONG_SPEED_FACTOR,
-        failed: Some(written),
-        held: true,
+        started_ms: listed.text_of("started").and_then(|text| text.parse().ok()),
+        speed_factor: WRONG_SPEED_FACTOR,
+        last_ejected_ms: Some(written_ms),
+        is_long_ejected: true,
     }
 }
 
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -7,7 +7,8 @@
 use crate::scenario::{DeliveryMode, FaultKind, Scenario, ScheduledFault};
 use crate::testbed::Testbed;
 use runloom_distribution::{Distributor, Outgoing, PendingProxy, Transport};
-use runloom_model::order::{ClassArrivals, ClassOutcomes, Message, Report, ServerOutcomes, TableEdit};
+use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
+use runloom_model::table_update::{EntryEdit, TableEdit, UpdateMessage};
 use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
 use runloom_mqtt::session::{Session, SessionEvent};
 use runloom_mqtt::{body, report, ProxyInfo};
@@ -91,21 +92,21 @@
 }
 
 fn snapshot_edit() -> TableEdit {
-    let lines = (0..SERVER_COUNT).map(|entry| table_entry(entry, 0)).collect();
-    TableEdit { whole: true, lines, ..TableEdit::default() }
+    let entries = (0..SERVER_COUNT).map(|entry| table_entry(entry, 0)).collect();
+    TableEdit { replaces_table: true, entries, ..TableEdit::default() }
 }
 
 fn delta_edit(step: usize) -> TableEdit {
-    let lines = (0..CHANGED_ENTRIES).map(|entry| table_entry(entry, step)).collect();
-    TableEdit { whole: false, lines, ..TableEdit::default() }
+    let entries = (0..CHANGED_ENTRIES).map(|entry| table_entry(entry, step)).collect();
+    TableEdit { replaces_table: false, entries, ..TableEdit::default() }
 }
 
 /// A server with its address and weight at a step.
-fn table_entry(entry: usize, step: usize) -> (String, (String, f64)) {
+fn table_entry(entry: usize, step: usize) -> (String, EntryEdit) {
     let server = (entry + step * CHANGED_ENTRIES) % SERVER_COUNT;
     let weight = 1.0 + 0.001 * (step % 100) as f64 + 0.0001 * entry as f64;
     let address = format!("10.0.{}.{}:8080", server / 250, server % 250);
-    (format!("server-{server}"), (address, weight))
+    (format!("server-{server}"), EntryEdit { address, weight })
 }
 
 /// Resident memory of this process in bytes.
@@ -215,7 +216,7 @@
     }
 
     fn send(&mut self, step: usize) -> StepMessages {
-        let message = if step == 0 { assign_table() } else { Message::default() };
+        let message = if step == 0 { assign_table() } else { UpdateMessage::default() };
         if step > 0 {
             self.distributor.update_table(1, &delta_edit(step));
         }
@@ -283,8 +284,12 @@
 }
 
 /// The message that assigns the table to a proxy.
-fn assign_table() -> Message {
-    Message { whole: true, binds: [("q".to_string(), 1)].into(), ..Message::default() }
+fn assign_table() -> UpdateMessage {
+    UpdateMessage {
+        replaces_all: true,
+        assignments: [("q".to_string(), 1)].into(),
+        ..UpdateMessage::default()
+    }
 }
 
 /// Reports that one core parses in a second.
@@ -304,24 +309,24 @@
     let classes = ["search", "loan-checkout"];
     let class_outcomes = |class: &str| ClassOutcomes {
         class: class.into(),
-        tries: 3,
-        in_time: 3,
-        took: [(15, 2), (16, 1)].into(),
+        attempts: 3,
+        within_objective: 3,
+        latencies: [(15, 2), (16, 1)].into(),
     };
     let server_outcomes = |server: usize| ServerOutcomes {
         server: format!("server-{server}"),
-        tries: 6,
-        failed: 0,
-        took: Duration::from_millis(40),
-        in_time: 6,
+        attempts: 6,
+        failures: 0,
+        mean_latency: Duration::from_millis(40),
+        within_objective: 6,
         load: vec![2.0],
         classes: classes.map(class_outcomes).to_vec(),
     };
-    let arrivals = |class: &str| ClassArrivals { class: class.into(), queries: 15, unanswered: 0 };
+    let arrivals = |class: &str| ClassArrivals { class: class.into(), requests: 15, unanswered: 0 };
     Report {
-        span: Duration::from_millis(500),
-        met: (0..5).map(server_outcomes).collect(),
-        came: classes.map(arrivals).to_vec(),
+        window: Duration::from_millis(500),
+        outcomes: (0..5).map(server_outcomes).collect(),
+        arrivals: classes.map(arrivals).to_vec(),
     }
 }
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -233,7 +233,7 @@
 }
 
 fn print_replay_digest(folder: &Path, back: usize) -> Result<bool, String> {
-    let entries = runloom_event_log::folder::day(folder, back).map_err(|e| e.to_string())?;
+    let entries = runloom_event_log::read_run(folder, back).map_err(|e| e.to_string())?;
     let replay = runloom_replay::exact::replay(&entries, runloom_daemon::planner_runtime::BUILD);
     println!("{}", replay.map_err(|e| e.to_string())?.digest);
     Ok(true)
--- a/crates/testbed/tests/durability.rs
+++ b/crates/testbed/tests/durability.rs
@@ -7,7 +7,7 @@
 use runloom_daemon::client::{edit_config, Client};
 use runloom_daemon::commands::state;
 use runloom_netconf::tree::Element;
-use runloom_store::disk::Lock;
+use runloom_store::FolderLock;
 use std::collections::BTreeSet;
 use std::process::Command;
 use std::thread::JoinHandle;
@@ -89,7 +89,7 @@
         assert_acknowledged_are_stored(&stored.ids, &acknowledged, round);
         let folder = planner.folder.0.join("state");
         assert!(state::verify(&folder).unwrap(), "round {round}");
-        assert!(Lock::take(&folder).is_err(), "the planner has the folder");
+        assert!(FolderLock::acquire(&folder).is_err(), "the planner has the folder");
     }
     assert!(acknowledged.len() as u64 > kill_count() / 2, "{} edits in all", acknowledged.len());
 }
--- a/crates/testbed/tests/event_log.rs
+++ b/crates/testbed/tests/event_log.rs
@@ -2,8 +2,8 @@
 
 mod help;
 
-use help::{program, Folder as TemporaryFolder};
-use runloom_event_log::{folder, RecordedEvent};
+use help::{program, Folder};
+use runloom_event_log::{list_segments, read_segment, RecordedEvent};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const KILL_COUNT: u64 = 200;
 
 fn newest_segment(log: &Path) -> Option<u64> {
-    folder::segments(log).ok()?.last().map(|segment| segment.number)
+    list_segments(log).ok()?.last().map(|segment| segment.number)
 }
 
 /// Starts a writer and kills it once it wrote some segments and a part of another one.
@@ -33,7 +33,7 @@
 #[test]
 fn an_event_log_whose_writer_is_killed_two_hundred_times_reads_back_without_gaps() {
     // Given
-    let folder = TemporaryFolder::new("log-kills");
+    let folder = Folder::new("log-kills");
     let log = folder.0.join("record");
 
     // When
@@ -41,16 +41,16 @@
 
     // Then
     let (mut starts, mut next, mut total) = (0, 0, 0u64);
-    for segment in folder::segments(&log).unwrap() {
-        let (entries, _) = folder::read(&segment).unwrap();
+    for segment in list_segments(&log).unwrap() {
+        let entries = read_segment(&segment).unwrap().entries;
         for entry in entries {
             total += 1;
-            if matches!(entry.what, RecordedEvent::Start { .. }) {
+            if matches!(entry.event, RecordedEvent::PlannerStarted { .. }) {
                 starts += 1;
                 next = 1;
             } else {
                 // The writer numbers a start's entries by their time.
-                assert_eq!(entry.at, next, "{segment:?}");
+                assert_eq!(entry.at_us, next, "{segment:?}");
                 next += 1;
             }
         }
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -153,7 +153,7 @@
     let mut starts = 0;
     for planner in 0..2 {
         let log = folder.0.join(format!("record-{planner}"));
-        let days = runloom_event_log::folder::days(&log).unwrap();
+        let days = runloom_event_log::read_runs(&log).unwrap();
         for (number, entries) in days.iter().enumerate() {
             assert_replays_to_the_same_commands(&log, entries, days.len() - 1 - number);
         }
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -8,7 +8,7 @@
 use runloom_daemon::client::edit_config;
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
-use runloom_model::order::{ClassArrivals, Report, ServerOutcomes};
+use runloom_model::report::{ClassArrivals, Report, ServerOutcomes};
 use runloom_model::FLEET;
 use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
 use runloom_mqtt::{report, ConnectionEnd, ProxyInfo};
@@ -140,9 +140,9 @@
 
     /// Reports attempts at a server.
     fn report_attempts(&mut self, server: &str) {
-        let outcomes = ServerOutcomes { server: server.into(), tries: 3, ..ServerOutcomes::default() };
-        let arrivals = ClassArrivals { class: "q".into(), queries: 3, unanswered: 0 };
-        let report = Report { span: REPORT_INTERVAL, met: vec![outcomes], came: vec![arrivals] };
+        let outcomes = ServerOutcomes { server: server.into(), attempts: 3, ..ServerOutcomes::default() };
+        let arrivals = ClassArrivals { class: "q".into(), requests: 3, unanswered: 0 };
+        let report = Report { window: REPORT_INTERVAL, outcomes: vec![outcomes], arrivals: vec![arrivals] };
         self.client.send_report(self.event_loop.now(), report::encode(&report));
     }
 
