--- a/crates/daemon/src/commands/connection.rs
+++ b/crates/daemon/src/commands/connection.rs
@@ -1,11 +1,11 @@
 //! The connection of an operator's command to a planner.
 
-use super::CommandError;
+use super::error::CommandError;
 use crate::client::Client;
 use crate::tls_credentials::TlsPolicy;
 use runloom_identity::access::{AccessRule, Permission, Principal};
 use runloom_identity::id::SpiffeId;
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -5,9 +5,12 @@
 mod access_control;
 mod data;
 mod endpoint_list;
+mod error;
 mod guard_check;
 mod validation;
 
+pub use error::ConfigError;
+
 use crate::tls_credentials::CertificateHolder;
 use access_control::AccessControl;
 use data::{fleet_entries, fleet_entry_texts, is_same_part, part, ENDPOINT_LIST_PART, FLEET_PART};
@@ -16,8 +19,9 @@
 use runloom_identity::denial_log::DenialEntry;
 use runloom_identity::id::SpiffeId;
 use runloom_inventory::edit_history::{self, EditHistory};
-use runloom_model::fleet::{misfit, Fleet, ListedServer};
-use runloom_model::schema::derive;
+use runloom_model::fleet::Fleet;
+use runloom_model::listed_server::ListedServer;
+use runloom_model::schema_derivation::derive_schema;
 use runloom_model::{Schema, FLEET, FLEET_XSD, YANG};
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
@@ -28,34 +32,9 @@
 use std::time::Duration;
 use validation::{invalid_value, SchemaCheck};
 
-/// Why a configuration cannot be started from.
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    /// The program's own schema cannot be read.
-    #[error("the schema cannot be used: {0}")]
-    Schema(String),
-    /// The data has no fleet.
-    #[error("there is no <fleet>")]
-    MissingFleet,
-    /// The fleet violates the schema.
-    #[error("{0}")]
-    SchemaViolation(String),
-    /// A value does not fit the rest of the configuration.
-    #[error("{path}: {reason}")]
-    InvalidValue {
-        /// The element.
-        path: String,
-        /// What is wrong with its value.
-        reason: String,
-    },
-    /// The endpoint list is not valid.
-    #[error("the endpoint list is not valid: {0}")]
-    EndpointList(String),
-}
-
 /// The schema of what can be edited: `<fleet>` and `<roster>`.
 pub fn schema() -> Result<Schema, ConfigError> {
-    derive(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
+    derive_schema(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
 }
 
 /// The configuration at one time.
@@ -161,7 +140,8 @@
         let list = self.endpoints.difference(&self.accepted.data, &self.schema);
         let list = list.map_err(|errors| ConfigError::EndpointList(first_message(errors)))?;
         let mut entries = list.changed.iter();
-        let invalid = entries.find_map(|entry| misfit(&self.accepted.fleet, &entry.name, &entry.server));
+        let invalid =
+            entries.find_map(|entry| entry.server.check_zone(&entry.name, &self.accepted.fleet).err());
         if let Some(invalid) = invalid {
             return Err(ConfigError::InvalidValue { path: invalid.path, reason: invalid.reason });
         }
@@ -351,7 +331,7 @@
         let changed = endpoints.changed.iter().map(|entry| (&entry.name, &entry.server));
         let kept = self.endpoints.servers.iter();
         let kept = kept.filter(|(name, _)| changed_fleet.is_some() && endpoints.keeps(name));
-        match changed.chain(kept).find_map(|(name, server)| misfit(fleet, name, server)) {
+        match changed.chain(kept).find_map(|(name, server)| server.check_zone(name, fleet).err()) {
             Some(invalid) => Err(invalid_value(invalid)),
             None => Ok(()),
         }
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -22,6 +22,7 @@
 mod subscriber;
 mod test_hooks;
 
+pub use event_recording::BUILD;
 pub use listeners::ListenAddresses;
 pub use test_hooks::{CrashPoint, TestHooks};
 
@@ -45,7 +46,7 @@
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop, IoEvent};
 use runloom_identity::access::RequestedAccess;
 use runloom_inventory::edit_history::Edit;
-use runloom_model::fleet::PlannerSettings;
+use runloom_model::planner_settings::PlannerSettings;
 use runloom_model::STATE;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeSet;
@@ -57,9 +58,6 @@
 /// Time for connections to close in order when the planner stops.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The build, as event logs name it: another build may decide otherwise.
-pub const BUILD: &str = concat!("runloom ", env!("CARGO_PKG_VERSION"));
-
 /// A running planner.
 pub struct PlannerRuntime {
     core: PlannerCore,
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -3,21 +3,23 @@
 //! `planner.runloom`, `proxy.runloom`, or no role for operators, tools and feeds. Files that change are read again
 //! while the process runs, all of them or none.
 
+mod error;
 mod files;
 mod verifier;
 
+pub use error::{HolderError, TlsError};
+
 use files::{file_stamps, read_credentials, FileStamp};
 use runloom_identity::access::{check_access, AccessRule, RequestedAccess};
 use runloom_identity::bundle::TrustStore;
 use runloom_identity::id::SpiffeId;
 use runloom_identity::svid::{self, Svid};
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use rustls::client::Resumption;
 use rustls::crypto::ring;
 use rustls::pki_types::{CertificateDer, ServerName, UnixTime};
 use rustls::server::NoServerSessionStorage;
 use rustls::{ClientConfig, ServerConfig};
-use std::path::PathBuf;
 use std::sync::Arc;
 use verifier::LiveCredentials;
 use x509_parser::extensions::GeneralName;
@@ -27,33 +29,6 @@
 /// DNS name of the role of proxies.
 pub const PROXY: &str = "proxy.runloom";
 
-/// Why certificates, keys or trust bundles cannot be used.
-#[derive(Debug, thiserror::Error)]
-pub enum TlsError {
-    /// A file cannot be read, or does not hold what it should.
-    #[error("{path}: {reason}", path = path.display())]
-    File {
-        /// The file.
-        path: PathBuf,
-        /// What is wrong with it.
-        reason: String,
-    },
-    /// Certificate and key do not belong together, or do not suit TLS 1.3.
-    #[error("certificate and key do not fit TLS: {0}")]
-    Unusable(String),
-}
-
-/// Why a certificate has no holder.
-#[derive(Debug, thiserror::Error)]
-pub enum HolderError {
-    /// It has no DNS name of a holder.
-    #[error("it names nobody")]
-    NoName,
-    /// It is no X509-SVID.
-    #[error(transparent)]
-    Svid(#[from] svid::InvalidSvid),
-}
-
 /// Configurations for both ends of mutual TLS 1.3, with credentials that follow their files.
 #[derive(Clone)]
 pub struct TlsPolicy {
@@ -112,7 +87,7 @@
     /// The holder of a certificate that TLS has verified.
     pub fn identify(&self, certificate: &[u8]) -> Result<CertificateHolder, HolderError> {
         let files = &self.credentials.files;
-        if files.by_identity() {
+        if files.uses_identities() {
             let svid = svid::parse(certificate)?;
             Ok(CertificateHolder::by_identity(svid, &files.rules))
         } else {
--- a/crates/replay/src/rule_tracker/cold_servers.rs
+++ b/crates/replay/src/rule_tracker/cold_servers.rs
@@ -23,9 +23,9 @@
     /// The share of its capacity (0 to 1) that a server has, by its start in milliseconds since 1970.
     fn capacity_share(&self, started: Option<u64>, now: Duration) -> f64 {
         let wall_ms = self.epoch + now.as_millis() as u64;
-        let warm_up_seconds = self.fleet.warm_after.as_secs_f64().max(MIN_WARM_UP_SECONDS);
+        let warm_up_seconds = self.fleet.warm_up.as_secs_f64().max(MIN_WARM_UP_SECONDS);
         let age = started.map_or(f64::MAX, |started| wall_ms.saturating_sub(started) as f64 / 1000.0);
-        (self.fleet.cold_from + (1.0 - self.fleet.cold_from) * age / warm_up_seconds).min(1.0)
+        (self.fleet.initial_capacity + (1.0 - self.fleet.initial_capacity) * age / warm_up_seconds).min(1.0)
     }
 
     pub(super) fn check_cold_servers(&mut self, now: Duration) {
@@ -43,7 +43,7 @@
         let previous = &self.cold_servers.overloaded_since;
         let mut overloaded_since = BTreeMap::new();
         for (server, capacity) in cold.into_iter().filter(|_| warm_capacity > 0.0) {
-            let limit = self.fleet.cold_multiple * capacity * warm_capacity * self.servers.weight(server);
+            let limit = self.fleet.overload_multiple * capacity * warm_capacity * self.servers.weight(server);
             if self.request_rate(server) > limit {
                 overloaded_since.insert(server.clone(), previous.get(server).copied().unwrap_or(now));
             }
--- a/crates/replay/src/rule_tracker/mod.rs
+++ b/crates/replay/src/rule_tracker/mod.rs
@@ -9,7 +9,7 @@
 use runloom_event_log::entry::{RecordedArrivals, RecordedOutcome, RecordedServer};
 use runloom_event_log::{Entry, RecordedEvent};
 use runloom_model::fleet::Fleet;
-use runloom_model::schema::derive;
+use runloom_model::schema_derivation::derive_schema;
 use runloom_model::{Schema, PROXY_XSD};
 use runloom_proxy::RouteTables;
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,7 +118,7 @@
     /// Starts with no proxies and servers. `epoch` is the planner's start in milliseconds since 1970.
     pub fn new(fleet: Fleet, epoch: u64) -> RuleTracker {
         RuleTracker {
-            schema: Schema::root(derive(PROXY_XSD, &["tables"]).unwrap_or_default()),
+            schema: Schema::root(derive_schema(PROXY_XSD, &["tables"]).unwrap_or_default()),
             fleet,
             epoch,
             proxies: BTreeMap::new(),
@@ -155,7 +155,7 @@
             }
             RecordedEvent::EndpointsListed { servers, removed, .. } => {
                 servers.iter().for_each(|server| self.servers.update(now, server));
-                for server in removed.iter().filter(|_| !self.fleet.only_drains_bind) {
+                for server in removed.iter().filter(|_| !self.fleet.only_draining_binds) {
                     self.servers.close(now, server);
                 }
             }
@@ -182,15 +182,15 @@
         let channel = &self.fleet.channel;
         let Some(state) = self.proxies.get_mut(proxy) else { return };
         state.in_flight.push_back(InFlightMessage { number, text: text.to_string(), entries });
-        let recent_messages = state.count_message(now, channel.messages_over);
-        if channel.messages > 0.0 && recent_messages as f64 > channel.messages {
+        let recent_messages = state.count_message(now, channel.message_window);
+        if channel.message_limit > 0.0 && recent_messages as f64 > channel.message_limit {
             self.violations.insert("rule 5: too many messages to one proxy".into());
         }
-        let overhead = channel.overhead as u64;
+        let overhead = channel.message_overhead as u64;
         let in_flight = self.proxies.values().flat_map(|state| &state.in_flight);
         let queued = in_flight.map(|message| u64::from(message.entries) + overhead).sum();
         self.max_queued_entries = self.max_queued_entries.max(queued);
-        if queued as f64 > channel.backlog {
+        if queued as f64 > channel.queue_limit {
             self.violations.insert("rule 5: more lines waited than may".into());
         }
     }
@@ -220,7 +220,7 @@
 
     fn has_warm_server(&self, now: Duration) -> bool {
         let wall_ms = self.epoch + now.as_millis() as u64;
-        let warm_after_ms = self.fleet.warm_after.as_millis() as u64;
+        let warm_after_ms = self.fleet.warm_up.as_millis() as u64;
         let is_warm = |started: &Option<u64>| {
             started.is_none_or(|started| wall_ms.saturating_sub(started) >= warm_after_ms)
         };
--- a/crates/replay/src/rule_tracker/proxy_state.rs
+++ b/crates/replay/src/rule_tracker/proxy_state.rs
@@ -108,7 +108,7 @@
             let entries = self.tables.entries(&class.name);
             let has_open_server = entries.iter().any(|entry| !servers.closed.contains_key(&entry.server));
             let is_empty = !has_open_server && has_warm_server;
-            if self.is_empty_too_long(&class.name, is_empty, now, fleet.grace.bare) {
+            if self.is_empty_too_long(&class.name, is_empty, now, fleet.grace.max_unserved) {
                 violations.push(format!("rule 1: {name} had no server for {}", class.name));
             }
             if let Some(entry) = self.find_late_drain(&entries, now, fleet.grace.drain, servers) {
--- a/crates/replay/src/scenario_inference/edits.rs
+++ b/crates/replay/src/scenario_inference/edits.rs
@@ -20,13 +20,13 @@
 }
 
 fn zone_share_changes(old: &Fleet, new: &Fleet) -> Vec<FleetChange> {
-    let changed = new.zones.iter().filter(|(zone, share)| old.share_of(zone) != *share);
-    changed.map(|(zone, share)| FleetChange::ZoneShare { zone: zone.clone(), share: *share }).collect()
+    let changed = new.zones.iter().filter(|zone| old.share_of(&zone.name) != zone.share);
+    changed.map(|zone| FleetChange::ZoneShare { zone: zone.name.clone(), share: zone.share }).collect()
 }
 
 fn drain_changes(old: &Fleet, new: &Fleet, names: &BTreeMap<String, String>) -> Vec<FleetChange> {
-    let drains = |fleet: &Fleet, name: &str| fleet.words.get(name).is_some_and(|entry| entry.drain);
-    let servers: BTreeSet<&String> = old.words.keys().chain(new.words.keys()).collect();
+    let drains = |fleet: &Fleet, name: &str| fleet.overrides.get(name).is_some_and(|entry| entry.is_draining);
+    let servers: BTreeSet<&String> = old.overrides.keys().chain(new.overrides.keys()).collect();
     let mut changes = vec![];
     for server in servers {
         let is_draining = drains(new, server);
--- a/crates/replay/src/scenario_inference/mod.rs
+++ b/crates/replay/src/scenario_inference/mod.rs
@@ -131,7 +131,7 @@
         server_count: observation.first_servers.len(),
         proxy_count: observation.proxies.len(),
         zone_count: zones.len().max(1),
-        request_rate: observation.calm_requests_per_second() * fleet.planners.max(1.0),
+        request_rate: observation.calm_requests_per_second() * fleet.planner_count.max(1.0),
         service_time_ms: usual_latency_us / MICROSECONDS_PER_MILLISECOND,
         cores: infer_cores(&observation, usual_latency_us),
         fleet,
--- a/crates/replay/src/scenario_inference/observation.rs
+++ b/crates/replay/src/scenario_inference/observation.rs
@@ -308,6 +308,6 @@
     /// Whether the settings in force at a time drain a server.
     pub fn is_drained_by_operator(&self, server: &str, at: f64) -> bool {
         let fleet = self.fleets.iter().rfind(|(from, _)| *from <= at + FLEET_TIME_TOLERANCE);
-        fleet.is_some_and(|(_, fleet)| fleet.words.get(server).is_some_and(|entry| entry.drain))
+        fleet.is_some_and(|(_, fleet)| fleet.overrides.get(server).is_some_and(|entry| entry.is_draining))
     }
 }
--- a/crates/replay/src/scenario_inference/xml.rs
+++ b/crates/replay/src/scenario_inference/xml.rs
@@ -23,17 +23,17 @@
             self.server_count,
             self.proxy_count,
             self.zone_count,
-            fleet.planners,
+            fleet.planner_count,
             self.request_rate,
             self.service_time_ms,
             self.cores,
-            fleet.warm_after.as_millis(),
+            fleet.warm_up.as_millis(),
             fleet.grace.drain.as_millis(),
-            fleet.grace.bare.as_millis(),
-            fleet.only_drains_bind,
-            fleet.pick,
-            fleet.levels,
-            fleet.channel.pace
+            fleet.grace.max_unserved.as_millis(),
+            fleet.only_draining_binds,
+            fleet.selection,
+            fleet.admission,
+            fleet.channel.entries_per_second
         )
     }
 }
--- a/crates/replay/src/what_if/mod.rs
+++ b/crates/replay/src/what_if/mod.rs
@@ -230,8 +230,8 @@
     }
 
     fn change_server(&self, fixed_fleet: &Fleet, server: &mut RecordedServer) {
-        let recorded = self.recorded_fleet.words.get(&server.name);
-        let fixed = fixed_fleet.words.get(&server.name);
+        let recorded = self.recorded_fleet.overrides.get(&server.name);
+        let fixed = fixed_fleet.overrides.get(&server.name);
         // Under an operator's weight the feed's is unknown; 1 is that of a list without weights.
         let feed_weight = match recorded.and_then(|entry| entry.weight) {
             Some(_) => 1.0,
@@ -239,9 +239,9 @@
         };
         let weight = fixed.and_then(|entry| entry.weight).unwrap_or(feed_weight);
         server.weight = weight * fixed_fleet.share_of(&server.zone);
-        let is_drained_by_operator = recorded.is_some_and(|entry| entry.drain);
+        let is_drained_by_operator = recorded.is_some_and(|entry| entry.is_draining);
         let is_drained_by_feed = server.is_draining && !is_drained_by_operator;
-        server.is_draining = is_drained_by_feed || fixed.is_some_and(|entry| entry.drain);
+        server.is_draining = is_drained_by_feed || fixed.is_some_and(|entry| entry.is_draining);
     }
 
     fn summary(&self) -> SideSummary {
--- a/crates/replay/src/what_if/outcome_feed.rs
+++ b/crates/replay/src/what_if/outcome_feed.rs
@@ -33,7 +33,7 @@
     pub fn new(entries: &[Entry], fleet: &Fleet) -> OutcomeFeed {
         let has_classes = entries.iter().any(|e| matches!(e.event, RecordedEvent::ClassOutcomes { .. }));
         let classes: Vec<(String, f64)> =
-            fleet.classes.iter().map(|class| (class.name.clone(), class.payoff)).collect();
+            fleet.classes.iter().map(|class| (class.name.clone(), class.priority_weight)).collect();
         let names = has_classes.then(|| classes.iter().map(|(name, _)| name.clone()).collect());
         let estimated = if has_classes { classes } else { vec![(COMBINED_CLASS.into(), 1.0)] };
         OutcomeFeed {
--- a/crates/testbed/src/benchmarks/persistence.rs
+++ b/crates/testbed/src/benchmarks/persistence.rs
@@ -123,7 +123,9 @@
     let start = Instant::now();
     let folder = Folder::open(folder).map_err(|e| e.to_string())?;
     let (_, opened) = Store::open(folder, EDITS).map_err(|e| e.to_string())?;
-    let accepted = runloom_daemon::persistence::restore_accepted(&opened)?.ok_or("nothing was read back")?;
+    let accepted = runloom_daemon::persistence::restore_accepted(&opened)
+        .map_err(|e| e.to_string())?
+        .ok_or("nothing was read back")?;
     print_figure("read_back_entries", opened.entries.len() as f64, "edits");
     print_figure("read_back", milliseconds(start.elapsed()), "ms");
     if accepted.entries.len() != FLEET_ENTRIES {
--- a/crates/testbed/src/benchmarks/proxy_overhead.rs
+++ b/crates/testbed/src/benchmarks/proxy_overhead.rs
@@ -11,8 +11,9 @@
 use runloom_daemon::proxy_runtime::ProxyRuntime;
 use runloom_daemon::tls_credentials::PROXY;
 use runloom_event_loop::{EventLoop, IoEvent};
-use runloom_model::fleet::{Class, Repeats, TlsFiles};
-use runloom_model::forwarder::ProxySettings;
+use runloom_model::proxy_settings::ProxySettings;
+use runloom_model::tls_files::TlsFiles;
+use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -45,26 +46,26 @@
 }
 
 fn proxy_settings(credentials: TlsFiles, servers: &FakeServers) -> ProxySettings {
-    let class = |name: &str| Class {
+    let class = |name: &str| ClassSettings {
         name: name.into(),
-        payoff: 1.0,
-        soft_limit: Duration::from_secs(1),
-        outer_limit: Duration::from_secs(2),
-        repeats: Repeats::Safe,
+        priority_weight: 1.0,
+        latency_objective: Duration::from_secs(1),
+        deadline: Duration::from_secs(2),
+        retry_safety: RetrySafety::Safe,
     };
     ProxySettings {
         name: "f0".into(),
         zone: "z0".into(),
-        listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-        front: Default::default(),
-        planners: vec![],
-        papers: credentials,
-        pick: "less-busy".into(),
-        shun_after: 3,
-        shun_for: Duration::from_secs(4),
-        report: Duration::from_millis(500),
+        listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+        table_delivery: Default::default(),
+        planner_addresses: vec![],
+        tls: credentials,
+        selection: "less-busy".into(),
+        circuit_breaker_failures: 3,
+        circuit_breaker_open: Duration::from_secs(4),
+        report_period: Duration::from_millis(500),
         classes: CLASSES.iter().map(|client_class| class(client_class.name)).collect(),
-        standing: servers.all.iter().map(|server| (server.name.clone(), server.address)).collect(),
+        static_servers: servers.all.iter().map(|server| (server.name.clone(), server.address)).collect(),
     }
 }
 
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -5,7 +5,7 @@
 use rand_distr::{Distribution, Exp};
 use runloom_daemon::http::{serialize_request, Message, MessageReader};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
-use runloom_model::fleet::{Class, Repeats};
+use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,13 +29,13 @@
 
 impl ClientClass {
     /// The class as settings have it.
-    pub fn to_settings(&self) -> Class {
-        Class {
+    pub fn to_settings(&self) -> ClassSettings {
+        ClassSettings {
             name: self.name.into(),
-            payoff: self.priority_weight,
-            soft_limit: self.latency_objective,
-            outer_limit: self.deadline,
-            repeats: if self.is_repeatable { Repeats::Safe } else { Repeats::Never },
+            priority_weight: self.priority_weight,
+            latency_objective: self.latency_objective,
+            deadline: self.deadline,
+            retry_safety: if self.is_repeatable { RetrySafety::Safe } else { RetrySafety::Unsafe },
         }
     }
 
--- a/crates/testbed/src/management_clients.rs
+++ b/crates/testbed/src/management_clients.rs
@@ -5,7 +5,8 @@
 use crate::scenario::ScheduledEdit;
 use runloom_daemon::client::{edit_config, Client, ClientError};
 use runloom_daemon::tls_credentials::TlsPolicy;
-use runloom_model::fleet::{ListedServer, TlsFiles};
+use runloom_model::listed_server::ListedServer;
+use runloom_model::tls_files::TlsFiles;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
@@ -209,7 +210,7 @@
 fn delta_edit(previous: &ServerList, list: &ServerList) -> Element {
     let mut roster = Element::new(FLEET, "roster");
     for (name, listed) in list.iter().filter(|(name, listed)| previous.get(*name) != Some(listed)) {
-        roster = roster.with(listed.element(name).with_attribute(BASE, "operation", "replace"));
+        roster = roster.with(listed.to_element(name).with_attribute(BASE, "operation", "replace"));
     }
     for name in previous.keys().filter(|name| !list.contains_key(*name)) {
         let removed = Element::new(FLEET, "server").with_attribute(BASE, "operation", "remove");
@@ -220,7 +221,7 @@
 
 fn snapshot_edit(list: &ServerList) -> Element {
     let roster = Element::new(FLEET, "roster").with_attribute(BASE, "operation", "replace");
-    list.iter().fold(roster, |roster, (name, listed)| roster.with(listed.element(name)))
+    list.iter().fold(roster, |roster, (name, listed)| roster.with(listed.to_element(name)))
 }
 
 /// Records what the planner acknowledged just now.
@@ -235,7 +236,7 @@
     };
     let mut notifications = lock(&planner.state.notifications);
     for (server, listed) in list.iter().filter(|(server, listed)| previous.get(*server) != Some(listed)) {
-        let state = if listed.draining { NotifiedState::Draining } else { NotifiedState::Ready };
+        let state = if listed.is_draining { NotifiedState::Draining } else { NotifiedState::Ready };
         notifications.push(notification(server, state));
     }
     for server in previous.keys().filter(|server| !list.contains_key(*server)) {
--- a/crates/testbed/src/planner_process.rs
+++ b/crates/testbed/src/planner_process.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use socket2::{Domain, Socket, Type};
 
 #[cfg(test)]
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -199,7 +199,7 @@
 /// Returns the file's name with the cause, one line for each violation of the schema.
 pub fn read(name: &str) -> Result<Scenario, String> {
     let text = load(name)?;
-    let faults = SchemaValidator::new(include_str!("day.xsd"))?.faults(&text);
+    let faults = SchemaValidator::new(include_str!("day.xsd"))?.validate(&text);
     if !faults.is_empty() {
         return Err(faults.iter().map(|f| format!("{name}:{f}")).collect::<Vec<_>>().join("\n"));
     }
--- a/crates/testbed/src/testbed/endpoint_listing.rs
+++ b/crates/testbed/src/testbed/endpoint_listing.rs
@@ -4,7 +4,7 @@
 use crate::fake_servers::FakeServer;
 use crate::management_clients::ServerList;
 use runloom_daemon::wall_ms;
-use runloom_model::fleet::ListedServer;
+use runloom_model::listed_server::ListedServer;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -43,10 +43,10 @@
             zone: server.zone.clone(),
             kind: "std".into(),
             cell: 0,
-            draining: self.draining.contains(&server.name),
+            is_draining: self.draining.contains(&server.name),
             weight: 1.0,
             // Whole seconds, in milliseconds.
-            started: server.has_cold_start.then(|| (wall_ms() - age_ms) / 1000 * 1000),
+            started_ms: server.has_cold_start.then(|| (wall_ms() - age_ms) / 1000 * 1000),
         }
     }
 }
@@ -73,9 +73,9 @@
 /// Keeps start times as they were first sent: derived again from a server's age they could differ by the rounding.
 fn keep_start_times(previous: &ServerList, list: &mut ServerList) {
     for (name, listed) in list {
-        let Some(old) = previous.get(name).and_then(|record| record.started) else { continue };
-        if listed.started.is_some_and(|new| old.abs_diff(new) <= START_TIME_TOLERANCE_MS) {
-            listed.started = Some(old);
+        let Some(old) = previous.get(name).and_then(|record| record.started_ms) else { continue };
+        if listed.started_ms.is_some_and(|new| old.abs_diff(new) <= START_TIME_TOLERANCE_MS) {
+            listed.started_ms = Some(old);
         }
     }
 }
--- a/crates/testbed/src/testbed/mod.rs
+++ b/crates/testbed/src/testbed/mod.rs
@@ -27,7 +27,7 @@
 use restart_observation::RestartObservation;
 use runloom_daemon::proxy_runtime::ProxyRuntime;
 use runloom_event_loop::{ConnectionId, EventLoop};
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use runloom_versioned_publisher::{Topic, Version};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/crates/testbed/src/testbed/planner_settings.rs
+++ b/crates/testbed/src/testbed/planner_settings.rs
@@ -5,7 +5,7 @@
 use crate::load_generator::{ClientClass, CLASSES};
 use crate::planner_process::{tls_xml, PlannerAddresses};
 use crate::scenario::Scenario;
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 
 /// Proxies may connect, operators may change the fleet and the state, and the feed may change the endpoint list.
 const ACCESS_RULES: &str = "<may><whom>spiffe://testbed.example/proxy/*</whom><join/></may>\
@@ -71,7 +71,7 @@
         let access_rules = if has_identities { ACCESS_RULES } else { "" };
         let fleet = self.scenario.fleet_xml.clone().unwrap_or_else(|| fleet_xml(&self.scenario));
         let list = self.endpoint_list();
-        let listed: String = list.iter().map(|(name, server)| server.element(name).to_text()).collect();
+        let listed: String = list.iter().map(|(name, server)| server.to_element(name).to_text()).collect();
         format!(
             "<planner xmlns=\"urn:runloom:fleet\">\n<name>planner-{planner}</name>{}<folder>{}</folder>\n{}{}\n\
              {fleet}\n<roster>{listed}</roster></planner>\n",
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -16,8 +16,8 @@
 use runloom_daemon::tls_credentials::{PLANNER, PROXY};
 use runloom_event_loop::EventLoop;
 use runloom_identity::access::{AccessRule, Permission, Principal};
-use runloom_model::fleet::TlsFiles;
-use runloom_model::forwarder::{ProxySettings, TableDelivery};
+use runloom_model::proxy_settings::{ProxySettings, TableDelivery};
+use runloom_model::tls_files::TlsFiles;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -234,17 +234,17 @@
         let local_servers = self.servers.all.iter().filter(|server| server.zone == zone);
         let bootstrap_servers = local_servers.take(BOOTSTRAP_SERVER_COUNT);
         Ok(ProxySettings {
-            papers: self.component_credentials(&name, PROXY)?,
+            tls: self.component_credentials(&name, PROXY)?,
             name,
-            standing: bootstrap_servers.map(|server| (server.name.clone(), server.address)).collect(),
+            static_servers: bootstrap_servers.map(|server| (server.name.clone(), server.address)).collect(),
             zone,
-            listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            front: delivery,
-            planners: self.planner_addresses(delivery, proxy),
-            pick: self.scenario.selection.clone(),
-            shun_after: PROXY_FAILURE_LIMIT,
-            shun_for: PROXY_AVOID_DURATION,
-            report: PROXY_REPORT_INTERVAL,
+            listen_address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            table_delivery: delivery,
+            planner_addresses: self.planner_addresses(delivery, proxy),
+            selection: self.scenario.selection.clone(),
+            circuit_breaker_failures: PROXY_FAILURE_LIMIT,
+            circuit_breaker_open: PROXY_AVOID_DURATION,
+            report_period: PROXY_REPORT_INTERVAL,
             classes: CLASSES.iter().map(|class| class.to_settings()).collect(),
         })
     }
--- a/crates/testbed/tests/access_control.rs
+++ b/crates/testbed/tests/access_control.rs
@@ -11,7 +11,7 @@
 use runloom_daemon::client::{edit_config, Client};
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, EventLoop, IoEvent, Security};
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
 use runloom_mqtt::ProxyInfo;
 use runloom_netconf::tree::Element;
--- a/crates/testbed/tests/help/identities.rs
+++ b/crates/testbed/tests/help/identities.rs
@@ -5,7 +5,7 @@
 use runloom_daemon::client::Client;
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_identity::access::{AccessRule, Permission, Principal};
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use runloom_testbed::issuer::Issuer;
 use std::time::Duration;
 
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -7,7 +7,7 @@
 
 use runloom_daemon::client::Client;
 use runloom_daemon::tls_credentials::TlsPolicy;
-use runloom_model::fleet::TlsFiles;
+use runloom_model::tls_files::TlsFiles;
 use runloom_testbed::issuer::Issuer;
 use runloom_testbed::planner_process::{tls_xml, PlannerAddresses, PlannerCommand, PlannerProcess};
 use std::path::{Path, PathBuf};
--- a/crates/testbed/tests/identity_lifetime.rs
+++ b/crates/testbed/tests/identity_lifetime.rs
@@ -11,8 +11,9 @@
 use runloom_daemon::client::Client;
 use runloom_daemon::proxy_runtime::ProxyRuntime;
 use runloom_event_loop::EventLoop;
-use runloom_model::fleet::{Class, Repeats, TlsFiles};
-use runloom_model::forwarder::{ProxySettings, TableDelivery};
+use runloom_model::proxy_settings::{ProxySettings, TableDelivery};
+use runloom_model::tls_files::TlsFiles;
+use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use runloom_testbed::issuer::Issuer;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -40,26 +41,26 @@
             TableDelivery::Edits => planner.addresses.call_home,
             _ => planner.addresses.pubsub,
         };
-        let class = Class {
+        let class = ClassSettings {
             name: "q".into(),
-            payoff: 1.0,
-            soft_limit: Duration::from_millis(500),
-            outer_limit: Duration::from_millis(900),
-            repeats: Repeats::Safe,
+            priority_weight: 1.0,
+            latency_objective: Duration::from_millis(500),
+            deadline: Duration::from_millis(900),
+            retry_safety: RetrySafety::Safe,
         };
         let settings = ProxySettings {
             name: "f1".into(),
             zone: "a".into(),
-            listen: "127.0.0.1:0".parse().unwrap(),
-            front: delivery,
-            planners: vec![planner_address],
-            papers: credentials,
-            pick: "chance".into(),
-            shun_after: 3,
-            shun_for: Duration::from_secs(4),
-            report: Duration::from_millis(500),
+            listen_address: "127.0.0.1:0".parse().unwrap(),
+            table_delivery: delivery,
+            planner_addresses: vec![planner_address],
+            tls: credentials,
+            selection: "chance".into(),
+            circuit_breaker_failures: 3,
+            circuit_breaker_open: Duration::from_secs(4),
+            report_period: Duration::from_millis(500),
             classes: vec![class],
-            standing: vec![("own".into(), "127.0.0.1:9".parse().unwrap())],
+            static_servers: vec![("own".into(), "127.0.0.1:9".parse().unwrap())],
         };
         let mut event_loop = EventLoop::new().unwrap();
         let (runtime, _) = ProxyRuntime::start(&mut event_loop, settings, 3).unwrap();
