--- a/crates/daemon/src/commands/error.rs
+++ b/crates/daemon/src/commands/error.rs
@@ -41,7 +41,7 @@
     Tls(#[from] TlsError),
     /// The identity of the planner is no SPIFFE id.
     #[error(transparent)]
-    PlannerId(#[from] runloom_identity::id::NotAnId),
+    PlannerId(#[from] runloom_identity::id::InvalidId),
     /// The planner cannot be reached, or rejected an operation.
     #[error(transparent)]
     Client(#[from] ClientError),
@@ -82,7 +82,7 @@
     EventLog(#[from] runloom_event_log::ReadError),
     /// A recorded day cannot be replayed.
     #[error(transparent)]
-    Replay(#[from] runloom_replay::Unusable),
+    Replay(#[from] runloom_replay::ReplayError),
     /// The page of a comparison cannot be drawn.
     #[error("{0}")]
     Page(String),
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -4,9 +4,9 @@
 use super::error::{file_error, CommandError};
 use crate::planner_runtime::BUILD;
 use runloom_event_log::{for_each_entry, read_run, read_runs, Entry};
-use runloom_replay::exact::{Replay, Same};
-use runloom_replay::other::{compare, Came, Compared, Setting};
-use runloom_replay::page::page;
+use runloom_replay::exact::{Replay, ReplaySummary};
+use runloom_replay::html_report;
+use runloom_replay::what_if::{compare, Comparison, SideSummary, WhatIfSettings};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -41,11 +41,11 @@
 /// Writes an event log as a scenario of the testbed.
 pub fn infer_scenario(folder: &Path, file: &Path) -> Result<(), CommandError> {
     let days = read_runs(folder)?;
-    let scenario = runloom_replay::infer::infer(&days)?;
-    std::fs::write(file, scenario.xml()).map_err(file_error(file))?;
-    println!("{}: {} troubles, {} edits", file.display(), scenario.troubles.len(), scenario.edits.len());
-    for left_out in &scenario.left_out {
-        println!("left out: {left_out}");
+    let scenario = runloom_replay::scenario_inference::infer(&days)?;
+    std::fs::write(file, scenario.to_xml()).map_err(file_error(file))?;
+    println!("{}: {} troubles, {} edits", file.display(), scenario.faults.len(), scenario.edits.len());
+    for omission in &scenario.omissions {
+        println!("left out: {omission}");
     }
     Ok(())
 }
@@ -64,28 +64,28 @@
     let same = replay_exactly(&options.folder, options.starts_back)?;
     if options.json {
         println!("{}", serde_json::to_value(&same)?);
-    } else if let Some(difference) = &same.first {
+    } else if let Some(difference) = &same.first_difference {
         println!(
             "other from {:.3} s on, after {} turns: {} ({})",
-            difference.at, difference.turns, difference.what, difference.why
+            difference.at_seconds, difference.equal_steps, difference.description, difference.cause
         );
     } else {
-        println!("the same: {} turns, {} messages, byte for byte", same.turns, same.messages);
+        println!("the same: {} turns, {} messages, byte for byte", same.steps, same.messages);
         println!("sha-256 {}", same.digest);
     }
-    match same.first {
+    match same.first_difference {
         None => Ok(()),
-        Some(difference) => Err(CommandError::Diverged(difference.what)),
+        Some(difference) => Err(CommandError::Diverged(difference.description)),
     }
 }
 
 /// Replays with one segment in memory at a time.
-fn replay_exactly(folder: &Path, starts_back: usize) -> Result<Same, CommandError> {
+fn replay_exactly(folder: &Path, starts_back: usize) -> Result<ReplaySummary, CommandError> {
     let mut replay: Option<Replay> = None;
     let mut failure = None;
     let mut take_entry = |entry: Entry| {
         let result = match &mut replay {
-            Some(replay) => replay.take(&entry),
+            Some(replay) => replay.replay_entry(&entry),
             None => Replay::new(&entry, BUILD).map(|started| {
                 replay = Some(started);
                 true
@@ -99,7 +99,7 @@
     for_each_entry(folder, starts_back, &mut take_entry)?;
     match (failure, replay) {
         (Some(error), _) => Err(error.into()),
-        (None, Some(replay)) => Ok(replay.done()),
+        (None, Some(replay)) => Ok(replay.finish()),
         (None, None) => Err(CommandError::NoSuchStart),
     }
 }
@@ -111,57 +111,66 @@
     let compared = compare(&entries, &setting)?;
     if let Some(file) = &options.page {
         let title = format!("{}, start {}", options.folder.display(), options.starts_back);
-        let page = page(&title, &compared).map_err(CommandError::Page)?;
+        let page = html_report::render(&title, &compared).map_err(CommandError::Page)?;
         std::fs::write(file, page).map_err(file_error(file))?;
     }
     if options.json {
         println!("{}", serde_json::to_value(&compared)?);
     } else {
-        print_commands("as it was", &compared.was);
-        print_commands("as it would be", &compared.would);
+        print_commands("as it was", &compared.recorded);
+        print_commands("as it would be", &compared.changed);
         print_service(&compared);
     }
     Ok(())
 }
 
-fn read_setting(alternative: &Alternative) -> Result<Setting, CommandError> {
+fn read_setting(alternative: &Alternative) -> Result<WhatIfSettings, CommandError> {
     let fleet = match &alternative.fleet {
         Some(file) => {
             let text = std::fs::read_to_string(file).map_err(file_error(file))?;
-            Some(runloom_replay::fleet(&text)?)
+            Some(runloom_replay::parse_fleet(&text)?)
         }
         None => None,
     };
-    Ok(Setting { fleet, seed: alternative.seed, unguarded: alternative.skip_guard, until: alternative.until })
+    Ok(WhatIfSettings {
+        fleet,
+        seed: alternative.seed,
+        is_unguarded: alternative.skip_guard,
+        until: alternative.until,
+    })
 }
 
-fn print_commands(name: &str, came: &Came) {
+fn print_commands(name: &str, side: &SideSummary) {
     println!(
         "{name}: {} messages, {} lines, {} waiting at the most, {} refused",
-        came.messages, came.lines, came.lines_waiting_most, came.refused
+        side.messages, side.entries, side.max_queued_entries, side.rejected
     );
-    if came.rules_broken.is_empty() {
+    if side.violations.is_empty() {
         println!("  rules kept");
     } else {
-        println!("  {}", came.rules_broken.join("; "));
+        println!("  {}", side.violations.join("; "));
     }
 }
 
-fn print_service(compared: &Compared) {
+fn print_service(compared: &Comparison) {
     let service = &compared.service;
-    println!("service, queries answered within their soft limit, by payoff: was {:.4}", service.was);
-    match service.would {
-        Some((value, low, high)) => {
+    println!("service, queries answered within their soft limit, by payoff: was {:.4}", service.recorded);
+    match service.changed {
+        Some(estimate) => {
+            let (value, low, high) = estimate.into();
             println!("  would be {value:.4}, 95% of such days from {low:.4} to {high:.4}");
         }
         None => println!("  would be unknown: the record does not say"),
     }
     for class in &service.classes {
-        let would = class.would.map_or("unknown".into(), |would| format!("{would:.4}"));
-        println!("  {}: was {:.4}, would be {would}, of {} queries", class.class, class.was, class.queries);
+        let would = class.changed.map_or("unknown".into(), |would| format!("{would:.4}"));
+        println!(
+            "  {}: was {:.4}, would be {would}, of {} queries",
+            class.class, class.recorded, class.requests
+        );
     }
     println!(
         "  support {:.3}; the estimate carries {:.0} of {:.0} s",
-        service.support, service.carries, compared.seconds
+        service.support, service.valid_seconds, compared.seconds
     );
 }
--- a/crates/daemon/src/tls_credentials/error.rs
+++ b/crates/daemon/src/tls_credentials/error.rs
@@ -27,5 +27,5 @@
     NoName,
     /// It is no X509-SVID.
     #[error(transparent)]
-    Svid(#[from] svid::NotASvid),
+    Svid(#[from] svid::InvalidSvid),
 }
--- a/crates/model/src/tls_files.rs
+++ b/crates/model/src/tls_files.rs
@@ -1,7 +1,7 @@
 //! Files with certificates, and the access rules of their holders: `<tls>`.
 
 use crate::settings_error::InvalidSettings;
-use runloom_identity::access::{Permission, Principal, Rule};
+use runloom_identity::access::{AccessRule, Permission, Principal};
 use runloom_netconf::tree::Element;
 use std::path::PathBuf;
 
@@ -17,7 +17,7 @@
     /// Other trust domains, and the files with their bundles.
     pub federated: Vec<(String, PathBuf)>,
     /// Access rules for SPIFFE identities. Without any, holders are told apart by DNS names.
-    pub rules: Vec<Rule>,
+    pub rules: Vec<AccessRule>,
 }
 
 impl TlsFiles {
@@ -46,21 +46,21 @@
 }
 
 /// Reads `<may>`: one rule for each permission.
-fn read_rules(may: &Element) -> Result<Vec<Rule>, InvalidSettings> {
+fn read_rules(may: &Element) -> Result<Vec<AccessRule>, InvalidSettings> {
     let whom = may.text_of("whom").unwrap_or_default();
-    let principal = Principal::read(whom).map_err(|error| InvalidSettings {
+    let principal = Principal::parse(whom).map_err(|error| InvalidSettings {
         path: format!("/tls/may[whom='{whom}']/whom"),
         reason: error.to_string(),
     })?;
     let parts = |name: &str| may.named(name).map(|part| part.text.clone()).collect::<Vec<String>>();
     let permissions = [
-        may.child("order").map(|_| Permission::Order),
-        may.child("join").map(|_| Permission::Join),
-        may.child("kill").map(|_| Permission::Kill),
+        may.child("order").map(|_| Permission::Command),
+        may.child("join").map(|_| Permission::Connect),
+        may.child("kill").map(|_| Permission::KillSession),
         may.child("read").map(|_| Permission::Read(parts("read"))),
         may.child("write").map(|_| Permission::Write(parts("write"))),
     ];
-    let rule = |may: Permission| Rule { whom: principal.clone(), may };
+    let rule = |may: Permission| AccessRule { principal: principal.clone(), permission: may };
     Ok(permissions.into_iter().flatten().map(rule).collect())
 }
 
