--- /dev/null
+++ b/crates/controller/src/admission_control/limiter.rs
@@ -0,0 +1,123 @@
+//! Load shedding: lower the admitted load under pressure, raise it again when there is room.
+
+use super::{AdmissionController, Demand, HIGH_PRESSURE, LOW_PRESSURE};
+use crate::event::ClassId;
+use std::time::Duration;
+
+/// A tightened limit is this share of what is handled: lower the higher the pressure, within bounds, so that queues
+/// drain.
+const TIGHTEN_SHARE_PER_PRESSURE: f64 = 0.15;
+const TIGHTEN_SHARE_LIMITS: (f64, f64) = (0.5, 0.9);
+/// A limit does not fall below this share of the known capacity, before the share above.
+const MIN_CAPACITY_SHARE: f64 = 0.6;
+/// If the pressure comes from failures alone, endpoints may be broken rather than overloaded: the limit falls to this
+/// share.
+const FAILURE_TIGHTEN_SHARE: f64 = 0.9;
+/// A class is isolated above this pressure, or when arrivals exceed the capacity estimate by this factor.
+const ISOLATION_PRESSURE: f64 = 1.5;
+const ISOLATION_ARRIVAL_EXCESS: f64 = 1.15;
+/// The isolated classes' share of the endpoints: at first, per further step, and its bounds.
+const INITIAL_ISOLATED_SHARE: f64 = 0.15;
+const ISOLATED_SHARE_STEP: f64 = 0.8;
+const ISOLATED_SHARE_LIMITS: (f64, f64) = (0.06, 0.8);
+
+/// What was sustained may be exceeded by this factor.
+const SUSTAINED_EXCESS: f64 = 1.1;
+/// Growth of a limit per tick and unit of pressure below 1, below the capacity knee (times the boost) and past it.
+const RELAX_GROWTH: f64 = 0.2;
+const RELAX_BOOST_BELOW_KNEE: f64 = 1.1;
+/// A limit returns quickly up to this share of the capacity knee.
+const KNEE_SHARE: f64 = 0.9;
+/// Without pressure the limit stays at this many times the arrival rate, to absorb surges.
+const SURGE_MARGIN: f64 = 1.3;
+/// Ticks with reports from which the estimated capacity bounds the limit.
+const TICKS_UNTIL_LIMIT_BINDS: u32 = 4;
+
+impl AdmissionController {
+    /// Sheds load: retries first, then requests by a limit, or by isolating `lowest_class` where proxies cannot
+    /// limit rates.
+    pub(super) fn tighten(&mut self, demand: &Demand, lowest_class: Option<ClassId>, now: Duration) {
+        if self.retries_disabled && demand.limits_request_rate {
+            self.tighten_limit(demand);
+        } else if self.retries_disabled && self.needs_isolation(demand) {
+            self.tighten_isolation(lowest_class);
+        }
+        self.retries_disabled = true;
+        self.changed_at = now;
+    }
+
+    fn tighten_limit(&mut self, demand: &Demand) {
+        if self.capacity_knee == 0.0 {
+            self.capacity_knee = self.capacity_estimate.max(self.success_rate / demand.fleet_weight);
+        }
+        let (min_share, max_share) = TIGHTEN_SHARE_LIMITS;
+        let share =
+            (1.0 - TIGHTEN_SHARE_PER_PRESSURE * self.shared.overload_pressure).clamp(min_share, max_share);
+        let min_capacity = self.capacity_knee * demand.fleet_weight * MIN_CAPACITY_SHARE;
+        let below_capacity = self.success_rate.max(min_capacity) * share;
+        let one_step = if self.shared.latency_pressure > HIGH_PRESSURE {
+            0.0
+        } else {
+            let admitted = self.admission_limit.unwrap_or(demand.arrival_rate).min(demand.arrival_rate);
+            admitted * FAILURE_TIGHTEN_SHARE
+        };
+        self.admission_limit = Some(below_capacity.max(one_step));
+    }
+
+    fn needs_isolation(&self, demand: &Demand) -> bool {
+        let capacity = self.capacity_estimate * demand.fleet_weight;
+        self.shared.overload_pressure > ISOLATION_PRESSURE
+            || demand.arrival_rate > capacity * ISOLATION_ARRIVAL_EXCESS
+    }
+
+    fn tighten_isolation(&mut self, lowest_class: Option<ClassId>) {
+        let (min_share, _) = ISOLATED_SHARE_LIMITS;
+        self.isolated_share = if self.isolated_classes == 0 {
+            INITIAL_ISOLATED_SHARE
+        } else {
+            (self.isolated_share * ISOLATED_SHARE_STEP).max(min_share)
+        };
+        self.isolated_classes = lowest_class.map_or(0, |class| 1 << class);
+    }
+
+    /// Admits more; retries return last.
+    ///
+    /// `admitted_capacity` is the share of the capacity estimate that may be admitted.
+    pub(super) fn relax(&mut self, demand: &Demand, admitted_capacity: f64, now: Duration) {
+        let ease = 1.0 - self.shared.overload_pressure;
+        let growth = 1.0 + RELAX_GROWTH * ease;
+        if demand.limits_request_rate && self.capacity_is_known() {
+            self.relax_limit(demand, admitted_capacity, ease, growth);
+        }
+        let (_, max_share) = ISOLATED_SHARE_LIMITS;
+        self.isolated_share = (self.isolated_share * growth).min(max_share);
+        if self.isolated.overload_pressure < LOW_PRESSURE && demand.has_settled {
+            self.isolated_classes = 0;
+        }
+        self.restore_retries(demand.arrival_rate, now);
+        if !self.retries_disabled {
+            self.capacity_knee = 0.0;
+        }
+    }
+
+    /// Raises the limit up to the capacity knee at once, and past it by little: too much shows seconds late.
+    fn relax_limit(&mut self, demand: &Demand, admitted_capacity: f64, ease: f64, growth: f64) {
+        let knee = self.capacity_knee * demand.fleet_weight * KNEE_SHARE;
+        let limit = self.admission_limit.unwrap_or(f64::MAX);
+        let raised = if limit < knee {
+            (limit * growth * RELAX_BOOST_BELOW_KNEE).min(knee)
+        } else if self.capacity_knee > 0.0 {
+            limit * (1.0 + RELAX_GROWTH * ease * ease)
+        } else {
+            limit * growth
+        };
+        let capacity =
+            (self.capacity_estimate * admitted_capacity).max(self.sustained_rate * SUSTAINED_EXCESS);
+        let max_limit = if self.ticks_with_reports < TICKS_UNTIL_LIMIT_BINDS {
+            f64::MAX
+        } else {
+            capacity * demand.fleet_weight
+        };
+        self.admission_limit = Some(raised.min(demand.arrival_rate * SURGE_MARGIN).min(max_limit));
+    }
+}
--- a/crates/controller/src/command.rs
+++ b/crates/controller/src/command.rs
@@ -18,11 +18,15 @@
         weight: f64,
     },
     /// Removes all entries and admission limits of a table.
+    ///
+    /// Reserved: the controller does not issue it yet.
     ClearTable {
         /// The table to clear.
         table: TableId,
     },
     /// Ejects an endpoint from every table that connected proxies hold, or readmits it.
+    ///
+    /// Reserved: the controller does not issue it yet.
     EjectServer {
         /// The endpoint.
         server: ServerId,
@@ -62,6 +66,8 @@
         server: ServerId,
     },
     /// Sends bytes to another planner, or to all.
+    ///
+    /// Reserved: the controller does not issue it yet.
     SendToPeer {
         /// The planner; `None` for all.
         peer: Option<usize>,
@@ -74,6 +80,8 @@
         enabled: bool,
     },
     /// Fetches the complete endpoint list once.
+    ///
+    /// Reserved: the controller does not issue it yet.
     FetchEndpoints,
     /// Wakes the controller once with [`crate::Event::TimerFired`].
     SetTimer {
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -6,7 +6,7 @@
 use crate::endpoint::{slot, Endpoint, HealthState, TableEntry};
 use crate::event::{EndpointUpdate, Event, ProxyId, ServerId, ZoneId};
 use crate::flow_control::UpdateChannel;
-use crate::proxy::Proxy;
+use crate::proxy::{Proxy, MIN_REPORT_SECONDS};
 use crate::statistics::update_average;
 use crate::subsetting::Subset;
 use nanorand::WyRand;
@@ -25,8 +25,6 @@
 const SUCCESS_RATE_GAIN: f64 = 0.5;
 /// Gain of the moving average of an endpoint's utilization, per report.
 const UTILIZATION_GAIN: f64 = 0.2;
-/// The shortest time that a report is taken to cover, in seconds.
-const MIN_REPORT_SECONDS: f64 = 0.1;
 
 /// The decisions of one planner. It starts empty, and decides nothing before [`Event::Start`].
 #[derive(Debug, Default)]
@@ -191,8 +189,8 @@
         }
     }
 
-    /// Forgets that a rejected command went out, so that it is issued again at the next evaluation, as things then
-    /// stand. It brings no evaluation on, or the same command would come round and round.
+    /// Records that a rejected command did not go out, so that the next evaluation issues it again if it is still wanted.
+    /// It does not trigger an evaluation itself: the same command would be issued and rejected without end.
     fn revert(&mut self, command: &Command, published_weight: Option<f64>) {
         match command {
             Command::SetEntry { table, server, .. } => {
--- a/crates/controller/src/endpoint.rs
+++ b/crates/controller/src/endpoint.rs
@@ -137,6 +137,8 @@
     }
 
     /// Records a health check, and moves an ejected endpoint into or out of probation.
+    ///
+    /// An error response counts like a failed attempt of a proxy.
     pub fn record_health_check(&mut self, result: HealthCheckResult, now: Duration) {
         match result {
             HealthCheckResult::Success => {
--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -1,4 +1,9 @@
 //! Endpoint lists: what a list's records mean for endpoints that are known, and for new ones.
+//!
+//! Lists can be wrong. Where only draining binds (`EndpointListConfig::only_draining_binds`), an endpoint that is
+//! *missing from the list* stays in service until it fails, one that is listed as long started without having been there
+//! is *unverified* until its first success, and the list as a whole is *stale* while many successes come from unlisted
+//! endpoints; under a list that may be wrong (*doubtful*) proxies keep the tables of an earlier planner.
 
 use crate::controller::Controller;
 use crate::endpoint::{slot, Endpoint, HealthState};
@@ -15,7 +20,7 @@
 /// The weight of a record whose weight is unusable.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// What the list has been worth so far.
+/// How far the list is to be trusted.
 #[derive(Debug, Clone, Copy)]
 struct ListTrust {
     /// No list came before this one.
--- a/crates/controller/src/event.rs
+++ b/crates/controller/src/event.rs
@@ -51,7 +51,7 @@
     pub zone: ZoneId,
     /// Its kind of machine.
     pub kind: KindId,
-    /// Its cell, a group of machines that share something.
+    /// Its cell, a group of machines that share something. The controller does not read it.
     pub cell: u64,
     /// Whether it takes requests.
     pub state: ListedState,
@@ -151,6 +151,8 @@
         window: Duration,
     },
     /// Requests of one class that arrived for a slice.
+    ///
+    /// Reserved: the controller does not act on it yet.
     SliceArrivalReport {
         /// The slice's table.
         table: TableId,
@@ -164,6 +166,8 @@
         window: Duration,
     },
     /// This planner became, or is no longer, the owner of a slice.
+    ///
+    /// Reserved: the controller does not act on it yet.
     SliceOwnership {
         /// The slice's table.
         table: TableId,
@@ -171,6 +175,8 @@
         is_owned: bool,
     },
     /// An entry of a slice's table as the shared store holds it.
+    ///
+    /// Reserved: the controller does not act on it yet.
     StoredEntry {
         /// The slice's table.
         table: TableId,
@@ -214,6 +220,8 @@
         published_weight: Option<f64>,
     },
     /// Bytes came from another planner.
+    ///
+    /// Reserved: the controller does not act on it yet.
     PeerMessage {
         /// The planner.
         peer: usize,
--- a/crates/controller/src/flow_control.rs
+++ b/crates/controller/src/flow_control.rs
@@ -43,7 +43,7 @@
     /// Records an acknowledgement.
     ///
     /// Messages leave the channel in sequence, so all updates before this one have left too. Each acknowledgement
-    /// frees its share of the update, so that nobody waits for the slowest proxy.
+    /// frees its share of the update, so that updates do not wait for the slowest proxy.
     pub fn acknowledge(&mut self, proxy: ProxyId, ack_token: u16) {
         let Some(position) = self.in_flight.iter().position(|update| update.ack_token == ack_token) else {
             return;
--- a/crates/controller/src/proxy.rs
+++ b/crates/controller/src/proxy.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// The shortest time that a report is taken to cover, in seconds.
-const MIN_REPORT_SECONDS: f64 = 0.1;
+pub(crate) const MIN_REPORT_SECONDS: f64 = 0.1;
 /// Arrival rates, in requests a second, below this are treated as this.
 const MIN_ARRIVAL_RATE: f64 = 1e-3;
 /// An arrival rate keeps half of its old value for the time in which this many requests arrive.
--- a/crates/controller/src/retry_policy.rs
+++ b/crates/controller/src/retry_policy.rs
@@ -18,7 +18,7 @@
 
 /// Retries are allowed again once all requests have been admitted for this long.
 const RETRY_RECOVERY: Duration = Duration::from_secs(5);
-/// An admission limit this many times the arrival rate or more admits everything.
+/// An admission limit of this many times the arrival rate or more rejects nothing.
 const UNLIMITED_MARGIN: f64 = 1.2;
 
 impl AdmissionController {
--- a/crates/controller/src/slow_start.rs
+++ b/crates/controller/src/slow_start.rs
@@ -14,7 +14,8 @@
 const WARM_UP_MULTIPLE: f64 = 1.5;
 const MIN_SLOW_START_SECONDS: f64 = 2.0;
 const MIN_WARM_UP_SECONDS: f64 = 0.1;
-/// A warming endpoint needs this times the square of the fleet's pressure as capacity, within bounds, to serve.
+/// A warming endpoint needs this times the square of the fleet's pressure as capacity, within bounds, to serve: 0.4 up to
+/// a pressure of 1.8, 0.75 at 2.5, all of it from 2.9 on.
 const CAPACITY_PER_SQUARED_PRESSURE: f64 = 0.12;
 const MIN_CAPACITY_TO_SERVE: f64 = 0.4;
 /// A warming endpoint is slower as well as smaller: its weight falls by this power of its capacity.
@@ -29,7 +30,7 @@
     pub(crate) fn warm_fraction(&self, config: &SlowStartConfig, fleet_pressure: f64, now: Duration) -> f64 {
         let ramp = self.ramp_fraction(config, now);
         let Some(started_at) = self.started_at else { return ramp };
-        let capacity = min_capacity(config, now.saturating_sub(started_at));
+        let capacity = guaranteed_capacity(config, now.saturating_sub(started_at));
         let capacity_to_serve = CAPACITY_PER_SQUARED_PRESSURE * fleet_pressure.powi(2);
         if capacity < capacity_to_serve.clamp(MIN_CAPACITY_TO_SERVE, 1.0) {
             return 0.0;
@@ -58,8 +59,8 @@
     }
 }
 
-/// The least capacity (0 to 1) of an endpoint that started `age` ago.
-fn min_capacity(config: &SlowStartConfig, age: Duration) -> f64 {
+/// The capacity (0 to 1) that an endpoint has at least, `age` after its start.
+fn guaranteed_capacity(config: &SlowStartConfig, age: Duration) -> f64 {
     let initial = config.initial_capacity;
     let warm_up = config.warm_up_seconds.max(MIN_WARM_UP_SECONDS);
     (initial + (1.0 - initial) * age.as_secs_f64() / warm_up).min(1.0)
--- a/crates/controller/src/statistics.rs
+++ b/crates/controller/src/statistics.rs
@@ -36,6 +36,7 @@
 const BUCKETS: usize = 10;
 /// The lower bound of the second bucket is twice this; each further bound is twice the one before.
 const FIRST_BUCKET_SECONDS: f64 = 0.02;
+/// Positions count buckets; this one is just below the last, which takes all longer times.
 const LAST_POSITION: f64 = 8.999;
 
 /// A histogram of times in buckets whose bounds double from 20 ms to 10 s.
@@ -70,7 +71,7 @@
         self.0.iter().sum()
     }
 
-    /// The geometric mean, in seconds.
+    /// The geometric mean, in seconds; the first bucket's time if there are no samples.
     pub fn mean(&self) -> f64 {
         let positions: f32 = self.0.iter().enumerate().map(|(k, bucket)| k as f32 * bucket).sum();
         FIRST_BUCKET_SECONDS * f64::from(positions / self.count().max(f32::MIN_POSITIVE)).exp2()
--- a/crates/controller/src/subsetting.rs
+++ b/crates/controller/src/subsetting.rs
@@ -46,7 +46,7 @@
 /// Endpoints and proxies that share a table.
 #[derive(Debug, Default)]
 pub(crate) struct Subset {
-    /// Whose proxies and, as far as they suffice, endpoints it has; `None` for any zone.
+    /// The zone of its proxies, and of its endpoints as long as that zone has enough; `None` for any zone.
     pub zone: Option<ZoneId>,
     /// Requests a second that arrive at its proxies.
     pub load: f64,
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -96,7 +96,7 @@
         if self.tls.identify(certificate).is_ok_and(|holder| holder.is_planner) {
             return Ok(());
         }
-        self.event_loop.cut(self.connection);
+        self.event_loop.abort(self.connection);
         Err(ClientError::Ended("who answered is not that planner".into()))
     }
 
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -150,7 +150,7 @@
     fn next_wakeup(&self) -> Option<Duration> {
         earliest([
             self.core.control.next_wakeup(),
-            self.core.distributor.wakes_at(),
+            self.core.distributor.next_wakeup(),
             self.operators.next_wakeup(),
             self.core.config.edit_history.next_wakeup(),
             Some(self.durability.next_wakeup()),
@@ -180,7 +180,7 @@
         let holder = match certificate.as_deref().map(|der| self.core.identities.tls().identify(der)) {
             Some(Err(why)) => {
                 tracing::warn!(%why, "connection rejected: the certificate names no holder");
-                return event_loop.cut(connection);
+                return event_loop.abort(connection);
             }
             Some(Ok(holder)) => Some(holder),
             None => None,
@@ -219,7 +219,7 @@
         }
         tracing::warn!(who = ?holder, "connection rejected: the certificate's holder may not connect here");
         self.core.identities.forget(connection);
-        event_loop.cut(connection);
+        event_loop.abort(connection);
     }
 
     fn handle_bytes(&mut self, event_loop: &mut EventLoop, connection: ConnectionId, bytes: &[u8]) {
@@ -249,7 +249,10 @@
 
     // The steps after the events of an iteration.
 
-    /// Acts on all events of an iteration of the event loop: stores what was accepted, decides, sends commands, and replies.
+    /// Acts on all events of an iteration of the event loop.
+    ///
+    /// The order matters: accepted edits go to the persistence worker first, and no reply leaves before what it promises
+    /// is stored; the inventory and the list of proxies are up to date before the decisions run.
     fn finish_iteration(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         self.core.set_time(now);
@@ -317,7 +320,7 @@
                 who = invalid.holder,
                 "its identity has ended, or its authority was struck: the stream ends"
             );
-            event_loop.cut(invalid.connection);
+            event_loop.abort(invalid.connection);
             self.handle_close(event_loop, invalid.connection, CloseReason::Untrusted);
         }
     }
--- a/crates/daemon/src/planner_runtime/health_checks.rs
+++ b/crates/daemon/src/planner_runtime/health_checks.rs
@@ -95,7 +95,7 @@
         };
         check.report(control, result, event_loop.now(), load);
         self.in_flight.remove(&connection);
-        event_loop.cut(connection);
+        event_loop.abort(connection);
     }
 
     /// Reports a health check whose connection ended without a response.
@@ -124,7 +124,7 @@
         let overdue = self.in_flight.iter().filter(|(_, check)| now >= check.sent + HEALTH_CHECK_TIMEOUT);
         let overdue: Vec<ConnectionId> = overdue.map(|(connection, _)| *connection).collect();
         for connection in overdue {
-            event_loop.cut(connection);
+            event_loop.abort(connection);
             self.handle_close(control, connection, CloseReason::Slow, event_loop.now());
         }
     }
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn next_wakeup(&self) -> Option<Duration> {
-        self.service.wakes_at()
+        self.service.next_wakeup()
     }
 
     /// Handles timeouts of the NETCONF server.
@@ -75,7 +75,7 @@
     ) {
         let Some(id) = self.service.open_session(&holder.name, event_loop.now()) else {
             tracing::warn!(who = %holder.name, "session rejected: too many sessions");
-            event_loop.cut(connection);
+            event_loop.abort(connection);
             return;
         };
         core.config.register_client(holder);
@@ -120,7 +120,7 @@
     fn kill(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, id: u32) {
         let killed = self.sessions.iter().find(|(_, operator)| operator.id == id);
         if let Some(connection) = killed.map(|(connection, _)| *connection) {
-            event_loop.cut(connection);
+            event_loop.abort(connection);
             self.handle_close(core, event_loop, connection, CloseReason::Finished);
         }
     }
@@ -160,7 +160,7 @@
         let unsaved: Vec<ConnectionId> = unsaved.map(|(connection, _)| *connection).collect();
         core.edit_batches.durable = core.edit_batches.submitted;
         for connection in unsaved {
-            event_loop.cut(connection);
+            event_loop.abort(connection);
             self.handle_close(core, event_loop, connection, CloseReason::Broken);
         }
     }
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -170,7 +170,7 @@
             event_loop.write(connection, &subscriber.session.output());
             event_loop.finish(connection);
         } else {
-            event_loop.cut(connection);
+            event_loop.abort(connection);
         }
     }
 
@@ -362,7 +362,7 @@
         connection: ConnectionId,
         reason: CloseReason,
     ) {
-        event_loop.cut(connection);
+        event_loop.abort(connection);
         self.handle_close(core, event_loop, connection, reason);
     }
 
--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -195,7 +195,7 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Write { conn, bytes } => self.event_loop.write(conn, &bytes),
-            Action::Close { conn } => self.event_loop.cut(conn),
+            Action::Close { conn } => self.event_loop.abort(conn),
             Action::CheckHealth { ticket, address } => {
                 self.queued_health_checks.push_back(QueuedHealthCheck { ticket, address });
             }
--- a/crates/daemon/src/platform_runtime/bootstrap_file.rs
+++ b/crates/daemon/src/platform_runtime/bootstrap_file.rs
@@ -71,7 +71,7 @@
         }
         tracing::info!(at = %bootstrap.discovery, "discovery has moved");
         if let Some(conn) = self.watch.change_address(bootstrap.discovery, self.now()) {
-            self.event_loop.cut(conn);
+            self.event_loop.abort(conn);
         }
     }
 }
--- a/crates/daemon/src/platform_runtime/health_checks.rs
+++ b/crates/daemon/src/platform_runtime/health_checks.rs
@@ -50,7 +50,7 @@
     /// Ends a health check that has an outcome, and closes its connection.
     pub(super) fn finish_health_check(&mut self, conn: ConnectionId, outcome: HealthCheckOutcome) {
         if let Some(check) = self.health_checks.remove(&conn) {
-            self.event_loop.cut(conn);
+            self.event_loop.abort(conn);
             self.report_health_check(&check, outcome);
         }
     }
--- a/crates/daemon/src/platform_runtime/list_watch.rs
+++ b/crates/daemon/src/platform_runtime/list_watch.rs
@@ -25,7 +25,7 @@
         }
         for conn in self.watch.take_expired(read_until) {
             tracing::info!(at = %address, "the watch is silent");
-            self.event_loop.cut(conn);
+            self.event_loop.abort(conn);
         }
         let now = self.now();
         if self.watch.should_dial(now) {
@@ -41,7 +41,7 @@
 
     fn restart_watch(&mut self) {
         if let Some(conn) = self.watch.restart(self.now()) {
-            self.event_loop.cut(conn);
+            self.event_loop.abort(conn);
         }
     }
 
@@ -70,7 +70,7 @@
             tracing::info!(%at, "the watch can't be read");
         }
         if output.should_close {
-            self.event_loop.cut(conn);
+            self.event_loop.abort(conn);
         }
         if has_unreadable_line {
             self.restart_watch();
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -114,7 +114,7 @@
     pub fn run(&mut self, event_loop: &mut EventLoop) -> io::Result<()> {
         let mut stop_at: Option<Duration> = None;
         loop {
-            for event in event_loop.wait(earliest([self.wakes_at(), stop_at]))? {
+            for event in event_loop.wait(earliest([self.next_wakeup(), stop_at]))? {
                 self.handle_event(event_loop, event);
             }
             self.run_due_tasks(event_loop);
@@ -167,9 +167,9 @@
     }
 
     /// When [`ProxyRuntime::run_due_tasks`] is to be called next, if no event comes before.
-    pub fn wakes_at(&self) -> Option<Duration> {
+    pub fn next_wakeup(&self) -> Option<Duration> {
         earliest([
-            self.planner_link.wakes_at(self.is_stopping),
+            self.planner_link.next_wakeup(self.is_stopping),
             self.requests.next_deadline(),
             self.upstreams.next_connect_timeout(),
             Some(self.reporter.due_at()),
--- a/crates/daemon/src/proxy_runtime/client_connections.rs
+++ b/crates/daemon/src/proxy_runtime/client_connections.rs
@@ -44,7 +44,7 @@
         let Some(client) = self.clients.get_mut(&connection) else { return };
         if client.request.is_some() {
             if client.reader.buffered_bytes() > MAX_PIPELINED_BYTES {
-                event_loop.hold(connection, true);
+                event_loop.pause_reading(connection, true);
             }
             return;
         }
@@ -126,7 +126,7 @@
             event_loop.finish(connection);
             return;
         }
-        event_loop.hold(connection, false);
+        event_loop.pause_reading(connection, false);
         self.read_client(event_loop, connection);
     }
 }
--- a/crates/daemon/src/proxy_runtime/planner_link.rs
+++ b/crates/daemon/src/proxy_runtime/planner_link.rs
@@ -118,10 +118,10 @@
     }
 
     /// When the next dial or the session's next timer is due.
-    pub(super) fn wakes_at(&self, is_stopping: bool) -> Option<Duration> {
+    pub(super) fn next_wakeup(&self, is_stopping: bool) -> Option<Duration> {
         let is_idle = self.session.is_none() && self.dialing.is_none() && !is_stopping;
         let dial = is_idle.then_some(self.dial_at);
-        let client = self.mqtt_client().and_then(Client::wakes_at);
+        let client = self.mqtt_client().and_then(Client::next_wakeup);
         crate::earliest([dial, client])
     }
 
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -37,7 +37,7 @@
             return;
         }
         if let Some(session) = &self.planner_link.session {
-            event_loop.hold(session.connection, false);
+            event_loop.pause_reading(session.connection, false);
             let unread = std::mem::take(&mut self.planner_link.unread);
             self.read_planner(event_loop, &unread);
         }
@@ -46,7 +46,7 @@
     /// Cuts the session with the planner.
     pub fn break_planner_session(&mut self, event_loop: &mut EventLoop) {
         if let Some(session) = self.planner_link.session.take() {
-            event_loop.cut(session.connection);
+            event_loop.abort(session.connection);
             self.planner_link.session_lost(event_loop.now(), &session);
         }
     }
@@ -96,7 +96,7 @@
             })
         });
         let Some(session) = session else {
-            event_loop.cut(connection);
+            event_loop.abort(connection);
             return self.planner_link.schedule_redial(event_loop.now());
         };
         self.start_session(event_loop, session);
@@ -106,7 +106,7 @@
     fn start_session(&mut self, event_loop: &mut EventLoop, session: PlannerSession) {
         self.planner_link.unread.clear();
         if let Some(former) = self.planner_link.session.replace(session) {
-            event_loop.cut(former.connection);
+            event_loop.abort(former.connection);
             self.planner_link.leave_service(&former);
         }
         self.session_count += 1;
--- a/crates/daemon/src/proxy_runtime/table_delivery.rs
+++ b/crates/daemon/src/proxy_runtime/table_delivery.rs
@@ -21,7 +21,7 @@
         }
         self.planner_link.unread.extend_from_slice(bytes);
         if let Some(session) = &self.planner_link.session {
-            event_loop.hold(session.connection, true);
+            event_loop.pause_reading(session.connection, true);
         }
     }
 
@@ -136,7 +136,7 @@
     /// Runs the MQTT session's timers that are due.
     pub(super) fn run_session_timers(&mut self, event_loop: &mut EventLoop, now: Duration) {
         let Some(client) = self.planner_link.mqtt_client_mut() else { return };
-        if client.wakes_at().is_some_and(|at| now >= at) {
+        if client.next_wakeup().is_some_and(|at| now >= at) {
             client.handle_timeout(now);
             self.write_mqtt(event_loop);
         }
--- a/crates/daemon/src/proxy_runtime/upstream_connections.rs
+++ b/crates/daemon/src/proxy_runtime/upstream_connections.rs
@@ -258,13 +258,13 @@
     /// Closes connections to endpoints that were not established in time.
     pub(super) fn expire_connects(&mut self, event_loop: &mut EventLoop, now: Duration) {
         for connection in self.upstreams.stalled(now) {
-            event_loop.cut(connection);
+            event_loop.abort(connection);
             self.connection_closed(event_loop, connection, CloseReason::Slow);
         }
     }
 
     fn close_upstream(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
-        event_loop.cut(connection);
+        event_loop.abort(connection);
         self.upstreams.remove(connection);
     }
 }
--- a/crates/distribution/src/distributor/admission.rs
+++ b/crates/distribution/src/distributor/admission.rs
@@ -31,8 +31,8 @@
     }
 
     /// When the next proxy is admitted.
-    pub fn wakes_at(&self) -> Option<Duration> {
-        self.reconnect_queue.wakes_at()
+    pub fn next_wakeup(&self) -> Option<Duration> {
+        self.reconnect_queue.next_wakeup()
     }
 
     /// A connection ended; its proxy no longer waits, if it did.
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -173,7 +173,7 @@
     }
 
     /// Bytes that wait to be written.
-    pub fn waiting(&self, conn: ConnectionId) -> usize {
+    pub fn unsent_bytes(&self, conn: ConnectionId) -> usize {
         self.connections.get(&conn).map_or(0, Connection::unsent_bytes)
     }
 
@@ -183,9 +183,9 @@
     }
 
     /// Pauses or resumes reading; while it is paused, the peer's bytes fill its own side.
-    pub fn hold(&mut self, conn: ConnectionId, is_held: bool) {
+    pub fn pause_reading(&mut self, conn: ConnectionId, is_paused: bool) {
         if let Some(connection) = self.connections.get_mut(&conn) {
-            connection.pause_reading(is_held);
+            connection.pause_reading(is_paused);
             let _ = connection.update_interest(&self.poller, conn);
         }
     }
@@ -200,7 +200,7 @@
     }
 
     /// Closes a connection at once; no further event of it is returned.
-    pub fn cut(&mut self, conn: ConnectionId) {
+    pub fn abort(&mut self, conn: ConnectionId) {
         self.remove(conn);
     }
 
--- a/crates/event-loop/src/tests.rs
+++ b/crates/event-loop/src/tests.rs
@@ -160,7 +160,7 @@
     let conn = until(&mut event_loop, opened);
     while event_loop.is_open(conn) {
         event_loop.write(conn, &[7; 100_000]);
-        assert!(event_loop.waiting(conn) <= 1 << 20);
+        assert!(event_loop.unsent_bytes(conn) <= 1 << 20);
     }
 
     assert_eq!(until(&mut event_loop, closed), CloseReason::Unread);
@@ -219,7 +219,7 @@
 
     assert!(matches!(second.read(&mut [0; 8]), Ok(0) | Err(_)));
 
-    event_loop.hold(conn, true);
+    event_loop.pause_reading(conn, true);
     first.write_all(b"x").unwrap();
     let bytes = |event: &IoEvent| matches!(event, IoEvent::Bytes { .. });
     for _ in 0..3 {
@@ -229,7 +229,7 @@
             .iter()
             .any(bytes));
     }
-    event_loop.hold(conn, false);
+    event_loop.pause_reading(conn, false);
     until(&mut event_loop, |_, event| bytes(event).then_some(()));
 }
 
@@ -329,7 +329,7 @@
         }));
         if event_loop.now() > full {
             total += accepted.len();
-            accepted.drain(..).for_each(|conn| event_loop.cut(conn));
+            accepted.drain(..).for_each(|conn| event_loop.abort(conn));
         }
     }
     // A backoff lasts fifty milliseconds: a loop without one would iterate thousands of times.
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -128,7 +128,7 @@
     }
 
     /// When [`Client::handle_timeout`] is to be called.
-    pub fn wakes_at(&self) -> Option<Duration> {
+    pub fn next_wakeup(&self) -> Option<Duration> {
         [self.response_due_at, self.ping_at].into_iter().flatten().min()
     }
 
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -100,7 +100,7 @@
     }
 
     /// When [`Session::handle_timeout`] is to be called if nothing comes before.
-    pub fn wakes_at(&self) -> Option<Duration> {
+    pub fn next_wakeup(&self) -> Option<Duration> {
         self.times_out_at
     }
 
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -196,9 +196,9 @@
 fn a_connection_without_connect_times_out() {
     let mut session = Session::new(ZERO, "p", "f1");
 
-    session.handle_timeout(session.wakes_at().unwrap() - Duration::from_millis(1));
+    session.handle_timeout(session.next_wakeup().unwrap() - Duration::from_millis(1));
     assert_eq!(session.end(), None);
-    session.handle_timeout(session.wakes_at().unwrap());
+    session.handle_timeout(session.next_wakeup().unwrap());
 
     assert_eq!(session.end(), Some(&ConnectionEnd::TimedOut));
 }
@@ -206,7 +206,7 @@
 #[test]
 fn a_silent_connection_times_out_after_one_and_a_half_keep_alives() {
     let (mut session, _) = connected_pair();
-    let times_out_at = session.wakes_at().unwrap();
+    let times_out_at = session.next_wakeup().unwrap();
 
     session.handle_timeout(times_out_at);
 
@@ -404,17 +404,17 @@
     };
     let mut silent = new("p", "f1");
     silent.output();
-    let at = silent.wakes_at().unwrap();
+    let at = silent.next_wakeup().unwrap();
     silent.handle_timeout(at);
     assert_eq!(silent.end(), Some(&ConnectionEnd::TimedOut));
     let (mut session, mut responsive) = (Session::new(ZERO, "p", "f1"), new("p", "f1"));
     exchange(&mut session, &mut responsive, 9);
     // Its ping is due before the planner's timeout, and extends it.
-    let at = responsive.wakes_at().unwrap();
-    assert!(at < session.wakes_at().unwrap());
+    let at = responsive.next_wakeup().unwrap();
+    assert!(at < session.next_wakeup().unwrap());
     responsive.handle_timeout(at);
     session.receive(at, &responsive.output());
-    assert!(session.wakes_at().unwrap() > at + Duration::from_secs(10));
+    assert!(session.next_wakeup().unwrap() > at + Duration::from_secs(10));
     responsive.receive(at, &session.output());
     responsive.handle_timeout(at + Duration::from_secs(6));
     assert_eq!(responsive.end(), None);
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -170,13 +170,13 @@
     }
 
     /// When [`Service::handle_timeout`] is to be called.
-    pub fn wakes_at(&self) -> Option<Duration> {
+    pub fn next_wakeup(&self) -> Option<Duration> {
         self.confirmed_commit.as_ref().map(ConfirmedCommit::times_out_at)
     }
 
     /// Rolls a confirmed commit back that nobody confirmed in time.
     pub fn handle_timeout(&mut self, now: Duration, host: &mut dyn Host) {
-        if self.wakes_at().is_some_and(|at| now >= at) {
+        if self.next_wakeup().is_some_and(|at| now >= at) {
             self.roll_back(host);
         }
     }
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -397,7 +397,7 @@
     assert_eq!(server.tag(session, CONFIRMED_COMMIT), "ok");
     assert_eq!(server.top_nodes(), 1);
 
-    let times_out_at = server.service.wakes_at().unwrap();
+    let times_out_at = server.service.next_wakeup().unwrap();
     server.service.handle_timeout(times_out_at, &mut server.host);
 
     assert_eq!(server.top_nodes(), 0);
@@ -426,7 +426,7 @@
     assert_eq!(server.top_nodes(), 1);
     assert_eq!(server.tag(second, "<commit><persist-id>q</persist-id></commit>"), "invalid-value");
     assert_eq!(server.tag(second, "<commit><persist-id>p</persist-id></commit>"), "ok");
-    assert_eq!((server.top_nodes(), server.service.wakes_at()), (1, None));
+    assert_eq!((server.top_nodes(), server.service.next_wakeup()), (1, None));
 }
 
 #[test]
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -295,7 +295,7 @@
         self.arrivals[class].unanswered += 1;
     }
 
-    /// Returns what was counted since the last report, which `window` ago was made, and starts over.
+    /// Returns what was counted since the last report, `window` ago, and starts over.
     pub fn take_report(&mut self, window: Duration) -> Report {
         let classes = &self.classes;
         let outcomes = self
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -244,7 +244,7 @@
         let server = &mut self.all[id];
         for conn in std::mem::take(&mut server.readers).into_keys() {
             self.connections.remove(&conn);
-            event_loop.cut(conn);
+            event_loop.abort(conn);
         }
         server.running.clear();
         server.queue.clear();
@@ -293,7 +293,7 @@
         let Some(id) = self.connections.get(&listener).copied() else { return };
         if self.all[id].behavior == ServerBehavior::Unreachable {
             // The kernel accepted it; nothing reads it.
-            event_loop.hold(conn, true);
+            event_loop.pause_reading(conn, true);
         }
         self.connections.insert(conn, id);
         self.all[id].readers.insert(conn, MessageReader::requests());
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -242,7 +242,7 @@
             self.idle[proxy].push(conn);
         } else {
             self.connections.remove(&conn);
-            event_loop.cut(conn);
+            event_loop.abort(conn);
         }
         if response.code == 200 {
             self.record_success(event_loop.now(), &request);
--- a/crates/testbed/src/testbed/mod.rs
+++ b/crates/testbed/src/testbed/mod.rs
@@ -237,7 +237,7 @@
 
     /// Waits for events until a time on the event loop's clock, and handles what came.
     fn poll(&mut self, until: Duration) -> Result<(), String> {
-        let proxies = self.proxies.iter().filter_map(|proxy| proxy.runtime.wakes_at()).min();
+        let proxies = self.proxies.iter().filter_map(|proxy| proxy.runtime.next_wakeup()).min();
         let deadlines = [self.servers.next_deadline(), self.clients.next_deadline(), proxies, Some(until)];
         let next_deadline = deadlines.into_iter().flatten().min();
         for event in self.event_loop.wait(next_deadline).map_err(|e| e.to_string())? {
--- a/crates/testbed/tests/identity_lifetime.rs
+++ b/crates/testbed/tests/identity_lifetime.rs
@@ -70,7 +70,7 @@
     fn run_for(&mut self, duration: Duration) {
         let until = self.event_loop.now() + duration;
         while self.event_loop.now() < until {
-            let wakeup = self.runtime.wakes_at().map_or(until, |at| at.min(until));
+            let wakeup = self.runtime.next_wakeup().map_or(until, |at| at.min(until));
             for event in self.event_loop.wait(Some(wakeup)).unwrap() {
                 self.runtime.handle_event(&mut self.event_loop, event);
             }
--- a/crates/versioned-publisher/src/reconnect_queue.rs
+++ b/crates/versioned-publisher/src/reconnect_queue.rs
@@ -99,7 +99,7 @@
     }
 
     /// When the next subscriber is admitted.
-    pub fn wakes_at(&self) -> Option<Duration> {
+    pub fn next_wakeup(&self) -> Option<Duration> {
         let wait_seconds = (1.0 - self.tokens).max(0.0) / self.rate;
         (!self.waiting.is_empty()).then(|| self.refilled_at + Duration::from_secs_f64(wait_seconds))
     }
--- a/crates/versioned-publisher/src/tests.rs
+++ b/crates/versioned-publisher/src/tests.rs
@@ -341,7 +341,7 @@
     assert!(queue.push(Duration::ZERO, "f1", Some(HeldVersion { epoch: 0, version: 5 })));
     queue.remove("f2");
     let (mut admitted, mut now, mut most) = (vec![], Duration::ZERO, 0);
-    while let Some(at) = queue.wakes_at() {
+    while let Some(at) = queue.next_wakeup() {
         assert!(at <= now + grace_period, "it wakes in time");
         now = now.max(at) + Duration::from_micros(10);
         let before = admitted.len();
