--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -1,5 +1,5 @@
 //! The runtime of a planner on the platform: sockets, signals, the bootstrap file and the clock around
-//! [`runloom_platform_protocol::Platform`], on one event loop. It makes no decision about servers.
+//! [`runloom_platform_protocol::PlatformPlanner`], on one event loop. It makes no decision about servers.
 
 mod bootstrap_file;
 mod error;
@@ -17,7 +17,7 @@
 use runloom_platform_protocol::endpoint_watch::EndpointWatch;
 use runloom_platform_protocol::health_check::{self, HealthCheck};
 use runloom_platform_protocol::session::SessionCounts;
-use runloom_platform_protocol::{Action, Platform};
+use runloom_platform_protocol::{Action, PlatformPlanner};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
@@ -45,7 +45,7 @@
     event_loop: EventLoop,
     listener: ConnectionId,
     bootstrap_path: PathBuf,
-    platform: Platform,
+    platform: PlatformPlanner,
     watch: EndpointWatch,
     pending_reload: Option<PendingReload>,
     health_checks: BTreeMap<ConnectionId, HealthCheck>,
@@ -83,7 +83,7 @@
         let reserved = RESERVED_DESCRIPTORS + health_check::MAX_CONCURRENT + MAX_ACCEPTS;
         let room = bootstrap.limits.sockets.saturating_sub(reserved);
         let epoch_ms = wall_ms().saturating_sub((event_loop.now() + CLOCK_OFFSET).as_millis() as u64);
-        let platform = Platform::new(bootstrap, epoch_ms, room);
+        let platform = PlatformPlanner::new(bootstrap, epoch_ms, room);
         tracing::info!(name = bootstrap.name, at = %listener.address, room, "started");
         Ok(Some(PlatformRuntime {
             event_loop,
--- a/crates/platform-protocol/src/action.rs
+++ b/crates/platform-protocol/src/action.rs
@@ -18,7 +18,7 @@
         /// The connection.
         conn: ConnectionId,
     },
-    /// Checks a server's health once; the outcome goes to [`crate::Platform::handle_health_check`].
+    /// Checks a server's health once; the outcome goes to [`crate::PlatformPlanner::handle_health_check`].
     CheckHealth {
         /// Comes back with the outcome.
         ticket: u64,
--- a/crates/platform-protocol/src/counters.rs
+++ b/crates/platform-protocol/src/counters.rs
@@ -23,11 +23,11 @@
     /// Acknowledgements that were not pending.
     pub unexpected_acks: u64,
     /// Updates written.
-    pub messages: u64,
+    pub updates_sent: u64,
     /// Endpoint lists taken from the watch.
-    pub lists: u64,
+    pub list_updates: u64,
     /// The longest time from a proxy's connecting to its first acknowledgement.
-    pub longest_wait: Duration,
+    pub longest_table_wait: Duration,
 }
 
 impl fmt::Display for Counters {
@@ -41,9 +41,9 @@
             .field("refused", &self.rejected)
             .field("spoilt", &self.malformed)
             .field("stray_marks", &self.unexpected_acks)
-            .field("messages", &self.messages)
-            .field("lists", &self.lists)
-            .field("longest_wait", &self.longest_wait)
+            .field("messages", &self.updates_sent)
+            .field("lists", &self.list_updates)
+            .field("longest_wait", &self.longest_table_wait)
             .finish()
     }
 }
--- a/crates/platform-protocol/src/endpoint_list.rs
+++ b/crates/platform-protocol/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 //! This module is the only one that knows the wire's field names of lists.
 
 use crate::list_revisions::{ListAge, ListRevisions};
-use crate::watch_reader::UnreadableWatch;
+use crate::watch_reader::MalformedWatchData;
 use crate::NameRegistry;
 use runloom_controller::{EndpointRecord, EndpointUpdate, IdMap, ListedState, ServerId};
 use serde_json::Value;
@@ -91,8 +91,8 @@
         source: ListSource,
         names: &mut NameRegistry,
         now: Duration,
-    ) -> Result<Option<ListUpdate>, UnreadableWatch> {
-        let header = ListHeader::parse(list).ok_or(UnreadableWatch)?;
+    ) -> Result<Option<ListUpdate>, MalformedWatchData> {
+        let header = ListHeader::parse(list).ok_or(MalformedWatchData)?;
         match self.revisions.receive(header.revision, header.is_complete, now) {
             ListAge::Older => return Ok(None),
             ListAge::Held if !header.is_complete && source == ListSource::Watch => return Ok(None),
@@ -145,7 +145,7 @@
             match self.parse_member(member, names) {
                 Ok(Some(record)) => _ = records.insert(record.server, record),
                 Ok(None) => {}
-                Err(UnreadableWatch) => {
+                Err(MalformedWatchData) => {
                     self.malformed += 1;
                     // A complete list that mentions a server, however badly, does not say that it is gone.
                     let known = self.known_record(member, names).filter(|_| header.is_complete);
@@ -172,7 +172,7 @@
     }
 
     /// Notes a line that could not be read: an error while it is to be asked for again.
-    pub fn note_unreadable_line(&mut self) -> Result<(), UnreadableWatch> {
+    pub fn note_unreadable_line(&mut self) -> Result<(), MalformedWatchData> {
         self.malformed += 1;
         self.revisions.note_unreadable_line()
     }
@@ -200,13 +200,13 @@
         &mut self,
         member: &Value,
         names: &mut NameRegistry,
-    ) -> Result<Option<EndpointRecord>, UnreadableWatch> {
-        let id = text_field(member, "id").ok_or(UnreadableWatch)?;
+    ) -> Result<Option<EndpointRecord>, MalformedWatchData> {
+        let id = text_field(member, "id").ok_or(MalformedWatchData)?;
         let state = match member["phase"].as_str() {
             Some("SERVING") => ListedState::Ready,
             Some("DRAINING") => ListedState::Draining,
             Some("DELETED") => ListedState::Removed,
-            _ => return Err(UnreadableWatch),
+            _ => return Err(MalformedWatchData),
         };
         if state == ListedState::Removed && names.servers.get(id).is_none() {
             return Ok(None);
--- a/crates/platform-protocol/src/endpoint_watch.rs
+++ b/crates/platform-protocol/src/endpoint_watch.rs
@@ -3,7 +3,7 @@
 //! After discovery has moved, the previous connection is read to its end, since the changes it carries count.
 
 use crate::session::ConnectionId;
-use crate::watch_reader::{UnreadableWatch, WatchReader};
+use crate::watch_reader::{MalformedWatchData, WatchReader};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -107,7 +107,7 @@
             _ => return WatchOutput::default(),
         };
         let lines = reader.push(bytes);
-        let is_unreadable = lines == Err(UnreadableWatch);
+        let is_unreadable = lines == Err(MalformedWatchData);
         let should_close = is_unreadable || reader.is_complete();
         let is_first = is_current && !self.has_received;
         if is_current {
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -30,7 +30,7 @@
 pub use action::Action;
 pub use counters::Counters;
 pub use name_registry::NameRegistry;
-pub use platform::Platform;
+pub use platform::PlatformPlanner;
 
 #[cfg(test)]
 mod tests;
--- a/crates/platform-protocol/src/list_revisions.rs
+++ b/crates/platform-protocol/src/list_revisions.rs
@@ -3,7 +3,7 @@
 //! A revision names a state of the list, unless discovery counts anew: then older ones come, as they do from an agent that
 //! lags.
 
-use crate::watch_reader::UnreadableWatch;
+use crate::watch_reader::MalformedWatchData;
 use std::time::Duration;
 
 /// An agent may lag behind another by this long. Older versions for longer mean that versions were reset.
@@ -96,12 +96,12 @@
     }
 
     /// Notes a line that could not be read: an error while it is to be asked for again.
-    pub fn note_unreadable_line(&mut self) -> Result<(), UnreadableWatch> {
+    pub fn note_unreadable_line(&mut self) -> Result<(), MalformedWatchData> {
         self.unreadable_lines += 1;
         if self.unreadable_lines > MAX_RETRIES {
             return Ok(());
         }
-        Err(UnreadableWatch)
+        Err(MalformedWatchData)
     }
 
     /// The revision up to which all changes are held.
--- a/crates/platform-protocol/src/message_handler.rs
+++ b/crates/platform-protocol/src/message_handler.rs
@@ -3,7 +3,7 @@
 use crate::action::Action;
 use crate::framing;
 use crate::message::{self, MalformedMessage, Message};
-use crate::platform::Platform;
+use crate::platform::PlatformPlanner;
 use crate::session::{ConnectionId, Role};
 use runloom_controller::{Event, ProxyId};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const PONG: &[u8] = br#"{"t":"PONG"}"#;
 const NACK: &[u8] = br#"{"t":"NACK"}"#;
 
-impl Platform {
+impl PlatformPlanner {
     /// Takes an accepted connection.
     pub fn handle_opened(&mut self, conn: ConnectionId, now: Duration) {
         self.sessions.open(conn, now);
@@ -97,7 +97,7 @@
             Event::UpdateAcknowledged { proxy, ack_token, .. } if role == Role::Stream(proxy) => {
                 if self.tables.acknowledge(proxy, ack_token) {
                     let wait = self.tables.take_table_wait(proxy, now).unwrap_or_default();
-                    self.counters.longest_wait = self.counters.longest_wait.max(wait);
+                    self.counters.longest_table_wait = self.counters.longest_table_wait.max(wait);
                     self.events.push(event);
                 } else {
                     self.counters.unexpected_acks += 1;
--- a/crates/platform-protocol/src/platform.rs
+++ b/crates/platform-protocol/src/platform.rs
@@ -11,7 +11,7 @@
 use crate::session::{SessionCounts, Sessions};
 use crate::table_sync::TableSync;
 use crate::timers::Timers;
-use crate::watch_reader::UnreadableWatch;
+use crate::watch_reader::MalformedWatchData;
 use runloom_controller::config::ChannelConfig;
 use runloom_controller::{Command, Controller, EjectionReport, EndpointUpdate, Event, ServerId};
 use std::time::Duration;
@@ -36,9 +36,9 @@
 
 /// One planner on the platform.
 ///
-/// A runtime gives it what happened (`handle_...`), calls [`Platform::step`], carries out the actions, and waits until
-/// something happens or until [`Platform::next_timeout`].
-pub struct Platform {
+/// A runtime gives it what happened (`handle_...`), calls [`PlatformPlanner::step`], carries out the actions, and waits until
+/// something happens or until [`PlatformPlanner::next_timeout`].
+pub struct PlatformPlanner {
     pub(crate) controller: Controller,
     pub(crate) names: NameRegistry,
     pub(crate) sessions: Sessions,
@@ -59,12 +59,12 @@
     pub counters: Counters,
 }
 
-impl Platform {
+impl PlatformPlanner {
     /// A planner that knows nothing but its bootstrap configuration.
     ///
     /// `epoch_ms` is the time zero of all `now` in Unix time, milliseconds; it lies before this start, as the starts of
     /// servers do. `max_connections` is how many connections there are file descriptors for.
-    pub fn new(bootstrap: &BootstrapConfig, epoch_ms: u64, max_connections: usize) -> Platform {
+    pub fn new(bootstrap: &BootstrapConfig, epoch_ms: u64, max_connections: usize) -> PlatformPlanner {
         let settings = runloom_deployment_config::read(&bootstrap.settings);
         let config = settings.config;
         let proxy_limit = config.proxy_count.unwrap_or(MAX_PROXIES).clamp(0.0, MAX_PROXIES) as usize;
@@ -83,7 +83,7 @@
         let cached = cached.ok().flatten();
         let cached = cached.unwrap_or(ListUpdate { update: EndpointUpdate::Cached, records: vec![] });
         let start = Event::Start { seed: bootstrap.seed, config: Box::new(config) };
-        Platform {
+        PlatformPlanner {
             controller: Controller::default(),
             names,
             sessions: Sessions::new(max_connections),
@@ -122,7 +122,7 @@
         self.list.complete_revision()
     }
 
-    /// Whether the watch is to be asked again for what follows [`Platform::watch_revision`], since the last line leaves
+    /// Whether the watch is to be asked again for what follows [`PlatformPlanner::watch_revision`], since the last line leaves
     /// open what is missing; true once.
     #[must_use]
     pub fn take_must_reread_list(&mut self) -> bool {
@@ -148,19 +148,19 @@
     ///
     /// A line that cannot be read may hold a drain. It is an error as long as the changes since the held revision are
     /// to be asked for again; after a few attempts the line is skipped, since the lines behind it count too.
-    pub fn handle_list_line(&mut self, line: &[u8], now: Duration) -> Result<(), UnreadableWatch> {
+    pub fn handle_list_line(&mut self, line: &[u8], now: Duration) -> Result<(), MalformedWatchData> {
         if line.trim_ascii().is_empty() {
             return Ok(());
         }
-        let list = serde_json::from_slice(line).map_err(|_| UnreadableWatch);
+        let list = serde_json::from_slice(line).map_err(|_| MalformedWatchData);
         match list.and_then(|list| self.list.apply(&list, ListSource::Watch, &mut self.names, now)) {
             Ok(None) => Ok(()),
             Ok(Some(update)) => {
-                self.counters.lists += 1;
+                self.counters.list_updates += 1;
                 self.list_events.push(list_event(update));
                 Ok(())
             }
-            Err(UnreadableWatch) => self.list.note_unreadable_line(),
+            Err(MalformedWatchData) => self.list.note_unreadable_line(),
         }
     }
 
@@ -187,7 +187,7 @@
     ///
     /// All that peers had sent by `read_until` has been handled: no peer is late by what was not read.
     pub fn step(&mut self, now: Duration, read_until: Duration) -> Vec<Action> {
-        for conn in self.sessions.overdue(read_until) {
+        for conn in self.sessions.connections_to_close(read_until) {
             self.reject(conn);
         }
         while let Some(token) = self.timers.pop_due(now) {
@@ -217,7 +217,7 @@
         for (proxy, parts) in self.tables.apply(&commands, now) {
             if let Some(conn) = self.sessions.stream(proxy) {
                 let bytes = self.tables.encode(&parts, &self.names);
-                self.counters.messages += 1;
+                self.counters.updates_sent += 1;
                 self.actions.push(Action::Write { conn, bytes });
             }
         }
--- a/crates/platform-protocol/src/session.rs
+++ b/crates/platform-protocol/src/session.rs
@@ -202,7 +202,7 @@
     }
 
     /// Connections to close: those past their deadline, then those evicted to make room.
-    pub fn overdue(&self, now: Duration) -> Vec<ConnectionId> {
+    pub fn connections_to_close(&self, now: Duration) -> Vec<ConnectionId> {
         let expired = self.sessions_with_deadline().filter(|(_, session)| session.is_expired(now));
         let mut overdue: Vec<ConnectionId> = expired.map(|(conn, _)| conn).collect();
         // One place is kept free: a full planner accepts nobody, and would not see who waits.
--- a/crates/platform-protocol/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -36,7 +36,7 @@
     Duration::from_millis(n)
 }
 
-impl Platform {
+impl PlatformPlanner {
     /// A step with all input read.
     fn step_at(&mut self, now: Duration) -> Vec<Action> {
         self.step(now, now)
@@ -83,8 +83,8 @@
     BootstrapConfig::parse(&text.to_string(), EnvironmentDefaults::default()).unwrap()
 }
 
-fn platform() -> Platform {
-    let mut platform = Platform::new(&bootstrap(), EPOCH, 100);
+fn platform() -> PlatformPlanner {
+    let mut platform = PlatformPlanner::new(&bootstrap(), EPOCH, 100);
     platform.step_at(START);
     platform
 }
@@ -98,29 +98,29 @@
 }
 
 /// Connects a proxy; returns the actions of the step.
-fn connect(platform: &mut Platform, conn: ConnectionId, id: u64, now: Duration) -> Vec<Action> {
+fn connect(platform: &mut PlatformPlanner, conn: ConnectionId, id: u64, now: Duration) -> Vec<Action> {
     open(platform, conn, &[connect_message(id)], now);
     platform.step_at(now)
 }
 
 /// Opens a connection that sends these messages.
-fn open(platform: &mut Platform, conn: ConnectionId, messages: &[Value], now: Duration) {
+fn open(platform: &mut PlatformPlanner, conn: ConnectionId, messages: &[Value], now: Duration) {
     platform.handle_opened(conn, now);
     receive(platform, conn, messages, now);
 }
 
 /// Hands over messages of an open connection.
-fn receive(platform: &mut Platform, conn: ConnectionId, messages: &[Value], now: Duration) {
+fn receive(platform: &mut PlatformPlanner, conn: ConnectionId, messages: &[Value], now: Duration) {
     platform.handle_bytes(conn, &framed(messages), now);
 }
 
 /// Hands over a complete list.
-fn receive_list(platform: &mut Platform, revision: u64, members: &[Value], now: Duration) {
+fn receive_list(platform: &mut PlatformPlanner, revision: u64, members: &[Value], now: Duration) {
     platform.handle_list_line(&list(revision, true, members), now).unwrap();
 }
 
 /// Hands over changes of the list.
-fn receive_changes(platform: &mut Platform, revision: u64, members: &[Value], now: Duration) {
+fn receive_changes(platform: &mut PlatformPlanner, revision: u64, members: &[Value], now: Duration) {
     platform.handle_list_line(&list(revision, false, members), now).unwrap();
 }
 
--- a/crates/platform-protocol/src/tests/health_check.rs
+++ b/crates/platform-protocol/src/tests/health_check.rs
@@ -62,7 +62,7 @@
 }
 
 /// The tickets of all health checks asked for in some steps of half a second.
-fn tickets_within(platform: &mut Platform, steps: std::ops::Range<u64>) -> Vec<u64> {
+fn tickets_within(platform: &mut PlatformPlanner, steps: std::ops::Range<u64>) -> Vec<u64> {
     steps.flat_map(|step| tickets(&platform.step_at(START + ms(step * 500)))).collect()
 }
 
--- a/crates/platform-protocol/src/tests/platform.rs
+++ b/crates/platform-protocol/src/tests/platform.rs
@@ -13,7 +13,7 @@
     assert_eq!(updates[0]["replace"], json!(true));
     assert_eq!(updates[0]["rows"].as_array().unwrap().len(), 3);
     assert!(matches!(platform.events[..], [Event::UpdateAcknowledged { proxy: 7, .. }]));
-    assert_eq!(platform.counters.longest_wait, ms(20));
+    assert_eq!(platform.counters.longest_table_wait, ms(20));
 
     receive(&mut platform, 1, &[acknowledgement], START + ms(30));
 
@@ -32,7 +32,7 @@
     let late = json!({"t": "ACK", "id": 7, "seq": last_ack_token(&updates), "ms": 900.0});
     receive(&mut platform, 1, &[late], START + ms(950));
 
-    assert_eq!((platform.counters.longest_wait, platform.counters.unexpected_acks), (ms(20), 0));
+    assert_eq!((platform.counters.longest_table_wait, platform.counters.unexpected_acks), (ms(20), 0));
 }
 
 #[test]
@@ -140,7 +140,7 @@
 fn a_restarted_planner_replaces_old_tables_without_draining_servers() {
     let mut bootstrap = bootstrap();
     bootstrap.cached_list["members"][1]["phase"] = json!("DRAINING");
-    let mut platform = Platform::new(&bootstrap, EPOCH, 100);
+    let mut platform = PlatformPlanner::new(&bootstrap, EPOCH, 100);
     platform.step_at(START);
 
     let mut with_old_table = connect_message(7);
@@ -260,7 +260,7 @@
 }
 
 /// Replaces one server and one stream, and answers everything that the core asks for.
-fn replace_server_and_stream(platform: &mut Platform, round: u64, now: Duration) {
+fn replace_server_and_stream(platform: &mut PlatformPlanner, round: u64, now: Duration) {
     let removed = member(&format!("s-{}", round + 1), "DELETED");
     let added = member(&format!("s-{}", round + 4), "SERVING");
     receive_changes(platform, 41 + 2 * round, &[added, removed], START);
@@ -306,9 +306,9 @@
         rejected: 5,
         malformed: 6,
         unexpected_acks: 7,
-        messages: 8,
-        lists: 9,
-        longest_wait: ms(10),
+        updates_sent: 8,
+        list_updates: 9,
+        longest_table_wait: ms(10),
     };
 
     let printed = counters.to_string();
--- a/crates/platform-protocol/src/tests/session.rs
+++ b/crates/platform-protocol/src/tests/session.rs
@@ -56,7 +56,7 @@
     assert!(sessions.is_full() && sessions.next_timeout() <= Some(ms(300)));
 
     sessions.register_stream(299, 5);
-    let evicted = sessions.overdue(ms(400));
+    let evicted = sessions.connections_to_close(ms(400));
 
     // All that there is no room for, the oldest first.
     assert_eq!((evicted.len(), evicted[0], evicted.contains(&299)), (299 - 38, 0, false));
--- a/crates/platform-protocol/src/tests/termination.rs
+++ b/crates/platform-protocol/src/tests/termination.rs
@@ -99,7 +99,7 @@
 fn without_a_list_a_planner_answers_pings_and_sends_tables_with_the_first_list() {
     let mut bootstrap = bootstrap();
     bootstrap.cached_list = Value::Null;
-    let mut platform = Platform::new(&bootstrap, EPOCH, 100);
+    let mut platform = PlatformPlanner::new(&bootstrap, EPOCH, 100);
 
     open(&mut platform, 1, &[json!({"t": "PING"})], START);
 
--- a/crates/platform-protocol/src/tests/untrusted_input.rs
+++ b/crates/platform-protocol/src/tests/untrusted_input.rs
@@ -55,7 +55,7 @@
 fn run_scenario(settings: Value) -> usize {
     let mut bootstrap = bootstrap();
     bootstrap.settings = settings;
-    let mut platform = Platform::new(&bootstrap, EPOCH, 100);
+    let mut platform = PlatformPlanner::new(&bootstrap, EPOCH, 100);
     let mut tables = 0;
     for step in 0u64..40 {
         let now = START + ms(400 * step);
@@ -68,7 +68,7 @@
 }
 
 /// What happens in a step, whatever the core has asked for.
-fn drive(platform: &mut Platform, step: u64, now: Duration) {
+fn drive(platform: &mut PlatformPlanner, step: u64, now: Duration) {
     match step {
         1 => open(platform, COLLECTOR, &[collector_message("a")], now),
         2..=6 => open(platform, step as ConnectionId, &[connect_message(step)], now),
@@ -89,7 +89,7 @@
 }
 
 /// Answers an action as the platform would; returns how many tables it carries.
-fn answer(platform: &mut Platform, action: Action, now: Duration) -> usize {
+fn answer(platform: &mut PlatformPlanner, action: Action, now: Duration) -> usize {
     let mut tables = 0;
     match action {
         Action::CheckHealth { ticket, .. } => {
@@ -237,7 +237,7 @@
 fn a_cached_list_with_a_malformed_entry_is_asked_for_from_the_beginning() {
     let mut bootstrap = bootstrap();
     bootstrap.cached_list["members"][1]["phase"] = json!(3);
-    let mut platform = Platform::new(&bootstrap, EPOCH, 100);
+    let mut platform = PlatformPlanner::new(&bootstrap, EPOCH, 100);
     platform.step_at(START);
 
     assert_eq!(platform.list_revision(), 0);
--- a/crates/platform-protocol/src/watch_reader.rs
+++ b/crates/platform-protocol/src/watch_reader.rs
@@ -15,15 +15,15 @@
 
 /// A watch, or a line of it, that cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnreadableWatch;
+pub struct MalformedWatchData;
 
-impl fmt::Display for UnreadableWatch {
+impl fmt::Display for MalformedWatchData {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the endpoint watch cannot be read")
     }
 }
 
-impl std::error::Error for UnreadableWatch {}
+impl std::error::Error for MalformedWatchData {}
 
 /// What comes next in the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -71,7 +71,7 @@
 
 impl WatchReader {
     /// Appends received bytes and returns the lines that they complete, empty ones too.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, UnreadableWatch> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, MalformedWatchData> {
         self.input.extend_from_slice(bytes);
         let mut lines = Vec::new();
         let mut consumed = 0;
@@ -83,7 +83,7 @@
                 }
             }
             if self.line.len() > MAX_LINE_BYTES {
-                return Err(UnreadableWatch);
+                return Err(MalformedWatchData);
             }
             consumed += progress.consumed;
             self.state = progress.next;
@@ -98,7 +98,7 @@
     }
 
     /// One parsing step; `None` where more bytes are needed.
-    fn parse(&self, rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
+    fn parse(&self, rest: &[u8]) -> Result<Option<Progress>, MalformedWatchData> {
         match self.state {
             State::Head => parse_head(rest),
             State::Complete => Ok(None),
@@ -113,7 +113,7 @@
             State::ChunkEnd if rest.starts_with(LINE_END) => {
                 Ok(Some(Progress::without_data(LINE_END.len(), State::ChunkSize)))
             }
-            State::ChunkEnd => Err(UnreadableWatch),
+            State::ChunkEnd => Err(MalformedWatchData),
             State::PlainBody => {
                 Ok(Some(Progress { consumed: rest.len(), next: State::PlainBody, data: 0..rest.len() }))
             }
@@ -121,13 +121,13 @@
     }
 }
 
-fn parse_head(rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
+fn parse_head(rest: &[u8]) -> Result<Option<Progress>, MalformedWatchData> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    match response.parse(rest).map_err(|_| UnreadableWatch)? {
-        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => Err(UnreadableWatch),
+    match response.parse(rest).map_err(|_| MalformedWatchData)? {
+        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => Err(MalformedWatchData),
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(_) if response.code != Some(200) => Err(UnreadableWatch),
+        httparse::Status::Complete(_) if response.code != Some(200) => Err(MalformedWatchData),
         httparse::Status::Complete(consumed) => {
             let next = if is_chunked(response.headers) { State::ChunkSize } else { State::PlainBody };
             Ok(Some(Progress::without_data(consumed, next)))
@@ -141,14 +141,14 @@
     })
 }
 
-fn parse_chunk_size(rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
-    match httparse::parse_chunk_size(rest).map_err(|_| UnreadableWatch)? {
-        httparse::Status::Partial if rest.len() > MAX_CHUNK_HEADER_BYTES => Err(UnreadableWatch),
+fn parse_chunk_size(rest: &[u8]) -> Result<Option<Progress>, MalformedWatchData> {
+    match httparse::parse_chunk_size(rest).map_err(|_| MalformedWatchData)? {
+        httparse::Status::Partial if rest.len() > MAX_CHUNK_HEADER_BYTES => Err(MalformedWatchData),
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete((consumed, 0)) => {
             Ok(Some(Progress::without_data(consumed, State::Complete)))
         }
-        httparse::Status::Complete((_, size)) if size > MAX_LINE_BYTES as u64 => Err(UnreadableWatch),
+        httparse::Status::Complete((_, size)) if size > MAX_LINE_BYTES as u64 => Err(MalformedWatchData),
         httparse::Status::Complete((consumed, size)) => {
             Ok(Some(Progress::without_data(consumed, State::ChunkData(size as usize))))
         }
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -6,7 +6,7 @@
 use runloom_controller::HealthCheckResult;
 use runloom_platform_protocol::bootstrap::{BootstrapConfig, EnvironmentDefaults};
 use runloom_platform_protocol::health_check::HealthCheckOutcome;
-use runloom_platform_protocol::{Action, Platform};
+use runloom_platform_protocol::{Action, PlatformPlanner};
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::time::Duration;
@@ -39,12 +39,12 @@
         "zones": ["a", "b"], "rules": {"drainGraceS": 2.0, "coldFrom": 0.5, "warmAfterS": 1.0}})
 }
 
-fn platform(level_kind: &str) -> Platform {
+fn platform(level_kind: &str) -> PlatformPlanner {
     let members: Vec<Value> = (0..8).map(|id| member(id, "SERVING", 0)).collect();
     let known = json!({"revision": 40, "complete": true, "members": members});
     let text = json!({"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f",
         "limits": {"sockets": 256, "memory_mb": 32}, "known": known, "settings": settings(level_kind)});
-    Platform::new(
+    PlatformPlanner::new(
         &BootstrapConfig::parse(&text.to_string(), EnvironmentDefaults::default()).unwrap(),
         EPOCH_MS,
         100,
@@ -77,7 +77,7 @@
         "util": {"util": 0.4 + id as f64 / 50.0, "latency_ms": 40.0 + (step % 7) as f64}})
 }
 
-fn drive(platform: &mut Platform, step: u64, now: Duration) {
+fn drive(platform: &mut PlatformPlanner, step: u64, now: Duration) {
     match step {
         1 => platform.handle_opened(COLLECTOR, now),
         2 => platform.handle_bytes(COLLECTOR, &framed(&json!({"t": "SOURCE", "site": "a"})), now),
@@ -128,7 +128,7 @@
 }
 
 /// Outcome and arrival reports of one step.
-fn send_reports(platform: &mut Platform, step: u64, now: Duration) {
+fn send_reports(platform: &mut PlatformPlanner, step: u64, now: Duration) {
     (0..8).for_each(|id| platform.handle_bytes(COLLECTOR, &framed(&report(id, step)), now));
     let load = if (200..260).contains(&step) { 150 } else { 30 };
     for proxy in [4, 5, 8, 9] {
@@ -139,7 +139,7 @@
 }
 
 /// Ends health checks and acknowledges updates, but for the proxy that falls silent.
-fn answer(platform: &mut Platform, actions: &[Action], step: u64, now: Duration) {
+fn answer(platform: &mut PlatformPlanner, actions: &[Action], step: u64, now: Duration) {
     for action in actions {
         match action {
             Action::CheckHealth { ticket, .. } => {
