--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,9 +1,9 @@
 //! The platform's protocol as a sans-I/O core.
 //!
-//! Bytes, closed connections, health check outcomes and the time go in; bytes to write, connections to close, health
-//! checks to run and the next timeout come out. The core opens no socket and reads no clock. Decisions about endpoints
-//! come from [`runloom_controller::Controller`]; this crate settles the protocol alone: framing, which connections may
-//! stay, and when a peer counts as unresponsive.
+//! The inputs are received bytes, closed connections, health check outcomes and the time; the outputs are bytes to
+//! write, connections to close, health checks to run and the next timeout. The core opens no socket and reads no clock.
+//! [`runloom_controller::Controller`] makes all decisions about endpoints; this crate implements the protocol only:
+//! framing, admission and eviction of connections, and detection of unresponsive peers.
 
 #![warn(missing_docs)]
 
--- a/crates/platform-protocol/src/message_handler.rs
+++ b/crates/platform-protocol/src/message_handler.rs
@@ -1,4 +1,4 @@
-//! Connections and their messages: what each role may send, and what comes of it.
+//! Handles connections and their messages according to each connection's role.
 
 use crate::action::Action;
 use crate::framing;
@@ -12,19 +12,19 @@
 const NACK: &[u8] = br#"{"t":"NACK"}"#;
 
 impl PlatformPlanner {
-    /// Takes an accepted connection.
+    /// Adds an accepted connection, which has yet to identify itself.
     pub fn handle_opened(&mut self, conn: ConnectionId, now: Duration) {
         self.sessions.open(conn, now);
     }
 
-    /// Takes the end of a connection.
+    /// Handles the end of a connection: disconnects its proxy, if it was a stream.
     pub fn handle_closed(&mut self, conn: ConnectionId) {
         if let Some(Role::Stream(proxy)) = self.sessions.remove(conn) {
             self.disconnect_proxy(proxy);
         }
     }
 
-    /// Takes the bytes that a connection received, however they are split.
+    /// Handles received bytes, which may end anywhere within a frame.
     pub fn handle_bytes(&mut self, conn: ConnectionId, bytes: &[u8], now: Duration) {
         match self.sessions.get_mut(conn) {
             Some(session) => session.reader.push(bytes),
@@ -49,7 +49,7 @@
         self.sessions.update_deadline(conn, has_completed_message, now);
     }
 
-    /// Closes a connection that broke the protocol or identified itself too late.
+    /// Replies `NACK` and closes a connection that violated the protocol or missed a deadline, or that is evicted.
     pub(crate) fn reject(&mut self, conn: ConnectionId) {
         self.counters.rejected += 1;
         self.reply(conn, NACK);
@@ -80,14 +80,14 @@
             (Role::Unidentified, Ok(Message::Event(event @ Event::ProxyConnected { proxy, .. }))) => {
                 self.connect_proxy(conn, proxy, event, now);
             }
-            // Anything else as a first message is no client's of this planner.
+            // Clients of this planner identify themselves with their first message, pings aside.
             (Role::Unidentified, _) => self.reject(conn),
             (_, Ok(Message::Event(event))) => self.handle_event(role, event, now),
             (_, Ok(Message::RegisterCollector { .. }) | Err(_)) => self.counters.malformed += 1,
         }
     }
 
-    /// Takes an event of a connection that has identified itself.
+    /// Handles an event from an identified connection; one that its role may not send counts as malformed.
     fn handle_event(&mut self, role: Role, event: Event, now: Duration) {
         match event {
             Event::OutcomeReport { .. } if matches!(role, Role::Collector(_)) => self.events.push(event),
@@ -107,14 +107,15 @@
         }
     }
 
-    /// Arrivals at a connected proxy are reported by itself or by any collector.
+    /// Whether a connection may report arrivals at a proxy: the proxy is connected, and the connection is its own
+    /// stream or a collector of any zone.
     fn may_report_arrivals(&self, role: Role, proxy: ProxyId) -> bool {
         let is_connected = self.sessions.stream(proxy).is_some();
         is_connected && (role == Role::Stream(proxy) || matches!(role, Role::Collector(_)))
     }
 
-    /// Makes a connection the stream of a proxy. It takes over from one that is not yet seen closed, of which nothing
-    /// counts any more.
+    /// Makes a connection the stream of a proxy. It replaces an older stream whose end was not yet seen; input from
+    /// that one is ignored from then on.
     fn connect_proxy(&mut self, conn: ConnectionId, proxy: ProxyId, connected: Event, now: Duration) {
         if let Some(replaced) = self.sessions.register_stream(conn, proxy) {
             self.counters.taken_over += 1;
--- a/crates/platform-protocol/src/platform.rs
+++ b/crates/platform-protocol/src/platform.rs
@@ -1,4 +1,4 @@
-//! The core of a planner on the platform: what it is given, what it decides, and what is to be done.
+//! The core of a planner on the platform: collects events, steps the controller and turns its commands into actions.
 
 use crate::action::Action;
 use crate::bootstrap::BootstrapConfig;
@@ -16,54 +16,56 @@
 use runloom_controller::{Command, Controller, EjectionReport, EndpointUpdate, Event, ServerId};
 use std::time::Duration;
 
-/// How often released indices and unresponsive streams are looked for.
+/// Interval between two checks for unused server indices and unresponsive streams.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// An acknowledgement is overdue after this many times the channel's longest delay.
+/// Multiple of the channel's longest delay after which an acknowledgement is overdue.
 const ACK_TIMEOUT_DELAYS: u32 = 3;
-/// Time that a proxy may pause for, on top of the channel's delay.
+/// Added to the acknowledgement timeout: a proxy may pause for this long.
 const ACK_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
-/// The longest channel delay that counts.
+/// Upper bound of the channel delay that the acknowledgement timeout is computed from.
 const MAX_CHANNEL_DELAY: Duration = Duration::from_secs(60);
-/// Proxies where the settings give no number: as many as the simulator's wire can number.
+/// Maximum number of proxies, and the default where the settings give none: the simulator's protocol can number no
+/// more.
 const MAX_PROXIES: f64 = 65536.0;
 
-/// Entries that may wait in the channel, where the settings give no number.
+/// Default for the number of entries that may wait in the channel.
 const DEFAULT_QUEUE_LIMIT: f64 = 4000.0;
-/// Entries that leave the channel in a second, where the settings give no number.
+/// Default for the number of entries that leave the channel per second.
 const DEFAULT_ENTRIES_PER_SECOND: f64 = 1000.0;
-/// The longest time from the channel to a proxy, where the settings give none.
+/// Default for the longest transit time from the channel to a proxy.
 const DEFAULT_MAX_TRANSIT_SECONDS: f64 = 2.0;
 
-/// One planner on the platform.
+/// The core of one planner on the platform.
 ///
-/// A runtime gives it what happened (`handle_...`), calls [`PlatformPlanner::step`], carries out the actions, and waits until
-/// something happens or until [`PlatformPlanner::next_timeout`].
+/// A runtime reports what happened (`handle_...`), calls [`PlatformPlanner::step`], carries out the actions, and waits
+/// until something happens or until [`PlatformPlanner::next_timeout`].
 pub struct PlatformPlanner {
     pub(crate) controller: Controller,
     pub(crate) names: NameRegistry,
     pub(crate) sessions: Sessions,
     pub(crate) tables: TableSync,
     pub(crate) list: EndpointList,
-    /// Changes of the list, which the controller takes before all other events of a step.
+    /// The controller's start and the list updates, which it handles before all other events of a step.
     pub(crate) list_events: Vec<Event>,
     pub(crate) events: Vec<Event>,
     pub(crate) actions: Vec<Action>,
     pub(crate) timers: Timers,
     pub(crate) pending_checks: PendingChecks,
     pub(crate) index_release: IndexRelease,
-    /// An acknowledgement is overdue after this time.
+    /// Time after which an acknowledgement is overdue.
     pub(crate) ack_timeout: Duration,
     wants_load: bool,
     last_maintenance: Duration,
-    /// What was counted since the start.
+    /// Counters since the start, for the log.
     pub counters: Counters,
 }
 
 impl PlatformPlanner {
-    /// A planner that knows nothing but its bootstrap configuration.
+    /// A planner in its initial state, with the cached endpoint list of the bootstrap file.
     ///
-    /// `epoch_ms` is the time zero of all `now` in Unix time, milliseconds; it lies before this start, as the starts of
-    /// servers do. `max_connections` is how many connections there are file descriptors for.
+    /// `epoch_ms` is the Unix time, in milliseconds, of time zero of all `now` arguments. It lies before the planner's
+    /// start, so that earlier starts of servers have a time too. `max_connections` is the number of connections that
+    /// the file descriptors allow.
     pub fn new(bootstrap: &BootstrapConfig, epoch_ms: u64, max_connections: usize) -> PlatformPlanner {
         let settings = runloom_deployment_config::read(&bootstrap.settings);
         let config = settings.config;
@@ -102,52 +104,53 @@
         }
     }
 
-    /// Whether servers attach load reports to health checks.
+    /// Whether health checks request a load report.
     pub fn wants_load(&self) -> bool {
         self.wants_load
     }
 
-    /// The metrics of a load report, in their order.
+    /// Names of the metrics of a load report, in the order in which the controller takes their values.
     pub fn load_metrics(&self) -> &[String] {
         &self.names.load_metrics
     }
 
-    /// The revision that the watch asks from; 0 for the complete list.
+    /// The revision since which the watch requests changes; 0 requests the complete list.
     pub fn watch_revision(&self) -> u64 {
         self.list.watch_revision()
     }
 
-    /// The revision up to which all changes of the endpoint list are held.
+    /// The revision up to which all changes of the endpoint list were applied.
     pub fn list_revision(&self) -> u64 {
         self.list.complete_revision()
     }
 
-    /// Whether the watch is to be asked again for what follows [`PlatformPlanner::watch_revision`], since the last line leaves
-    /// open what is missing; true once.
+    /// Whether the changes since [`PlatformPlanner::watch_revision`] have to be requested again, since a line had a
+    /// malformed entry or a lagging agent caught up. Resets the flag.
     #[must_use]
     pub fn take_must_reread_list(&mut self) -> bool {
         self.list.take_must_reread()
     }
 
-    /// Whether no further connection can be accepted now.
+    /// Whether the connection limit is reached, so that no connection may be accepted now.
     pub fn is_full(&self) -> bool {
         self.sessions.is_full()
     }
 
-    /// How many connections there are.
+    /// The number of connected proxies and of unidentified connections.
     pub fn session_counts(&self) -> SessionCounts {
         self.sessions.counts()
     }
 
-    /// Servers that have an index, including those that are gone and not yet released.
+    /// The number of servers that have an index, including removed ones whose index is not yet released.
     pub fn server_count(&self) -> usize {
         self.names.servers.iter().count()
     }
 
-    /// Takes a line of the endpoint watch; an empty one is a heartbeat.
+    /// Handles a line of the endpoint watch; an empty line is a heartbeat.
     ///
-    /// A line that cannot be read may hold a drain. It is an error as long as the changes since the held revision are
-    /// to be asked for again; after a few attempts the line is skipped, since the lines behind it count too.
+    /// A line that cannot be parsed may contain a drain: it returns an error, upon which the caller requests the
+    /// changes since the held revision again. After a few attempts it is skipped without an error, so that it does not
+    /// block the lines that follow.
     pub fn handle_list_line(&mut self, line: &[u8], now: Duration) -> Result<(), MalformedWatchData> {
         if line.trim_ascii().is_empty() {
             return Ok(());
@@ -164,14 +167,14 @@
         }
     }
 
-    /// Whether the complete list is to be asked for, since discovery has reset its revisions: it has sent older
-    /// ones than the held one for longer than an agent may lag.
+    /// Resets the held revision if discovery has sent only older ones for longer than an agent may lag, and so must
+    /// have restarted its numbering. Returns whether it did: the complete list has to be requested then.
     #[must_use]
     pub fn reset_outdated_revision(&mut self, read_until: Duration) -> bool {
         self.list.reset_outdated_revision(read_until)
     }
 
-    /// Takes the outcome of [`Action::CheckHealth`].
+    /// Handles the outcome of an [`Action::CheckHealth`]; `elapsed` is the duration of the check.
     pub fn handle_health_check(&mut self, ticket: u64, outcome: HealthCheckOutcome, elapsed: Duration) {
         if let Some(server) = self.pending_checks.finish(ticket) {
             self.events.push(Event::HealthChecked {
@@ -183,9 +186,10 @@
         }
     }
 
-    /// Lets the controller decide on all that happened since the last step; returns what is to be done.
+    /// Steps the controller with all events since the last step and returns the resulting actions.
     ///
-    /// All that peers had sent by `read_until` has been handled: no peer is late by what was not read.
+    /// All input that had arrived by `read_until` has been handled. Peers are timed out by this time rather than `now`,
+    /// so that none is closed because of input that is yet to be read.
     pub fn step(&mut self, now: Duration, read_until: Duration) -> Vec<Action> {
         for conn in self.sessions.connections_to_close(read_until) {
             self.reject(conn);
@@ -207,7 +211,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When the next step is due at the latest.
+    /// The time by which the next step is due; `None` if no timeout is pending.
     pub fn next_timeout(&self) -> Option<Duration> {
         let timeouts = [self.timers.next_timeout(), self.sessions.next_timeout(), self.list.next_timeout()];
         timeouts.into_iter().flatten().min()
@@ -229,7 +233,8 @@
                     self.actions.push(Action::Log { text: shortage.log_line() });
                 }
                 Command::CheckHealth { server } => self.check_health(server),
-                // The watch brings all changes unasked; planners have no channel to each other here.
+                // Table commands were applied above. The watch delivers changes without being asked, and planners on
+                // the platform have no channel to each other.
                 _ => {}
             }
         }
@@ -248,7 +253,8 @@
         }
     }
 
-    /// Closes streams whose acknowledgement is overdue: nothing else shows that a machine has vanished.
+    /// Closes streams whose acknowledgement is overdue: the only sign of a machine that disappeared without closing its
+    /// connection.
     fn close_unresponsive_streams(&mut self, read_until: Duration) {
         for proxy in self.tables.unresponsive(read_until, self.ack_timeout) {
             if let Some(conn) = self.sessions.stream(proxy) {
@@ -259,7 +265,7 @@
         }
     }
 
-    /// Releases the indices of servers that nothing refers to any more, so that memory stays bounded however often
+    /// Releases the indices of servers that are no longer referenced, so that memory stays bounded however often
     /// servers are replaced.
     fn release_indices(&mut self, now: Duration) {
         let servers = self.names.servers.iter().map(|(_, server)| server);
@@ -273,7 +279,7 @@
     }
 
     fn is_unused(&self, server: ServerId) -> bool {
-        // A list that the controller has yet to take in may name the server again.
+        // The list may already contain the server again while the controller has yet to handle that update.
         !self.list.is_listed(server)
             && self.controller.is_released(server)
             && !self.tables.has_entry_of(server)
@@ -285,8 +291,8 @@
     Event::EndpointsListed { update: list.update, records: list.records }
 }
 
-/// After which time an acknowledgement is overdue: some times what the channel's full queue and its longest transit
-/// take, and a margin.
+/// The time after which an acknowledgement is overdue: a multiple of the time to drain the channel's full queue plus
+/// its longest transit time, and a margin.
 fn ack_timeout(channel: &ChannelConfig) -> Duration {
     let queue_limit = channel.queue_limit.unwrap_or(DEFAULT_QUEUE_LIMIT);
     let entries_per_second = channel.entries_per_second.unwrap_or(DEFAULT_ENTRIES_PER_SECOND);
