--- a/crates/platform-protocol/src/framing.rs
+++ b/crates/platform-protocol/src/framing.rs
@@ -1,23 +1,23 @@
-//! Framing: a length of four bytes, little-endian, and as many bytes of one JSON object.
+//! Framing: a frame is a little-endian length of four bytes, followed by a body of that length, one JSON object.
 
 use serde::de::IgnoredAny;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The protocol's limit of a message, bytes.
+/// The protocol's limit on the length of a message, bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// The limit until a connection has identified itself, bytes: its first message is small, and hundreds of unidentified
-/// connections must not fill the memory.
+/// The limit on the length of a message until its connection has identified itself, bytes: the first message is small,
+/// and hundreds of unidentified connections must not exhaust the memory.
 pub const MAX_FIRST_MESSAGE_BYTES: usize = 4 << 10;
 /// The shortest JSON object, bytes.
 const MIN_MESSAGE_BYTES: usize = 2;
 /// Bytes of the length prefix.
 const LENGTH_BYTES: usize = 4;
-/// Buffer capacity that is kept between messages, bytes; a long message's memory beyond it is released.
+/// Buffer capacity that is kept between messages, bytes; the memory that a longer message took beyond it is released.
 const RETAINED_CAPACITY: usize = 4 << 10;
 
-/// Why a connection cannot be read any further.
+/// Why a connection's bytes cannot be split into frames any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
     /// The length is below the shortest message or above the limit.
@@ -29,15 +29,15 @@
 impl fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            FrameError::InvalidLength => "the length of a frame is out of range",
-            FrameError::InvalidBody => "the body of a frame is not a JSON object",
+            FrameError::InvalidLength => "frame length is out of range",
+            FrameError::InvalidBody => "frame body is not a JSON object",
         })
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// Splits a byte stream into messages, wherever the stream is cut.
+/// Splits a byte stream into messages; the received segments may end anywhere.
 #[derive(Debug)]
 pub struct FrameReader {
     input: Vec<u8>,
@@ -46,12 +46,12 @@
 }
 
 impl FrameReader {
-    /// A reader of messages up to `max_bytes`.
+    /// A reader that rejects messages longer than `max_bytes`.
     pub fn new(max_bytes: usize) -> FrameReader {
         FrameReader { input: Vec::new(), consumed: 0, max_bytes }
     }
 
-    /// Changes the limit of the messages to come.
+    /// Changes the length limit for the messages that follow.
     pub fn set_max_bytes(&mut self, max_bytes: usize) {
         self.max_bytes = max_bytes;
     }
@@ -61,12 +61,12 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Bytes received that no returned message accounts for.
+    /// The number of received bytes that are not part of a returned message.
     pub fn buffered(&self) -> usize {
         self.input.len() - self.consumed
     }
 
-    /// The next complete message; `None` while it is incomplete.
+    /// Removes and returns the next message; `None` while it is incomplete.
     pub fn next_message(&mut self) -> Result<Option<Value>, FrameError> {
         let rest = &self.input[self.consumed..];
         let Some(prefix) = rest.first_chunk::<LENGTH_BYTES>() else {
@@ -97,7 +97,7 @@
 
 /// Parses a message's body.
 ///
-/// A number beyond the range of `f64` makes one field invalid and must not end the connection: such a message is
+/// A number outside the range of `f64` makes one field invalid and must not end the connection: such a message is
 /// returned as an object without fields, which [`crate::message::parse`] rejects as malformed.
 fn parse_object(body: &[u8]) -> Option<Value> {
     let text = std::str::from_utf8(body).ok()?;
--- a/crates/platform-protocol/src/message.rs
+++ b/crates/platform-protocol/src/message.rs
@@ -1,8 +1,7 @@
-//! Messages from proxies and collectors, typed.
+//! Parsing and validation of messages from proxies and collectors.
 //!
-//! Every field is validated here: a message with a field that is missing, mistyped, out of range or names something
-//! unknown never reaches the controller. This module is the only one that knows the wire's field names of these
-//! messages.
+//! Every field is validated here: a message with a field that is missing, mistyped or out of range, or that contains an
+//! unknown name, never reaches the controller. Only this module knows the field names of these messages.
 
 use crate::NameRegistry;
 use runloom_controller::IdMap;
@@ -13,33 +12,33 @@
 
 /// The longest duration that a message may report, milliseconds: one hour.
 const MAX_DURATION_MS: f64 = 3.6e6;
-/// The most attempts or requests that one report may count.
+/// Exclusive upper bound of the attempts or requests that one report may count.
 const MAX_REPORTED_COUNT: u64 = 1_000_000;
-/// The largest value of a load report, and the highest request rate per second.
+/// The largest valid value of a load report, and the highest valid request rate per second.
 const MAX_METRIC_VALUE: f64 = 1e9;
-/// Acknowledgement tokens are below this.
+/// Exclusive upper bound of acknowledgement tokens, which have 16 bits.
 const ACK_TOKEN_LIMIT: u64 = 1 << 16;
 
 /// A valid message from a proxy or a collector.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Asks whether this side is alive.
+    /// Asks for a `PONG`, from which the peer sees that the planner is alive.
     Ping,
-    /// The connection carries the reports of a zone.
+    /// Identifies the connection as a collector, which sends the reports of a zone.
     RegisterCollector {
-        /// The zone.
+        /// The zone that it reports on.
         zone: ZoneId,
     },
-    /// A proxy's connecting, a report or an acknowledgement, as the controller takes it.
+    /// A proxy's connection, a report or an acknowledgement, as an event for the controller.
     Event(Event),
 }
 
 /// Why a message cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MalformedMessage {
-    /// Its type is none that is sent to a planner.
+    /// No message of this type is sent to a planner.
     UnknownType,
-    /// This field is missing, mistyped or out of range, or names something unknown.
+    /// This field is missing, mistyped or out of range, or contains an unknown name.
     InvalidField(&'static str),
 }
 
@@ -54,7 +53,7 @@
 
 impl std::error::Error for MalformedMessage {}
 
-/// Metrics of a load report that servers call by another name than the settings: (settings, server).
+/// Names of load metrics in the settings and the names that servers may use instead: (settings, server).
 const LOAD_METRIC_ALIASES: &[(&str, &str)] = &[
     ("rif", "inflight"),
     ("q", "queue"),
@@ -64,7 +63,8 @@
     ("fail_rate", "eps"),
 ];
 
-/// A load report's values in the order of `metrics`; a missing one is NaN. `None` where a value is no number in range.
+/// The values of a load report in the order of `metrics`; a missing one is NaN. `None` if a value is not a number
+/// within the valid range.
 pub fn parse_load_report(report: &Map<String, Value>, metrics: &[String]) -> Option<Vec<f64>> {
     let value_of = |metric: &String| {
         let alias =
@@ -77,7 +77,7 @@
     metrics.iter().map(value_of).collect()
 }
 
-/// Parses a message of a connection.
+/// Parses and validates a message that a proxy or collector sent.
 pub fn parse(message: &Value, names: &NameRegistry) -> Result<Message, MalformedMessage> {
     let fields = Fields { message, names };
     match message["t"].as_str() {
@@ -91,7 +91,7 @@
     }
 }
 
-/// A message's fields under their names on the wire.
+/// Typed access to a message's fields by their names on the wire.
 struct Fields<'a> {
     message: &'a Value,
     names: &'a NameRegistry,
@@ -111,7 +111,7 @@
         let attempts = self.integer("count", MAX_REPORTED_COUNT)?;
         Ok(Event::OutcomeReport {
             attempts,
-            // More failures than attempts: one of the two is corrupt, and nothing tells which.
+            // More failures than attempts are malformed: either number may be the corrupt one.
             failures: self.integer("fail", attempts + 1)?,
             mean_latency: self.duration("mean")?,
             window: self.window()?,
@@ -147,7 +147,7 @@
         self.index("site", &self.names.zones)
     }
 
-    /// The time that a report covers; nothing can be counted in an empty one.
+    /// The time that a report covers, which must not be zero: nothing can be counted in an empty window.
     fn window(&self) -> Result<Duration, MalformedMessage> {
         let window = self.duration("over")?;
         if window.is_zero() {
@@ -179,7 +179,7 @@
         value.ok_or(MalformedMessage::InvalidField(field))
     }
 
-    /// A duration that the wire gives in milliseconds.
+    /// A duration, which the wire has in milliseconds.
     fn duration(&self, field: &'static str) -> Result<Duration, MalformedMessage> {
         self.number(field, MAX_DURATION_MS).map(|ms| Duration::from_secs_f64(ms / 1000.0))
     }
--- a/crates/platform-protocol/src/session.rs
+++ b/crates/platform-protocol/src/session.rs
@@ -1,48 +1,49 @@
-//! Connections by role: which may stay, for how long, and how many.
+//! Sessions of connections: their roles, deadlines and limits.
 
 use crate::framing::{FrameReader, MAX_FIRST_MESSAGE_BYTES, MAX_MESSAGE_BYTES};
 use runloom_controller::{ProxyId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Number of a connection; higher numbers are newer.
+/// Identifier of a connection; newer connections have higher ones.
 pub type ConnectionId = usize;
 
 /// A connection has to identify itself within this time.
 ///
 /// The protocol allows closing after one second and requires it within three.
 pub const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Where connections run short, one that has sent nothing is evicted from this age on.
+/// The age from which a connection that has sent nothing may be evicted to make room.
 const MIN_SILENT_AGE: Duration = Duration::from_millis(100);
-/// Where connections run short, one that has sent part of a message is evicted from this age on.
+/// The age from which an unidentified connection with a partial message may be evicted to make room.
 const MIN_PARTIAL_AGE: Duration = Duration::from_millis(400);
-/// A message of an identified connection has to be complete within this time.
+/// The time within which an identified connection has to complete a message that it has begun.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Unidentified connections that are accepted at any time, so that a proxy can replace a dead connection.
+/// Unidentified connections that are accepted even at the connection limit, so that a proxy can replace a dead
+/// connection.
 const MIN_UNIDENTIFIED: usize = 4;
-/// Collectors of one zone at a time: the current one and its successor.
+/// Maximum number of concurrent collectors of one zone: the current one and its successor.
 const MAX_COLLECTORS_PER_ZONE: usize = 2;
 
-/// What a connection is used for.
+/// The role in which a connection has identified itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It has not identified itself.
+    /// None yet.
     Unidentified,
-    /// It carries the reports of a zone.
+    /// Sends outcome and arrival reports of a zone.
     Collector(ZoneId),
-    /// It carries updates to a proxy.
+    /// Receives updates for a proxy; sends its acknowledgements and arrival reports.
     Stream(ProxyId),
 }
 
-/// One connection.
+/// The state of one connection.
 #[derive(Debug)]
 pub struct Session {
-    /// Splits what it sends into messages.
+    /// Splits the received bytes into messages.
     pub reader: FrameReader,
-    /// What it is used for.
+    /// The role in which it has identified itself.
     pub role: Role,
     opened_at: Duration,
-    /// Since when a message is incomplete.
+    /// When its incomplete message began; `None` if there is none.
     partial_since: Option<Duration>,
 }
 
@@ -55,7 +56,7 @@
         self.partial_since.is_some()
     }
 
-    /// When it is closed for lack of progress.
+    /// When it is closed unless it identifies itself or completes its message.
     fn deadline(&self) -> Option<Duration> {
         match self.role {
             Role::Unidentified => Some(self.opened_at + IDENTIFICATION_TIMEOUT),
@@ -67,7 +68,7 @@
         self.deadline().is_some_and(|deadline| now >= deadline)
     }
 
-    /// From when on it may be evicted to make room, if it does not identify itself before.
+    /// The time from which it may be evicted to make room, unless it has identified itself.
     fn evictable_at(&self) -> Duration {
         self.opened_at + if self.has_partial_message() { MIN_PARTIAL_AGE } else { MIN_SILENT_AGE }
     }
@@ -77,16 +78,16 @@
     }
 }
 
-/// How many connections there are.
+/// Numbers of open connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SessionCounts {
-    /// Connected proxies.
+    /// Streams, one for each connected proxy.
     pub streams: usize,
     /// Connections that have not identified themselves.
     pub unidentified: usize,
 }
 
-/// All connections.
+/// The sessions of all connections.
 #[derive(Debug, Default)]
 pub struct Sessions {
     by_connection: BTreeMap<ConnectionId, Session>,
@@ -103,13 +104,13 @@
         Sessions { max_connections, ..Sessions::default() }
     }
 
-    /// Unidentified connections that there is room for.
+    /// The number of unidentified connections that the limit allows now.
     fn max_unidentified(&self) -> usize {
         let identified = self.by_connection.len() - self.unidentified;
         self.max_connections.saturating_sub(identified).max(MIN_UNIDENTIFIED)
     }
 
-    /// Whether no further connection can be accepted now.
+    /// Whether the connection limit is reached, so that no connection may be accepted now.
     pub fn is_full(&self) -> bool {
         self.unidentified >= self.max_unidentified()
     }
@@ -132,18 +133,18 @@
         self.by_connection.get_mut(&conn)
     }
 
-    /// The connection of a proxy.
+    /// The connection that is a proxy's stream; `None` while the proxy is not connected.
     pub fn stream(&self, proxy: ProxyId) -> Option<ConnectionId> {
         self.streams.get(&proxy).copied()
     }
 
-    /// How many connections there are.
+    /// The numbers of streams and of unidentified connections.
     pub fn counts(&self) -> SessionCounts {
         SessionCounts { streams: self.streams.len(), unidentified: self.unidentified }
     }
 
-    /// Updates a connection's deadline after bytes were read. `has_completed_message`: they completed a message, so
-    /// that an incomplete one has just begun.
+    /// Updates a connection's deadline after bytes were read. `has_completed_message` says that they completed a
+    /// message, so that any remaining partial message began just now.
     pub fn update_deadline(&mut self, conn: ConnectionId, has_completed_message: bool, now: Duration) {
         let Some(session) = self.by_connection.get_mut(&conn) else { return };
         let before = session.partial_since.filter(|_| !has_completed_message);
@@ -155,20 +156,20 @@
         }
     }
 
-    /// Makes a connection the stream of a proxy; returns the stream that it replaces.
+    /// Makes a connection the stream of a proxy; removes and returns the stream that it replaces.
     pub fn register_stream(&mut self, conn: ConnectionId, proxy: ProxyId) -> Option<ConnectionId> {
         self.identify(conn, Role::Stream(proxy));
         let replaced = self.streams.insert(proxy, conn);
-        replaced.inspect(|replaced| self.forget(*replaced))
+        replaced.inspect(|replaced| self.remove_replaced(*replaced))
     }
 
-    /// Makes a connection a collector of a zone; returns the zone's oldest collector if there are too many.
+    /// Makes a connection a collector of a zone; removes and returns the zone's oldest collector if there are too many.
     pub fn register_collector(&mut self, conn: ConnectionId, zone: ZoneId) -> Option<ConnectionId> {
         self.identify(conn, Role::Collector(zone));
         let of_zone = self.by_connection.iter().filter(|(_, session)| session.role == Role::Collector(zone));
         let of_zone: Vec<ConnectionId> = of_zone.map(|(conn, _)| *conn).collect();
         let replaced = of_zone.first().copied().filter(|_| of_zone.len() > MAX_COLLECTORS_PER_ZONE);
-        replaced.inspect(|replaced| self.forget(*replaced))
+        replaced.inspect(|replaced| self.remove_replaced(*replaced))
     }
 
     fn identify(&mut self, conn: ConnectionId, role: Role) {
@@ -179,13 +180,13 @@
         }
     }
 
-    /// Removes a replaced connection, whose place in the other indices is already taken.
-    fn forget(&mut self, conn: ConnectionId) {
+    /// Removes a connection that another one has replaced in the remaining indices.
+    fn remove_replaced(&mut self, conn: ConnectionId) {
         self.by_connection.remove(&conn);
         self.with_deadline.remove(&conn);
     }
 
-    /// Removes a connection and returns what it was used for.
+    /// Removes a connection and returns its role; `None` if it is not known.
     pub fn remove(&mut self, conn: ConnectionId) -> Option<Role> {
         let role = self.by_connection.remove(&conn)?.role;
         self.with_deadline.remove(&conn);
@@ -201,19 +202,19 @@
         self.with_deadline.iter().filter_map(|conn| Some((*conn, self.by_connection.get(conn)?)))
     }
 
-    /// Connections to close: those past their deadline, then those evicted to make room.
+    /// The connections to close: those past their deadline, then those to evict to make room.
     pub fn connections_to_close(&self, now: Duration) -> Vec<ConnectionId> {
         let expired = self.sessions_with_deadline().filter(|(_, session)| session.is_expired(now));
-        let mut overdue: Vec<ConnectionId> = expired.map(|(conn, _)| conn).collect();
-        // One place is kept free: a full planner accepts nobody, and would not see who waits.
+        let mut to_close: Vec<ConnectionId> = expired.map(|(conn, _)| conn).collect();
+        // One place is kept free: at the limit, the planner would not accept, and so not see, a waiting connection.
         let mut max_unidentified = self.max_unidentified() - 1;
         for has_partial_message in [false, true] {
             let excess = self.unidentified.saturating_sub(max_unidentified);
             let evicted = self.evictable(has_partial_message, excess, now);
             max_unidentified += evicted.len();
-            overdue.extend(evicted);
+            to_close.extend(evicted);
         }
-        overdue
+        to_close
     }
 
     /// Up to `limit` unidentified connections that may be evicted, the oldest first.
@@ -226,7 +227,7 @@
             .collect()
     }
 
-    /// When a connection may next be overdue.
+    /// When a connection may next have to be closed.
     pub fn next_timeout(&self) -> Option<Duration> {
         let is_full = self.is_full();
         let deadline = |session: &Session| match session.role {
--- a/crates/platform-protocol/src/update_message.rs
+++ b/crates/platform-protocol/src/update_message.rs
@@ -1,50 +1,50 @@
-//! Updates for one proxy, and how they are written.
+//! Updates for one proxy, and their encoding.
 //!
-//! This module is the only one that knows the wire's field names of updates.
+//! Only this module knows the field names of updates on the wire.
 
 use crate::framing;
 use crate::NameRegistry;
 use runloom_controller::{RetryPolicy, ServerId};
 use serde::Serialize;
 
-/// The protocol's limit of parts in one update.
+/// The protocol's limit on the number of parts of one update.
 const MAX_PARTS: usize = 64;
-/// Table entries in one part. With the longest names that discovery may give, 128 bytes, and a weight beside each,
-/// that is some 600 KiB of the 1 MiB that a part may have.
+/// Maximum number of table entries in one part. With names of 128 bytes, the longest that discovery may give, and a
+/// weight for each, they take some 600 KiB of the 1 MiB that a part may have.
 const MAX_ENTRIES_PER_PART: usize = 4096;
-/// Traffic classes are one bit each.
+/// Maximum number of traffic classes: a class mask has one bit for each.
 const MAX_CLASSES: usize = 64;
 
-/// What a proxy admits of a class, and when it retries.
+/// The admission limit and the retry policy of a class.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests a second (or a share) that the proxy admits; `None` admits all.
+    /// The requests per second, or the share of requests, that the proxy admits; `None` admits all.
     pub admission_rate: Option<f64>,
-    /// When the proxy retries.
+    /// Whether and when the proxy retries.
     pub retry_policy: RetryPolicy,
 }
 
 /// One part of an update.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct UpdatePart {
-    /// The classes that it changes, one bit each; 0 for all.
+    /// The classes that the part changes, one bit each; 0 for all.
     pub class_mask: u64,
-    /// Whether its entries replace the complete table of these classes.
+    /// Whether the entries replace the complete table of these classes.
     pub replaces_table: bool,
-    /// Servers and their weights; weight 0 removes the entry.
+    /// Servers and their weights; weight 0 removes a server's entry.
     pub entries: Vec<(ServerId, f64)>,
-    /// New admission settings of these classes.
+    /// New admission settings of these classes; `None` leaves them unchanged.
     pub admission: Option<AdmissionSettings>,
     /// Servers ejected from all tables.
     pub ejected: Vec<ServerId>,
     /// Servers readmitted to all tables.
     pub readmitted: Vec<ServerId>,
-    /// The token with which the proxy acknowledges the update.
+    /// The token with which the proxy acknowledges the update; `None` requests no acknowledgement.
     pub ack_token: Option<u16>,
 }
 
 impl UpdatePart {
-    /// Whether it changes neither entries nor ejections.
+    /// Whether the part changes neither entries nor ejections.
     fn has_no_entries(&self) -> bool {
         !self.replaces_table
             && self.entries.is_empty()
@@ -52,7 +52,7 @@
             && self.readmitted.is_empty()
     }
 
-    /// The part in chunks of at most [`MAX_ENTRIES_PER_PART`] entries.
+    /// Splits the part into chunks of at most [`MAX_ENTRIES_PER_PART`] entries.
     fn chunks(&self) -> impl Iterator<Item = UpdateChunk<'_>> {
         let count = self.entries.len().div_ceil(MAX_ENTRIES_PER_PART).max(1);
         (0..count).map(move |index| {
@@ -68,8 +68,8 @@
     }
 }
 
-/// Appends admission settings of some classes to an update: in its last part, if that has the same settings and
-/// nothing else, or in a part of their own.
+/// Adds admission settings of some classes to an update: to its last part if that has the same settings and no entries,
+/// else as a new part.
 pub(crate) fn push_admission(parts: &mut Vec<UpdatePart>, class_mask: u64, admission: AdmissionSettings) {
     let last = parts.last_mut().filter(|part| part.admission == Some(admission) && part.has_no_entries());
     match last {
@@ -78,7 +78,8 @@
     }
 }
 
-/// Some of a part's entries. The first chunk says whether the table is replaced; the last carries everything else.
+/// A range of a part's entries. The first chunk says whether the table is replaced; the last one contains all other
+/// fields.
 struct UpdateChunk<'a> {
     part: &'a UpdatePart,
     entries: &'a [(ServerId, f64)],
@@ -86,7 +87,7 @@
     is_last: bool,
 }
 
-/// The wire's form of a chunk.
+/// A chunk as serialized on the wire.
 #[derive(Serialize, Default)]
 struct ConfigMessage<'a> {
     #[serde(rename = "t")]
@@ -111,11 +112,11 @@
     has_more_parts: Option<bool>,
 }
 
-/// Writes updates as the protocol has them.
+/// Encodes updates as frames of the protocol.
 #[derive(Debug, Default)]
 pub(crate) struct UpdateEncoder {
     class_count: usize,
-    /// How "admit all" is written as an admission rate.
+    /// The admission rate that stands for "admit all" on the wire.
     unlimited_rate: f64,
 }
 
@@ -128,7 +129,7 @@
         self.class_count
     }
 
-    /// One bit for each class.
+    /// The mask of all classes.
     pub(crate) fn all_classes(&self) -> u64 {
         if self.class_count >= MAX_CLASSES {
             u64::MAX
@@ -137,22 +138,22 @@
         }
     }
 
-    /// The classes of a mask.
+    /// The classes whose bit is set in a mask.
     pub(crate) fn classes_in(&self, class_mask: u64) -> impl Iterator<Item = usize> {
         (0..self.class_count).filter(move |class| class_mask >> class & 1 == 1)
     }
 
-    /// The frames of an update.
+    /// Encodes an update as frames.
     ///
-    /// A server whose name is no longer known is left out, as are parts beyond the protocol's limit; the controller's
-    /// updates come nowhere near either.
+    /// Servers whose name is no longer known and parts beyond the protocol's limit are left out. Neither occurs with
+    /// the controller's updates.
     pub(crate) fn encode(&self, parts: &[UpdatePart], names: &NameRegistry) -> Vec<u8> {
         let chunks: Vec<UpdateChunk> = parts.iter().flat_map(UpdatePart::chunks).take(MAX_PARTS).collect();
         let mut frames = Vec::new();
         for (index, chunk) in chunks.iter().enumerate() {
             let has_more_parts = index + 1 < chunks.len();
             let message = self.config_message(chunk, has_more_parts, names);
-            // Strings and finite numbers can always be serialized.
+            // Serialization cannot fail: the message has only strings, booleans and finite numbers.
             framing::write_frame(&mut frames, &serde_json::to_vec(&message).unwrap_or_default());
         }
         frames
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The names of a mask's classes; `None` where it stands for all classes.
+    /// The names of the classes in a mask; `None` if it stands for all classes.
     fn class_names<'a>(&self, class_mask: u64, names: &'a NameRegistry) -> Option<Vec<&'a str>> {
         if class_mask == 0 || class_mask == self.all_classes() {
             return None;
