--- a/crates/platform-protocol/src/counters.rs
+++ b/crates/platform-protocol/src/counters.rs
@@ -1,32 +1,32 @@
-//! Counters of the core since its start.
+//! Event counters of the core.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Counts since the start.
+/// Event counts since the start.
 ///
-/// [`fmt::Display`] writes them under the names that operators know from the log.
+/// [`fmt::Display`] formats them for the log under names of their own, which operators rely on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Proxies that connected.
+    /// Connections that identified themselves as a proxy's stream.
     pub connected: u64,
     /// Streams that a newer connection of the same proxy replaced.
     pub taken_over: u64,
-    /// Streams that ended.
+    /// Streams that ended for any reason, including those replaced.
     pub disconnected: u64,
-    /// Streams closed because an acknowledgement was overdue.
+    /// Streams that were closed because of an overdue acknowledgement.
     pub unresponsive: u64,
-    /// Connections closed for what they sent, or failed to send in time.
+    /// Connections that were closed because of invalid input or a missed deadline, or to make room.
     pub rejected: u64,
-    /// Malformed or misplaced messages that were dropped.
+    /// Dropped messages that were malformed, or that the connection's role may not send.
     pub malformed: u64,
-    /// Acknowledgements that were not pending.
+    /// Acknowledgements whose token was not pending.
     pub unexpected_acks: u64,
-    /// Updates written.
+    /// Updates sent to proxies; one in several parts counts once.
     pub updates_sent: u64,
-    /// Endpoint lists taken from the watch.
+    /// Complete lists and changes from the watch that were applied.
     pub list_updates: u64,
-    /// The longest time from a proxy's connecting to its first acknowledgement.
+    /// The longest time from a proxy's connection to its first acknowledgement.
     pub longest_table_wait: Duration,
 }
 
--- a/crates/platform-protocol/src/health_check.rs
+++ b/crates/platform-protocol/src/health_check.rs
@@ -1,4 +1,4 @@
-//! One health check of a server over HTTP/1.1: its request, its response, and its outcome.
+//! A health check of one server over HTTP/1.1: request, response and outcome.
 
 use crate::message::parse_load_report;
 use runloom_controller::HealthCheckResult;
@@ -6,29 +6,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A health check without an outcome fails after this long.
+/// The time after which a health check without an outcome fails, over all its connections.
 pub const TIMEOUT: Duration = Duration::from_millis(600);
-/// Health checks at a time; each takes a file descriptor.
+/// Maximum number of concurrent health checks; each takes a file descriptor.
 pub const MAX_CONCURRENT: usize = 16;
-/// Connections that one health check may open: healthy servers reset some new connections in a thousand.
+/// Connections that one health check may open: even healthy servers reset a few of a thousand new connections.
 const MAX_CONNECTION_ATTEMPTS: usize = 2;
-/// A response is a head and one small report; bytes.
+/// Maximum length of a response's head, and of its body, bytes. The body is one small load report.
 const MAX_RESPONSE_BYTES: usize = 8 << 10;
-/// Headers of a response that are parsed.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
 
-/// The bytes of the request; with `wants_load` the response carries a load report.
+/// The bytes of the request; with `wants_load` it asks for a load report in the response.
 pub fn request(address: SocketAddr, wants_load: bool) -> Vec<u8> {
     let path = if wants_load { "/metrics/load" } else { "/alive" };
     format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n").into_bytes()
 }
 
-/// How a health check ended.
+/// The outcome of a health check.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthCheckOutcome {
-    /// What came of it.
+    /// Whether the server answered, and how.
     pub result: HealthCheckResult,
-    /// The load report, in the order of the configured metrics; empty for none.
+    /// The values of the load report in the order of the configured metrics, NaN where one is missing; empty without a
+    /// report.
     pub load: Vec<f64>,
 }
 
@@ -38,14 +39,14 @@
     }
 }
 
-/// A response as it arrives.
+/// A response that is being received.
 #[derive(Debug, Default)]
 pub struct HealthCheckResponse {
     input: Vec<u8>,
 }
 
 impl HealthCheckResponse {
-    /// Appends received bytes; returns the outcome once the response is complete or cannot be one.
+    /// Appends received bytes; returns the outcome once the response is complete or invalid.
     pub fn push(&mut self, bytes: &[u8], load_metrics: &[String]) -> Option<HealthCheckOutcome> {
         self.input.extend_from_slice(bytes);
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -53,12 +54,12 @@
         let body_start = match response.parse(&self.input) {
             Ok(httparse::Status::Complete(body_start)) => body_start,
             Ok(httparse::Status::Partial) if self.input.len() <= MAX_RESPONSE_BYTES => return None,
-            // Something listens there that does not speak HTTP.
+            // Not an HTTP response, or one whose head is too long.
             _ => return Some(HealthCheckResult::ErrorResponse.into()),
         };
         match response.code {
             Some(200) => {}
-            // The server is draining or overloaded.
+            // A server that is draining or overloaded answers 503.
             Some(503) => return Some(HealthCheckResult::Rejected.into()),
             _ => return Some(HealthCheckResult::ErrorResponse.into()),
         }
@@ -89,18 +90,18 @@
 pub struct HealthCheck {
     /// The ticket of [`crate::Action::CheckHealth`].
     pub ticket: u64,
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     /// When it was started.
     pub started_at: Duration,
-    /// Whether its connection is established.
+    /// Whether its current connection is established.
     pub is_connected: bool,
     response: HealthCheckResponse,
     connection_attempts: usize,
 }
 
 impl HealthCheck {
-    /// A health check whose first connection is about to be opened.
+    /// A health check whose first connection is yet to be opened.
     pub fn new(ticket: u64, address: SocketAddr, started_at: Duration) -> HealthCheck {
         HealthCheck {
             ticket,
@@ -112,12 +113,12 @@
         }
     }
 
-    /// Takes received bytes; returns the outcome if they settle it.
+    /// Handles received bytes; returns the outcome if they determine it.
     pub fn handle_bytes(&mut self, bytes: &[u8], load_metrics: &[String]) -> Option<HealthCheckOutcome> {
         self.response.push(bytes, load_metrics)
     }
 
-    /// Takes the end of the connection before an outcome; `None` if another connection is to be opened.
+    /// Handles the end of the connection before an outcome; `None` if the caller has to open another connection.
     #[must_use]
     pub fn handle_closed(&mut self) -> Option<HealthCheckOutcome> {
         if self.connection_attempts >= MAX_CONNECTION_ATTEMPTS {
@@ -129,12 +130,12 @@
         None
     }
 
-    /// When it fails without a response.
+    /// When the check fails if it has no outcome.
     pub fn deadline(&self) -> Duration {
         self.started_at + TIMEOUT
     }
 
-    /// The outcome of a check that has no response at its deadline.
+    /// The outcome of a check that reaches its deadline: a timeout, or a failed connection if none is established.
     pub fn timeout_outcome(&self) -> HealthCheckOutcome {
         if self.is_connected { HealthCheckResult::Timeout } else { HealthCheckResult::ConnectionFailed }
             .into()
--- a/crates/platform-protocol/src/index_release.rs
+++ b/crates/platform-protocol/src/index_release.rs
@@ -1,20 +1,21 @@
-//! When the index of a server that is gone may be assigned to another server.
+//! Delays the reuse of a removed server's index.
 
 use runloom_controller::ServerId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Reports of a server may still arrive for this long after its last use.
+/// Time from the last use of an index to its release: until then, late reports of its server may still arrive.
 const RELEASE_DELAY: Duration = Duration::from_secs(10);
 
-/// Servers that nothing refers to any more, and since when.
+/// Servers whose index is no longer referenced, and since when.
 #[derive(Debug, Default)]
 pub(crate) struct IndexRelease {
     unused_since: BTreeMap<ServerId, Duration>,
 }
 
 impl IndexRelease {
-    /// Takes the servers that are unused now and returns those whose index may be released.
+    /// Updates the unused servers to `unused`; removes and returns those that were unused for [`RELEASE_DELAY`], whose
+    /// index may be released.
     pub(crate) fn take_expired(&mut self, unused: &[ServerId], now: Duration) -> Vec<ServerId> {
         self.unused_since.retain(|server, _| unused.contains(server));
         for server in unused {
--- a/crates/platform-protocol/src/name_registry.rs
+++ b/crates/platform-protocol/src/name_registry.rs
@@ -1,20 +1,20 @@
-//! External names and the indices that the controller knows them by.
+//! External names and the indices that the controller uses for them.
 
 use runloom_controller::IdMap;
 
-/// Names of the protocol mapped to the controller's indices.
+/// The names in the protocol's messages, mapped to the controller's indices.
 #[derive(Debug, Clone, Default)]
 pub struct NameRegistry {
     /// Zones, in the order of the settings.
     pub zones: IdMap<String>,
-    /// Kinds of machines, in the order in which lists name them.
+    /// Kinds of machines, in the order in which they first appear in endpoint lists.
     pub kinds: IdMap<String>,
     /// Traffic classes, in the order of the settings.
     pub classes: IdMap<String>,
-    /// Servers that lists name and that are not released.
+    /// Servers that appeared in an endpoint list and whose index is not released.
     pub servers: IdMap<String>,
-    /// The metrics of a load report, in the order in which the controller takes them.
+    /// Names of the metrics of a load report, in the order in which the controller takes their values.
     pub load_metrics: Vec<String>,
-    /// Proxies are numbered from 0 to one less than this.
+    /// Exclusive upper bound of proxy ids.
     pub proxy_limit: usize,
 }
--- a/crates/platform-protocol/src/pending_checks.rs
+++ b/crates/platform-protocol/src/pending_checks.rs
@@ -1,10 +1,10 @@
-//! Health checks that were asked for and have not ended.
+//! Health checks that the controller requested and that have no outcome yet.
 
 use runloom_controller::ServerId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Health checks without an outcome, at most one a server: where many servers are silent, checks queue for a
-/// connection, and a second one would only lengthen the queue.
+/// Health checks without an outcome, at most one for each server: if many servers do not answer, checks queue for a
+/// connection, and a second one for the same server would only lengthen the queue.
 #[derive(Debug, Default)]
 pub(crate) struct PendingChecks {
     by_ticket: BTreeMap<u64, ServerId>,
@@ -13,7 +13,7 @@
 }
 
 impl PendingChecks {
-    /// Starts a check and returns its ticket; `None` where one of this server is pending.
+    /// Starts a check and returns its ticket; `None` if one of this server is already pending.
     pub(crate) fn start(&mut self, server: ServerId) -> Option<u64> {
         if !self.servers.insert(server) {
             return None;
@@ -23,7 +23,7 @@
         Some(self.last_ticket)
     }
 
-    /// Ends a check and returns the server that it was for.
+    /// Ends a check and returns its server; `None` if no check with this ticket is pending.
     pub(crate) fn finish(&mut self, ticket: u64) -> Option<ServerId> {
         let server = self.by_ticket.remove(&ticket)?;
         self.servers.remove(&server);
--- a/crates/platform-protocol/src/table_sync.rs
+++ b/crates/platform-protocol/src/table_sync.rs
@@ -1,6 +1,6 @@
-//! Tables as published, the tables that each proxy is assigned to, and the updates that follow from commands.
+//! Published tables, their assignment to proxies, and the updates that commands result in.
 //!
-//! Each step gives at most one update for a proxy. Nothing is merged or held back here.
+//! Each step results in at most one update for a proxy. Updates of different steps are neither merged nor delayed here.
 
 use crate::update_message::{push_admission, AdmissionSettings, UpdateEncoder, UpdatePart};
 use crate::NameRegistry;
@@ -8,21 +8,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Pending acknowledgements that are remembered for a stream. A planner sends a few updates a second and is answered
-/// within a second or two, so the oldest beyond this will not be acknowledged any more.
+/// Maximum number of pending acknowledgements kept for a stream. A planner sends a few updates per second, and each is
+/// acknowledged within a second or two, so the oldest ones beyond this number will not be acknowledged any more.
 const MAX_PENDING_ACKS: usize = 256;
 
-/// Updates of one step: the parts for each proxy concerned, in the order of the commands.
+/// The updates of one step: for each affected proxy its parts, in the order of the commands.
 pub type ProxyUpdates = BTreeMap<ProxyId, Vec<UpdatePart>>;
 
-/// A table as published.
+/// A published table.
 #[derive(Debug, Clone, Default)]
 struct Table {
     weights: BTreeMap<ServerId, f64>,
     admission: BTreeMap<ClassId, AdmissionSettings>,
 }
 
-/// An update that was sent and not acknowledged.
+/// A sent update that is not yet acknowledged.
 #[derive(Debug)]
 struct PendingAck {
     token: u16,
@@ -32,26 +32,26 @@
 /// The state of one proxy's stream.
 #[derive(Debug, Default)]
 struct Stream {
-    /// The table of each class, once assigned.
+    /// The table that each class is assigned to; `None` before its first assignment.
     assigned_tables: Vec<Option<TableId>>,
-    /// Updates without an acknowledgement, the oldest first.
+    /// The updates that are not yet acknowledged, oldest first.
     pending_acks: VecDeque<PendingAck>,
-    /// When anything was last received.
+    /// When a message was last received, or the stream connected.
     last_received: Duration,
-    /// When it connected; `None` after its first acknowledgement.
+    /// When the stream connected; `None` after its first acknowledgement.
     awaiting_table_since: Option<Duration>,
 }
 
 impl Stream {
-    /// The classes for which it is assigned to a table, one bit each.
-    fn classes_on(&self, table: TableId) -> u64 {
-        let on_table = self.assigned_tables.iter().enumerate().filter(|(_, t)| **t == Some(table));
-        on_table.fold(0, |class_mask, (class, _)| class_mask | 1 << class)
+    /// The classes that are assigned to a table, one bit each.
+    fn classes_assigned_to(&self, table: TableId) -> u64 {
+        let assigned = self.assigned_tables.iter().enumerate().filter(|(_, t)| **t == Some(table));
+        assigned.fold(0, |class_mask, (class, _)| class_mask | 1 << class)
     }
 
-    /// Whether an acknowledgement is overdue and nothing else was received since it was due.
+    /// Whether an acknowledgement is overdue and nothing was received for as long.
     ///
-    /// Silence alone is no sign: a proxy without requests has nothing to report.
+    /// The absence of messages alone is not enough: a proxy without requests has nothing to report.
     fn is_unresponsive(&self, read_until: Duration, timeout: Duration) -> bool {
         self.pending_acks.front().is_some_and(|pending| read_until >= pending.sent_at + timeout)
             && read_until >= self.last_received + timeout
@@ -65,23 +65,23 @@
     }
 }
 
-/// The published tables, the connected streams, and the servers that were ejected.
+/// The published tables, the connected streams and the ejections, from which it makes the updates for each proxy.
 #[derive(Debug, Default)]
 pub struct TableSync {
     tables: BTreeMap<TableId, Table>,
-    /// Servers ejected (`true`) or readmitted (`false`) since the start.
+    /// Servers that were ejected since the start, and whether they still are (`true`) or were readmitted (`false`).
     ejections: BTreeMap<ServerId, bool>,
     streams: BTreeMap<ProxyId, Stream>,
     encoder: UpdateEncoder,
 }
 
 impl TableSync {
-    /// No tables and no streams. `unlimited_rate` is how the wire writes "admit all".
+    /// A state without tables and streams. `unlimited_rate` stands for "admit all" on the wire.
     pub fn new(class_count: usize, unlimited_rate: f64) -> TableSync {
         TableSync { encoder: UpdateEncoder::new(class_count, unlimited_rate), ..TableSync::default() }
     }
 
-    /// Adds the stream of a proxy, which is not assigned to any table yet.
+    /// Adds the stream of a proxy, not yet assigned to any table. It replaces an earlier stream of the proxy.
     pub fn connect(&mut self, proxy: ProxyId, now: Duration) {
         let stream = Stream {
             assigned_tables: vec![None; self.encoder.class_count()],
@@ -92,32 +92,33 @@
         self.streams.insert(proxy, stream);
     }
 
-    /// Removes the stream of a proxy.
+    /// Removes the stream of a proxy with its assignments and pending acknowledgements.
     pub fn disconnect(&mut self, proxy: ProxyId) {
         self.streams.remove(&proxy);
     }
 
-    /// Notes that something was received from a proxy.
+    /// Records that a message was received from a proxy, which postpones its timeout.
     pub fn note_received(&mut self, proxy: ProxyId, now: Duration) {
         if let Some(stream) = self.streams.get_mut(&proxy) {
             stream.last_received = now;
         }
     }
 
-    /// The time from a proxy's connecting to its first acknowledgement, which is now; `None` from then on.
+    /// The time from a proxy's connection to now, its first acknowledgement; `None` at all further calls.
     pub fn take_table_wait(&mut self, proxy: ProxyId, now: Duration) -> Option<Duration> {
         let since = self.streams.get_mut(&proxy)?.awaiting_table_since.take()?;
         Some(now.saturating_sub(since))
     }
 
-    /// Proxies whose acknowledgement is overdue by `timeout`, all that arrived by `read_until` being read.
+    /// The proxies with an acknowledgement that is pending for `timeout` and nothing received for as long. All input
+    /// that arrived by `read_until` was handled.
     pub fn unresponsive(&self, read_until: Duration, timeout: Duration) -> Vec<ProxyId> {
         let unresponsive =
             self.streams.iter().filter(|(_, stream)| stream.is_unresponsive(read_until, timeout));
         unresponsive.map(|(proxy, _)| *proxy).collect()
     }
 
-    /// Takes an acknowledgement, which covers all updates before it; returns whether it was pending.
+    /// Handles an acknowledgement, which includes all earlier updates; returns whether its token was pending.
     #[must_use]
     pub fn acknowledge(&mut self, proxy: ProxyId, ack_token: u16) -> bool {
         let Some(stream) = self.streams.get_mut(&proxy) else { return false };
@@ -132,13 +133,13 @@
         self.tables.values().any(|table| table.weights.contains_key(&server))
     }
 
-    /// Forgets a server whose index may be assigned again.
+    /// Removes a server from the ejections and all tables, since its index may be assigned to another server.
     pub fn release(&mut self, server: ServerId) {
         self.ejections.remove(&server);
         self.tables.values_mut().for_each(|table| _ = table.weights.remove(&server));
     }
 
-    /// Applies the commands of one step and returns the updates that they make.
+    /// Applies the commands of one step and returns the resulting updates.
     pub fn apply(&mut self, commands: &[Command], now: Duration) -> ProxyUpdates {
         let mut updates = ProxyUpdates::new();
         for command in commands {
@@ -174,9 +175,9 @@
         }
     }
 
-    /// The proxies assigned to a table, and the classes for which they are.
+    /// The proxies assigned to a table, each with the mask of the classes for which it is.
     fn assigned_proxies(&self, table: TableId) -> Vec<(ProxyId, u64)> {
-        let proxies = self.streams.iter().map(|(proxy, stream)| (*proxy, stream.classes_on(table)));
+        let proxies = self.streams.iter().map(|(proxy, stream)| (*proxy, stream.classes_assigned_to(table)));
         proxies.filter(|(_, class_mask)| *class_mask != 0).collect()
     }
 
@@ -189,7 +190,7 @@
         }
         for (proxy, class_mask) in self.assigned_proxies(table) {
             let parts = updates.entry(proxy).or_default();
-            // Entries and admission settings of the same classes can share a part.
+            // One part can contain both entries and admission settings of the same classes.
             match parts.last_mut().filter(|part| part.class_mask == class_mask) {
                 Some(part) => part.entries.push((server, weight)),
                 None => parts.push(UpdatePart {
@@ -229,7 +230,7 @@
             stream.assigned_tables[class] = Some(table);
         }
         let table = self.tables.entry(table).or_default();
-        // A proxy keeps ejections across streams: it needs the newest state of each server.
+        // A proxy keeps ejections when it reconnects, so it needs the latest state of each server.
         let ejected = self
             .ejections
             .iter()
@@ -244,7 +245,7 @@
             readmitted: readmitted.map(|(server, _)| *server).collect(),
             ..UpdatePart::default()
         });
-        // A proxy forgets its admission settings when its table is replaced.
+        // A proxy discards its admission settings when its table is replaced.
         for (class, admission) in table.admission.iter().filter(|(class, _)| class_mask >> **class & 1 == 1) {
             push_admission(parts, 1 << class, *admission);
         }
@@ -268,7 +269,8 @@
         }
     }
 
-    /// Asks the proxies that get an update, or all of them, to acknowledge it.
+    /// Requests an acknowledgement from the proxies that get an update, or from all proxies; those without an update
+    /// then get one that contains only the request.
     fn request_ack(&mut self, updates: &mut ProxyUpdates, ack_token: u16, all_proxies: bool, now: Duration) {
         if all_proxies {
             self.streams.keys().for_each(|proxy| _ = updates.entry(*proxy).or_default());
@@ -284,7 +286,7 @@
         }
     }
 
-    /// The frames of an update.
+    /// Encodes an update as frames.
     pub fn encode(&self, parts: &[UpdatePart], names: &NameRegistry) -> Vec<u8> {
         self.encoder.encode(parts, names)
     }
--- a/crates/platform-protocol/src/timers.rs
+++ b/crates/platform-protocol/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers that the controller asked for.
+//! Timers that the controller has set.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,7 +16,7 @@
         self.queue.push(Reverse((at, token)));
     }
 
-    /// Removes one timer that is due and returns its token.
+    /// Removes the earliest timer and returns its token, if it is due.
     pub(crate) fn pop_due(&mut self, now: Duration) -> Option<u64> {
         let Reverse((at, token)) = *self.queue.peek()?;
         if at > now {
@@ -26,7 +26,7 @@
         Some(token)
     }
 
-    /// When the next timer fires.
+    /// When the next timer fires; `None` if none is set.
     pub(crate) fn next_timeout(&self) -> Option<Duration> {
         self.queue.peek().map(|Reverse((at, _))| *at)
     }
