--- a/crates/platform-protocol/src/endpoint_list.rs
+++ b/crates/platform-protocol/src/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list as discovery gives it: complete lists and changes, validated entry by entry.
+//! The endpoint list from discovery: parses complete lists and changes, and validates each entry on its own.
 //!
-//! This module is the only one that knows the wire's field names of lists.
+//! Only this module knows the field names of lists on the wire.
 
 use crate::list_revisions::{ListAge, ListRevisions};
 use crate::watch_reader::MalformedWatchData;
@@ -11,38 +11,38 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest id, zone, kind or address, bytes.
+/// Maximum length of an id, zone, kind or address, bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Zones, and kinds, that are told apart; further ones count as the first.
+/// Maximum number of distinct zones, and of distinct kinds; any further one gets index 0.
 const MAX_DISTINCT_NAMES: usize = 256;
-/// The weight of an entry that gives none.
+/// The weight of an entry without a valid one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The bytes of the request that watches the list from a revision on.
+/// The bytes of the HTTP request that watches the list for changes since a revision; 0 requests the complete list.
 pub fn watch_request(host: &str, since_revision: u64) -> Vec<u8> {
     let path = format!("/discovery/hosts?follow=1&since={since_revision}");
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-/// Where a list comes from.
+/// The source of a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListSource {
-    /// The bootstrap file: as held before this start.
+    /// The bootstrap file: the list as held before this start.
     Cache,
-    /// The watch.
+    /// The watch of the discovery agent.
     Watch,
 }
 
-/// What a list or a line of changes says that is new.
+/// An applied list or line of changes, for the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListUpdate {
-    /// How it was obtained.
+    /// Whether it is a complete list, changes, or the cached list.
     pub update: EndpointUpdate,
-    /// Its records, by server.
+    /// Its records, ordered by server, at most one for each.
     pub records: Vec<EndpointRecord>,
 }
 
-/// A list's own fields.
+/// The fields of a list itself, as opposed to those of its entries.
 struct ListHeader<'a> {
     revision: u64,
     is_complete: bool,
@@ -59,32 +59,33 @@
     }
 }
 
-/// The list as this planner holds it.
+/// The list that this planner holds, with the address of each server.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     revisions: ListRevisions,
-    /// Lines and entries that could not be used.
+    /// The number of malformed lines and entries received.
     pub malformed: u64,
     addresses: BTreeMap<ServerId, SocketAddr>,
-    /// The last record of each server that is listed.
+    /// The latest record of each listed server.
     records: BTreeMap<ServerId, EndpointRecord>,
-    /// The controller's time zero in Unix time, milliseconds.
+    /// The Unix time, in milliseconds, of the controller's time zero.
     epoch_ms: u64,
 }
 
 impl EndpointList {
-    /// An empty list. `epoch_ms` is the controller's time zero in Unix time, milliseconds; it lies before this start,
-    /// as the starts of servers do.
+    /// An empty list. `epoch_ms` is the Unix time, in milliseconds, of the controller's time zero. It lies before the
+    /// planner's start, so that earlier starts of servers have a time too.
     pub fn new(epoch_ms: u64) -> EndpointList {
         EndpointList { epoch_ms, ..EndpointList::default() }
     }
 
-    /// Where a server listens.
+    /// The address on which a server listens; `None` if the list gives no valid one.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.addresses.get(&server).copied()
     }
 
-    /// Applies a list or a line of changes; `None` where it says nothing new.
+    /// Applies a list or a line of changes; `None` if it is older than the held revision, or consists of changes that
+    /// are already held.
     pub fn apply(
         &mut self,
         list: &Value,
@@ -102,8 +103,8 @@
         let records = self.parse_members(&header, names);
         let has_malformed_entry = self.malformed > malformed_before;
         match source {
-            ListSource::Cache => self.revisions.accept_cached(header.revision, has_malformed_entry),
-            ListSource::Watch => self.revisions.accept(header.revision, has_malformed_entry),
+            ListSource::Cache => self.revisions.record_cached(header.revision, has_malformed_entry),
+            ListSource::Watch => self.revisions.record_applied(header.revision, has_malformed_entry),
         }
         self.store_records(&records, header.is_complete);
         let update = match source {
@@ -114,27 +115,27 @@
         Ok(Some(ListUpdate { update, records: records.into_values().collect() }))
     }
 
-    /// The revision up to which all changes are held.
+    /// The revision up to which all changes were applied.
     pub fn complete_revision(&self) -> u64 {
         self.revisions.complete()
     }
 
-    /// The revision from which on changes are to be asked for; 0 for the complete list.
+    /// The revision since which changes have to be requested; 0 requests the complete list.
     pub fn watch_revision(&self) -> u64 {
         self.revisions.watch_from()
     }
 
-    /// Whether the changes since [`EndpointList::watch_revision`] are to be asked for again; true once.
+    /// Whether the changes since [`EndpointList::watch_revision`] have to be requested again. Resets the flag.
     pub fn take_must_reread(&mut self) -> bool {
         self.revisions.take_must_reread()
     }
 
-    /// Whether a server is on the list.
+    /// Whether a server is on the list as ready or draining.
     pub fn is_listed(&self, server: ServerId) -> bool {
         self.records.contains_key(&server)
     }
 
-    /// The records of a list. Of several entries of one server the last holds.
+    /// Parses the entries of a list. If a server has several entries, the last one counts.
     fn parse_members(
         &mut self,
         header: &ListHeader,
@@ -147,7 +148,8 @@
                 Ok(None) => {}
                 Err(MalformedWatchData) => {
                     self.malformed += 1;
-                    // A complete list that mentions a server, however badly, does not say that it is gone.
+                    // A malformed entry in a complete list does not mean that its server was removed: its last record
+                    // is kept.
                     let known = self.known_record(member, names).filter(|_| header.is_complete);
                     if let Some(record) = known {
                         records.entry(record.server).or_insert_with(|| record.clone());
@@ -171,31 +173,31 @@
         self.records.retain(|_, record| record.state != ListedState::Removed);
     }
 
-    /// Notes a line that could not be read: an error while it is to be asked for again.
+    /// Counts a line that could not be parsed; an error if it has to be requested again, else it is skipped.
     pub fn note_unreadable_line(&mut self) -> Result<(), MalformedWatchData> {
         self.malformed += 1;
         self.revisions.note_unreadable_line()
     }
 
-    /// Forgets a server whose index may be assigned again.
+    /// Removes a server, since its index may be assigned to another one.
     pub fn release(&mut self, server: ServerId) {
         self.addresses.remove(&server);
         self.records.remove(&server);
     }
 
-    /// Accepts any revision from now on if only older ones have been received for longer than an agent may lag;
-    /// returns whether it did.
+    /// Resets the held revision, so that any is accepted, if only older ones have been received for longer than an
+    /// agent may lag; returns whether it did.
     #[must_use]
     pub fn reset_outdated_revision(&mut self, read_until: Duration) -> bool {
         self.revisions.reset_outdated(read_until)
     }
 
-    /// When the revision may be reset.
+    /// When the held revision may next be reset; `None` if the last revision received was not older.
     pub fn next_timeout(&self) -> Option<Duration> {
         self.revisions.next_timeout()
     }
 
-    /// The record of one entry; `None` for the removal of a server that is not known.
+    /// Parses one entry; `None` for the removal of an unknown server.
     fn parse_member(
         &mut self,
         member: &Value,
@@ -225,7 +227,8 @@
         }))
     }
 
-    /// An address may change between lists; without one, a listed server cannot be checked.
+    /// Updates the address of a server, which may change between lists. Without a valid one, health checks of a listed
+    /// server are skipped.
     fn update_address(&mut self, server: ServerId, state: ListedState, member: &Value) {
         match text_field(member, "host_port").and_then(|address| address.parse().ok()) {
             Some(address) => _ = self.addresses.insert(server, address),
@@ -234,7 +237,7 @@
         }
     }
 
-    /// When a server started, on the controller's clock; `None` for a start before its zero.
+    /// When a server started, on the controller's clock; `None` if that is unknown or not after the clock's zero.
     fn start_time(&self, member: &Value) -> Option<Duration> {
         let unix_ms = member["up_since_ms"].as_f64().filter(|ms| *ms > 0.0)?;
         let started = Duration::try_from_secs_f64((unix_ms - self.epoch_ms as f64) / 1000.0).ok()?;
--- a/crates/platform-protocol/src/endpoint_watch.rs
+++ b/crates/platform-protocol/src/endpoint_watch.rs
@@ -1,22 +1,22 @@
-//! The watch of the endpoint list across connections: which one is read, when it expires, and when the next is dialed.
+//! The connections of the endpoint watch: timeouts, reconnection, and changes of the discovery agent's address.
 //!
-//! After discovery has moved, the previous connection is read to its end, since the changes it carries count.
+//! After a change of address the previous connection is still read to its end, so that no change of the list is lost.
 
 use crate::session::ConnectionId;
 use crate::watch_reader::{MalformedWatchData, WatchReader};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A watch that has brought nothing for this long has failed; the agent sends an empty line every two seconds.
+/// A watch has failed if it has received nothing for this long; the agent sends an empty line every two seconds.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2700);
-/// A new watch has to bring its first bytes within this time.
+/// A new watch has to receive its first bytes within this time.
 pub const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Time from the end of a watch to the next attempt.
+/// Time from the end of a connection, or a failed attempt, to the next attempt.
 pub const REDIAL_INTERVAL: Duration = Duration::from_millis(250);
-/// The watch of an address that discovery has left is read for at most this long; an agent closes it after half.
+/// The watch of the agent's previous address is read for at most this long; an agent closes it after half that time.
 const PREVIOUS_WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The watch of an address that discovery has left.
+/// The connection to the discovery agent's previous address.
 #[derive(Debug)]
 struct PreviousWatch {
     conn: ConnectionId,
@@ -24,33 +24,33 @@
     deadline: Duration,
 }
 
-/// What the bytes of a connection amount to.
+/// The result of handling the received bytes of a connection.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct WatchOutput {
-    /// Complete lines.
+    /// Complete lines, with their line ends; an empty line is a heartbeat.
     pub lines: Vec<Vec<u8>>,
-    /// Whether these are the first bytes of the current watch.
+    /// Whether the bytes are the first of the current connection.
     pub is_first: bool,
-    /// Whether the connection is of no more use and is to be closed.
+    /// Whether the caller has to close the connection, since its response is complete or invalid.
     pub should_close: bool,
-    /// Whether the bytes make no response.
+    /// Whether the bytes are not part of a valid response.
     pub is_unreadable: bool,
 }
 
-/// The watch of the endpoint list.
+/// The state of the endpoint watch: at most one current connection and one to the previous address.
 #[derive(Debug)]
 pub struct EndpointWatch {
     address: SocketAddr,
     conn: Option<ConnectionId>,
     reader: WatchReader,
     has_received: bool,
-    /// When the connection expires or, without one, when the next is dialed.
+    /// When the current connection expires or, without one, when the next is dialed.
     deadline: Duration,
     previous: Option<PreviousWatch>,
 }
 
 impl EndpointWatch {
-    /// A watch that is to be dialed at once.
+    /// A watch without a connection, to be dialed at once.
     pub fn new(address: SocketAddr) -> EndpointWatch {
         EndpointWatch {
             address,
@@ -62,27 +62,27 @@
         }
     }
 
-    /// Where the discovery agent listens.
+    /// The current address of the discovery agent.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a connection belongs to the watch.
+    /// Whether a connection is the current or the previous one of the watch.
     pub fn owns(&self, conn: ConnectionId) -> bool {
         self.conn == Some(conn) || self.previous.as_ref().is_some_and(|previous| previous.conn == conn)
     }
 
-    /// When a connection expires or is to be dialed.
+    /// When the next connection expires or has to be dialed.
     pub fn next_timeout(&self) -> Duration {
         self.previous.as_ref().map_or(self.deadline, |previous| previous.deadline.min(self.deadline))
     }
 
-    /// Whether the next connection is to be dialed now.
+    /// Whether the caller has to dial a connection now.
     pub fn should_dial(&self, now: Duration) -> bool {
         self.conn.is_none() && now >= self.deadline
     }
 
-    /// Takes the connection that was dialed, or `None` if that failed at once.
+    /// Sets the dialed connection; `None` if dialing failed at once.
     pub fn handle_dialed(&mut self, conn: Option<ConnectionId>, now: Duration) {
         let timeout = if conn.is_some() { FIRST_RESPONSE_TIMEOUT } else { REDIAL_INTERVAL };
         self.deadline = now + timeout;
@@ -91,14 +91,14 @@
         self.has_received = false;
     }
 
-    /// Removes and returns the connections that expired, all that arrived by `read_until` being read.
+    /// Removes and returns the connections that have expired. All input that arrived by `read_until` was handled.
     pub fn take_expired(&mut self, read_until: Duration) -> Vec<ConnectionId> {
         let previous = self.previous.take_if(|previous| read_until >= previous.deadline);
         let current = self.conn.take_if(|_| read_until >= self.deadline);
         previous.map(|previous| previous.conn).into_iter().chain(current).collect()
     }
 
-    /// Takes received bytes.
+    /// Handles received bytes; those of a connection that the watch does not own are ignored.
     pub fn handle_bytes(&mut self, conn: ConnectionId, bytes: &[u8], now: Duration) -> WatchOutput {
         let is_current = self.conn == Some(conn);
         let reader = match &mut self.previous {
@@ -120,7 +120,7 @@
         WatchOutput { lines: lines.unwrap_or_default(), is_first, should_close, is_unreadable }
     }
 
-    /// Takes the end of a connection.
+    /// Handles the end of a connection; the next is dialed after [`REDIAL_INTERVAL`] if it was the current one.
     pub fn handle_closed(&mut self, conn: ConnectionId, now: Duration) {
         self.previous.take_if(|previous| previous.conn == conn);
         if self.conn.take_if(|current| *current == conn).is_some() {
@@ -128,23 +128,23 @@
         }
     }
 
-    /// Starts over after [`REDIAL_INTERVAL`]; returns the connection to close.
+    /// Drops the current connection, to be dialed again after [`REDIAL_INTERVAL`]; returns the connection to close.
     pub fn restart(&mut self, now: Duration) -> Option<ConnectionId> {
         let conn = self.conn.take();
         self.deadline = now + REDIAL_INTERVAL;
         conn
     }
 
-    /// Moves to another address, dialed at once. The current connection is read to its end; returns the connection
-    /// to close, one that was itself being read to its end.
+    /// Changes the agent's address, which is dialed at once. The current connection becomes the previous one and is
+    /// read to its end; returns the one that was the previous one so far, which the caller has to close.
     pub fn change_address(&mut self, address: SocketAddr, now: Duration) -> Option<ConnectionId> {
         let reader = std::mem::take(&mut self.reader);
         let current = self.conn.take();
-        let leaving =
+        let previous =
             current.map(|conn| PreviousWatch { conn, reader, deadline: now + PREVIOUS_WATCH_TIMEOUT });
-        let abandoned = std::mem::replace(&mut self.previous, leaving);
+        let replaced = std::mem::replace(&mut self.previous, previous);
         self.address = address;
         self.deadline = now;
-        abandoned.map(|previous| previous.conn)
+        replaced.map(|previous| previous.conn)
     }
 }
--- a/crates/platform-protocol/src/list_revisions.rs
+++ b/crates/platform-protocol/src/list_revisions.rs
@@ -1,51 +1,52 @@
-//! Which revisions of the endpoint list are held, and what is to be asked for again.
+//! Tracks the held revisions of the endpoint list and decides what has to be requested again.
 //!
-//! A revision names a state of the list, unless discovery counts anew: then older ones come, as they do from an agent that
-//! lags.
+//! Revisions of the list increase, unless discovery restarts their numbering: then lower ones arrive, as they also do
+//! from an agent that lags.
 
 use crate::watch_reader::MalformedWatchData;
 use std::time::Duration;
 
-/// An agent may lag behind another by this long. Older versions for longer mean that versions were reset.
+/// The longest time by which an agent may lag behind another. If only older revisions arrive for longer, discovery has
+/// reset its revisions.
 const MAX_AGENT_LAG: Duration = Duration::from_secs(6);
-/// An unreadable line or entry is asked for again this often in a row before it is skipped.
+/// How many times in a row a malformed line or entry is requested again before it is skipped.
 const MAX_RETRIES: u32 = 3;
 
-/// What a list says that is held already.
+/// The age of a received list relative to the held one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListAge {
-    /// It is older than what is held.
+    /// Older than the held revision.
     Older,
-    /// It is of the newest revision, of which nothing is missing.
+    /// Of the held revision, of which all changes were applied.
     Held,
-    /// It may say something new.
+    /// Possibly with changes that were not applied.
     New,
 }
 
-/// The revisions of one list.
+/// The held revisions of one list.
 #[derive(Debug, Default)]
 pub(crate) struct ListRevisions {
-    /// The newest one of which anything is held.
+    /// The newest revision of which at least some entries were applied.
     newest: u64,
-    /// The one up to which all changes are held; older than the newest while an entry that could not be read is to be
-    /// asked for again.
+    /// The revision up to which all changes were applied; lower than `newest` while a malformed entry has to be
+    /// requested again.
     complete: u64,
-    /// The changes since `watch_from()` are to be asked for again.
+    /// Whether the changes since `watch_from()` have to be requested again.
     must_reread: bool,
-    /// The complete list is wanted, whatever revision is held.
+    /// Whether the complete list has to be requested, whatever revision is held.
     wants_complete_list: bool,
-    /// Since when only older revisions have been received.
+    /// Since when only older revisions have been received; `None` if the last one was not older.
     outdated_since: Option<Duration>,
-    /// Lines in a row that could not be read.
+    /// The number of consecutive lines that could not be parsed.
     unreadable_lines: u32,
-    /// Lists in a row with an entry that could not be read.
+    /// The number of consecutive lists with a malformed entry.
     malformed_lists: u32,
 }
 
 impl ListRevisions {
-    /// Takes the revision of a list that can be read, before it is applied.
+    /// Records that a well-formed list of this revision was received, and returns its age. Called before it is applied.
     pub fn receive(&mut self, revision: u64, is_complete: bool, now: Duration) -> ListAge {
-        // An older revision, as a lagging agent may send it, would bring back servers that drain or are gone.
+        // An older revision, which a lagging agent may send, would restore servers that now drain or were removed.
         if revision < self.newest {
             self.outdated_since.get_or_insert(now);
             return ListAge::Older;
@@ -60,8 +61,9 @@
         }
     }
 
-    /// An agent that lagged and one that has reset its revisions and counted up to the held one look alike, and the second
-    /// one's changes were taken for old ones: the complete list tells.
+    /// Ends a period of older revisions. Either an agent lagged and has caught up, or discovery has reset its revisions
+    /// and reached the held one again; in that case changes were ignored as outdated. Since the two cannot be told
+    /// apart, the complete list is requested.
     fn end_outdated_period(&mut self, is_complete: bool) {
         let was_outdated = self.outdated_since.take().is_some();
         if is_complete {
@@ -72,19 +74,19 @@
         }
     }
 
-    /// Notes that the cached list is applied. The watch starts from the beginning if an entry of it could not be read.
-    pub fn accept_cached(&mut self, revision: u64, has_malformed_entry: bool) {
+    /// Records that the cached list was applied. If it had a malformed entry, the watch requests the complete list.
+    pub fn record_cached(&mut self, revision: u64, has_malformed_entry: bool) {
         self.newest = revision;
         if !has_malformed_entry {
             self.complete = revision;
         }
     }
 
-    /// Notes that a list or change of the watch is applied.
+    /// Records that a list or change from the watch was applied.
     ///
-    /// An entry that could not be read may hold a drain: the revision that is asked from stays before it, until it was asked
-    /// for often enough.
-    pub fn accept(&mut self, revision: u64, has_malformed_entry: bool) {
+    /// A malformed entry may contain a drain: changes are requested from the revision before it, up to [`MAX_RETRIES`]
+    /// times.
+    pub fn record_applied(&mut self, revision: u64, has_malformed_entry: bool) {
         self.newest = revision;
         if has_malformed_entry && self.malformed_lists < MAX_RETRIES {
             self.malformed_lists += 1;
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Notes a line that could not be read: an error while it is to be asked for again.
+    /// Counts a line that could not be parsed; an error if it has to be requested again.
     pub fn note_unreadable_line(&mut self) -> Result<(), MalformedWatchData> {
         self.unreadable_lines += 1;
         if self.unreadable_lines > MAX_RETRIES {
@@ -104,12 +106,12 @@
         Err(MalformedWatchData)
     }
 
-    /// The revision up to which all changes are held.
+    /// The revision up to which all changes were applied.
     pub fn complete(&self) -> u64 {
         self.complete
     }
 
-    /// The revision from which on changes are to be asked for; 0 for the complete list.
+    /// The revision since which changes have to be requested; 0 requests the complete list.
     pub fn watch_from(&self) -> u64 {
         if self.wants_complete_list {
             0
@@ -118,12 +120,12 @@
         }
     }
 
-    /// Whether the changes since [`ListRevisions::watch_from`] are to be asked for again; true once.
+    /// Whether the changes since [`ListRevisions::watch_from`] have to be requested again. Resets the flag.
     pub fn take_must_reread(&mut self) -> bool {
         std::mem::take(&mut self.must_reread)
     }
 
-    /// Accepts any revision from now on if only older ones have been received for longer than an agent may lag;
+    /// Resets the held revisions, so that any is accepted, if only older ones have been received for [`MAX_AGENT_LAG`];
     /// returns whether it did.
     pub fn reset_outdated(&mut self, read_until: Duration) -> bool {
         let is_reset = self.next_timeout().is_some_and(|timeout| read_until >= timeout);
@@ -135,7 +137,7 @@
         is_reset
     }
 
-    /// When the revisions may be reset.
+    /// When the held revisions may be reset; `None` if the last revision received was not older.
     pub fn next_timeout(&self) -> Option<Duration> {
         self.outdated_since.map(|since| since + MAX_AGENT_LAG)
     }
--- a/crates/platform-protocol/src/watch_reader.rs
+++ b/crates/platform-protocol/src/watch_reader.rs
@@ -1,51 +1,51 @@
-//! Reads a response of discovery (HTTP/1.1, chunked or not) as lines.
+//! Splits an HTTP/1.1 response of the discovery agent, chunked or not, into lines.
 
 use std::fmt;
 use std::ops::Range;
 
-/// A response head is a few hundred bytes.
+/// Maximum length of a response head, bytes; a usual one has a few hundred.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// A line takes some hundred bytes for each server.
+/// Maximum length of a line and of a chunk, bytes; a line has some hundred for each server.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// A chunk's size and its extensions.
+/// Maximum length of a chunk's size line with its extensions, bytes.
 const MAX_CHUNK_HEADER_BYTES: usize = 64;
-/// Headers of a response that are parsed.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
 const LINE_END: &[u8] = b"\r\n";
 
-/// A watch, or a line of it, that cannot be read.
+/// A response, line or list entry of the endpoint watch is malformed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MalformedWatchData;
 
 impl fmt::Display for MalformedWatchData {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the endpoint watch cannot be read")
+        formatter.write_str("malformed data from the endpoint watch")
     }
 }
 
 impl std::error::Error for MalformedWatchData {}
 
-/// What comes next in the response.
+/// Parser state: the part of the response that comes next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Head,
     ChunkSize,
-    /// So many bytes of a chunk are to come.
+    /// The remaining bytes of a chunk, this many.
     ChunkData(usize),
-    /// The line end behind a chunk.
+    /// The line end after a chunk's data.
     ChunkEnd,
-    /// A body without chunks.
+    /// A body without chunked encoding, which ends with the connection.
     PlainBody,
     Complete,
 }
 
-/// What one parsing step takes from the input.
+/// The result of one parsing step.
 struct Progress {
-    /// Bytes consumed.
+    /// The number of bytes consumed.
     consumed: usize,
-    /// What comes next.
+    /// The state after the step.
     next: State,
-    /// Which of the bytes belong to lines.
+    /// The range of the consumed bytes that are part of lines.
     data: Range<usize>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Splits one response into lines, wherever its bytes are cut.
+/// Splits one response into lines; the received segments may end anywhere.
 #[derive(Debug)]
 pub struct WatchReader {
     state: State,
@@ -70,7 +70,7 @@
 }
 
 impl WatchReader {
-    /// Appends received bytes and returns the lines that they complete, empty ones too.
+    /// Appends received bytes and returns the lines that they complete, with their line ends and including empty ones.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, MalformedWatchData> {
         self.input.extend_from_slice(bytes);
         let mut lines = Vec::new();
@@ -92,12 +92,12 @@
         Ok(lines)
     }
 
-    /// Whether the response has ended.
+    /// Whether the last chunk was received. A response without chunked encoding is never complete.
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// One parsing step; `None` where more bytes are needed.
+    /// Performs one parsing step; `None` if it needs more bytes.
     fn parse(&self, rest: &[u8]) -> Result<Option<Progress>, MalformedWatchData> {
         match self.state {
             State::Head => parse_head(rest),
