--- a/crates/platform-protocol/src/tests.rs
+++ b/crates/platform-protocol/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the core, and what they share.
+//! Unit tests of the core, and their common helpers.
 
 mod bootstrap;
 mod endpoint_list;
@@ -37,21 +37,25 @@
 }
 
 impl PlatformPlanner {
-    /// A step with all input read.
+    /// Steps the core with all input up to `now` handled.
     fn step_at(&mut self, now: Duration) -> Vec<Action> {
         self.step(now, now)
     }
 }
 
+/// Time of the first step on the controller's clock: one hour after its zero.
 const START: Duration = ms(3_600_000);
+/// Unix time of the clock's zero, milliseconds.
 const EPOCH: u64 = 1_700_000_000_000;
 
+/// Encodes messages as frames.
 fn framed(messages: &[Value]) -> Vec<u8> {
     let mut out = Vec::new();
     messages.iter().for_each(|message| write_frame(&mut out, message.to_string().as_bytes()));
     out
 }
 
+/// Decodes complete frames into their messages.
 fn unframed(bytes: &[u8]) -> Vec<Value> {
     let mut reader = FrameReader::new(MAX_MESSAGE_BYTES);
     reader.push(bytes);
@@ -83,6 +87,7 @@
     BootstrapConfig::parse(&text.to_string(), EnvironmentDefaults::default()).unwrap()
 }
 
+/// A core that has handled its cached list of three servers, at time [`START`].
 fn platform() -> PlatformPlanner {
     let mut platform = PlatformPlanner::new(&bootstrap(), EPOCH, 100);
     platform.step_at(START);
@@ -97,29 +102,29 @@
     json!({"t": "SUBSCRIBE", "id": id, "site": "a", "rps": 2.0, "new": true})
 }
 
-/// Connects a proxy; returns the actions of the step.
+/// Connects a proxy and steps the core; returns the step's actions.
 fn connect(platform: &mut PlatformPlanner, conn: ConnectionId, id: u64, now: Duration) -> Vec<Action> {
     open(platform, conn, &[connect_message(id)], now);
     platform.step_at(now)
 }
 
-/// Opens a connection that sends these messages.
+/// Opens a connection and passes the core these messages from it.
 fn open(platform: &mut PlatformPlanner, conn: ConnectionId, messages: &[Value], now: Duration) {
     platform.handle_opened(conn, now);
     receive(platform, conn, messages, now);
 }
 
-/// Hands over messages of an open connection.
+/// Passes the core messages from an open connection.
 fn receive(platform: &mut PlatformPlanner, conn: ConnectionId, messages: &[Value], now: Duration) {
     platform.handle_bytes(conn, &framed(messages), now);
 }
 
-/// Hands over a complete list.
+/// Passes the core a complete list.
 fn receive_list(platform: &mut PlatformPlanner, revision: u64, members: &[Value], now: Duration) {
     platform.handle_list_line(&list(revision, true, members), now).unwrap();
 }
 
-/// Hands over changes of the list.
+/// Passes the core changes of the list.
 fn receive_changes(platform: &mut PlatformPlanner, revision: u64, members: &[Value], now: Duration) {
     platform.handle_list_line(&list(revision, false, members), now).unwrap();
 }
--- a/crates/platform-protocol/src/tests/bootstrap.rs
+++ b/crates/platform-protocol/src/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The bootstrap file.
+//! Tests of bootstrap file parsing.
 
 use super::*;
 
--- a/crates/platform-protocol/src/tests/endpoint_list.rs
+++ b/crates/platform-protocol/src/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and the reading of its watch.
+//! Tests of the endpoint list and of the parsing of its watch.
 
 use super::*;
 
@@ -8,7 +8,7 @@
         let lines = [&list(41, true, &[member("s-1", "SERVING")])[..], b"", &list(42, false, &[])];
         let mut bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         for line in lines {
-            // A chunk may end within a line.
+            // Each line is sent in two chunks, since a chunk may end within a line.
             for half in [&line[..line.len() / 2], &[&line[line.len() / 2..], b"\n"].concat()] {
                 if !half.is_empty() {
                     bytes.extend(format!("{:x}\r\n", half.len()).bytes().chain(half.iter().copied()));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_server_start_before_the_planner_start_is_on_the_clock() {
+fn a_server_start_before_the_planner_start_has_a_time_on_the_clock() {
     let mut list = EndpointList::new(EPOCH);
     let mut started_at = |unix_ms: u64| {
         let mut server = member("s-1", "SERVING");
@@ -116,7 +116,7 @@
     assert_eq!((platform.list_revision(), platform.list_events.len()), (40, 0));
     assert!(!platform.reset_outdated_revision(START + ms(5999)));
 
-    // It reaches the held revision: it lagged.
+    // The agent reaches the held revision, so it only lagged.
     receive_changes(&mut platform, 40, &[], START + ms(5999));
 
     assert!(!platform.reset_outdated_revision(START + ms(60_000)));
@@ -124,7 +124,7 @@
     receive_changes(&mut platform, 8, &[], START + ms(60_000));
     platform.step_at(START + ms(60_000));
 
-    // The reset has a timeout of its own.
+    // The core's next timeout includes that of the reset.
     assert!(platform.next_timeout().is_some_and(|at| at <= START + ms(66_000)));
     assert!(platform.reset_outdated_revision(START + ms(66_000)));
     assert!(!platform.reset_outdated_revision(START + ms(66_001)));
@@ -159,12 +159,12 @@
 }
 
 #[test]
-fn a_response_that_is_no_list_is_unreadable() {
-    let is_unreadable = |bytes: &[u8]| WatchReader::default().push(bytes).is_err();
+fn a_response_that_is_not_a_valid_watch_is_malformed() {
+    let is_malformed = |bytes: &[u8]| WatchReader::default().push(bytes).is_err();
 
-    assert!(is_unreadable(b"HTTP/1.1 503 No\r\n\r\n"));
-    assert!(is_unreadable(b"SSH-2.0-x\r\n"));
-    assert!(is_unreadable(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n"));
+    assert!(is_malformed(b"HTTP/1.1 503 No\r\n\r\n"));
+    assert!(is_malformed(b"SSH-2.0-x\r\n"));
+    assert!(is_malformed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffff\r\n"));
 }
 
 #[test]
@@ -176,12 +176,12 @@
     assert!(lines.is_empty() && watch.is_complete());
 }
 
-/// Guards against changes that are lost when an agent resets its revisions and counts up to the held one within the time
-/// that it may lag.
+/// Guards against losing changes when discovery resets its revisions and reaches the held one again within the time by
+/// which an agent may lag.
 #[test]
 fn an_agent_that_catches_up_is_asked_for_the_complete_list() {
     let mut platform = platform();
-    // Revisions begin anew at 38; the change to 40 is not the one that was held as 40.
+    // Revisions restart at 38; this revision 40 is not the one that is held.
     receive_list(&mut platform, 38, &[member("s-1", "SERVING")], START);
     receive_changes(&mut platform, 39, &[member("s-2", "DELETED")], START + ms(100));
     assert!(!platform.take_must_reread_list());
@@ -190,7 +190,7 @@
     assert!(platform.take_must_reread_list());
     assert_eq!((platform.watch_revision(), platform.list_revision()), (0, 40));
 
-    // An agent that keeps all changes answers with those since the beginning.
+    // An agent that keeps all changes replies with those since the beginning instead of the complete list.
     receive_changes(&mut platform, 40, &[member("s-1", "DRAINING")], START + ms(500));
     assert_eq!(platform.list_events.len(), 1);
 
--- a/crates/platform-protocol/src/tests/endpoint_watch.rs
+++ b/crates/platform-protocol/src/tests/endpoint_watch.rs
@@ -1,10 +1,11 @@
-//! The watch of the endpoint list: timeouts, lost connections and a moved discovery.
+//! Tests of the endpoint watch: timeouts, lost connections and changes of the agent's address.
 
 use super::*;
 use crate::endpoint_watch::{EndpointWatch, FIRST_RESPONSE_TIMEOUT, REDIAL_INTERVAL, SILENCE_TIMEOUT};
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
+/// A chunk that contains one line.
 fn chunk(line: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", line.len() + 1).as_bytes(), line, b"\n\r\n"].concat()
 }
@@ -32,14 +33,14 @@
 
     assert!(before_timeout.is_empty());
     assert_eq!(at_timeout, vec![1]);
-    // The next one is dialed in the same step, with a shorter timeout for its first bytes.
+    // The next connection is dialed in the same step, with a shorter timeout for its first bytes.
     assert!(watch.should_dial(START + SILENCE_TIMEOUT));
     watch.handle_dialed(Some(2), START + SILENCE_TIMEOUT);
     assert_eq!(watch.next_timeout(), START + SILENCE_TIMEOUT + FIRST_RESPONSE_TIMEOUT);
 }
 
 #[test]
-fn lines_of_the_previous_watch_count_after_discovery_has_moved() {
+fn lines_of_the_previous_watch_are_returned_after_an_address_change() {
     let mut watch = open_watch();
     let line = list(41, false, &[member("s-2", "DRAINING")]);
     let bytes = chunk(&line);
@@ -54,13 +55,13 @@
     let output = watch.handle_bytes(1, rest, START + ms(20));
     assert_eq!(output.lines, vec![[line.as_slice(), b"\n"].concat()]);
     assert!(!output.is_first && !output.should_close);
-    // Its end does not end the current watch.
+    // The end of the previous connection does not affect the current one.
     watch.handle_closed(1, START + ms(1500));
     assert!(!watch.owns(1) && watch.owns(2) && !watch.should_dial(START + ms(1500)));
 }
 
 #[test]
-fn a_previous_watch_is_closed_at_its_deadline_and_by_the_next_move() {
+fn a_previous_watch_is_closed_at_its_deadline_and_by_the_next_address_change() {
     let mut watch = open_watch();
 
     watch.change_address(address(2), START);
@@ -74,7 +75,7 @@
     watch.handle_dialed(Some(3), START + ms(3100));
     let closed = watch.change_address(address(4), START + ms(3200));
 
-    // A second move before the previous watch has ended closes that one.
+    // A second address change closes the previous watch, although it has not ended.
     assert_eq!(closed, Some(2));
     assert!(watch.owns(3));
 }
@@ -88,7 +89,7 @@
 
         assert!(output.should_close && !watch.owns(1));
         assert_eq!((watch.next_timeout(), watch.should_dial(START)), (START + REDIAL_INTERVAL, false));
-        // A later close by the peer does not postpone the next attempt.
+        // A later report that it was closed does not postpone the next attempt.
         watch.handle_closed(1, START + ms(100));
         assert!(watch.should_dial(START + REDIAL_INTERVAL));
     }
--- a/crates/platform-protocol/src/tests/framing.rs
+++ b/crates/platform-protocol/src/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Frames, split anywhere and malformed.
+//! Tests of framing with arbitrarily split and malformed input.
 
 use super::*;
 
--- a/crates/platform-protocol/src/tests/health_check.rs
+++ b/crates/platform-protocol/src/tests/health_check.rs
@@ -1,4 +1,4 @@
-//! Responses to health checks and lost connections.
+//! Tests of health check responses, lost connections and pending checks.
 
 use super::*;
 
@@ -41,7 +41,7 @@
         Some(HealthCheckResult::ConnectionFailed)
     );
 
-    // Nothing received on the first connection is part of the response on the second.
+    // Bytes received on the first connection are not part of the response on the second.
     let mut interrupted = HealthCheck::new(1, SocketAddr::from(([127, 0, 0, 1], 9)), START);
 
     assert_eq!(interrupted.handle_bytes(b"HTTP/1.1 2", &fields), None);
@@ -61,7 +61,7 @@
     actions.iter().filter_map(ticket).collect()
 }
 
-/// The tickets of all health checks asked for in some steps of half a second.
+/// Steps the core every half a second; returns the tickets of all health checks that it requested.
 fn tickets_within(platform: &mut PlatformPlanner, steps: std::ops::Range<u64>) -> Vec<u64> {
     steps.flat_map(|step| tickets(&platform.step_at(START + ms(step * 500)))).collect()
 }
@@ -72,7 +72,7 @@
 
     let first = tickets_within(&mut platform, 0..40);
 
-    assert_eq!(first.len(), 3, "twenty seconds, and no health check has ended");
+    assert_eq!(first.len(), 3, "one check for each server in twenty seconds without an outcome");
 
     for ticket in first {
         platform.handle_health_check(ticket, HealthCheckResult::Success.into(), ms(3));
--- a/crates/platform-protocol/src/tests/message.rs
+++ b/crates/platform-protocol/src/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages and their fields.
+//! Tests of message parsing and field validation.
 
 use super::*;
 
@@ -63,7 +63,7 @@
             for value in &invalid_values {
                 let mut malformed = message.clone();
                 malformed[field] = value.clone();
-                // A flag may be true.
+                // `true` is a valid value of this field.
                 if field == "new" && value == true {
                     continue;
                 }
--- a/crates/platform-protocol/src/tests/platform.rs
+++ b/crates/platform-protocol/src/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The core as a whole.
+//! Tests of the core as a whole.
 
 use super::*;
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_late_report_of_a_released_server_does_not_reach_its_successor() {
+fn a_late_report_of_a_released_server_is_not_attributed_to_the_next_one_with_its_index() {
     let mut platform = platform();
     open(&mut platform, 1, &[collector_message("a")], START);
     receive_changes(&mut platform, 41, &[member("s-1", "DELETED")], START);
@@ -74,11 +74,11 @@
     assert_eq!((platform.events.len(), platform.counters.malformed), (0, 1));
 }
 
-/// Guards against a server that is lost until the next complete list, since its index is released in the step that reads
-/// that it is back.
+/// Guards against losing a server until the next complete list because its index is released in the step in which it is
+/// listed again.
 #[test]
-fn a_server_listed_again_in_the_step_of_its_release_keeps_its_place() {
-    // Its index is released ten seconds after the last use, in one of these steps.
+fn a_server_listed_again_in_the_step_of_its_release_stays_known() {
+    // The index is released ten seconds after its last use, in one of these steps.
     for back_at in 1..14 {
         let mut platform = platform();
         receive_changes(&mut platform, 41, &[member("s-1", "DELETED")], START);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_stream_with_an_overdue_acknowledgement_is_closed_and_a_quiet_one_is_not() {
+fn a_stream_with_an_overdue_acknowledgement_is_closed_and_an_idle_one_is_not() {
     let mut platform = platform();
     connect(&mut platform, 1, 7, START);
     let timeout = platform.ack_timeout;
@@ -235,7 +235,7 @@
     let mut actions = connect(&mut platform, 2, 8, START);
 
     for ninth in 1..10 {
-        // The quiet proxy acknowledges its updates and sends nothing else.
+        // The idle proxy acknowledges its updates and sends nothing else.
         for ack_token in written(&actions, 2).iter().filter_map(ack_token) {
             receive(&mut platform, 2, &[acknowledgement(8, ack_token)], START + timeout * (ninth - 1) / 9);
         }
@@ -259,7 +259,7 @@
     assert_eq!(platform.counters.malformed, 2);
 }
 
-/// Replaces one server and one stream, and answers everything that the core asks for.
+/// Replaces one server and one stream; acknowledges the new table and completes all health checks.
 fn replace_server_and_stream(platform: &mut PlatformPlanner, round: u64, now: Duration) {
     let removed = member(&format!("s-{}", round + 1), "DELETED");
     let added = member(&format!("s-{}", round + 4), "SERVING");
--- a/crates/platform-protocol/src/tests/session.rs
+++ b/crates/platform-protocol/src/tests/session.rs
@@ -1,4 +1,4 @@
-//! Which connections may stay.
+//! Tests of connection deadlines, limits and eviction.
 
 use super::*;
 
@@ -58,7 +58,7 @@
     sessions.register_stream(299, 5);
     let evicted = sessions.connections_to_close(ms(400));
 
-    // All that there is no room for, the oldest first.
+    // As many as exceed the limit less one free place, the oldest first.
     assert_eq!((evicted.len(), evicted[0], evicted.contains(&299)), (299 - 38, 0, false));
 
     evicted.into_iter().for_each(|conn| _ = sessions.remove(conn));
--- a/crates/platform-protocol/src/tests/table_sync.rs
+++ b/crates/platform-protocol/src/tests/table_sync.rs
@@ -1,4 +1,4 @@
-//! Updates that follow from commands.
+//! Tests of the updates that commands result in, and of acknowledgements.
 
 use super::*;
 
@@ -85,7 +85,7 @@
 
     assert!(tables.apply(&invalid, START).is_empty());
 
-    // A server without a name is left out.
+    // An entry whose server has no name is left out.
     let updates = tables.apply(&[set_entry(1, 77, 1.0)], START);
 
     assert_eq!(unframed(&tables.encode(&updates[&1], &names()))[0]["rows"], json!([]));
@@ -113,7 +113,7 @@
     tables.apply(&[set_entry(1, 0, 1.0), Command::RequestAck { ack_token: 5, all_proxies: false }], START);
 
     assert!(!tables.acknowledge(2, 4) && !tables.acknowledge(1, 6));
-    // An acknowledgement covers the updates before it.
+    // An acknowledgement includes all earlier updates.
     assert!(tables.acknowledge(1, 5) && !tables.acknowledge(1, 4) && !tables.acknowledge(1, 5));
 
     tables.apply(&[set_entry(1, 0, 2.0), Command::RequestAck { ack_token: 6, all_proxies: false }], START);
@@ -143,7 +143,7 @@
         ack_token: Some(9),
         ..UpdatePart::default()
     };
-    // `unframed` rejects a part beyond the limit of 1 MiB.
+    // `unframed` panics on a part beyond the limit of 1 MiB.
     let written = unframed(&table_sync().encode(&[part], &names));
     let entry_count: usize = written.iter().map(|part| part["rows"].as_array().unwrap().len()).sum();
 
--- a/crates/platform-protocol/src/tests/termination.rs
+++ b/crates/platform-protocol/src/tests/termination.rs
@@ -1,14 +1,14 @@
-//! Streams and partial messages that end. Each test forces one unfavourable order of events.
+//! Tests of streams and partial messages that end. Each forces one particular order of events.
 
 use super::*;
 
 #[test]
-fn no_peer_is_late_by_input_that_was_not_read() {
+fn unread_input_does_not_time_out_a_peer() {
     let mut platform = platform();
     connect(&mut platform, 1, 7, START);
     platform.handle_bytes(1, &framed(&[json!({"t": "PING"})])[..5], START);
     platform.handle_opened(2, START);
-    // The process was suspended: input that arrived meanwhile is not read yet.
+    // The process was suspended, and input that arrived meanwhile is not yet read.
     let read_until = START + ms(1400);
     let now = START + platform.ack_timeout + ms(10_000);
 
@@ -54,7 +54,7 @@
     assert!(is_closed(&actions, 1) && !is_closed(&actions, 2));
     assert_eq!((written(&actions, 1).len(), written(&actions, 2).len()), (0, 1));
 
-    // Late input of the old stream, and its end, are ignored.
+    // Late input from the old stream and its end are ignored.
     receive(&mut platform, 1, &[acknowledgement(7, 1)], START);
     platform.handle_closed(1);
 
@@ -74,7 +74,7 @@
 
     assert_eq!(written(&actions, 2)[0]["replace"], json!(true));
 
-    // An acknowledgement of the old stream arrives on the new one: it is not pending there.
+    // An acknowledgement for the old stream arrives on the new one, where its token is not pending.
     receive(&mut platform, 2, &[acknowledgement(7, pending)], START);
 
     assert_eq!((platform.counters.unexpected_acks, platform.counters.disconnected), (1, 1));
--- a/crates/platform-protocol/src/tests/untrusted_input.rs
+++ b/crates/platform-protocol/src/tests/untrusted_input.rs
@@ -1,8 +1,8 @@
-//! Settings, lists and messages of which any part may be missing or invalid.
+//! Tests with settings, lists and messages of which any part may be missing or invalid.
 
 use super::*;
 
-/// All settings that the controller reads, with values of an ordinary deployment.
+/// All settings that the controller reads, with the values of an ordinary deployment.
 fn full_settings() -> Value {
     let class = |name: &str, aim: f64, limit: f64, credit: f64, repeat: &str| {
         json!({"name": name, "aimS": aim, "hardLimitS": limit, "credit": credit, "lateWorth": 0.1,
@@ -19,27 +19,27 @@
         "stats": {"fields": ["rif", "busy", "lat_ms"], "how": "answers"}, "zones": ["a", "b"], "myZone": "a"})
 }
 
-/// The JSON pointers of all values inside.
-fn value_paths(value: &Value, at: String, found: &mut Vec<String>) {
-    found.push(at.clone());
+/// Appends the JSON pointers of a value and of all values within it.
+fn value_paths(value: &Value, pointer: String, found: &mut Vec<String>) {
+    found.push(pointer.clone());
     match value {
         Value::Object(map) => {
-            map.iter().for_each(|(key, value)| value_paths(value, format!("{at}/{key}"), found))
+            map.iter().for_each(|(key, value)| value_paths(value, format!("{pointer}/{key}"), found))
         }
         Value::Array(list) => list
             .iter()
             .enumerate()
-            .for_each(|(index, value)| value_paths(value, format!("{at}/{index}"), found)),
+            .for_each(|(index, value)| value_paths(value, format!("{pointer}/{index}"), found)),
         _ => {}
     }
 }
 
-/// Values that a deployment would not have, including the ends of every range.
+/// Values that no deployment has, including the bounds of ranges.
 fn unusual_value() -> impl Strategy<Value = Value> {
-    let ends = [0.0, -0.0, -1.0, 1e-9, 0.5, 63.0, 64.0, 65.0, 1e6, 1e19, 1e300, -1e300, f64::MIN_POSITIVE];
+    let bounds = [0.0, -0.0, -1.0, 1e-9, 0.5, 63.0, 64.0, 65.0, 1e6, 1e19, 1e300, -1e300, f64::MIN_POSITIVE];
     let lists = vec![json!([]), json!({}), json!([null, -1]), json!(vec![json!({"name": "x"}); 70])];
     prop_oneof![
-        3 => prop::sample::select(ends.to_vec()).prop_map(Value::from),
+        3 => prop::sample::select(bounds.to_vec()).prop_map(Value::from),
         1 => prop::sample::select(lists),
         1 => any_json(),
         1 => Just(json!("pace")),
@@ -47,11 +47,11 @@
 }
 
 const COLLECTOR: ConnectionId = 100;
-/// This connection never acknowledges an update.
+/// The connection of a proxy that never acknowledges an update.
 const SILENT_PROXY: ConnectionId = 4;
 
-/// Runs a short scenario and returns the number of tables sent: lists with drains and new servers, connections,
-/// reports, health checks, some acknowledgements.
+/// Runs a short scenario of lists with drains and new servers, connections, reports, health checks and some
+/// acknowledgements; returns the number of complete tables sent.
 fn run_scenario(settings: Value) -> usize {
     let mut bootstrap = bootstrap();
     bootstrap.settings = settings;
@@ -59,16 +59,16 @@
     let mut tables = 0;
     for step in 0u64..40 {
         let now = START + ms(400 * step);
-        drive(&mut platform, step, now);
+        send_input(&mut platform, step, now);
         for action in platform.step_at(now) {
-            tables += answer(&mut platform, action, now);
+            tables += execute(&mut platform, action, now);
         }
     }
     tables
 }
 
-/// What happens in a step, whatever the core has asked for.
-fn drive(platform: &mut PlatformPlanner, step: u64, now: Duration) {
+/// Passes the core the input of a step, which does not depend on its actions.
+fn send_input(platform: &mut PlatformPlanner, step: u64, now: Duration) {
     match step {
         1 => open(platform, COLLECTOR, &[collector_message("a")], now),
         2..=6 => open(platform, step as ConnectionId, &[connect_message(step)], now),
@@ -88,8 +88,8 @@
     }
 }
 
-/// Answers an action as the platform would; returns how many tables it carries.
-fn answer(platform: &mut PlatformPlanner, action: Action, now: Duration) -> usize {
+/// Executes an action as the platform would; returns the number of complete tables that it writes.
+fn execute(platform: &mut PlatformPlanner, action: Action, now: Duration) -> usize {
     let mut tables = 0;
     match action {
         Action::CheckHealth { ticket, .. } => {
@@ -127,19 +127,19 @@
         for (index, value) in changes {
             let mut found = Vec::new();
             value_paths(&settings, String::new(), &mut found);
-            let place = &found[index.index(found.len())];
-            *settings.pointer_mut(place).unwrap() = value;
+            let pointer = &found[index.index(found.len())];
+            *settings.pointer_mut(pointer).unwrap() = value;
         }
         run_scenario(settings);
     }
 }
 
 #[test]
-fn a_number_beyond_range_makes_its_message_malformed_and_keeps_the_connection() {
+fn a_number_out_of_range_makes_its_message_malformed_and_keeps_the_connection() {
     let mut platform = platform();
     connect(&mut platform, 1, 7, START);
     let mut bytes = Vec::new();
-    // One field must not end the stream.
+    // An invalid field must not end the stream.
     write_frame(&mut bytes, br#"{"t":"RATE","id":7,"lane":"lookup","count":1e999,"fail":0,"over":9.0}"#);
     bytes.extend(framed(&[
         json!({"t": "RATE", "id": 7, "lane": "lookup", "count": 1, "fail": 0, "over": 9.0}),
@@ -149,7 +149,7 @@
     assert!(matches!(platform.events[..], [Event::ArrivalReport { proxy: 7, requests: 1, .. }]));
     assert_eq!((platform.counters.malformed, platform.counters.rejected), (1, 0));
 
-    // A body that is no JSON object still ends it, with such a number inside or not.
+    // A body that is not a JSON object still ends it, whether or not it contains such a number.
     for body in [&b"{\"t\":1e999,}"[..], b"{\"t\":\"\xff\"}", b"[1e999]"] {
         let mut reader = FrameReader::new(MAX_MESSAGE_BYTES);
         let mut bytes = Vec::new();
@@ -170,7 +170,7 @@
     receive_changes(&mut platform, 42, &[member("s-2", "DRAINING")], START);
 
     assert_eq!((platform.list_revision(), platform.list.malformed), (42, 4));
-    // The next unreadable line is retried again.
+    // Retries start over with the next unreadable line.
     assert!(platform.handle_list_line(b"nothing", START).is_err());
 }
 
@@ -187,14 +187,14 @@
     };
     let states: Vec<ListedState> = records.iter().map(|record| record.state).collect();
 
-    // One malformed field must not remove healthy servers from all tables at once.
+    // A malformed field must not remove a healthy server from all tables.
     assert_eq!(
         (*update, states),
         (EndpointUpdate::Snapshot, vec![ListedState::Ready, ListedState::Ready, ListedState::Draining])
     );
     assert_eq!(platform.list.malformed, 3);
 
-    // A server that a complete list leaves out is gone, and a malformed entry does not restore it.
+    // A server missing from a complete list is removed, and a malformed entry does not restore it.
     receive_list(&mut platform, 43, &[member("s-1", "SERVING")], START);
     platform.handle_list_line(&list(44, true, &complete), START).unwrap();
     let Some(Event::EndpointsListed { records, .. }) = platform.list_events.last() else { panic!("no list") };
@@ -202,27 +202,27 @@
     assert_eq!(records.len(), 1);
 }
 
-/// Guards against a drain in a malformed entry of a change that is skipped for good.
+/// Guards against losing a drain because it is in a malformed entry of a change.
 #[test]
-fn a_change_with_a_malformed_entry_is_asked_for_again_and_skipped_after_a_few_attempts() {
+fn a_change_with_a_malformed_entry_is_requested_again_and_skipped_after_a_few_attempts() {
     let mut platform = platform();
     let malformed = json!({"id": "s-2", "host_port": "127.0.0.1:9", "phase": 3});
     let members = [member("s-1", "DRAINING"), malformed];
 
-    // What can be read of it counts at once.
+    // Its valid entries are applied at once.
     receive_changes(&mut platform, 41, &members, START);
     let Some(Event::EndpointsListed { records, .. }) = platform.list_events.last() else { panic!("no list") };
     assert_eq!((records.len(), records[0].state), (1, ListedState::Draining));
     assert!(platform.take_must_reread_list() && !platform.take_must_reread_list());
     assert_eq!(platform.list_revision(), 40);
 
-    // The same change again, in order: its drain is taken in.
+    // The same change is received again, now well-formed: its drain is applied.
     receive_changes(&mut platform, 41, &[member("s-1", "DRAINING"), member("s-2", "DRAINING")], START);
     let Some(Event::EndpointsListed { records, .. }) = platform.list_events.last() else { panic!("no list") };
     assert_eq!(records.len(), 2);
     assert_eq!((platform.list_revision(), platform.take_must_reread_list()), (41, false));
 
-    // One that stays malformed does not keep the changes behind it away.
+    // A change that stays malformed does not block those that follow it.
     for _ in 0..3 {
         receive_changes(&mut platform, 42, &members, START);
         assert!(platform.take_must_reread_list());
@@ -232,9 +232,9 @@
     assert_eq!((platform.list_revision(), platform.take_must_reread_list()), (42, false));
 }
 
-/// Guards against a server that a malformed entry of the bootstrap file hides until the next complete list.
+/// Guards against losing a server until the next complete list because its entry in the bootstrap file is malformed.
 #[test]
-fn a_cached_list_with_a_malformed_entry_is_asked_for_from_the_beginning() {
+fn after_a_cached_list_with_a_malformed_entry_the_complete_list_is_requested() {
     let mut bootstrap = bootstrap();
     bootstrap.cached_list["members"][1]["phase"] = json!(3);
     let mut platform = PlatformPlanner::new(&bootstrap, EPOCH, 100);
@@ -242,7 +242,7 @@
 
     assert_eq!(platform.list_revision(), 0);
 
-    // An agent that lags behind the file changes nothing.
+    // A list from an agent that lags behind the file is ignored.
     receive_list(&mut platform, 39, &[member("s-1", "DRAINING")], START);
     assert!(platform.list_events.is_empty());
     let members = ["s-1", "s-2", "s-3"].map(|id| member(id, "SERVING"));
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshot of the platform core's bytes for a scripted session: connecting proxies, tables, acknowledgements, a
-//! complete list, reports, health checks, silence and malformed input.
+//! Compares the core's actions in a scripted session with a snapshot, byte for byte: connecting proxies, tables,
+//! acknowledgements, a complete list, reports, health checks, a proxy that stops responding and malformed input.
 //!
-//! `UPDATE_SNAPSHOTS=1` rewrites the snapshot.
+//! With the environment variable `UPDATE_SNAPSHOTS` set, the test rewrites the snapshot.
 
 use runloom_controller::HealthCheckResult;
 use runloom_platform_protocol::bootstrap::{BootstrapConfig, EnvironmentDefaults};
@@ -51,7 +51,7 @@
     )
 }
 
-/// A frame, made here by hand so that a fault in the core's own writer shows.
+/// Encodes a frame independently of the core's encoder, so that a fault in that one is detected.
 fn framed(message: &Value) -> Vec<u8> {
     let body = message.to_string().into_bytes();
     let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
@@ -59,6 +59,7 @@
     bytes
 }
 
+/// Decodes complete frames into their messages.
 fn unframed(mut bytes: &[u8]) -> Vec<Value> {
     let mut messages = Vec::new();
     while let Some((length, rest)) = bytes.split_first_chunk::<4>() {
@@ -69,7 +70,8 @@
     messages
 }
 
-fn report(id: u64, step: u64) -> Value {
+/// An outcome report of a server: one fails in some steps, and all of them in some later ones.
+fn outcome_report(id: u64, step: u64) -> Value {
     let failing = (120..160).contains(&step) && id == 2 || (200..260).contains(&step);
     let fail = if failing { 25 } else { step * id % 2 };
     json!({"t": "LOAD", "site": ZONES[(id % 2) as usize], "target": format!("s-{id}"), "count": 40,
@@ -77,7 +79,8 @@
         "util": {"util": 0.4 + id as f64 / 50.0, "latency_ms": 40.0 + (step % 7) as f64}})
 }
 
-fn drive(platform: &mut PlatformPlanner, step: u64, now: Duration) {
+/// Passes the core the input of a step, which does not depend on its actions.
+fn send_input(platform: &mut PlatformPlanner, step: u64, now: Duration) {
     match step {
         1 => platform.handle_opened(COLLECTOR, now),
         2 => platform.handle_bytes(COLLECTOR, &framed(&json!({"t": "SOURCE", "site": "a"})), now),
@@ -88,7 +91,7 @@
                 json!({"t": "SUBSCRIBE", "id": step, "site": "a", "rps": 20.0, "new": step % 2 == 0});
             platform.handle_bytes(conn, &framed(&connect), now);
         }
-        // Malformed input: not JSON, a field out of range, an unknown class, a token out of range.
+        // Malformed input: an invalid length, an unknown class and a count out of range, a token out of range.
         20 => platform.handle_opened(50, now),
         21 => platform.handle_bytes(50, b"\0\0\0\x04nope", now),
         22 => platform.handle_bytes(
@@ -103,14 +106,14 @@
             .unwrap(),
         31 => platform.handle_list_line(b"", now).unwrap(),
         32 => _ = platform.handle_list_line(b"{\"revision\": oops", now),
-        // The complete list under another revision, without one of its servers.
+        // A complete list of a later revision, without some of the servers.
         60 => {
             let members: Vec<Value> =
                 [0, 1, 2, 4, 5, 6, 9].iter().map(|id| member(*id, "SERVING", 0)).collect();
             platform.handle_list_line(&list(45, true, &members), now).unwrap();
         }
         70 => platform.handle_closed(6),
-        // A proxy connects again while its old stream is still open.
+        // A proxy reconnects while its old stream is still open.
         74 => {
             platform.handle_opened(60, now);
             let connect = json!({"t": "SUBSCRIBE", "id": 7, "site": "b", "rps": 5.0, "new": false});
@@ -127,9 +130,9 @@
     }
 }
 
-/// Outcome and arrival reports of one step.
+/// Passes the core the outcome and arrival reports of a step.
 fn send_reports(platform: &mut PlatformPlanner, step: u64, now: Duration) {
-    (0..8).for_each(|id| platform.handle_bytes(COLLECTOR, &framed(&report(id, step)), now));
+    (0..8).for_each(|id| platform.handle_bytes(COLLECTOR, &framed(&outcome_report(id, step)), now));
     let load = if (200..260).contains(&step) { 150 } else { 30 };
     for proxy in [4, 5, 8, 9] {
         let rate = json!({"t": "RATE", "id": proxy, "lane": CLASSES[(step / 4 % 2) as usize],
@@ -138,7 +141,7 @@
     }
 }
 
-/// Ends health checks and acknowledges updates, but for the proxy that falls silent.
+/// Completes health checks and acknowledges updates, except those of the proxy that stops responding at step 100.
 fn answer(platform: &mut PlatformPlanner, actions: &[Action], step: u64, now: Duration) {
     for action in actions {
         match action {
@@ -169,12 +172,13 @@
     }
 }
 
+/// Runs the session and returns its transcript, one line for each action.
 fn session(level_kind: &str) -> String {
     let mut platform = platform(level_kind);
     let mut transcript = format!("levels: {level_kind}\n");
     for step in 0..STEPS {
         let now = Duration::from_millis(START_MS + step * STEP_MS);
-        drive(&mut platform, step, now);
+        send_input(&mut platform, step, now);
         let actions = platform.step(now, now);
         for action in &actions {
             match action {
