--- a/crates/platform-protocol/src/tests/platform.rs
+++ b/crates/platform-protocol/src/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The core as a whole.
+//! Tests of the core as a whole.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     assert_eq!(updates[0]["replace"], json!(true));
     assert_eq!(updates[0]["rows"].as_array().unwrap().len(), 3);
     assert!(matches!(platform.events[..], [Event::UpdateAcknowledged { proxy: 7, .. }]));
-    assert_eq!(platform.counters.longest_wait, ms(20));
+    assert_eq!(platform.counters.longest_table_wait, ms(20));
 
     receive(&mut platform, 1, &[acknowledgement], START + ms(30));
 
@@ -32,7 +32,7 @@
     let late = json!({"t": "ACK", "id": 7, "seq": last_ack_token(&updates), "ms": 900.0});
     receive(&mut platform, 1, &[late], START + ms(950));
 
-    assert_eq!((platform.counters.longest_wait, platform.counters.unexpected_acks), (ms(20), 0));
+    assert_eq!((platform.counters.longest_table_wait, platform.counters.unexpected_acks), (ms(20), 0));
 }
 
 #[test]
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_late_report_of_a_released_server_does_not_reach_its_successor() {
+fn a_late_report_of_a_released_server_is_not_attributed_to_the_next_one_with_its_index() {
     let mut platform = platform();
     open(&mut platform, 1, &[collector_message("a")], START);
     receive_changes(&mut platform, 41, &[member("s-1", "DELETED")], START);
@@ -74,11 +74,11 @@
     assert_eq!((platform.events.len(), platform.counters.malformed), (0, 1));
 }
 
-/// Guards against a server that is lost until the next complete list, since its index is released in the step that reads
-/// that it is back.
+/// Guards against losing a server until the next complete list because its index is released in the step in which it is
+/// listed again.
 #[test]
-fn a_server_listed_again_in_the_step_of_its_release_keeps_its_place() {
-    // Its index is released ten seconds after the last use, in one of these steps.
+fn a_server_listed_again_in_the_step_of_its_release_stays_known() {
+    // The index is released ten seconds after its last use, in one of these steps.
     for back_at in 1..14 {
         let mut platform = platform();
         receive_changes(&mut platform, 41, &[member("s-1", "DELETED")], START);
@@ -140,7 +140,7 @@
 fn a_restarted_planner_replaces_old_tables_without_draining_servers() {
     let mut bootstrap = bootstrap();
     bootstrap.cached_list["members"][1]["phase"] = json!("DRAINING");
-    let mut platform = Platform::new(&bootstrap, EPOCH, 100);
+    let mut platform = PlatformPlanner::new(&bootstrap, EPOCH, 100);
     platform.step_at(START);
 
     let mut with_old_table = connect_message(7);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_stream_with_an_overdue_acknowledgement_is_closed_and_a_quiet_one_is_not() {
+fn a_stream_with_an_overdue_acknowledgement_is_closed_and_an_idle_one_is_not() {
     let mut platform = platform();
     connect(&mut platform, 1, 7, START);
     let timeout = platform.ack_timeout;
@@ -235,7 +235,7 @@
     let mut actions = connect(&mut platform, 2, 8, START);
 
     for ninth in 1..10 {
-        // The quiet proxy acknowledges its updates and sends nothing else.
+        // The idle proxy acknowledges its updates and sends nothing else.
         for ack_token in written(&actions, 2).iter().filter_map(ack_token) {
             receive(&mut platform, 2, &[acknowledgement(8, ack_token)], START + timeout * (ninth - 1) / 9);
         }
@@ -259,8 +259,8 @@
     assert_eq!(platform.counters.malformed, 2);
 }
 
-/// Replaces one server and one stream, and answers everything that the core asks for.
-fn replace_server_and_stream(platform: &mut Platform, round: u64, now: Duration) {
+/// Replaces one server and one stream; acknowledges the new table and completes all health checks.
+fn replace_server_and_stream(platform: &mut PlatformPlanner, round: u64, now: Duration) {
     let removed = member(&format!("s-{}", round + 1), "DELETED");
     let added = member(&format!("s-{}", round + 4), "SERVING");
     receive_changes(platform, 41 + 2 * round, &[added, removed], START);
@@ -306,9 +306,9 @@
         rejected: 5,
         malformed: 6,
         unexpected_acks: 7,
-        messages: 8,
-        lists: 9,
-        longest_wait: ms(10),
+        updates_sent: 8,
+        list_updates: 9,
+        longest_table_wait: ms(10),
     };
 
     let printed = counters.to_string();
--- a/crates/platform-protocol/src/watch_reader.rs
+++ b/crates/platform-protocol/src/watch_reader.rs
@@ -1,51 +1,51 @@
-//! Reads a response of discovery (HTTP/1.1, chunked or not) as lines.
+//! Splits an HTTP/1.1 response of the discovery agent, chunked or not, into lines.
 
 use std::fmt;
 use std::ops::Range;
 
-/// A response head is a few hundred bytes.
+/// Maximum length of a response head, bytes; a usual one has a few hundred.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// A line takes some hundred bytes for each server.
+/// Maximum length of a line and of a chunk, bytes; a line has some hundred for each server.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// A chunk's size and its extensions.
+/// Maximum length of a chunk's size line with its extensions, bytes.
 const MAX_CHUNK_HEADER_BYTES: usize = 64;
-/// Headers of a response that are parsed.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
 const LINE_END: &[u8] = b"\r\n";
 
-/// A watch, or a line of it, that cannot be read.
+/// A response, line or list entry of the endpoint watch is malformed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnreadableWatch;
+pub struct MalformedWatchData;
 
-impl fmt::Display for UnreadableWatch {
+impl fmt::Display for MalformedWatchData {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the endpoint watch cannot be read")
+        formatter.write_str("malformed data from the endpoint watch")
     }
 }
 
-impl std::error::Error for UnreadableWatch {}
+impl std::error::Error for MalformedWatchData {}
 
-/// What comes next in the response.
+/// Parser state: the part of the response that comes next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Head,
     ChunkSize,
-    /// So many bytes of a chunk are to come.
+    /// The remaining bytes of a chunk, this many.
     ChunkData(usize),
-    /// The line end behind a chunk.
+    /// The line end after a chunk's data.
     ChunkEnd,
-    /// A body without chunks.
+    /// A body without chunked encoding, which ends with the connection.
     PlainBody,
     Complete,
 }
 
-/// What one parsing step takes from the input.
+/// The result of one parsing step.
 struct Progress {
-    /// Bytes consumed.
+    /// The number of bytes consumed.
     consumed: usize,
-    /// What comes next.
+    /// The state after the step.
     next: State,
-    /// Which of the bytes belong to lines.
+    /// The range of the consumed bytes that are part of lines.
     data: Range<usize>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Splits one response into lines, wherever its bytes are cut.
+/// Splits one response into lines; the received segments may end anywhere.
 #[derive(Debug)]
 pub struct WatchReader {
     state: State,
@@ -70,8 +70,8 @@
 }
 
 impl WatchReader {
-    /// Appends received bytes and returns the lines that they complete, empty ones too.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, UnreadableWatch> {
+    /// Appends received bytes and returns the lines that they complete, with their line ends and including empty ones.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, MalformedWatchData> {
         self.input.extend_from_slice(bytes);
         let mut lines = Vec::new();
         let mut consumed = 0;
@@ -83,7 +83,7 @@
                 }
             }
             if self.line.len() > MAX_LINE_BYTES {
-                return Err(UnreadableWatch);
+                return Err(MalformedWatchData);
             }
             consumed += progress.consumed;
             self.state = progress.next;
@@ -92,13 +92,13 @@
         Ok(lines)
     }
 
-    /// Whether the response has ended.
+    /// Whether the last chunk was received. A response without chunked encoding is never complete.
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// One parsing step; `None` where more bytes are needed.
-    fn parse(&self, rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
+    /// Performs one parsing step; `None` if it needs more bytes.
+    fn parse(&self, rest: &[u8]) -> Result<Option<Progress>, MalformedWatchData> {
         match self.state {
             State::Head => parse_head(rest),
             State::Complete => Ok(None),
@@ -113,7 +113,7 @@
             State::ChunkEnd if rest.starts_with(LINE_END) => {
                 Ok(Some(Progress::without_data(LINE_END.len(), State::ChunkSize)))
             }
-            State::ChunkEnd => Err(UnreadableWatch),
+            State::ChunkEnd => Err(MalformedWatchData),
             State::PlainBody => {
                 Ok(Some(Progress { consumed: rest.len(), next: State::PlainBody, data: 0..rest.len() }))
             }
@@ -121,13 +121,13 @@
     }
 }
 
-fn parse_head(rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
+fn parse_head(rest: &[u8]) -> Result<Option<Progress>, MalformedWatchData> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    match response.parse(rest).map_err(|_| UnreadableWatch)? {
-        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => Err(UnreadableWatch),
+    match response.parse(rest).map_err(|_| MalformedWatchData)? {
+        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => Err(MalformedWatchData),
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(_) if response.code != Some(200) => Err(UnreadableWatch),
+        httparse::Status::Complete(_) if response.code != Some(200) => Err(MalformedWatchData),
         httparse::Status::Complete(consumed) => {
             let next = if is_chunked(response.headers) { State::ChunkSize } else { State::PlainBody };
             Ok(Some(Progress::without_data(consumed, next)))
@@ -141,14 +141,14 @@
     })
 }
 
-fn parse_chunk_size(rest: &[u8]) -> Result<Option<Progress>, UnreadableWatch> {
-    match httparse::parse_chunk_size(rest).map_err(|_| UnreadableWatch)? {
-        httparse::Status::Partial if rest.len() > MAX_CHUNK_HEADER_BYTES => Err(UnreadableWatch),
+fn parse_chunk_size(rest: &[u8]) -> Result<Option<Progress>, MalformedWatchData> {
+    match httparse::parse_chunk_size(rest).map_err(|_| MalformedWatchData)? {
+        httparse::Status::Partial if rest.len() > MAX_CHUNK_HEADER_BYTES => Err(MalformedWatchData),
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete((consumed, 0)) => {
             Ok(Some(Progress::without_data(consumed, State::Complete)))
         }
-        httparse::Status::Complete((_, size)) if size > MAX_LINE_BYTES as u64 => Err(UnreadableWatch),
+        httparse::Status::Complete((_, size)) if size > MAX_LINE_BYTES as u64 => Err(MalformedWatchData),
         httparse::Status::Complete((consumed, size)) => {
             Ok(Some(Progress::without_data(consumed, State::ChunkData(size as usize))))
         }
