--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -64,8 +64,8 @@
         commands
     }
 
-    /// Whether nothing is left of an endpoint: it is on no list and in no table.
-    pub fn is_released(&self, server: ServerId) -> bool {
+    /// Whether an endpoint is neither listed nor published in a table, so that its index may be released.
+    pub fn is_unused(&self, server: ServerId) -> bool {
         let is_gone =
             |endpoint: &Endpoint| endpoint.health == HealthState::Unknown && endpoint.published.is_none();
         self.endpoints.get(server).is_none_or(is_gone)
--- a/crates/controller/src/tests/controller.rs
+++ b/crates/controller/src/tests/controller.rs
@@ -73,7 +73,7 @@
     let gone = Endpoint { health: Unknown, ..healthy_endpoint(0) };
     let still = Endpoint { published: Some(TableEntry { table: 1, weight: 1.0 }), ..Endpoint::default() };
     let controller = controller(vec![healthy_endpoint(0), gone, still]);
-    assert_eq!([0, 1, 2, 9].map(|s| controller.is_released(s)), [false, true, false, true]);
+    assert_eq!([0, 1, 2, 9].map(|s| controller.is_unused(s)), [false, true, false, true]);
 }
 
 #[test]
--- a/crates/platform-protocol/src/platform.rs
+++ b/crates/platform-protocol/src/platform.rs
@@ -275,7 +275,7 @@
     fn is_unused(&self, server: ServerId) -> bool {
         // A list that the controller has yet to take in may name the server again.
         !self.list.is_listed(server)
-            && self.controller.is_released(server)
+            && self.controller.is_unused(server)
             && !self.tables.has_entry_of(server)
             && !self.pending_checks.contains(server)
     }
--- a/crates/platform-protocol/src/tests/platform.rs
+++ b/crates/platform-protocol/src/tests/platform.rs
@@ -91,7 +91,7 @@
         platform.step_at(now);
 
         let server = platform.names.servers.get("s-1").expect("its name is known");
-        assert!(!platform.controller.is_released(server), "back after {back_at} s");
+        assert!(!platform.controller.is_unused(server), "back after {back_at} s");
         assert!(platform.list.address(server).is_some(), "back after {back_at} s");
     }
 }
