--- a/crates/controller/src/command.rs
+++ b/crates/controller/src/command.rs
@@ -1,4 +1,4 @@
-//! What the controller asks its host to do.
+//! Commands: what the controller asks its caller to do.
 
 use crate::ejection_report::EjectionReport;
 use crate::event::{ClassId, ProxyId, ServerId, TableId};
@@ -6,7 +6,7 @@
 use crate::retry_policy::RetryPolicy;
 use std::time::Duration;
 
-/// What is to be done, in the order in which it is returned.
+/// An action for the caller. Commands are carried out in the order in which a step returns them.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Sets one entry of a table; weight 0 removes it.
@@ -15,7 +15,7 @@
         table: TableId,
         /// The endpoint of the entry.
         server: ServerId,
-        /// Its weight relative to the table's other entries.
+        /// The weight of the entry relative to the other entries of the table.
         weight: f64,
     },
     /// Removes all entries and admission limits of a table.
@@ -38,27 +38,27 @@
     AssignTable {
         /// The proxy.
         proxy: ProxyId,
-        /// Its table from now on.
+        /// The table that the proxy uses from now on.
         table: TableId,
-        /// One bit a class; 0 stands for all classes.
+        /// The classes that use the table, one bit per class; 0 stands for all classes.
         class_mask: u64,
     },
-    /// Sets what a table's proxies admit of a class, and whether they retry.
+    /// Sets the admission rate and the retry policy of one class for the proxies of a table.
     SetAdmission {
         /// The table.
         table: TableId,
         /// The class.
         class: ClassId,
-        /// Requests a second (or a share) that each proxy admits; `None` admits all.
+        /// Requests per second that each proxy admits, or a share of its requests; `None` admits all.
         admission_rate: Option<f64>,
-        /// When proxies retry.
+        /// When the proxies retry.
         retry_policy: RetryPolicy,
     },
-    /// Asks every proxy that gets this step's message to acknowledge it.
+    /// Asks every proxy that gets a message from this step to acknowledge it.
     RequestAck {
-        /// Comes back in [`crate::Event::UpdateAcknowledged`].
+        /// Returned in [`crate::Event::UpdateAcknowledged`].
         ack_token: u16,
-        /// Whether proxies that this step does not concern get a message too.
+        /// Whether proxies for which this step changes nothing get a message too.
         all_proxies: bool,
     },
     /// Checks an endpoint's health once.
@@ -66,33 +66,33 @@
         /// The endpoint.
         server: ServerId,
     },
-    /// Sends bytes to another planner, or to all.
+    /// Sends bytes to one other planner, or to all of them.
     ///
     /// Reserved: the controller does not issue it yet.
     SendToPeer {
         /// The planner; `None` for all.
         peer: Option<usize>,
-        /// What to send.
+        /// The payload.
         bytes: Vec<u8>,
     },
-    /// Starts or ends the watch of the endpoint list.
+    /// Starts or stops the watch of the endpoint list.
     WatchEndpoints {
-        /// Whether changes are wanted.
+        /// `true` to start the watch, `false` to stop it.
         enabled: bool,
     },
     /// Fetches the complete endpoint list once.
     ///
     /// Reserved: the controller does not issue it yet.
     FetchEndpoints,
-    /// Wakes the controller once with [`crate::Event::TimerFired`].
+    /// Requests one [`crate::Event::TimerFired`].
     SetTimer {
-        /// Time from now.
+        /// Delay from now.
         after: Duration,
-        /// Comes back with the event.
+        /// Returned in the event.
         token: u64,
     },
-    /// Tells the operators that an endpoint was ejected.
+    /// Reports an ejected endpoint to the operators.
     LogEjection(EjectionReport),
-    /// Tells the operators that the channel's queue is too small for changes.
+    /// Reports to the operators that the queue of the update channel is too small for changes.
     LogQueueShortage(QueueShortage),
 }
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,18 +1,18 @@
-//! What a deployment is like, as the controller reads it once at start.
+//! Settings of a deployment. The controller reads them once, at its start.
 
 use crate::event::ClassId;
 use std::time::Duration;
 
-/// A deployment's settings. [`DeploymentConfig::default`] is what holds where the settings are silent.
+/// Settings of a deployment. [`DeploymentConfig::default`] has the values that apply where nothing is configured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeploymentConfig {
-    /// Planners that share the endpoints. Default: 1.
+    /// Number of planners that share the endpoints. Default: 1.
     pub planner_count: f64,
-    /// Proxies of all planners together.
+    /// Number of proxies of all planners together; `None` if it is not known.
     pub proxy_count: Option<f64>,
-    /// Zones of the deployment. Default: 1.
+    /// Number of zones of the deployment. Default: 1.
     pub zone_count: f64,
-    /// Slices into which keys fall; 0, the default, where traffic is not sliced.
+    /// Number of slices that the keys are divided into; 0, the default, if traffic is not sliced.
     pub slice_count: f64,
     /// Traffic classes, by [`ClassId`].
     pub classes: Vec<TrafficClass>,
@@ -20,19 +20,19 @@
     pub channel: ChannelConfig,
     /// How endpoints warm up after a start.
     pub slow_start: SlowStartConfig,
-    /// How the endpoint list reaches the planner, and what it binds.
+    /// How the endpoint list reaches the planner, and what it obliges the planner to do.
     pub endpoint_list: EndpointListConfig,
     /// Whether the planner may send health checks. Default: no.
     pub health_checks_allowed: bool,
-    /// What endpoints report of their load.
+    /// What endpoints report about their load.
     pub load_report: LoadReportConfig,
-    /// What an admission limit means to proxies.
+    /// How proxies interpret an admission limit.
     pub admission: AdmissionKind,
     /// How proxies pick an endpoint from a table.
     pub selection: SelectionMethod,
     /// Whether proxies connect to a planner of their own zone first. Default: no.
     pub proxies_prefer_local_planner: bool,
-    /// Promises of the operators that the decisions do not read.
+    /// Limits that the operators guarantee; the decisions do not read them.
     pub service_limits: ServiceLimits,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl DeploymentConfig {
-    /// The classes from the highest priority weight to the lowest; among equals the one with the shortest latency
-    /// objective first.
+    /// The classes from the highest priority weight to the lowest; among equal weights, the shortest latency objective
+    /// comes first.
     pub fn classes_by_priority(&self) -> Vec<ClassId> {
         let mut classes: Vec<ClassId> = (0..self.classes.len()).collect();
         let objective = |class: ClassId| self.classes[class].latency_objective_seconds;
@@ -69,12 +69,12 @@
         classes
     }
 
-    /// Whether proxies can be told how many requests a second to admit.
+    /// Whether proxies accept a limit in requests per second.
     pub fn limits_request_rate(&self) -> bool {
         self.admission == AdmissionKind::RequestRate
     }
 
-    /// Whether this planner alone decides for all proxies.
+    /// Whether there is no other planner.
     pub fn is_only_planner(&self) -> bool {
         self.planner_count <= 1.0
     }
@@ -83,11 +83,11 @@
 /// One class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficClass {
-    /// Answers are wanted within this time. Default: 1 s.
+    /// Requests should be answered within this time. Default: 1 s.
     pub latency_objective_seconds: f64,
-    /// Later answers count for nothing. The decisions do not read it.
+    /// A later answer is worthless; `None` for no deadline. The decisions do not read it.
     pub deadline_seconds: Option<f64>,
-    /// What one answered request is worth, relative to other classes. Default: 1.
+    /// The value of one answered request relative to other classes. Default: 1.
     pub priority_weight: f64,
 }
 
@@ -97,20 +97,20 @@
     }
 }
 
-/// The channel that carries updates to proxies. All counts are in table entries.
+/// The channel that carries updates to proxies. Its load is counted in table entries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChannelConfig {
-    /// Entries that leave the channel in a second; unlimited where not given.
+    /// Throughput of the channel in entries per second; `None` for unlimited.
     pub entries_per_second: Option<f64>,
-    /// Entries that may wait in the channel.
+    /// Entries that may wait in the channel; `None` if it is not configured.
     pub queue_limit: Option<f64>,
-    /// Entries that each message costs beyond its own. Default: 10.
+    /// Overhead of each message, in entries, on top of the entries that it carries. Default: 10.
     pub message_overhead: f64,
-    /// Messages to one proxy within [`ChannelConfig::message_window`]; 0, the default, for no limit.
+    /// Messages that one proxy may get within [`ChannelConfig::message_window`]; 0, the default, for no limit.
     pub message_limit: f64,
-    /// The window of the message limit.
+    /// The window of the message limit; `None` if it is not configured.
     pub message_window: Option<Duration>,
-    /// The longest time a message takes from the channel to a proxy.
+    /// The longest time that a message takes from the channel to a proxy; `None` if it is not known.
     pub max_transit_seconds: Option<f64>,
 }
 
@@ -128,7 +128,7 @@
 }
 
 impl ChannelConfig {
-    /// Whether messages to one proxy are limited in number.
+    /// Whether the number of messages to one proxy is limited.
     pub fn limits_messages(&self) -> bool {
         self.message_limit > 0.0
     }
@@ -137,11 +137,11 @@
 /// How an endpoint's capacity grows after its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlowStartConfig {
-    /// The share of its capacity that an endpoint has at its start, 0 to 1. Default: 0.1.
+    /// The share of its full capacity that an endpoint has at its start, 0 to 1. Default: 0.1.
     pub initial_capacity: f64,
-    /// An endpoint has its full capacity after this time at the latest. Default: 20 s.
+    /// The longest time that an endpoint takes to reach its full capacity. Default: 20 s.
     pub warm_up_seconds: f64,
-    /// An endpoint that warms up fails when sent more than this many times its present capacity.
+    /// A warming endpoint fails when its load exceeds its present capacity by this factor; `None` if it is not known.
     pub overload_multiple: Option<f64>,
 }
 
@@ -151,21 +151,22 @@
     }
 }
 
-/// How the endpoint list reaches the planner, and what it binds.
+/// How the endpoint list reaches the planner, and what it obliges the planner to do.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EndpointListConfig {
-    /// Changes of the list come only after [`crate::Command::WatchEndpoints`].
+    /// Changes of the list are received only after [`crate::Command::WatchEndpoints`].
     pub needs_watch: bool,
-    /// Only an endpoint marked as draining has to be left; one that is missing from the list may stay in use.
+    /// Only an endpoint that is listed as draining must be taken out of use; one that is missing from the list may
+    /// stay in use.
     pub only_draining_binds: bool,
 }
 
-/// What endpoints report of their load.
+/// What endpoints report about their load.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LoadReportConfig {
-    /// Endpoints report their load at all.
+    /// Whether endpoints report their load.
     pub is_available: bool,
-    /// The values of a load report, in its order.
+    /// The values of a load report, in the order in which it has them.
     pub metrics: Vec<LoadMetric>,
 }
 
@@ -174,13 +175,13 @@
 pub enum LoadMetric {
     /// Share of the processor that is busy, 0 to 1.
     Utilization,
-    /// Time a request takes without waiting, in milliseconds.
+    /// Time that a request takes, without queueing, in milliseconds.
     ServiceTime,
-    /// Any other, which the decisions do not read.
+    /// Any other metric, by name; the decisions do not read it.
     Other(String),
 }
 
-/// What an admission limit means to proxies.
+/// How proxies interpret an admission limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum AdmissionKind {
     /// Proxies admit everything.
@@ -188,31 +189,32 @@
     Unlimited,
     /// A share of the requests, 0 to 1.
     Share,
-    /// Requests a second at each proxy.
+    /// Requests per second at each proxy.
     RequestRate,
 }
 
 /// How proxies pick an endpoint from a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SelectionMethod {
-    /// Of two drawn by weight, the one with fewer requests in flight.
+    /// Of two endpoints drawn at random by weight, the one with fewer requests in flight.
     #[default]
     LeastRequestOfTwo,
     /// At random, by weight.
     Random,
-    /// In turns, by weight.
+    /// Weighted round robin.
     RoundRobin,
 }
 
-/// Promises of the operators. The decisions do not read them, but a change of one makes the controller start over.
+/// Limits that the operators guarantee. The decisions do not read them, but a change of one makes the controller start
+/// anew.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServiceLimits {
-    /// Proxies stop sending to a draining endpoint within this time.
+    /// Proxies stop sending to a draining endpoint within this time; `None` if it is not configured.
     pub drain_grace_seconds: Option<f64>,
-    /// The longest time a connected proxy may be without an endpoint.
+    /// The longest time that a connected proxy may be without an endpoint; `None` if it is not configured.
     pub max_unserved_seconds: Option<f64>,
-    /// Time between two reports of a proxy.
+    /// Time between two reports of a proxy; `None` if it is not configured.
     pub report_period_seconds: Option<f64>,
-    /// Report entries that a planner takes in a second.
+    /// Report entries that a planner can process per second; `None` if it is not configured.
     pub reports_per_second: Option<f64>,
 }
--- a/crates/controller/src/event.rs
+++ b/crates/controller/src/event.rs
@@ -1,4 +1,4 @@
-//! What the controller is told.
+//! Events: the input of the controller.
 
 use crate::command::Command;
 use crate::config::DeploymentConfig;
@@ -15,30 +15,30 @@
 pub type KindId = usize;
 /// Index of a traffic class.
 pub type ClassId = usize;
-/// Number of a table; with slices it is the slice's number.
+/// Number of a table; for sliced traffic it is the number of the slice.
 pub type TableId = u16;
 
 /// How an endpoint list was obtained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Changed records only.
+    /// Only the records that changed.
     Delta,
-    /// The complete list; an endpoint that is not on it was removed.
+    /// The complete list; an endpoint that is missing from it was removed.
     Snapshot,
-    /// The complete list as held before this start, possibly out of date.
+    /// The complete list from before this start, possibly out of date.
     Cached,
-    /// Discovery could not be asked, or the watch broke; there are no records.
+    /// Discovery could not be queried, or the watch broke; there are no records.
     WatchFailed,
 }
 
-/// What the list says of an endpoint.
+/// The state of an endpoint according to the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has and takes no more.
+    /// It finishes its requests and accepts no new ones.
     Draining,
-    /// It is no longer there.
+    /// It no longer exists.
     Removed,
 }
 
@@ -49,11 +49,11 @@
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// The kind of machine that it runs on.
     pub kind: KindId,
-    /// Its cell, a group of machines that share something. The controller does not read it.
+    /// Its cell, a group of machines that share some resource. The controller does not read it.
     pub cell: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ListedState,
     /// Its configured weight.
     pub weight: f64,
@@ -61,49 +61,49 @@
     pub started: Option<Duration>,
 }
 
-/// What came of a health check.
+/// The outcome of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthCheckResult {
     /// The endpoint answered.
     Success,
-    /// It answered with an error.
+    /// The endpoint answered with an error.
     ErrorResponse,
-    /// It refused to be checked, being busy or draining.
+    /// The endpoint rejected the check because it is busy or draining.
     Rejected,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Timeout,
     /// The connection could not be made or broke.
     ConnectionFailed,
-    /// The check ended in a way that says nothing about the endpoint.
+    /// The result says nothing about the endpoint.
     Inconclusive,
 }
 
-/// What happened since the last step.
+/// Something that happened since the last step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The controller starts over with a configuration.
+    /// The controller discards its state and starts with a configuration.
     Start {
         /// Seed of all random choices.
         seed: u64,
         /// The deployment's settings.
         config: Box<DeploymentConfig>,
     },
-    /// An endpoint list came.
+    /// An endpoint list was received.
     EndpointsListed {
-        /// How it was obtained.
+        /// How the list was obtained.
         update: EndpointUpdate,
-        /// Its records.
+        /// The records of the list.
         records: Vec<EndpointRecord>,
     },
     /// A proxy connected to this planner.
     ProxyConnected {
         /// The proxy.
         proxy: ProxyId,
-        /// Its zone.
+        /// The zone of the proxy.
         zone: ZoneId,
-        /// Requests a second that it expects, all classes together.
+        /// Requests per second that the proxy expects, over all classes.
         request_rate: f64,
-        /// It holds no table of an earlier planner.
+        /// Whether the proxy holds no table from an earlier planner.
         has_no_table: bool,
     },
     /// A proxy's connection ended.
@@ -115,12 +115,12 @@
     UpdateAcknowledged {
         /// The proxy.
         proxy: ProxyId,
-        /// The token of [`Command::RequestAck`].
+        /// The token from [`Command::RequestAck`].
         ack_token: u16,
-        /// Time from the update's departure to its effect.
+        /// Time from sending the update until it took effect.
         elapsed: Duration,
     },
-    /// What came of a zone's attempts at one endpoint.
+    /// Outcomes of the attempts that the proxies of one zone made at one endpoint.
     OutcomeReport {
         /// The zone of the proxies.
         zone: ZoneId,
@@ -128,26 +128,26 @@
         server: ServerId,
         /// Attempts that ended within the window.
         attempts: u64,
-        /// Those of them that failed.
+        /// Attempts out of `attempts` that failed.
         failures: u64,
-        /// Mean latency of the successful ones.
+        /// Mean latency of the successful attempts.
         mean_latency: Duration,
-        /// The time that the report covers.
+        /// The period that the report covers.
         window: Duration,
-        /// The endpoint's newest load report, in the order of the configured metrics; NaN where a value is missing.
+        /// The endpoint's latest load report, in the order of the configured metrics; NaN for a missing value.
         load: Vec<f64>,
     },
     /// Requests of one class that arrived at a proxy.
     ArrivalReport {
         /// The proxy.
         proxy: ProxyId,
-        /// Their class.
+        /// The class of the requests.
         class: ClassId,
-        /// Requests within the window.
+        /// Requests that arrived within the window.
         requests: u64,
-        /// Those of them that got no answer.
+        /// Requests out of `requests` that got no answer.
         unanswered: u64,
-        /// The time that the report covers.
+        /// The period that the report covers.
         window: Duration,
     },
     /// Requests of one class that arrived for a slice.
@@ -156,13 +156,13 @@
     SliceArrivalReport {
         /// The slice's table.
         table: TableId,
-        /// Their class.
+        /// The class of the requests.
         class: ClassId,
-        /// Requests within the window.
+        /// Requests that arrived within the window.
         requests: u64,
-        /// Those of them that got no answer.
+        /// Requests out of `requests` that got no answer.
         unanswered: u64,
-        /// The time that the report covers.
+        /// The period that the report covers.
         window: Duration,
     },
     /// This planner became, or is no longer, the owner of a slice.
@@ -182,50 +182,50 @@
         table: TableId,
         /// The endpoint.
         server: ServerId,
-        /// Its weight.
+        /// The weight of the entry.
         weight: f64,
     },
     /// A health check ended.
     HealthChecked {
         /// The endpoint.
         server: ServerId,
-        /// What came of it.
+        /// The outcome of the check.
         result: HealthCheckResult,
-        /// How long it took.
+        /// Duration of the check.
         elapsed: Duration,
-        /// The load report that came with the answer.
+        /// The load report in the answer, in the order of the configured metrics.
         load: Vec<f64>,
     },
-    /// What an earlier process learned. It follows the first endpoint list and says nothing of endpoints that are
-    /// not on it.
+    /// State learned by an earlier process. It follows the first endpoint list; hints on endpoints that are not
+    /// listed have no effect.
     WarmStart {
-        /// One hint for each endpoint that is not as configured.
+        /// One hint for each endpoint whose learned state differs from its configuration.
         hints: Vec<WarmStartHint>,
     },
     /// An endpoint's index was released and may be assigned to another endpoint.
     ServerReleased {
-        /// The index.
+        /// The released index.
         server: ServerId,
     },
     /// A timer set by [`Command::SetTimer`] fired.
     TimerFired {
-        /// The command's token.
+        /// The token of the command.
         token: u64,
     },
-    /// A command was not carried out.
+    /// A command was rejected and not carried out.
     CommandRejected {
-        /// The command.
+        /// The rejected command.
         command: Command,
-        /// For [`Command::SetEntry`]: the weight that stays published.
+        /// For [`Command::SetEntry`]: the weight that stays published, `None` if the table has no such entry.
         published_weight: Option<f64>,
     },
-    /// Bytes came from another planner.
+    /// Another planner sent bytes.
     ///
     /// Reserved: the controller does not act on it yet.
     PeerMessage {
-        /// The planner.
+        /// The sender.
         peer: usize,
-        /// What it sent.
+        /// The payload.
         bytes: Vec<u8>,
     },
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a runloom planner, free of sockets, clocks and wire formats.
+//! Decision logic of a runloom planner, independent of sockets, clocks and wire formats.
 //!
 //! [`Controller::step`] takes the [`Event`]s since the last step and returns the [`Command`]s to carry out. It is
 //! deterministic: the same configuration, seed and events give the same commands. Endpoints, proxies, zones,
@@ -8,7 +8,7 @@
 //! Each decision has a module: [`outlier_detection`] ejects endpoints, [`panic_threshold`] readmits them when too
 //! few are left, [`slow_start`] limits endpoints that warm up, [`speed_estimation`] corrects configured weights,
 //! [`admission_control`] and [`retry_policy`] shed load, [`subsetting`] assigns endpoints and proxies to tables, and
-//! [`publication`] sends what changed as far as [`flow_control`] has room.
+//! [`publication`] sends changes to proxies within the limits that [`flow_control`] tracks.
 //!
 //! ```
 //! use runloom_controller::{Command, Controller, DeploymentConfig, Event};
