--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller of one planner: its state, and the order of its decisions.
+//! The controller of one planner: its state, its event handlers and the order of its decisions.
 
 use crate::admission_control::AdmissionController;
 use crate::command::Command;
@@ -12,29 +12,31 @@
 use nanorand::WyRand;
 use std::time::Duration;
 
-/// Time between two ticks, at which estimates move and regular updates go out.
+/// Time between two ticks, which update the estimates and send regular updates.
 const TICK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two evaluations: what waits for room in the channel goes out soon after there is some.
+/// Time between two evaluations. It is short so that changes that wait for room in the channel go out soon after
+/// there is some.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
-/// Counters are halved this often or, with few attempts, so that each endpoint sees some in between.
+/// Time between two halvings of the counters. With few attempts it is longer, so that each endpoint gets some in
+/// between.
 const DECAY_INTERVAL: Duration = Duration::from_secs(3);
 const DECAY_INTERVAL_FEW_ATTEMPTS: Duration = Duration::from_secs(12);
-/// Attempts for each endpoint from which the shorter interval holds.
+/// The shorter interval applies from this many attempts per endpoint on.
 const MANY_ATTEMPTS: f32 = 16.0;
-/// Gain of the moving average of an endpoint's successes, per report.
+/// Gain of the moving average of an endpoint's success rate, per report.
 const SUCCESS_RATE_GAIN: f64 = 0.5;
 /// Gain of the moving average of an endpoint's utilization, per report.
 const UTILIZATION_GAIN: f64 = 0.2;
 
-/// The decisions of one planner. It starts empty, and decides nothing before [`Event::Start`].
+/// Makes the decisions of one planner. It starts empty, and decides nothing before [`Event::Start`].
 #[derive(Debug, Default)]
 pub struct Controller {
     pub(crate) now: Duration,
     pub(crate) config: DeploymentConfig,
-    /// Seeded at the start; `None` before it.
+    /// Seeded by [`Event::Start`]; `None` before it.
     pub(crate) random: Option<WyRand>,
     pub(crate) endpoints: Vec<Endpoint>,
-    /// A list has named an endpoint. Reports may name some before.
+    /// Whether any list contained an endpoint. Reports may name endpoints earlier than that.
     pub(crate) has_listed_endpoints: bool,
     pub(crate) proxies: Vec<Proxy>,
     pub(crate) channel: UpdateChannel,
@@ -42,16 +44,17 @@
     pub(crate) subsets: Vec<Subset>,
     pub(crate) next_tick: Duration,
     pub(crate) decayed_at: Duration,
-    /// The token of the timer that is set.
+    /// The token of the pending timer; others are stale.
     pub(crate) timer_token: u64,
-    /// Something happened that can't wait for the next evaluation.
+    /// Whether this step evaluates: something happened that cannot wait for the next timer.
     pub(crate) needs_evaluation: bool,
 }
 
 impl Controller {
-    /// Takes in what happened at `now` and returns what is to be done. Call it whenever there are events.
+    /// Handles the events that happened up to `now` and returns the commands to carry out. Call it whenever there are
+    /// events.
     ///
-    /// Reports only add up between evaluations; lists, proxies that connect and timers bring one on.
+    /// Reports are only accumulated until the next evaluation; lists, connecting proxies and timers trigger one.
     pub fn step(&mut self, now: Duration, events: &[Event]) -> Vec<Command> {
         self.now = now;
         let mut commands = Vec::new();
@@ -66,9 +69,9 @@
 
     /// Whether an endpoint is neither listed nor published in a table, so that its index may be released.
     pub fn is_unused(&self, server: ServerId) -> bool {
-        let is_gone =
+        let is_unused =
             |endpoint: &Endpoint| endpoint.health == HealthState::Unknown && endpoint.published.is_none();
-        self.endpoints.get(server).is_none_or(is_gone)
+        self.endpoints.get(server).is_none_or(is_unused)
     }
 
     fn evaluate(&mut self, commands: &mut Vec<Command>) {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Brings on an evaluation now, and the next one by a timer.
+    /// Triggers an evaluation in this step, and the next one by a timer.
     fn set_timer(&mut self, commands: &mut Vec<Command>) {
         self.timer_token += 1;
         self.needs_evaluation = true;
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Takes in an endpoint's load report; values that are missing or not above 0 say nothing.
+    /// Records an endpoint's load report; values that are missing or not above 0 are ignored.
     fn record_load(&mut self, server: ServerId, load: &[f64]) {
         for (position, &value) in load.iter().enumerate() {
             if !value.is_finite() || value <= 0.0 {
@@ -191,15 +194,16 @@
         }
     }
 
-    /// Records that a rejected command did not go out, so that the next evaluation issues it again if it is still wanted.
-    /// It does not trigger an evaluation itself: the same command would be issued and rejected without end.
+    /// Records that a rejected command did not go out, so that the next evaluation issues it again if it is still
+    /// wanted. It does not trigger an evaluation: the same command could be issued and rejected in an endless loop.
     fn revert(&mut self, command: &Command, published_weight: Option<f64>) {
         match command {
             Command::SetEntry { table, server, .. } => {
                 let published = &mut slot(&mut self.endpoints, *server).published;
                 match published_weight {
                     Some(weight) => *published = Some(TableEntry { table: *table, weight }),
-                    // A move has a command for each table: what stays in the other one is told by its own.
+                    // A move between tables has one command per table; the rejection of the other command reports what
+                    // stays in the other table.
                     None => _ = published.take_if(|entry| entry.table == *table),
                 }
             }
@@ -209,12 +213,12 @@
         }
     }
 
-    /// Halves what was counted of endpoints: every few seconds, or as long as enough attempts take.
+    /// Halves the endpoints' counters every few seconds, less often when there are few attempts.
     fn decay_counters(&mut self) {
         let in_service = self.endpoints.iter().filter(|endpoint| endpoint.is_in_service());
         let attempts: Vec<f32> = in_service.map(|endpoint| endpoint.attempts).collect();
-        let are_many = attempts.iter().sum::<f32>() >= MANY_ATTEMPTS * attempts.len() as f32;
-        let interval = if are_many { DECAY_INTERVAL } else { DECAY_INTERVAL_FEW_ATTEMPTS };
+        let has_many_attempts = attempts.iter().sum::<f32>() >= MANY_ATTEMPTS * attempts.len() as f32;
+        let interval = if has_many_attempts { DECAY_INTERVAL } else { DECAY_INTERVAL_FEW_ATTEMPTS };
         if self.now >= self.decayed_at + interval {
             self.decayed_at = self.now;
             self.endpoints.iter_mut().for_each(Endpoint::decay_counters);
--- a/crates/controller/src/ejection_report.rs
+++ b/crates/controller/src/ejection_report.rs
@@ -1,24 +1,24 @@
-//! Why an endpoint was ejected, for the operators.
+//! The report to the operators on an ejected endpoint: the counts that led to the ejection.
 
 use crate::endpoint::{Endpoint, HealthState};
 use crate::event::ServerId;
 
-/// An endpoint's record at the moment of its ejection.
+/// The counts of an endpoint at the moment of its ejection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EjectionReport {
     /// The endpoint.
     pub server: ServerId,
-    /// Its state from now on: [`HealthState::Ejected`] or [`HealthState::LongEjected`].
+    /// Its health state after the ejection: [`HealthState::Ejected`] or [`HealthState::LongEjected`].
     pub health: HealthState,
-    /// Failed attempts of late.
+    /// Recent failed attempts; older ones count less, since counters are halved periodically.
     pub failures: f32,
-    /// Attempts of late.
+    /// Recent attempts, weighted likewise.
     pub attempts: f32,
     /// Failures since the last success.
     pub consecutive_failures: f32,
-    /// A health check found no connection.
+    /// Whether a health check could not connect.
     pub connection_refused: bool,
-    /// Health checks in a row without an answer.
+    /// Consecutive health checks without an answer.
     pub unanswered_checks: u32,
 }
 
@@ -35,9 +35,9 @@
         }
     }
 
-    /// The log line, with the endpoint's name.
+    /// Formats the log line with the endpoint's name.
     ///
-    /// Logs, records and the adapter's wire hold this line, and a replay compares it: its wording is stable.
+    /// The wording is stable: logs, records and the adapter's wire contain this line, and a replay compares it.
     pub fn log_line(&self, server_name: &str) -> String {
         let state = match self.health {
             HealthState::LongEjected => "Held",
--- a/crates/controller/src/id_map.rs
+++ b/crates/controller/src/id_map.rs
@@ -1,4 +1,4 @@
-//! External names mapped to small indices, and back.
+//! A two-way map between external names and small indices.
 
 use std::collections::BTreeMap;
 
@@ -41,7 +41,8 @@
         index
     }
 
-    /// Releases an index for another name, so that the map stays bounded where names are replaced all day.
+    /// Releases an index for reuse by another name, so that the map stays bounded while names are replaced all day.
+    /// An index without a name is ignored.
     pub fn release(&mut self, index: usize) {
         if let Some(name) = self.names.get_mut(index).and_then(Option::take) {
             self.index.remove(&name);
@@ -49,12 +50,12 @@
         }
     }
 
-    /// The names and their indices, released ones left out.
+    /// All assigned names with their indices, in the order of the names.
     pub fn iter(&self) -> impl Iterator<Item = (&T, usize)> {
         self.index.iter().map(|(name, index)| (name, *index))
     }
 
-    /// The index of a name that has one.
+    /// The index of a name; `None` if it has none.
     pub fn get<Q: Ord + ?Sized>(&self, name: &Q) -> Option<usize>
     where
         T: std::borrow::Borrow<Q>,
@@ -62,7 +63,7 @@
         self.index.get(name).copied()
     }
 
-    /// The name of an index.
+    /// The name of an index; `None` if the index is not assigned.
     pub fn name(&self, index: usize) -> Option<&T> {
         self.names.get(index)?.as_ref()
     }
--- a/crates/controller/src/queue_shortage.rs
+++ b/crates/controller/src/queue_shortage.rs
@@ -1,18 +1,18 @@
-//! A channel whose queue is too small for a change that concerns all proxies of a table, for the operators.
+//! The report to the operators on a channel whose queue is too small for a change to all proxies of a table.
 
-/// How much a change takes, and what the queue has room for.
+/// The queue entries that a change needs, and those that are available.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueueShortage {
-    /// The most proxies that hold one table.
+    /// The number of proxies of the table with the most.
     pub proxies: f64,
-    /// Entries that one change for all of them takes, the messages' overhead included.
+    /// Queue entries that one change to all of them needs, message overhead included.
     pub required_entries: f64,
-    /// Entries of the queue that changes may use.
+    /// Queue entries that changes may use.
     pub available_entries: f64,
 }
 
 impl QueueShortage {
-    /// The log line.
+    /// Formats the log line.
     pub fn log_line(&self) -> String {
         let QueueShortage { proxies, required_entries, available_entries } = self;
         format!(
--- a/crates/controller/src/warm_start.rs
+++ b/crates/controller/src/warm_start.rs
@@ -1,39 +1,40 @@
-//! What a controller learned of endpoints, kept across restarts as hints that age.
+//! Warm start: what a controller learned about endpoints outlives its process as hints, which lose weight with age.
 
 use crate::controller::Controller;
 use crate::endpoint::HealthState;
 use crate::event::ServerId;
 use std::time::Duration;
 
-/// What an earlier process knew of an endpoint, as far as it still counts.
+/// What an earlier process knew about an endpoint, discounted by its age.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmStartHint {
     /// The endpoint.
     pub server: ServerId,
-    /// Its speed relative to its configured weight; 1 where nothing is known.
+    /// Its speed relative to its configured weight; 1 if nothing is known.
     pub speed_factor: f64,
-    /// From 0 to 1, how recently it was ejected for failures.
+    /// How recently it was ejected for failures, 0 to 1.
     pub suspicion: f64,
 }
 
-/// What a controller knows of an endpoint that may outlast its process.
+/// What a controller has learned about an endpoint and a later process may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LearnedState {
     /// The endpoint.
     pub server: ServerId,
     /// Its speed relative to its configured weight.
     pub speed_factor: f64,
-    /// When it was last out of service for failures.
+    /// When it was last out of service for failures; `None` if it never was.
     pub last_ejected: Option<Duration>,
-    /// It is ejected for long.
+    /// Whether it is in a long ejection.
     pub is_long_ejected: bool,
 }
 
-/// A hint with this suspicion or more makes an endpoint return through slow start.
+/// An endpoint whose hint has at least this suspicion returns through slow start.
 const SUSPICION_THRESHOLD: f64 = 0.3;
-/// Hints on more than one in this many endpoints at once point at a shared cause and say nothing of any one.
-const SUSPECTS_ONE_IN: usize = 3;
-/// Failures in a row that a suspicion of 1 stands for.
+/// Suspicions of more than one in this many endpoints are ignored: they point at a shared cause rather than at single
+/// endpoints.
+const MIN_ENDPOINTS_PER_SUSPECT: usize = 3;
+/// A suspicion of 1 counts as this many consecutive failures.
 const SUSPICION_FAILURES: f64 = 3.0;
 /// Bounds of an endpoint's speed relative to its configured weight.
 pub(crate) const SPEED_FACTOR_LIMITS: (f64, f64) = (0.4, 2.0);
@@ -45,12 +46,13 @@
 }
 
 impl Controller {
-    /// Applies the hints of an earlier process: never a verdict. A suspect endpoint returns through slow start and
-    /// its first failures count as the last of a row; outcomes reported since this start override hints.
+    /// Applies the hints of an earlier process. A hint alone ejects nothing: a suspect endpoint returns through slow
+    /// start, and starts with some consecutive failures, so that fewer further ones eject it. Endpoints with outcomes
+    /// reported since this start ignore their hints.
     pub(crate) fn apply_hints(&mut self, hints: &[WarmStartHint]) {
-        let serving = self.endpoints.iter().filter(|endpoint| endpoint.is_in_service()).count();
+        let in_service = self.endpoints.iter().filter(|endpoint| endpoint.is_in_service()).count();
         let suspects = hints.iter().filter(|hint| hint.is_suspect()).count();
-        let suspects_are_few = SUSPECTS_ONE_IN * suspects <= serving;
+        let suspects_are_few = MIN_ENDPOINTS_PER_SUSPECT * suspects <= in_service;
         for hint in hints.iter().filter(|hint| hint.speed_factor.is_finite()) {
             let Some(endpoint) = self.endpoints.get_mut(hint.server) else { continue };
             if !endpoint.is_in_service() || endpoint.attempts != 0.0 {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// What may outlast this process: endpoints that are not as the list has them.
+    /// What a later process may use: the listed endpoints that have a learned speed or were ejected.
     pub fn learned(&self) -> impl Iterator<Item = LearnedState> + '_ {
         let listed = self.endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.is_listed());
         listed.filter_map(|(server, endpoint)| {
