--- a/crates/controller/src/endpoint.rs
+++ b/crates/controller/src/endpoint.rs
@@ -1,11 +1,11 @@
-//! An endpoint: its health state and what was counted of it.
+//! An endpoint: its health state, its counters and what is published of it.
 
 use crate::event::{HealthCheckResult, KindId, TableId, ZoneId};
 use crate::statistics::LatencyHistogram;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The slot `index` of a list that grows as indices come.
+/// The element at `index`; the list grows with default elements as far as needed.
 pub(crate) fn slot<T: Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if list.len() <= index {
         list.resize_with(index + 1, T::default);
@@ -13,10 +13,10 @@
     &mut list[index]
 }
 
-/// Whether an endpoint may be in tables, and why not.
+/// The health state of an endpoint, which decides whether it may be in tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum HealthState {
-    /// It is not on the list, or no longer.
+    /// Not on the list, or no longer.
     #[default]
     Unknown,
     /// In service with its full weight.
@@ -25,41 +25,41 @@
     SlowStart,
     /// Out of service after failures.
     Ejected,
-    /// Out of service, and nothing bad was seen since it entered this state.
+    /// Out of service; no failure was seen since it entered this state.
     Probation,
-    /// Out of service for long after repeated ejections.
+    /// Out of service for a longer time after repeated ejections.
     LongEjected,
-    /// It takes no more requests.
+    /// Out of service: it accepts no new requests.
     Draining,
 }
 
-/// An entry of a table as it was published.
+/// An endpoint's entry in a table.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct TableEntry {
     pub table: TableId,
     pub weight: f64,
 }
 
-/// Service times in the histogram are halved once there are more than this.
+/// The histogram of service times is halved once it has more samples than this.
 const MAX_SERVICE_TIME_SAMPLES: f32 = 20.0;
 
-/// One endpoint as this planner's proxies see it.
+/// One endpoint as the planner's list, health checks and proxies show it.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub zone: ZoneId,
     pub kind: KindId,
     /// Its weight according to the list.
     pub configured_weight: f64,
-    /// It disappeared from the list and stays in service as before.
+    /// Whether it disappeared from the list and stays in service all the same.
     pub missing_from_list: bool,
-    /// It was listed as long started though it was not there before, and nothing has succeeded there yet.
+    /// Whether the list added it as long started, though it was not listed before, and no attempt has succeeded yet.
     pub unverified: bool,
     pub health: HealthState,
     /// When it entered its health state.
     pub health_since: Duration,
     /// When its process started; `None` for long ago.
     pub started_at: Option<Duration>,
-    /// Attempts and failed attempts, halved together from time to time.
+    /// Attempts and failed attempts, halved together periodically.
     pub attempts: f32,
     pub failures: f32,
     /// Failures since the last success.
@@ -67,32 +67,32 @@
     /// When the last success was reported, and the last outcome of any kind.
     pub last_success: Duration,
     pub last_report: Duration,
-    /// Successes a second, by zone of the proxies.
+    /// Successes per second, by zone of the proxies.
     pub success_rates: Vec<f64>,
-    /// Latencies at the proxies, queueing included.
+    /// Latencies that the proxies measure, queueing included.
     pub latencies: LatencyHistogram,
     /// Service times that the endpoint reports.
     pub service_times: LatencyHistogram,
     /// Utilization that the endpoint reports, 0 to 1.
     pub utilization: f64,
-    /// A health check found no connection.
+    /// Whether a health check could not connect, and none has succeeded since.
     pub connection_refused: bool,
-    /// Health checks in a row that got no answer.
+    /// Consecutive health checks without an answer.
     pub unanswered_checks: u32,
     pub last_health_check: Duration,
-    /// Its ejection had hard evidence: nothing succeeded there at all.
+    /// Whether its ejection had hard evidence: it looked dead rather than failing in part.
     pub ejected_on_hard_evidence: bool,
-    /// It gets half of its weight, being overloaded rather than broken.
+    /// Whether it gets half of its weight, since its failures point at overload or at its zone.
     pub is_weight_halved: bool,
-    /// When it was ejected within the last minute.
+    /// Times of its last ejection and of those within the window for long ejections before it.
     pub ejections: VecDeque<Duration>,
-    /// Its speed relative to its configured weight; 1 where nothing is known.
+    /// Its speed relative to its configured weight; 1 if nothing is known, 0 before it is first in service.
     pub speed_factor: f64,
-    /// It serves the isolated classes of its subset.
+    /// Whether it serves the isolated classes of its subset.
     pub is_isolated: bool,
-    /// Its subset.
+    /// Its subset; `None` until it is assigned to one.
     pub subset: Option<usize>,
-    /// The entry that proxies hold of it.
+    /// The entry that proxies hold for it; `None` for none.
     pub published: Option<TableEntry>,
 }
 
@@ -102,7 +102,7 @@
         matches!(self.health, HealthState::Healthy | HealthState::SlowStart)
     }
 
-    /// Whether the list has it as ready, in service or not.
+    /// Whether the list has it as ready, whether or not it is in service.
     pub fn is_listed(&self) -> bool {
         !matches!(self.health, HealthState::Unknown | HealthState::Draining)
     }
@@ -112,7 +112,7 @@
         matches!(self.health, HealthState::Ejected | HealthState::Probation | HealthState::LongEjected)
     }
 
-    /// Enters a health state. Slow start begins with a clean record.
+    /// Enters a health state. Slow start resets the counters of failures.
     pub fn enter(&mut self, health: HealthState, now: Duration) {
         self.health = health;
         self.health_since = now;
@@ -128,7 +128,7 @@
 
     /// Takes an endpoint off the list.
     ///
-    /// Lists can be wrong: with `may_stay` an endpoint in service stays there while it answers.
+    /// Lists can be wrong: with `may_stay`, an endpoint in service stays in service while it answers.
     pub fn remove_from_list(&mut self, may_stay: bool, now: Duration) {
         self.missing_from_list = may_stay && self.is_in_service();
         if !self.missing_from_list {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Halves what was counted, so that what is recent counts most.
+    /// Halves the counters, so that recent outcomes count most.
     pub fn decay_counters(&mut self) {
         self.attempts *= 0.5;
         self.failures *= 0.5;
--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -1,9 +1,9 @@
-//! Endpoint lists: what a list's records mean for endpoints that are known, and for new ones.
+//! Endpoint lists: applies the records of a list to known and to new endpoints.
 //!
-//! Lists can be wrong. Where only draining binds (`EndpointListConfig::only_draining_binds`), an endpoint that is
-//! *missing from the list* stays in service until it fails, one that is listed as long started without having been there
-//! is *unverified* until its first success, and the list as a whole is *stale* while many successes come from unlisted
-//! endpoints; under a list that may be wrong (*doubtful*) proxies keep the tables of an earlier planner.
+//! Lists can be wrong. With `EndpointListConfig::only_draining_binds`, an endpoint that is *missing from the list*
+//! stays in service until it fails, and one that is added as long started is *unverified* until its first success. The
+//! list as a whole is *stale* while many successes come from unlisted endpoints. While a list is *unreliable*, proxies
+//! may keep the tables of an earlier planner.
 
 use crate::controller::Controller;
 use crate::endpoint::{slot, Endpoint, HealthState};
@@ -13,37 +13,37 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// An endpoint with a success this recently has been there all along, whatever the list said.
+/// An endpoint with a success within this time was running all along, whatever the list said.
 const RECENT_SUCCESS: Duration = Duration::from_secs(3);
 /// First health checks are spread over this time, in milliseconds.
 const HEALTH_CHECK_SPREAD_MS: u64 = 2000;
-/// The weight of a record whose weight is unusable.
+/// Replaces a configured weight that is not a finite number above 0.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// How far the list is to be trusted.
 #[derive(Debug, Clone, Copy)]
 struct ListTrust {
-    /// No list came before this one.
+    /// Whether no list with endpoints came before this one.
     is_first: bool,
-    /// Endpoints that are missing from the list may serve on.
+    /// Whether endpoints that are missing from the list may stay in service.
     missing_may_serve: bool,
 }
 
 impl Endpoint {
-    /// Whether a record names the process that is known already.
+    /// Whether a record describes the process that is already known, rather than one that started later.
     fn is_same_process(&self, record: &EndpointRecord) -> bool {
         self.has_been_in_service() && self.configured_weight > 0.0 && record.started <= self.started_at
     }
 
-    /// Whether a process of it has begun its service: one that was only listed as draining has no speed yet.
+    /// Whether it has ever been in service: an endpoint that was only listed as draining has no speed factor yet.
     fn has_been_in_service(&self) -> bool {
         self.speed_factor > 0.0
     }
 
-    /// Applies a record; returns whether it begins the service of a process that was not known.
+    /// Applies a record; returns whether it puts a new process into service.
     fn apply_record(&mut self, record: &EndpointRecord, trust: ListTrust, now: Duration) -> bool {
         let is_known = self.is_same_process(record);
-        // A removal may name no weight or zone, and an endpoint in service may stay there.
+        // A removal may lack weight and zone, and an endpoint in service may stay in service with its own.
         if record.state != ListedState::Removed || !self.is_in_service() {
             self.apply_properties(record);
         }
@@ -51,7 +51,7 @@
             ListedState::Draining => self.enter(HealthState::Draining, now),
             ListedState::Removed => self.remove_from_list(trust.missing_may_serve, now),
             ListedState::Ready if is_known && self.is_listed() => self.missing_from_list = false,
-            // The list was wrong, or is right only now: the same process, as warm as its age.
+            // An earlier list was wrong about it: it is the same process, and its age tells how warm it is.
             ListedState::Ready if is_known && trust.missing_may_serve => {
                 self.enter(HealthState::SlowStart, now)
             }
@@ -70,13 +70,13 @@
         self.configured_weight = if is_usable { record.weight } else { DEFAULT_WEIGHT };
     }
 
-    /// Takes in a process that was not known. One that is listed as long started is warm if it is on the first list
-    /// or has answered all along; else it has yet to show that it is there.
+    /// Puts a new process into service. One that is listed as long started counts as warm if it is on the first list
+    /// or answered before it was listed; otherwise, where lists can be wrong, it is unverified.
     fn begin_service(&mut self, record: &EndpointRecord, trust: ListTrust, now: Duration) {
-        let has_answered = trust.missing_may_serve && now < self.last_success + RECENT_SUCCESS;
-        let is_there = trust.is_first || has_answered;
-        let is_warm = is_there && record.started.is_none();
-        self.unverified = !is_there && trust.missing_may_serve && record.started.is_none();
+        let answered_recently = trust.missing_may_serve && now < self.last_success + RECENT_SUCCESS;
+        let is_running = trust.is_first || answered_recently;
+        let is_warm = is_running && record.started.is_none();
+        self.unverified = !is_running && trust.missing_may_serve && record.started.is_none();
         self.enter(if is_warm { HealthState::Healthy } else { HealthState::SlowStart }, now);
         self.speed_factor = 1.0;
         self.last_report = now;
@@ -112,10 +112,11 @@
         }
     }
 
+    /// Removes the endpoints that a complete list does not contain.
     fn remove_missing(&mut self, records: &[EndpointRecord], trust: ListTrust) {
-        let named: BTreeSet<ServerId> = records.iter().map(|record| record.server).collect();
+        let listed: BTreeSet<ServerId> = records.iter().map(|record| record.server).collect();
         for (server, endpoint) in self.endpoints.iter_mut().enumerate() {
-            if !named.contains(&server) {
+            if !listed.contains(&server) {
                 endpoint.remove_from_list(trust.missing_may_serve, self.now);
             }
         }
--- a/crates/controller/src/panic_threshold.rs
+++ b/crates/controller/src/panic_threshold.rs
@@ -1,13 +1,13 @@
-//! Panic threshold: when too few endpoints are in service, ejected ones return.
+//! Panic threshold: readmits ejected endpoints when too few are in service.
 
 use crate::controller::Controller;
 use crate::endpoint::{slot, HealthState};
 use std::time::Duration;
 
-/// An ejected endpoint stays out for this long, so that a dead one does not return at every evaluation.
+/// An ejected endpoint stays out at least this long, so that a dead one does not return at every evaluation.
 const MIN_EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// Endpoints in and out of service.
+/// Numbers of endpoints in and out of service.
 #[derive(Debug, Clone, Copy, Default)]
 struct ServiceCount {
     in_service: usize,
@@ -29,8 +29,9 @@
 }
 
 impl Controller {
-    /// Readmits ejected endpoints of a zone, or of the fleet, of which less than half is in service. One ejected on
-    /// hard evidence returns only if that holds for the fleet. If no endpoint has a weight, all return at once.
+    /// Readmits the ejected endpoints of each zone, or of the whole fleet, in which less than half of the listed
+    /// endpoints are in service. Endpoints ejected on hard evidence return only if that holds for the fleet. If no
+    /// endpoint has a weight, all ejected ones return at once.
     pub(crate) fn apply_panic_threshold(&mut self) {
         let mut fleet = ServiceCount::default();
         let mut zones: Vec<ServiceCount> = Vec::new();
@@ -38,11 +39,11 @@
             fleet.add(endpoint.is_in_service());
             slot(&mut zones, endpoint.zone).add(endpoint.is_in_service());
         }
-        let nothing_serves = !(0..self.endpoints.len()).any(|server| self.weight(server) > 0.0);
+        let none_has_weight = !(0..self.endpoints.len()).any(|server| self.weight(server) > 0.0);
         for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.is_ejected()) {
             let zone_panics = zones[endpoint.zone].is_below_half() && !endpoint.ejected_on_hard_evidence;
             let has_waited = self.now >= endpoint.health_since + MIN_EJECTION_TIME;
-            if nothing_serves || (has_waited && (fleet.is_below_half() || zone_panics)) {
+            if none_has_weight || (has_waited && (fleet.is_below_half() || zone_panics)) {
                 endpoint.enter(HealthState::SlowStart, self.now);
             }
         }
