--- a/crates/controller/src/outlier_detection.rs
+++ b/crates/controller/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: which endpoints are ejected, and how they come back.
+//! Outlier detection: ejects endpoints that fail, and readmits them through probation and slow start.
 
 use crate::command::Command;
 use crate::controller::Controller;
@@ -8,41 +8,42 @@
 use crate::statistics::{median, LatencyHistogram};
 use std::time::Duration;
 
-/// Endpoints with fewer attempts than this say nothing of what is usual.
+/// Endpoints with fewer attempts than this are left out of the fleet's baseline.
 const MIN_BASELINE_ATTEMPTS: f32 = 2.0;
-/// Time between two health checks of one endpoint: two in a row tell of a silent one, and several planners may ask.
+/// Time between two health checks of one endpoint. It is long enough for several planners to check, and two unanswered
+/// checks already show a dead endpoint.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Failures in a row that eject an endpoint, unless its peers fail as often.
+/// Consecutive failures that eject an endpoint, unless its peers fail as often.
 const CONSECUTIVE_FAILURE_LIMIT: f32 = 4.0;
-/// A row of failures ejects if its probability at the usual failure rate is below this.
+/// Consecutive failures eject only if their probability at the baseline failure rate is below this.
 const CONSECUTIVE_FAILURE_PROBABILITY: f32 = 1e-4;
-/// The usual failure rate (0 to 1) is taken to be at least this.
-const MIN_USUAL_FAILURE_RATE: f32 = 0.02;
-/// An endpoint is silent after this many times the usual time without a success, and at least this many seconds.
+/// Lower bound of the baseline failure rate (0 to 1).
+const MIN_BASELINE_FAILURE_RATE: f32 = 0.02;
+/// An endpoint is silent after this many times the baseline time without a success, and at least this many seconds.
 const SILENCE_MULTIPLE: f32 = 6.0;
 const MIN_SILENCE_SECONDS: f32 = 2.5;
-/// Unanswered health checks eject an endpoint that has been without a success for this long.
+/// This many consecutive unanswered health checks eject an endpoint that had no success for this long.
 const UNANSWERED_CHECK_LIMIT: u32 = 2;
 const UNANSWERED_SILENCE_SECONDS: f32 = 1.5;
 
-/// Attempts from which a failure rate counts.
+/// A failure rate counts from this many attempts on.
 const MIN_FAILURE_RATE_ATTEMPTS: f32 = 14.0;
-/// The failure rate (0 to 1) that ejects: this times the usual rate plus a margin, and at least a minimum. Half of
-/// the attempts also fail in a burst of timeouts at an overloaded endpoint.
+/// The failure rate (0 to 1) that ejects: the baseline times a factor plus a margin, and at least the minimum. The
+/// minimum is above a half, since half of the attempts also fail in a burst of timeouts at an overloaded endpoint.
 const FAILURE_RATE_MULTIPLE: f32 = 2.0;
 const FAILURE_RATE_MARGIN: f32 = 0.2;
 const MIN_FAILURE_RATE_THRESHOLD: f32 = 0.65;
 
-/// Time in probation before slow start.
+/// Time that an endpoint spends in probation before slow start.
 const PROBATION_TIME: Duration = Duration::from_secs(10);
-/// This many ejections within the window eject for long.
+/// This many ejections within the window make the last of them a long one.
 const LONG_EJECTION_COUNT: usize = 3;
 const LONG_EJECTION_WINDOW: Duration = Duration::from_secs(60);
-/// Time that a long ejection lasts.
+/// Duration of a long ejection, before the endpoint is an ordinary ejected one.
 const LONG_EJECTION_TIME: Duration = Duration::from_secs(60);
 
-/// What is usual among the endpoints in service.
+/// The typical failures of the endpoints in service, which outliers are compared with.
 struct FleetBaseline {
     /// Median failure rate, 0 to 1.
     failure_rate: f32,
@@ -52,10 +53,10 @@
 
 impl FleetBaseline {
     fn measure(endpoints: &[Endpoint], now: Duration) -> FleetBaseline {
-        let counts = |endpoint: &&Endpoint| {
+        let has_enough_attempts = |endpoint: &&Endpoint| {
             endpoint.is_in_service() && !endpoint.is_isolated && endpoint.attempts >= MIN_BASELINE_ATTEMPTS
         };
-        let reported = endpoints.iter().filter(counts);
+        let reported = endpoints.iter().filter(has_enough_attempts);
         FleetBaseline {
             failure_rate: median(reported.clone().map(Endpoint::failure_rate).collect()),
             silence_seconds: median(reported.map(|endpoint| endpoint.silence_seconds(now)).collect()),
@@ -72,17 +73,17 @@
     }
 }
 
-/// What an evaluation makes of an endpoint.
+/// The result of one evaluation of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Verdict {
-    /// It was listed by mistake: it is not there.
+enum Assessment {
+    /// It does not exist, although it is or was listed.
     Absent,
-    /// Nothing succeeds there.
+    /// It is down: all of its recent attempts fail, or its health checks do.
     Dead,
     /// Too many of its attempts fail.
     Failing,
-    /// Its state stays, or goes on by time alone.
-    Unremarkable,
+    /// It is no outlier: its health state changes by time alone.
+    Normal,
 }
 
 impl Endpoint {
@@ -90,60 +91,62 @@
         self.is_listed() && now >= self.last_health_check + HEALTH_CHECK_INTERVAL
     }
 
-    fn verdict(&self, fleet: &FleetBaseline, now: Duration) -> Verdict {
+    fn assess(&self, baseline: &FleetBaseline, now: Duration) -> Assessment {
         if !self.is_in_service() {
-            return Verdict::Unremarkable;
+            return Assessment::Normal;
         }
-        if self.is_absent(fleet, now) {
-            Verdict::Absent
-        } else if self.is_dead(fleet, now) {
-            Verdict::Dead
-        } else if self.is_failing(fleet) {
-            Verdict::Failing
+        if self.is_absent(baseline, now) {
+            Assessment::Absent
+        } else if self.is_dead(baseline, now) {
+            Assessment::Dead
+        } else if self.is_failing(baseline) {
+            Assessment::Failing
         } else {
-            Verdict::Unremarkable
+            Assessment::Normal
         }
     }
 
-    fn is_silent(&self, fleet: &FleetBaseline, now: Duration) -> bool {
-        self.silence_seconds(now) >= fleet.silence_threshold_seconds()
+    fn is_silent(&self, baseline: &FleetBaseline, now: Duration) -> bool {
+        self.silence_seconds(now) >= baseline.silence_threshold_seconds()
     }
 
-    /// Missing from the list and without a success, or never with one.
-    fn is_absent(&self, fleet: &FleetBaseline, now: Duration) -> bool {
-        let lost = self.missing_from_list && self.is_silent(fleet, now);
+    /// Whether it fails without ever having had a success, or is missing from the list and silent.
+    fn is_absent(&self, baseline: &FleetBaseline, now: Duration) -> bool {
+        let lost = self.missing_from_list && self.is_silent(baseline, now);
         self.consecutive_failures >= 1.0 && (self.unverified || lost)
     }
 
-    /// Only failures come from it, beyond chance and for longer than an overloaded endpoint fails; or health checks
-    /// confirm that it is gone. Silence alone is no failure.
-    fn is_dead(&self, fleet: &FleetBaseline, now: Duration) -> bool {
+    /// Whether it only fails, which is neither chance nor a short overload, or health checks show that it is gone.
+    /// A time without a success does not suffice: it may have had no attempts.
+    fn is_dead(&self, baseline: &FleetBaseline, now: Duration) -> bool {
         let unanswered = self.unanswered_checks >= UNANSWERED_CHECK_LIMIT
             && self.silence_seconds(now) >= UNANSWERED_SILENCE_SECONDS;
-        self.only_fails(fleet, now) || self.connection_refused || unanswered
+        self.only_fails(baseline, now) || self.connection_refused || unanswered
     }
 
-    /// Endpoints of isolated classes are meant to be overloaded: their failures say nothing.
-    fn only_fails(&self, fleet: &FleetBaseline, now: Duration) -> bool {
-        let row = self.consecutive_failures;
-        let chance = fleet.failure_rate.max(MIN_USUAL_FAILURE_RATE).powf(row);
-        row >= CONSECUTIVE_FAILURE_LIMIT
-            && chance < CONSECUTIVE_FAILURE_PROBABILITY
-            && self.is_silent(fleet, now)
+    /// Whether its consecutive failures eject it. Endpoints of isolated classes are overloaded on purpose, so their
+    /// failures do not count.
+    fn only_fails(&self, baseline: &FleetBaseline, now: Duration) -> bool {
+        let failures = self.consecutive_failures;
+        let probability = baseline.failure_rate.max(MIN_BASELINE_FAILURE_RATE).powf(failures);
+        failures >= CONSECUTIVE_FAILURE_LIMIT
+            && probability < CONSECUTIVE_FAILURE_PROBABILITY
+            && self.is_silent(baseline, now)
             && !self.is_isolated
     }
 
-    fn is_failing(&self, fleet: &FleetBaseline) -> bool {
-        self.attempts >= MIN_FAILURE_RATE_ATTEMPTS && self.failure_rate() > fleet.failure_rate_threshold()
+    fn is_failing(&self, baseline: &FleetBaseline) -> bool {
+        self.attempts >= MIN_FAILURE_RATE_ATTEMPTS && self.failure_rate() > baseline.failure_rate_threshold()
     }
 
-    /// Failing, and slow in what succeeds: too much load and no fault.
+    /// Whether a failing endpoint has too much load rather than a fault: its successes are slow, or it serves isolated
+    /// classes.
     fn is_overloaded(&self, overload_latency_seconds: f64) -> bool {
         let is_slow = self.latencies.count() >= 1.0 && self.latencies.mean() > overload_latency_seconds;
         self.is_isolated || is_slow
     }
 
-    /// Moves on to the next state where time alone decides.
+    /// Enters the next health state if the time in the present one is over.
     fn advance(&mut self, is_warm: bool, health_checks_allowed: bool, now: Duration) {
         let elapsed = now.saturating_sub(self.health_since);
         match self.health {
@@ -154,7 +157,7 @@
             HealthState::Probation if elapsed >= PROBATION_TIME => self.enter(HealthState::SlowStart, now),
             HealthState::SlowStart if is_warm => {
                 self.health = HealthState::Healthy;
-                // Latencies at a fraction of the load say nothing of those at all of it.
+                // Latencies at a fraction of the load do not predict those at full load.
                 self.latencies = LatencyHistogram::default();
                 self.service_times = LatencyHistogram::default();
             }
@@ -162,6 +165,7 @@
         }
     }
 
+    /// Ejects the endpoint, for a longer time if it was ejected repeatedly of late.
     fn eject(&mut self, on_hard_evidence: bool, now: Duration) {
         self.ejected_on_hard_evidence = on_hard_evidence;
         self.ejections.push_back(now);
@@ -172,8 +176,8 @@
 }
 
 impl Controller {
-    /// Settles every endpoint's health state by its outcomes and health checks, and asks for health checks that are
-    /// due. To be called at each evaluation.
+    /// Updates the health state of every endpoint from its outcomes and health checks, and requests health checks that
+    /// are due. To be called at each evaluation.
     pub(crate) fn detect_outliers(&mut self, commands: &mut Vec<Command>) {
         let now = self.now;
         let overload_latency = self.overload_latency_seconds();
@@ -188,46 +192,46 @@
                 endpoint.last_health_check = now;
                 commands.push(Command::CheckHealth { server });
             }
-            match endpoint.verdict(&baseline, now) {
-                Verdict::Absent => endpoint.remove_from_list(false, now),
-                Verdict::Dead => self.eject(server, true, commands),
-                Verdict::Failing => {
+            match endpoint.assess(&baseline, now) {
+                Assessment::Absent => endpoint.remove_from_list(false, now),
+                Assessment::Dead => self.eject(server, true, commands),
+                Assessment::Failing => {
                     endpoint.is_weight_halved = endpoint.is_overloaded(overload_latency);
                     failing.push(server);
                 }
-                Verdict::Unremarkable => endpoint.advance(is_warm, health_checks_allowed, now),
+                Assessment::Normal => endpoint.advance(is_warm, health_checks_allowed, now),
             }
         }
         self.eject_failing(&failing, commands);
     }
 
-    /// Ejects endpoints that fail on their own. Where most of a zone fails, the cause is shared: its endpoints get
-    /// half of their weight and stay.
+    /// Ejects failing endpoints, except overloaded ones and those of a zone of which most fails, where the cause is
+    /// shared: these stay in service with half of their weight.
     fn eject_failing(&mut self, failing: &[ServerId], commands: &mut Vec<Command>) {
-        let zones_at_fault = self.zones_mostly_failing(failing);
+        let mostly_failing = self.zones_mostly_failing(failing);
         for &server in failing {
             let endpoint = &mut self.endpoints[server];
-            endpoint.is_weight_halved |= zones_at_fault[endpoint.zone];
+            endpoint.is_weight_halved |= mostly_failing[endpoint.zone];
             if !endpoint.is_weight_halved {
                 self.eject(server, false, commands);
             }
         }
     }
 
-    /// Whether more than half of the listed endpoints fail, by zone.
+    /// For each zone, whether more than half of its listed endpoints fail.
     fn zones_mostly_failing(&self, failing: &[ServerId]) -> Vec<bool> {
-        let mut listed: Vec<usize> = Vec::new();
+        let mut listed_by_zone: Vec<usize> = Vec::new();
         for endpoint in self.endpoints.iter().filter(|endpoint| endpoint.is_listed()) {
-            *slot(&mut listed, endpoint.zone) += 1;
+            *slot(&mut listed_by_zone, endpoint.zone) += 1;
         }
-        let mut failing_here = vec![0; listed.len()];
+        let mut failing_by_zone = vec![0; listed_by_zone.len()];
         for &server in failing {
-            failing_here[self.endpoints[server].zone] += 1;
+            failing_by_zone[self.endpoints[server].zone] += 1;
         }
-        listed.iter().zip(failing_here).map(|(listed, failing)| 2 * failing > *listed).collect()
+        listed_by_zone.iter().zip(failing_by_zone).map(|(listed, failing)| 2 * failing > *listed).collect()
     }
 
-    /// Ejects an endpoint and tells the operators.
+    /// Ejects an endpoint and reports it to the operators.
     pub(crate) fn eject(&mut self, server: ServerId, on_hard_evidence: bool, commands: &mut Vec<Command>) {
         let endpoint = &mut self.endpoints[server];
         endpoint.eject(on_hard_evidence, self.now);
