--- a/crates/controller/src/flow_control.rs
+++ b/crates/controller/src/flow_control.rs
@@ -1,35 +1,37 @@
-//! Updates on their way to the proxies, and the room that they leave in the channel.
+//! Flow control: the updates in flight to the proxies, and the room that they leave in the update channel.
 
 use crate::event::ProxyId;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The messages of one step on their way.
+/// The messages of one step, as long as some are not acknowledged.
 #[derive(Debug)]
 pub(crate) struct InFlightUpdate {
     pub ack_token: u16,
-    /// Table entries that are not acknowledged yet.
+    /// Table entries, message overhead included, that are not acknowledged yet.
     pub entries: f64,
+    /// The proxies that have yet to acknowledge their message.
     pub pending_acks: BTreeSet<ProxyId>,
 }
 
-/// What is on its way to the proxies.
+/// The state of the update channel to the proxies.
 #[derive(Debug, Default)]
 pub(crate) struct UpdateChannel {
+    /// Updates that are not acknowledged by all recipients, in the order in which they were sent.
     pub in_flight: VecDeque<InFlightUpdate>,
     pub last_ack_token: u16,
-    /// When an update with all that was due last went out.
+    /// When entries, admissions or reassignments were last sent; first tables do not count.
     pub last_update: Duration,
-    /// While an update is made: the entries that there is room for.
+    /// While an update is composed: the entries that there is room for.
     pub available_entries: f64,
-    /// The operators were told that the queue is too small for changes.
+    /// Whether the present shortage of the queue was reported to the operators.
     pub has_logged_shortage: bool,
-    /// While an update is made: the proxies that get a message.
+    /// While an update is composed: the proxies that get a message.
     pub recipients: BTreeSet<ProxyId>,
 }
 
 impl UpdateChannel {
-    /// Records messages that go out, and returns the token that acknowledges them.
+    /// Records messages that are sent, and returns the token for their acknowledgements.
     pub fn send(&mut self, entries: f64, pending_acks: BTreeSet<ProxyId>) -> u16 {
         self.last_ack_token = self.last_ack_token.wrapping_add(1);
         let ack_token = self.last_ack_token;
@@ -37,15 +39,15 @@
         ack_token
     }
 
-    /// Table entries on their way.
+    /// Table entries in flight, message overhead included.
     pub fn queued_entries(&self) -> f64 {
         self.in_flight.iter().map(|update| update.entries).sum()
     }
 
-    /// Records an acknowledgement.
+    /// Records an acknowledgement; an unknown token is ignored.
     ///
-    /// Messages leave the channel in sequence, so all updates before this one have left too. Each acknowledgement
-    /// frees its share of the update, so that updates do not wait for the slowest proxy.
+    /// Messages leave the channel in sequence, so all earlier updates have left it too. Each acknowledgement frees its
+    /// share of the update, so that further updates do not wait for the slowest proxy.
     pub fn acknowledge(&mut self, proxy: ProxyId, ack_token: u16) {
         let Some(position) = self.in_flight.iter().position(|update| update.ack_token == ack_token) else {
             return;
@@ -59,7 +61,7 @@
         self.drop_completed();
     }
 
-    /// A proxy that disconnected acknowledges nothing.
+    /// Stops waiting for acknowledgements of a proxy that disconnected.
     pub fn disconnect(&mut self, proxy: ProxyId) {
         for update in &mut self.in_flight {
             update.pending_acks.remove(&proxy);
--- a/crates/controller/src/proxy.rs
+++ b/crates/controller/src/proxy.rs
@@ -1,36 +1,38 @@
-//! A connected proxy: its tables and the requests that arrive there.
+//! A connected proxy: its table assignment and the requests that arrive there.
 
 use crate::event::{ClassId, ZoneId};
 use crate::statistics::update_average;
 use std::time::Duration;
 
-/// The shortest time that a report is taken to cover, in seconds.
+/// A report counts as covering at least this time, in seconds.
 pub(crate) const MIN_REPORT_SECONDS: f64 = 0.1;
-/// Arrival rates, in requests a second, below this are treated as this.
+/// Lower bound of an arrival rate, in requests per second, when its half-life is computed.
 const MIN_ARRIVAL_RATE: f64 = 1e-3;
-/// An arrival rate keeps half of its old value for the time in which this many requests arrive.
+/// The half-life of an arrival rate's average is the time in which this many requests arrive, and at least the window
+/// of the report.
 const RATE_HALF_LIFE_REQUESTS: f64 = 2.0;
 
-/// One proxy.
+/// One proxy, by index; a proxy that is not connected has the default values.
 #[derive(Debug, Default)]
 pub(crate) struct Proxy {
     pub is_connected: bool,
-    /// It came with a table of an earlier planner.
+    /// Whether it connected with a table from an earlier planner.
     pub has_previous_table: bool,
     pub zone: ZoneId,
     pub subset: Option<usize>,
-    /// When it was last moved out of a subset without endpoints.
+    /// When it was last moved out of a subset without endpoints; `None` for never.
     pub relocated_at: Option<Duration>,
-    /// Once a table is assigned: the classes isolated in its subset at that time, one bit each.
+    /// The classes that were isolated in its subset when its tables were assigned, one bit each; `None` while it has no
+    /// tables.
     pub assigned: Option<u64>,
-    /// Requests a second, by class.
+    /// Requests per second, by class.
     pub arrival_rates: Vec<f64>,
     /// When arrivals were last reported, by class.
     pub reported_at: Vec<Duration>,
 }
 
 impl Proxy {
-    /// A proxy that has just connected and expects `request_rate` requests a second over all classes.
+    /// A proxy that has just connected and expects `request_rate` requests per second over all classes.
     pub fn connected(
         zone: ZoneId,
         request_rate: f64,
@@ -48,9 +50,10 @@
         }
     }
 
-    /// Takes in `requests` of a class that arrived within `window`.
+    /// Updates the arrival rate of a class, of which `requests` arrived within `window`.
     ///
-    /// Proxies report no class without requests: those reported arrived in all the time since the report before.
+    /// Proxies leave classes without requests out of their reports: the requests are spread over the whole time since
+    /// the previous report of their class.
     pub fn record_arrivals(&mut self, class: ClassId, requests: u64, window: Duration, now: Duration) {
         let rate = crate::endpoint::slot(&mut self.arrival_rates, class);
         let reported_at = crate::endpoint::slot(&mut self.reported_at, class);
@@ -60,7 +63,7 @@
         *reported_at = now;
     }
 
-    /// Requests a second over all classes.
+    /// Requests per second over all classes.
     pub fn total_arrival_rate(&self) -> f64 {
         self.arrival_rates.iter().sum()
     }
--- a/crates/controller/src/retry_policy.rs
+++ b/crates/controller/src/retry_policy.rs
@@ -1,14 +1,14 @@
-//! When proxies retry a failed attempt.
+//! Retry policy: the conditions on which proxies retry a failed attempt.
 
 use crate::admission_control::AdmissionController;
 use std::time::Duration;
 
-/// When a proxy retries.
+/// The conditions on which a proxy retries a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPolicy {
-    /// Never.
+    /// No retries.
     Never = 0,
-    /// Once, at another endpoint, after proof that the first attempt was not executed.
+    /// Once, at another endpoint, if it is certain that the first attempt was not executed.
     IfNotExecuted = 1,
     /// Once after any failure.
     Once = 2,
@@ -22,8 +22,8 @@
 const UNLIMITED_MARGIN: f64 = 1.2;
 
 impl AdmissionController {
-    /// The retry policy of every class: a retry after proof that nothing was executed is safe for every class, any
-    /// other is not. Retries stop first when the fleet is overloaded.
+    /// The retry policy of every class. A retry is safe for every class only if it is certain that the first attempt
+    /// was not executed. Retries are the first load to be shed when the fleet is overloaded.
     pub(crate) fn retry_policy(&self) -> RetryPolicy {
         if self.retries_disabled {
             RetryPolicy::Never
@@ -32,12 +32,13 @@
         }
     }
 
-    /// Allows retries again last, after all requests have been admitted for a while.
+    /// Allows retries again once all requests have been admitted for [`RETRY_RECOVERY`]; they are the last load to
+    /// return.
     ///
-    /// `arrival_rate` is in requests a second over all proxies and classes.
+    /// `arrival_rate` is in requests per second over all proxies and classes.
     pub(crate) fn restore_retries(&mut self, arrival_rate: f64, now: Duration) {
         let admits_all = self.admission_limit.is_none_or(|limit| limit >= arrival_rate * UNLIMITED_MARGIN);
-        let is_open = admits_all && self.isolated_classes == 0;
-        self.retries_disabled &= !is_open || now < self.changed_at + RETRY_RECOVERY;
+        let sheds_no_requests = admits_all && self.isolated_classes == 0;
+        self.retries_disabled &= !sheds_no_requests || now < self.changed_at + RETRY_RECOVERY;
     }
 }
--- a/crates/controller/src/speed_estimation.rs
+++ b/crates/controller/src/speed_estimation.rs
@@ -1,4 +1,4 @@
-//! Speed estimation: how fast each endpoint is relative to its configured weight.
+//! Speed estimation: estimates how fast each endpoint is relative to its configured weight.
 
 use crate::controller::Controller;
 use crate::endpoint::{slot, Endpoint, HealthState};
@@ -6,49 +6,50 @@
 use crate::warm_start::SPEED_FACTOR_LIMITS;
 use std::time::Duration;
 
-/// A utilization below this (0 to 1) tells nothing of the speed.
+/// A utilization (0 to 1) has to be above this to be evidence of the speed.
 const MIN_UTILIZATION: f64 = 0.05;
-/// Attempts from which an endpoint's utilization counts: with little to do it looks faster than it is.
+/// An endpoint's utilization counts from this many attempts on: with little load it looks faster than it is.
 const MIN_UTILIZATION_ATTEMPTS: f32 = 8.0;
-/// Samples from which a mean service time, or a mean latency, counts.
+/// A mean service time, or a mean latency, counts from this many samples on.
 const MIN_SERVICE_TIME_SAMPLES: f32 = 4.0;
 const MIN_LATENCY_SAMPLES: f32 = 8.0;
 
-/// The share of the remaining difference that one update makes up for. What responds to the weight itself, seconds
-/// late, is followed slowly, or estimates would oscillate.
+/// The share of the remaining difference that one update corrects. It is small because the evidence responds to the
+/// weight itself, with a delay of seconds: with a larger one, estimates would oscillate.
 const UPDATE_GAIN: f64 = 0.1;
-/// The same where this planner alone sets the weights, and its endpoints report their load.
-const UPDATE_GAIN_ALONE: f64 = 0.2;
-/// The same for an endpoint that has just started and is slower than its peers: its queue fills until that is
-/// known. One that seems faster may be so for its empty queue.
-const UPDATE_GAIN_SLOW_STARTER: f64 = 0.3;
-const STARTER_TIME: Duration = Duration::from_secs(10);
-/// The largest difference of logarithms that one update sees.
+/// The gain for load reports if this planner is the only one that sets weights.
+const UPDATE_GAIN_ONLY_PLANNER: f64 = 0.2;
+/// The gain for load reports of an endpoint that has just started and is slower than estimated: its queue grows until
+/// the estimate is right. One that looks faster may do so only because its queue is still empty.
+const UPDATE_GAIN_SLOW_NEW_ENDPOINT: f64 = 0.3;
+/// An endpoint has just started for this long.
+const NEW_ENDPOINT_TIME: Duration = Duration::from_secs(10);
+/// Bound of the difference to the peers that an update takes into account, as a logarithm.
 const MAX_LOG_DIFFERENCE: f64 = 1.0;
-/// Latencies contain queueing, which grows with the weight: half of their difference counts.
+/// Half of a difference in latency counts, since latencies include queueing, which grows with the weight.
 const LATENCY_DIFFERENCE_SHARE: f64 = 0.5;
 
-/// Samples from which an endpoint's latencies count for its kind of machine.
+/// An endpoint's latencies count for its kind of machine from this many samples on.
 const MIN_KIND_LATENCY_SAMPLES: f32 = 4.0;
-/// The share of the difference between kinds that counts, and its bound, in logarithms.
+/// The share of the difference between kinds that counts, and its bound, both for logarithms.
 const KIND_BIAS_SHARE: f64 = 0.5;
 const MAX_KIND_BIAS: f64 = 0.5;
 
-/// What tells of an endpoint's speed: the time or load that a unit of work costs there.
+/// Evidence of an endpoint's speed: the time or load that a unit of work costs there.
 #[derive(Debug, Clone, Copy)]
 struct CostSample {
     server: ServerId,
     cost: f64,
-    /// It comes from the endpoint's own load report, and contains no queueing.
+    /// Whether it comes from the endpoint's own load report, and so includes no queueing.
     is_load_report: bool,
 }
 
-/// Endpoints whose costs compare with each other.
+/// A group of endpoints whose costs are comparable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeerGroup {
     /// All endpoints that report their utilization.
     Utilization,
-    /// Endpoints of one kind of machine.
+    /// Endpoints on one kind of machine, without reported utilization.
     Kind(usize),
 }
 
@@ -62,10 +63,11 @@
 }
 
 impl Endpoint {
-    /// The best available evidence of the endpoint's speed, if there is any: its utilization per attempt (beside
-    /// other planners, per weight), else its service times, else its latencies.
+    /// The best available evidence of the endpoint's speed, if there is any: its utilization, else its service times,
+    /// else its latencies. Utilization is taken per attempt and configured weight or, if there are other planners, per
+    /// speed factor.
     ///
-    /// An endpoint in slow start has none: with little to do it looks faster than it is.
+    /// An endpoint in slow start has no evidence: with little load it looks faster than it is.
     fn speed_evidence(&self, server: ServerId, is_only_planner: bool) -> Option<(PeerGroup, CostSample)> {
         let reports_utilization = self.utilization > MIN_UTILIZATION;
         if self.health == HealthState::SlowStart {
@@ -94,26 +96,26 @@
         None
     }
 
-    /// Moves the speed factor towards a goal, both as logarithms.
-    fn move_speed_factor(&mut self, goal: f64, is_load_report: bool, is_only_planner: bool, now: Duration) {
+    /// Moves the speed factor towards a target, which is given as a logarithm.
+    fn move_speed_factor(&mut self, target: f64, is_load_report: bool, is_only_planner: bool, now: Duration) {
         let current = self.speed_factor.ln();
-        let has_just_started = self.started_at.is_some() && now < self.health_since + STARTER_TIME;
+        let has_just_started = self.started_at.is_some() && now < self.health_since + NEW_ENDPOINT_TIME;
         let gain = match is_load_report {
-            true if has_just_started && goal < current => UPDATE_GAIN_SLOW_STARTER,
-            true if is_only_planner => UPDATE_GAIN_ALONE,
+            true if has_just_started && target < current => UPDATE_GAIN_SLOW_NEW_ENDPOINT,
+            true if is_only_planner => UPDATE_GAIN_ONLY_PLANNER,
             _ => UPDATE_GAIN,
         };
         let (min, max) = SPEED_FACTOR_LIMITS;
-        self.speed_factor = (self.speed_factor * ((goal - current) * gain).exp()).clamp(min, max);
+        self.speed_factor = (self.speed_factor * ((target - current) * gain).exp()).clamp(min, max);
     }
 }
 
-/// The mean of the costs' logarithms; 0 of no costs.
+/// The mean logarithm of the costs; 0 if there are no samples.
 fn mean_log_cost(samples: &[CostSample]) -> f64 {
     samples.iter().map(|sample| sample.cost.ln()).sum::<f64>() / samples.len().max(1) as f64
 }
 
-/// Sum and number of logarithms of latencies.
+/// Sum and number of the logarithms of latencies.
 #[derive(Debug, Clone, Copy, Default)]
 struct LogLatency {
     sum: f64,
@@ -127,7 +129,7 @@
 }
 
 impl Controller {
-    /// Updates every speed factor once, by the difference to the endpoint's peers. To be called once a tick.
+    /// Updates the speed factors by the differences between endpoints and their peers. To be called once per tick.
     pub(crate) fn update_speed_estimates(&mut self) {
         let is_only_planner = self.config.is_only_planner();
         let mut groups: Vec<Vec<CostSample>> = Vec::new();
@@ -143,18 +145,18 @@
             for sample in samples {
                 let difference = (mean - sample.cost.ln()).clamp(-MAX_LOG_DIFFERENCE, MAX_LOG_DIFFERENCE);
                 let share = if sample.is_load_report { 1.0 } else { LATENCY_DIFFERENCE_SHARE };
-                let goal = bias + difference * share;
+                let target = bias + difference * share;
                 let endpoint = &mut self.endpoints[sample.server];
-                endpoint.move_speed_factor(goal, sample.is_load_report, is_only_planner, self.now);
+                endpoint.move_speed_factor(target, sample.is_load_report, is_only_planner, self.now);
             }
         }
     }
 
-    /// How much faster each kind of machine is than its configured weights say, as a logarithm, by half of what its
-    /// latencies differ from those of all kinds.
+    /// How much faster each kind of machine is than its configured weights say, as a logarithm: half of the difference
+    /// between its latencies and those of all kinds.
     ///
-    /// It corrects lists that count slow cores like fast ones, and errs where a kind is slow with nothing to do; by
-    /// half, that kind still gets most of its part.
+    /// It corrects lists whose weights do not distinguish slow cores from fast ones. It is wrong for a kind that is
+    /// slow even without load; since only half of the difference counts, that kind keeps most of its share.
     fn kind_bias(&self) -> Vec<f64> {
         let mut kinds: Vec<LogLatency> = Vec::new();
         for endpoint in &self.endpoints {
