--- a/crates/controller/src/admission_control/class_limits.rs
+++ b/crates/controller/src/admission_control/class_limits.rs
@@ -4,23 +4,23 @@
 use crate::retry_policy::RetryPolicy;
 use crate::statistics::fair_share_limit;
 
-/// A class is admitted at least this share of its arrivals.
+/// At least this share of a class's arrivals is admitted.
 const MIN_CLASS_SHARE: f64 = 0.05;
-/// A rate that rejects nothing is above the busiest proxy's rate by this factor, and by this many requests a second:
-/// a nearly idle proxy gets two more in a second by chance.
+/// A rate that rejects nothing exceeds that of the busiest proxy by this factor, and by at least this many requests per
+/// second: a nearly idle proxy can get two more in a second by chance.
 const UNLIMITED_FACTOR: f64 = 1.2;
 const UNLIMITED_EXCESS: f64 = 2.0;
 
-/// What a table admits of one class.
+/// The admission rate and retry policy of one class, the same in all tables.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ClassAdmission {
-    /// Requests a second at each proxy; `None` admits all.
+    /// Requests per second at each proxy; `None` admits all.
     pub admission_rate: Option<f64>,
     pub retry_policy: RetryPolicy,
 }
 
 impl Controller {
-    /// What tables are to admit of each class: the limit goes to the classes by priority.
+    /// The admission of each class: the admission limit is given to the classes in the order of their priority.
     pub(crate) fn class_admissions(&self) -> Vec<ClassAdmission> {
         let retry_policy = self.admission.retry_policy();
         let admits_all = ClassAdmission { admission_rate: None, retry_policy };
--- a/crates/controller/src/admission_control/limiter.rs
+++ b/crates/controller/src/admission_control/limiter.rs
@@ -1,41 +1,42 @@
-//! Load shedding: lower the admitted load under pressure, raise it again when there is room.
+//! Load shedding: lowers the admitted load under pressure, and raises it again when the pressure is low.
 
 use super::{AdmissionController, Demand, HIGH_PRESSURE, LOW_PRESSURE};
 use crate::event::ClassId;
 use std::time::Duration;
 
-/// A tightened limit is this share of what is handled: lower the higher the pressure, within bounds, so that queues
-/// drain.
+/// A tightened limit is a share of the success rate, so that queues drain: 1 minus this for each unit of pressure,
+/// within bounds.
 const TIGHTEN_SHARE_PER_PRESSURE: f64 = 0.15;
 const TIGHTEN_SHARE_LIMITS: (f64, f64) = (0.5, 0.9);
-/// A limit does not fall below this share of the known capacity, before the share above.
+/// The success rate that a limit is computed from is at least this share of the capacity knee.
 const MIN_CAPACITY_SHARE: f64 = 0.6;
-/// If the pressure comes from failures alone, endpoints may be broken rather than overloaded: the limit falls to this
-/// share.
+/// If the pressure comes from failures alone, endpoints may be broken rather than overloaded: the limit falls to no
+/// less than this share of the admitted rate.
 const FAILURE_TIGHTEN_SHARE: f64 = 0.9;
-/// A class is isolated above this pressure, or when arrivals exceed the capacity estimate by this factor.
+/// A class is isolated if the pressure is above this, or if arrivals exceed the capacity estimate by this factor.
 const ISOLATION_PRESSURE: f64 = 1.5;
 const ISOLATION_ARRIVAL_EXCESS: f64 = 1.15;
-/// The isolated classes' share of the endpoints: at first, per further step, and its bounds.
+/// The share of the endpoints for isolated classes: its initial value, the factor of each further step, and its bounds.
 const INITIAL_ISOLATED_SHARE: f64 = 0.15;
 const ISOLATED_SHARE_STEP: f64 = 0.8;
 const ISOLATED_SHARE_LIMITS: (f64, f64) = (0.06, 0.8);
 
-/// What was sustained may be exceeded by this factor.
+/// A limit may exceed the sustained rate by this factor.
 const SUSTAINED_EXCESS: f64 = 1.1;
-/// Growth of a limit per tick and unit of pressure below 1, below the capacity knee (times the boost) and past it.
+/// Growth of a limit per tick and unit of pressure below 1. Below the capacity knee the limit grows faster by the
+/// boost.
 const RELAX_GROWTH: f64 = 0.2;
 const RELAX_BOOST_BELOW_KNEE: f64 = 1.1;
-/// A limit returns quickly up to this share of the capacity knee.
+/// A limit grows faster up to this share of the capacity knee.
 const KNEE_SHARE: f64 = 0.9;
-/// Without pressure the limit stays at this many times the arrival rate, to absorb surges.
+/// The limit is at most this many times the arrival rate, which leaves room for a surge.
 const SURGE_MARGIN: f64 = 1.3;
-/// Ticks with reports from which the estimated capacity bounds the limit.
+/// The estimated capacity bounds the limit from this many ticks with reports on.
 const TICKS_UNTIL_LIMIT_BINDS: u32 = 4;
 
 impl AdmissionController {
-    /// Sheds load: retries first, then requests by a limit, or by isolating `lowest_class` where proxies cannot
-    /// limit rates.
+    /// Sheds load: retries first, then requests by a limit or, if proxies cannot limit rates, by isolating
+    /// `lowest_class`.
     pub(super) fn tighten(&mut self, demand: &Demand, lowest_class: Option<ClassId>, now: Duration) {
         if self.retries_disabled && demand.limits_request_rate {
             self.tighten_limit(demand);
@@ -55,13 +56,13 @@
             (1.0 - TIGHTEN_SHARE_PER_PRESSURE * self.shared.overload_pressure).clamp(min_share, max_share);
         let min_capacity = self.capacity_knee * demand.fleet_weight * MIN_CAPACITY_SHARE;
         let below_capacity = self.success_rate.max(min_capacity) * share;
-        let one_step = if self.shared.latency_pressure > HIGH_PRESSURE {
+        let min_limit = if self.shared.latency_pressure > HIGH_PRESSURE {
             0.0
         } else {
             let admitted = self.admission_limit.unwrap_or(demand.arrival_rate).min(demand.arrival_rate);
             admitted * FAILURE_TIGHTEN_SHARE
         };
-        self.admission_limit = Some(below_capacity.max(one_step));
+        self.admission_limit = Some(below_capacity.max(min_limit));
     }
 
     fn needs_isolation(&self, demand: &Demand) -> bool {
@@ -80,14 +81,14 @@
         self.isolated_classes = lowest_class.map_or(0, |class| 1 << class);
     }
 
-    /// Admits more; retries return last.
+    /// Admits more load; retries are allowed last.
     ///
     /// `admitted_capacity` is the share of the capacity estimate that may be admitted.
     pub(super) fn relax(&mut self, demand: &Demand, admitted_capacity: f64, now: Duration) {
-        let ease = 1.0 - self.shared.overload_pressure;
-        let growth = 1.0 + RELAX_GROWTH * ease;
+        let headroom = 1.0 - self.shared.overload_pressure;
+        let growth = 1.0 + RELAX_GROWTH * headroom;
         if demand.limits_request_rate && self.capacity_is_known() {
-            self.relax_limit(demand, admitted_capacity, ease, growth);
+            self.relax_limit(demand, admitted_capacity, headroom, growth);
         }
         let (_, max_share) = ISOLATED_SHARE_LIMITS;
         self.isolated_share = (self.isolated_share * growth).min(max_share);
@@ -100,14 +101,15 @@
         }
     }
 
-    /// Raises the limit up to the capacity knee at once, and past it by little: too much shows seconds late.
-    fn relax_limit(&mut self, demand: &Demand, admitted_capacity: f64, ease: f64, growth: f64) {
+    /// Raises the limit quickly up to the capacity knee, and slowly above it, since an overload shows only after
+    /// seconds.
+    fn relax_limit(&mut self, demand: &Demand, admitted_capacity: f64, headroom: f64, growth: f64) {
         let knee = self.capacity_knee * demand.fleet_weight * KNEE_SHARE;
         let limit = self.admission_limit.unwrap_or(f64::MAX);
         let raised = if limit < knee {
             (limit * growth * RELAX_BOOST_BELOW_KNEE).min(knee)
         } else if self.capacity_knee > 0.0 {
-            limit * (1.0 + RELAX_GROWTH * ease * ease)
+            limit * (1.0 + RELAX_GROWTH * headroom * headroom)
         } else {
             limit * growth
         };
--- a/crates/controller/src/tests/publication.rs
+++ b/crates/controller/src/tests/publication.rs
@@ -72,7 +72,8 @@
     assert!(first.len() == 2 && again == first, "{again:?}");
 }
 
-/// Guards against an entry that stays in proxies' tables after its endpoint drains: its move to another table was rejected.
+/// Guards against an entry that stays in proxies' tables after its endpoint drains: its move to another table was
+/// rejected.
 #[test]
 fn entry_whose_move_was_rejected_is_still_known_in_the_old_table() {
     let old = TableEntry { table: 1, weight: 0.5 };
@@ -202,8 +203,8 @@
     assert_eq!(sides, BTreeSet::from([0, 2]), "they do part and join");
 }
 
-/// Guards against proxies that get no table at all, and operators who are not told, where the overhead of messages to all
-/// proxies is more than the queue holds.
+/// Guards against proxies that get no table at all, and operators who are not told, where the overhead of messages to
+/// all proxies is more than the queue holds.
 #[test]
 fn first_tables_go_out_though_the_overhead_of_all_messages_exceeds_the_queue() {
     let mut controller = controller((0..10).map(|_| healthy_endpoint(0)).collect());
