--- a/crates/controller/src/publication.rs
+++ b/crates/controller/src/publication.rs
@@ -1,4 +1,4 @@
-//! Publication: what goes out to proxies, in which order, as far as the channel has room.
+//! Publication: sends changes to proxies, the most urgent first, as far as the update channel has room.
 
 use crate::admission_control::ClassAdmission;
 use crate::command::Command;
@@ -11,43 +11,47 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Entries that may wait in the channel where the settings don't say.
+/// Entries that may wait in the channel if the settings give no limit.
 const DEFAULT_QUEUE_LIMIT: f64 = 500.0;
-/// The share of the queue that stays free: acknowledgements come late, and so does word of a slow channel.
+/// The share of the queue that stays free, since acknowledgements are delayed and a slow channel is noticed late.
+/// As it is a half, it is also the share that updates may use.
 const RESERVED_QUEUE_SHARE: f64 = 0.5;
-/// The share of the queue that proxies without a table may use of that: the rules' graces run for them.
+/// The share of the queue, out of the reserve, that proxies without a table may use: the time in which they have to get
+/// one is limited by the rules.
 const FIRST_TABLE_QUEUE_SHARE: f64 = 0.25;
-/// The window of the message limit where the settings don't say, and its margin.
+/// The window of the message limit if the settings give none, and the margin that is added to it.
 const DEFAULT_MESSAGE_WINDOW: Duration = Duration::from_secs(10);
 const MESSAGE_WINDOW_MARGIN: Duration = Duration::from_millis(100);
-/// Messages of the limit that stay unused.
+/// Messages of the limit that regular updates leave unused.
 const SPARE_MESSAGES: f64 = 2.0;
 
-/// A weight change below this, as a logarithm, is less than reports tell.
+/// A weight change below this, as a logarithm, is within the noise of reports and is not published.
 const MIN_WEIGHT_CHANGE: f64 = 0.12;
-/// Between regular updates only changes above this, a halving, go out.
+/// Between regular updates only weight changes above this, as a logarithm (about a factor of 2), are published.
 const MIN_URGENT_WEIGHT_CHANGE: f64 = 0.69;
 /// The urgency of an entry that is new or moves to another table.
 const NEW_ENTRY_URGENCY: f64 = 9.0;
 /// The urgency of a removal.
 const REMOVAL_URGENCY: f64 = f64::MAX;
-/// An admission limit that changes by less than this share stays as it is.
+/// An admission rate that changes by less than this share is not published.
 const MIN_ADMISSION_CHANGE: f64 = 0.07;
-/// Ticks with reports that a proxy with an earlier table waits for.
+/// A proxy with a previous table waits for this many ticks with reports, after which an unreliable list was compared
+/// with reports.
 const TICKS_UNTIL_LIST_IS_CHECKED: u32 = 2;
 
-/// When updates go out, and how much.
+/// What may be sent at this evaluation, and what messages cost.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UpdateWindow {
-    /// All that is due goes out: once a tick or, where messages are limited, once in so often.
+    /// Whether everything that is due is sent: once per tick or, if messages are limited, at even intervals.
     pub is_regular: bool,
-    /// A message may go out at all.
+    /// Whether the message limit allows changes now. First tables are sent in any case.
     pub is_open: bool,
     /// Entries that only a proxy's first table may use.
     pub first_table_reserve: f64,
-    /// Entries that each message costs beyond its own, which are reserved for all proxies before an update is made.
+    /// Overhead of a message, in entries, that is reserved for all proxies before an update is composed; else 0.
     pub message_cost: f64,
-    /// The same where they cannot be reserved for all proxies, and are counted for each recipient; else 0.
+    /// Overhead of a message, in entries, that is charged for each recipient since the queue cannot hold it for all
+    /// proxies; else 0.
     pub cost_per_recipient: f64,
 }
 
@@ -70,7 +74,7 @@
 }
 
 impl Endpoint {
-    /// The entry that the endpoint is to have at a weight.
+    /// The entry that the endpoint should have with this weight; `None` without a weight or a subset.
     fn entry(&self, weight: f64) -> Option<TableEntry> {
         let subset = self.subset.filter(|_| weight > 0.0)?;
         Some(TableEntry { table: table_of(subset, self.is_isolated), weight })
@@ -85,7 +89,7 @@
         let message_cost = self.config.channel.message_overhead + 1.0;
         let room = queue_limit * RESERVED_QUEUE_SHARE;
         let first_table_reserve = queue_limit * FIRST_TABLE_QUEUE_SHARE;
-        // More than the queue holds can't be reserved: nothing would ever be published.
+        // More than the queue holds cannot be reserved: nothing would ever be published.
         let is_reservable = message_cost * connected <= room + first_table_reserve;
         let reserved = if is_reservable { message_cost * connected } else { 0.0 };
         let available = room - self.channel.queued_entries() - reserved;
@@ -112,14 +116,15 @@
         }
         let has_entries = !self.channel.recipients.is_empty();
         let has_reassigned = self.assign_tables(&window, commands);
-        // Reassignments count like other messages, or tables that split and join would exceed the limit.
+        // Reassignments count as updates, or classes that are isolated and joined again would exceed the message limit.
         if has_entries || has_reassigned {
             self.channel.last_update = self.now;
         }
         self.request_ack(available, &window, commands);
     }
 
-    /// Where messages are limited, one with all that is due goes out at even intervals and some are left unused.
+    /// The window of this evaluation. If messages are limited, everything that is due is sent at even intervals, and
+    /// some messages of the limit stay unused.
     fn update_window(&self, is_tick: bool, first_table_reserve: f64) -> UpdateWindow {
         let channel = &self.config.channel;
         let window = channel.message_window.unwrap_or(DEFAULT_MESSAGE_WINDOW) + MESSAGE_WINDOW_MARGIN;
@@ -129,7 +134,8 @@
         UpdateWindow { is_regular, is_open, first_table_reserve, message_cost: 0.0, cost_per_recipient: 0.0 }
     }
 
-    /// Tells the operators once if a change for all proxies of a table takes more than there is ever room for.
+    /// Reports to the operators, once per shortage, that a change to all proxies of a table needs more than the queue
+    /// ever has room for.
     fn log_queue_shortage(&mut self, room: f64, cost_per_recipient: f64, commands: &mut Vec<Command>) {
         let proxies = self.subsets.iter().map(|subset| subset.proxy_count).fold(0.0, f64::max);
         let required_entries = proxies * (1.0 + cost_per_recipient);
@@ -141,6 +147,7 @@
         self.channel.has_logged_shortage = is_short;
     }
 
+    /// Records the messages of this update as in flight and requests their acknowledgement.
     fn request_ack(&mut self, available: f64, window: &UpdateWindow, commands: &mut Vec<Command>) {
         let recipients = std::mem::take(&mut self.channel.recipients);
         if recipients.is_empty() {
@@ -154,16 +161,16 @@
     /// Adds the proxies that hold tables of these subsets to the recipients of this update.
     fn add_recipients(&mut self, subsets: &BTreeSet<usize>) {
         for (id, proxy) in self.proxies.iter().enumerate() {
-            let is_concerned = proxy.subset.is_some_and(|subset| subsets.contains(&subset));
-            if proxy.is_connected && proxy.assigned.is_some() && is_concerned {
+            let holds_changed_table = proxy.subset.is_some_and(|subset| subsets.contains(&subset));
+            if proxy.is_connected && proxy.assigned.is_some() && holds_changed_table {
                 self.channel.recipients.insert(id);
             }
         }
     }
 
-    /// Publishes entries that changed, the most urgent first, until the channel has no more room.
+    /// Publishes changed entries, the most urgent first, until the channel has no more room.
     fn publish_entries(&mut self, window: &UpdateWindow, commands: &mut Vec<Command>) {
-        let mut concerned = BTreeSet::new();
+        let mut changed_subsets = BTreeSet::new();
         for change in self.entry_changes(window.is_regular) {
             let published = self.endpoints[change.server].published;
             let removed = published.filter(|old| change.entry.is_none_or(|new| new.table != old.table));
@@ -171,7 +178,7 @@
             let entries = removal.into_iter().chain(change.entry);
             let subsets = entries.clone().map(|entry| subset_of(entry.table));
             let cost_per_proxy = |subset: &usize| {
-                if concerned.contains(subset) {
+                if changed_subsets.contains(subset) {
                     1.0
                 } else {
                     1.0 + window.cost_per_recipient
@@ -184,7 +191,7 @@
             }
             self.channel.available_entries -= cost;
             self.endpoints[change.server].published = change.entry;
-            concerned.extend(subsets);
+            changed_subsets.extend(subsets);
             let server = change.server;
             commands.extend(entries.map(|TableEntry { table, weight }| Command::SetEntry {
                 table,
@@ -192,10 +199,10 @@
                 weight,
             }));
         }
-        self.add_recipients(&concerned);
+        self.add_recipients(&changed_subsets);
     }
 
-    /// The entries that differ enough from what is published, the most urgent first.
+    /// The entries that differ enough from the published ones, the most urgent first.
     fn entry_changes(&self, is_regular: bool) -> Vec<EntryChange> {
         let threshold = if is_regular { MIN_WEIGHT_CHANGE } else { MIN_URGENT_WEIGHT_CHANGE };
         let mut changes = Vec::new();
@@ -210,7 +217,7 @@
         changes
     }
 
-    /// Publishes admissions that changed in all tables, at `cost` entries a class.
+    /// Publishes changed admissions in all tables, at a cost of `cost` entries per class.
     fn publish_admissions(&mut self, cost: f64, commands: &mut Vec<Command>) {
         for (class, admission) in self.class_admissions().into_iter().enumerate() {
             let published = slot(&mut self.admission.published, class);
@@ -233,50 +240,51 @@
         }
     }
 
-    /// Assigns tables to proxies that have none yet or, when their message is due, whose isolated classes changed.
-    /// Returns whether any proxy was reassigned.
+    /// Assigns tables to proxies that have none yet and, if the window is open, to those whose isolated classes
+    /// changed. Returns whether any proxy was reassigned.
     pub(crate) fn assign_tables(&mut self, window: &UpdateWindow, commands: &mut Vec<Command>) -> bool {
         let mut has_reassigned = false;
-        let list_is_doubtful = self.list_is_doubtful();
+        let list_is_unreliable = self.list_is_unreliable();
         for id in 0..self.proxies.len() {
             let proxy = &self.proxies[id];
             let Some(subset) = proxy.subset.filter(|_| proxy.is_connected) else { continue };
-            let has_table = proxy.assigned.is_some();
+            let is_assigned = proxy.assigned.is_some();
             let is_recipient = self.channel.recipients.contains(&id);
             let message_cost = if is_recipient { 0.0 } else { window.cost_per_recipient };
             let cost = self.assignment_cost(subset) + message_cost;
-            let reserve = if has_table { 0.0 } else { window.first_table_reserve };
+            let reserve = if is_assigned { 0.0 } else { window.first_table_reserve };
             let has_room = cost <= self.channel.available_entries + reserve;
-            let is_settled = proxy.assigned == Some(self.subsets[subset].isolated_classes);
-            let must_wait = has_table && !window.is_open;
-            let is_unserved = self.subsets[subset].weight <= 0.0;
-            let keeps_table = list_is_doubtful && self.keeps_previous_table(id);
-            if is_settled || must_wait || !has_room || is_unserved || keeps_table {
+            let is_up_to_date = proxy.assigned == Some(self.subsets[subset].isolated_classes);
+            let must_wait = is_assigned && !window.is_open;
+            let has_no_weight = self.subsets[subset].weight <= 0.0;
+            let keeps_table = list_is_unreliable && self.keeps_previous_table(id);
+            if is_up_to_date || must_wait || !has_room || has_no_weight || keeps_table {
                 continue;
             }
-            has_reassigned |= has_table;
+            has_reassigned |= is_assigned;
             self.assign_table(id, subset, commands);
             self.channel.available_entries -= cost;
         }
         has_reassigned
     }
 
-    /// The exact number of entries that an assignment takes: an estimate above it would make proxies that all
-    /// connect at once wait past the grace of drains.
+    /// The exact number of entries that an assignment needs. With an estimate above it, proxies that all connect at
+    /// once would wait for their tables longer than the drain grace period.
     fn assignment_cost(&self, subset: usize) -> f64 {
         let Subset { endpoint_count, isolated_classes, .. } = &self.subsets[subset];
         let tables = if *isolated_classes != 0 { 2.0 } else { 1.0 };
         tables * (1 + endpoint_count + self.admission.published.len()) as f64
     }
 
-    /// Where missing from the list does not bind and the list tells of no drain, it may miss endpoints that answer.
-    fn list_is_doubtful(&self) -> bool {
-        let tells_drain = self.endpoints.iter().any(|endpoint| endpoint.health == HealthState::Draining);
-        !tells_drain && self.config.endpoint_list.only_draining_binds
+    /// Whether the list may lack endpoints that are in service: endpoints that are missing from it may stay in use,
+    /// and it lists none as draining.
+    fn list_is_unreliable(&self) -> bool {
+        let lists_draining = self.endpoints.iter().any(|endpoint| endpoint.health == HealthState::Draining);
+        !lists_draining && self.config.endpoint_list.only_draining_binds
     }
 
-    /// Under a doubtful list, a proxy keeps the table of an earlier planner while the list is stale, and until
-    /// reports can tell whether it is.
+    /// Whether a proxy without an assigned table, under an unreliable list, keeps its table from an earlier planner:
+    /// while the list is stale, and until there are enough reports to know whether it is.
     fn keeps_previous_table(&self, proxy: ProxyId) -> bool {
         let proxy = &self.proxies[proxy];
         let is_early =
@@ -284,6 +292,7 @@
         proxy.assigned.is_none() && (is_early || self.admission.list_is_stale)
     }
 
+    /// Assigns the tables of a subset to a proxy, and makes it a recipient of this update.
     fn assign_table(&mut self, proxy: ProxyId, subset: usize, commands: &mut Vec<Command>) {
         let isolated_classes = self.subsets[subset].isolated_classes;
         commands.push(Command::AssignTable { proxy, table: table_of(subset, false), class_mask: 0 });
--- a/crates/controller/src/subsetting.rs
+++ b/crates/controller/src/subsetting.rs
@@ -1,44 +1,45 @@
-//! Subsetting: which endpoints and proxies share a table.
+//! Subsetting: divides endpoints and proxies into subsets that share a table.
 //!
-//! One table of all endpoints serves all proxies wherever the channel can publish that table at once. Else proxies
-//! and endpoints are divided into subsets, each with a table of its own and one for its isolated classes.
+//! If the channel can publish a table of all endpoints fast enough, there is one subset, and all proxies share that
+//! table. Otherwise there are more, each with a table of its own and one for its isolated classes.
 
 use crate::controller::Controller;
 use crate::event::{ServerId, TableId, ZoneId};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// One table for all is small enough if the channel publishes it in this time.
+/// There is one subset if the channel can publish a table of all endpoints to all proxies in less than this time.
 const MAX_PUBLISH_SECONDS: f64 = 0.15;
-/// Endpoints of a subset: few enough that connections stay open, and enough to lose some.
+/// Target number of endpoints in a subset: few enough that connections stay open, and enough to lose some.
 const SUBSET_SIZE: f64 = 10.0;
-/// A subset counts as having at least this share of the mean load, which is worth three endpoints, so that it may
-/// lose one.
+/// A subset with proxies counts as having at least this share of the mean load. That gives it about three endpoints, so
+/// that it may lose one.
 const MIN_LOAD_SHARE: f64 = 0.3;
-/// A subset with less than this share of its part of the weight is rebalanced at once: cold endpoints in it would be
-/// overloaded before the next tick.
+/// If a subset has less than this share of the weight that its load entitles it to, subsets are rebalanced at once:
+/// cold endpoints in it would be overloaded before the next tick.
 const REBALANCE_NOW_SHARE: f64 = 0.5;
-/// Endpoints move only between subsets whose weights per load differ by this factor: less is within what a few
-/// seconds of reports tell, and a move costs connections.
+/// Endpoints move only between subsets whose weights per load differ by at least this factor: less is within the noise
+/// of a few seconds of reports, and a move costs connections.
 const REBALANCE_RATIO: f64 = 1.35;
-/// A subset with more than one endpoint has more than this many times the weight of any one.
+/// A subset with no more than this many times the weight of an endpoint consists of that endpoint.
 const LAST_ENDPOINT_RATIO: f64 = 1.01;
-/// A weight of this or less is none.
+/// A subset with at most this weight has no usable endpoint.
 const NO_WEIGHT: f64 = 1e-9;
+/// Lower bound of a subset's load, in requests per second, where its weight is divided by it.
 const MIN_LOAD: f64 = 1e-3;
-/// Time between two relocations of one proxy, unless messages are limited within a longer window.
+/// Time between two relocations of one proxy, if the number of messages is not limited.
 const RELOCATION_INTERVAL: Duration = Duration::from_secs(2);
 /// Subsets with fewer warm endpoints than this isolate no class.
 const MIN_ENDPOINTS_TO_ISOLATE: usize = 4;
-/// Loads are compared in thousandths of a request a second.
+/// Loads are compared in whole thousandths of a request per second.
 const LOAD_RESOLUTION: f64 = 1e3;
 
-/// The table of a subset, or the one of its isolated classes.
+/// The number of a subset's table, or that of the table for its isolated classes.
 pub(crate) fn table_of(subset: usize, is_isolated: bool) -> TableId {
     (2 * subset + 1 + usize::from(is_isolated)) as TableId
 }
 
-/// The subset whose table this is.
+/// The index of the subset that a table belongs to.
 pub(crate) fn subset_of(table: TableId) -> usize {
     (usize::from(table) - 1) / 2
 }
@@ -46,9 +47,9 @@
 /// Endpoints and proxies that share a table.
 #[derive(Debug, Default)]
 pub(crate) struct Subset {
-    /// The zone of its proxies, and of its endpoints as long as that zone has enough; `None` for any zone.
+    /// The preferred zone of its proxies and endpoints; `None` for any zone.
     pub zone: Option<ZoneId>,
-    /// Requests a second that arrive at its proxies.
+    /// Requests per second that arrive at its proxies; at least a share of the mean load once subsets are assigned.
     pub load: f64,
     /// The sum of its endpoints' weights.
     pub weight: f64,
@@ -63,11 +64,12 @@
         self.zone.is_some_and(|own| own != zone)
     }
 
-    /// Weight for each request a second.
+    /// Weight per request per second.
     fn weight_per_load(&self) -> f64 {
         self.weight / self.load
     }
 
+    /// Resets all but its zone and its isolated classes.
     fn reset_sums(&mut self) {
         *self = Subset { zone: self.zone, isolated_classes: self.isolated_classes, ..Subset::default() };
     }
@@ -79,8 +81,8 @@
 }
 
 impl Controller {
-    /// Assigns proxies and endpoints to subsets and evens out the subsets' loads: at each tick, and at once where a
-    /// subset lost most of its weight.
+    /// Assigns proxies and endpoints to subsets. Rebalances the subsets at each tick, and at once if a subset lost most
+    /// of its weight.
     pub(crate) fn assign_subsets(&mut self, is_tick: bool) {
         if self.subsets.is_empty() {
             self.create_subsets();
@@ -102,7 +104,7 @@
         self.relocate_orphaned_proxies();
     }
 
-    /// A proxy that connected joins the subset of its zone with the least load, and stays.
+    /// Assigns each newly connected proxy to the subset with the least load, preferably of its zone, where it stays.
     fn assign_proxies(&mut self) {
         for proxy in self.proxies.iter_mut().filter(|proxy| proxy.is_connected) {
             let subsets = &mut self.subsets;
@@ -117,7 +119,7 @@
         }
     }
 
-    /// A new endpoint joins the subset of its zone with the fewest endpoints.
+    /// Assigns each new endpoint to the subset with the fewest endpoints, preferably of its zone.
     fn assign_endpoints(&mut self) {
         for server in 0..self.endpoints.len() {
             let weight = self.weight(server);
@@ -135,39 +137,41 @@
         }
     }
 
-    /// Moves connected proxies whose subset has no endpoint, and is spared none, to the subset with the most weight
-    /// for its load.
+    /// Moves connected proxies whose subset has no endpoint, even after rebalancing, to the subset with the most weight
+    /// per load.
     ///
-    /// It answers a fleet that shrinks below its subsets. It could gather proxies at few endpoints, which admission
-    /// control then limits.
+    /// This is needed when a fleet shrinks to fewer endpoints than subsets. It can concentrate proxies on few
+    /// endpoints; admission control then limits their load.
     fn relocate_orphaned_proxies(&mut self) {
         let interval = self.relocation_interval();
         for proxy in self.proxies.iter_mut().filter(|proxy| proxy.is_connected) {
             let is_orphaned = proxy.subset.is_some_and(|subset| self.subsets[subset].weight <= NO_WEIGHT);
-            let has_moved = proxy.relocated_at.is_some_and(|at| self.now < at + interval);
-            if !is_orphaned || has_moved {
+            let moved_recently = proxy.relocated_at.is_some_and(|at| self.now < at + interval);
+            if !is_orphaned || moved_recently {
                 continue;
             }
             let subsets = &mut self.subsets;
             let with_weight = (0..subsets.len()).filter(|subset| subsets[*subset].weight > NO_WEIGHT);
             let weight_per_load =
                 |subset: &usize| subsets[*subset].weight / subsets[*subset].load.max(MIN_LOAD);
-            let richest = with_weight.max_by(|a, b| weight_per_load(a).total_cmp(&weight_per_load(b)));
-            let Some(richest) = richest else { return };
-            subsets[richest].add_proxy(proxy.total_arrival_rate());
-            proxy.subset = Some(richest);
+            let least_loaded = with_weight.max_by(|a, b| weight_per_load(a).total_cmp(&weight_per_load(b)));
+            let Some(least_loaded) = least_loaded else { return };
+            subsets[least_loaded].add_proxy(proxy.total_arrival_rate());
+            proxy.subset = Some(least_loaded);
             proxy.assigned = None;
             proxy.relocated_at = Some(self.now);
         }
     }
 
-    /// Where messages are limited, a second assignment within the window would be one too many.
+    /// Time between two relocations of one proxy: the window of the message limit, if there is one, as a second
+    /// assignment within it could exceed the limit.
     fn relocation_interval(&self) -> Duration {
         let channel = &self.config.channel;
         channel.message_window.filter(|_| channel.limits_messages()).unwrap_or(RELOCATION_INTERVAL)
     }
 
-    /// Creates as many subsets as the channel needs, of one zone each where every zone's proxies come here.
+    /// Creates as many subsets as the channel needs, each with a preferred zone if proxies of all zones connect to this
+    /// planner.
     pub(crate) fn create_subsets(&mut self) {
         let zones = self.subset_zones();
         let count = self.subset_count(zones);
@@ -176,8 +180,9 @@
         self.subsets = (0..count as usize).map(subset).collect();
     }
 
-    /// The zones that subsets are divided by; 1 where they are not. A planner that may have the proxies of one zone
-    /// alone would have all endpoints in one table again.
+    /// The number of zones that subsets are divided by; 1 for no division. With planners that may serve the proxies
+    /// of one zone alone, subsets are not divided: such a planner's proxies would share one table of all endpoints
+    /// again.
     fn subset_zones(&self) -> f64 {
         let zones = self.config.zone_count.max(1.0);
         let may_have_one_zone = zones < 2.0 * self.config.planner_count;
@@ -188,7 +193,7 @@
         }
     }
 
-    /// Sliced traffic gets no tables yet.
+    /// The number of subsets; 0 for sliced traffic, which gets no tables yet.
     fn subset_count(&self, zones: f64) -> f64 {
         if self.config.slice_count > 0.0 {
             return 0.0;
@@ -204,56 +209,59 @@
         }
     }
 
-    /// Moves endpoints, one by one, to where there is the most load for the weight. A subset without proxies gives
-    /// all of its endpoints.
+    /// Moves endpoints, one by one, from the least loaded subset to the most loaded one. A subset without proxies gives
+    /// away all of its endpoints.
     fn rebalance(&mut self) {
         let mut exhausted = BTreeSet::new();
         for _ in 0..self.endpoints.len() + self.subsets.len() {
-            let Some((poorest, richest)) = self.poorest_and_richest(&exhausted) else { return };
-            match self.endpoint_to_move(poorest, richest) {
+            let Some((most_loaded, least_loaded)) = self.most_and_least_loaded(&exhausted) else { return };
+            match self.endpoint_to_move(most_loaded, least_loaded) {
                 Some((server, weight)) => {
-                    self.endpoints[server].subset = Some(poorest);
-                    self.subsets[richest].weight -= weight;
-                    self.subsets[poorest].weight += weight;
+                    self.endpoints[server].subset = Some(most_loaded);
+                    self.subsets[least_loaded].weight -= weight;
+                    self.subsets[most_loaded].weight += weight;
                 }
-                None => _ = exhausted.insert(richest),
+                None => _ = exhausted.insert(least_loaded),
             }
         }
     }
 
-    /// The subsets with the least and the most weight for their load, unless they are close enough.
-    fn poorest_and_richest(&self, exhausted: &BTreeSet<usize>) -> Option<(usize, usize)> {
+    /// The subset with the least weight per load and the one with the most, unless they are balanced. Subsets in
+    /// `exhausted` can spare no endpoint.
+    fn most_and_least_loaded(&self, exhausted: &BTreeSet<usize>) -> Option<(usize, usize)> {
         let subsets = &self.subsets;
         let by_weight_per_load =
             |a: &usize, b: &usize| subsets[*a].weight_per_load().total_cmp(&subsets[*b].weight_per_load());
         let with_proxies = (0..subsets.len()).filter(|subset| subsets[*subset].proxy_count > 0.0);
-        let may_give = |subset: &usize| subsets[*subset].weight > 0.0 && !exhausted.contains(subset);
-        let poorest = with_proxies.min_by(by_weight_per_load)?;
-        let richest = (0..subsets.len()).filter(may_give).max_by(by_weight_per_load)?;
-        let is_close =
-            subsets[richest].weight_per_load() < subsets[poorest].weight_per_load() * REBALANCE_RATIO;
-        (poorest != richest && !is_close).then_some((poorest, richest))
+        let can_spare = |subset: &usize| subsets[*subset].weight > 0.0 && !exhausted.contains(subset);
+        let most_loaded = with_proxies.min_by(by_weight_per_load)?;
+        let least_loaded = (0..subsets.len()).filter(can_spare).max_by(by_weight_per_load)?;
+        let is_balanced = subsets[least_loaded].weight_per_load()
+            < subsets[most_loaded].weight_per_load() * REBALANCE_RATIO;
+        (most_loaded != least_loaded && !is_balanced).then_some((most_loaded, least_loaded))
     }
 
-    /// An endpoint that the richest subset can spare, with its weight: best one of the poorest subset's zone.
+    /// An endpoint that the least loaded subset can spare, with its weight, preferably one of the most loaded subset's
+    /// zone.
     ///
-    /// Never the last one of a subset with proxies: two subsets would hand it to and fro.
-    fn endpoint_to_move(&self, poorest: usize, richest: usize) -> Option<(ServerId, f64)> {
-        let is_movable =
-            |server: &ServerId| self.endpoints[*server].subset == Some(richest) && self.weight(*server) > 0.0;
+    /// It is never the last endpoint of a subset with proxies, which would move back and forth between two subsets.
+    fn endpoint_to_move(&self, most_loaded: usize, least_loaded: usize) -> Option<(ServerId, f64)> {
+        let is_movable = |server: &ServerId| {
+            self.endpoints[*server].subset == Some(least_loaded) && self.weight(*server) > 0.0
+        };
         let preference = |server: &ServerId| {
             let zone = Some(self.endpoints[*server].zone);
-            (zone != self.subsets[poorest].zone, zone == self.subsets[richest].zone)
+            (zone != self.subsets[most_loaded].zone, zone == self.subsets[least_loaded].zone)
         };
         let server = (0..self.endpoints.len()).filter(is_movable).min_by_key(preference)?;
         let weight = self.weight(server);
-        let from = &self.subsets[richest];
+        let from = &self.subsets[least_loaded];
         let keeps_enough = from.weight > weight * LAST_ENDPOINT_RATIO
-            && (from.weight - weight) / from.load >= self.subsets[poorest].weight_per_load();
+            && (from.weight - weight) / from.load >= self.subsets[most_loaded].weight_per_load();
         (from.proxy_count == 0.0 || keeps_enough).then_some((server, weight))
     }
 
-    /// Isolates classes on a share of each subset's warm endpoints. Subsets that are too small isolate none.
+    /// Isolates classes on a share of the warm endpoints of each subset. Subsets that are too small isolate none.
     pub(crate) fn isolate_classes(&mut self) {
         for subset in 0..self.subsets.len() {
             let in_service = |server: &ServerId| {
@@ -267,7 +275,7 @@
             let is_large_enough = warm.len() >= MIN_ENDPOINTS_TO_ISOLATE;
             let isolated_classes = if is_large_enough { self.admission.isolated_classes } else { 0 };
             self.subsets[subset].isolated_classes = isolated_classes;
-            // The isolated table stays as it is until the last proxy has left it.
+            // The table of isolated classes stays unchanged until no proxy uses it.
             if isolated_classes == 0 && self.isolated_table_is_in_use(subset) {
                 continue;
             }
@@ -282,7 +290,8 @@
         })
     }
 
-    /// The first warm endpoints after one that stays shared, up to the isolated share of the weight.
+    /// Selects endpoints for isolated classes: the first warm ones, up to the isolated share of the weight. The very
+    /// first stays shared.
     fn select_isolated_endpoints(&mut self, subset: usize, warm: &[(ServerId, f64)]) {
         let total_weight = warm.iter().map(|(_, weight)| weight).sum::<f64>();
         let mut remaining = total_weight * self.admission.isolated_share;
