--- a/crates/controller/src/tests.rs
+++ b/crates/controller/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, a file for each module.
+//! Unit tests, one file per module.
 
 mod admission_control;
 mod controller;
--- a/crates/controller/src/tests/admission_control.rs
+++ b/crates/controller/src/tests/admission_control.rs
@@ -8,37 +8,38 @@
 fn limit_goes_to_the_highest_priority_first() {
     let mut controller = rate_limiting_controller(vec![healthy_endpoint(0)]);
     controller.admission.admission_limit = Some(30.0);
-    let levels: Vec<f64> = controller
+    let rates: Vec<f64> = controller
         .class_admissions()
         .into_iter()
-        .filter_map(|ClassAdmission { admission_rate: level, .. }| level)
+        .filter_map(|ClassAdmission { admission_rate: rate, .. }| rate)
         .collect();
-    assert_eq!(levels, [10.0, 24.0]);
+    assert_eq!(rates, [10.0, 24.0]);
 }
 
 #[test]
 fn one_rate_for_all_proxies_limits_the_busy_ones() {
     let mut controller = rate_limiting_controller(vec![healthy_endpoint(0)]);
-    controller.proxies =
-        [5.0, 40.0].map(|pace| Proxy { arrival_rates: vec![0.0, pace], ..proxy(Some(0)) }).into();
+    controller.proxies = [5.0, 40.0]
+        .map(|arrival_rate| Proxy { arrival_rates: vec![0.0, arrival_rate], ..proxy(Some(0)) })
+        .into();
     controller.admission.admission_limit = Some(25.0);
     assert_eq!(controller.class_admissions()[1].admission_rate, Some(20.0));
 }
 
 #[test]
-fn limit_that_cuts_nothing_leaves_room_at_idle_proxies() {
+fn limit_that_rejects_nothing_leaves_room_at_idle_proxies() {
     let mut controller = rate_limiting_controller(vec![healthy_endpoint(0)]);
-    controller.proxies =
-        [0.1, 0.3].map(|pace| Proxy { arrival_rates: vec![pace, pace], ..proxy(Some(0)) }).into();
+    controller.proxies = [0.1, 0.3]
+        .map(|arrival_rate| Proxy { arrival_rates: vec![arrival_rate, arrival_rate], ..proxy(Some(0)) })
+        .into();
     controller.admission.admission_limit = Some(25.0);
-    // Two requests within one second must not be rejected at a fleet with nothing to do.
-    assert!(controller
-        .class_admissions()
-        .iter()
-        .all(|ClassAdmission { admission_rate: level, .. }| level.is_some_and(|l| (2.0..3.0).contains(&l))));
-    // What has to be cut is cut as before.
+    // An idle fleet must not reject two requests that arrive within one second.
+    assert!(controller.class_admissions().iter().all(
+        |ClassAdmission { admission_rate: rate, .. }| rate.is_some_and(|rate| (2.0..3.0).contains(&rate))
+    ));
+    // A limit below the arrival rate rejects requests all the same.
     controller.admission.admission_limit = Some(0.2);
-    assert!(controller.class_admissions()[0].admission_rate.is_some_and(|level| level < 0.3));
+    assert!(controller.class_admissions()[0].admission_rate.is_some_and(|rate| rate < 0.3));
 }
 
 #[test]
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn failures_beside_quick_answers_are_no_overload() {
+fn failures_among_quick_answers_are_no_overload() {
     let mut controller = rate_limiting_controller(vec![healthy_endpoint(0)]);
     controller.admission.shared.attempts = 100.0;
     controller.admission.shared.failures = 40.0;
@@ -101,7 +102,7 @@
     assert_eq!((controller.admission.isolated_classes, controller.admission.admission_limit), (0b01, None));
 }
 
-/// Guards against a shift beyond the bits of a class mask: a panic, or another class isolated in its place.
+/// Guards against a shift beyond the bits of a class mask, which panics or isolates another class.
 #[test]
 fn class_beyond_the_bits_of_a_mask_is_never_isolated() {
     let mut controller = rate_limiting_controller(vec![healthy_endpoint(0)]);
--- a/crates/controller/src/tests/controller.rs
+++ b/crates/controller/src/tests/controller.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn success_ends_a_row_of_failures() {
+fn success_resets_consecutive_failures() {
     let mut controller = controller(vec![Endpoint { consecutive_failures: 9.0, ..healthy_endpoint(0) }]);
     controller.handle_event(&outcome_report(0, 3, 2, seconds(1)), &mut vec![]);
     assert_eq!(controller.endpoints[0].consecutive_failures, 0.0);
@@ -31,30 +31,40 @@
 #[test]
 fn report_on_an_unlisted_endpoint_publishes_nothing() {
     let commands = controller(vec![]).step(NOW, &[outcome_report(3, 5, 5, seconds(1))]);
-    assert!(!commands.iter().any(|o| matches!(o, Command::SetEntry { .. })));
+    assert!(!commands.iter().any(|command| matches!(command, Command::SetEntry { .. })));
 }
 
 #[test]
 fn malformed_events_publish_nothing() {
     let mut controller = Controller::default();
     let start = Event::Start { seed: 1, config: Box::default() };
-    let nobody = Event::EndpointsListed { update: EndpointUpdate::Snapshot, records: vec![] };
-    let joined = Event::ProxyConnected { proxy: 9, zone: 7, request_rate: f64::NAN, has_no_table: false };
-    let probed = Event::HealthChecked {
+    let empty_snapshot = Event::EndpointsListed { update: EndpointUpdate::Snapshot, records: vec![] };
+    let connected = Event::ProxyConnected { proxy: 9, zone: 7, request_rate: f64::NAN, has_no_table: false };
+    let checked = Event::HealthChecked {
         server: 40,
         result: HealthCheckResult::Timeout,
         elapsed: seconds(1),
         load: vec![f64::NAN],
     };
-    let came = Event::ArrivalReport { proxy: 3, class: 6, requests: 5, unanswered: 0, window: seconds(0) };
-    let left = Event::ProxyDisconnected { proxy: 12 };
-    let applied = Event::UpdateAcknowledged { proxy: 12, ack_token: 7, elapsed: seconds(0) };
-    let woken = Event::TimerFired { token: 1 };
+    let arrivals =
+        Event::ArrivalReport { proxy: 3, class: 6, requests: 5, unanswered: 0, window: seconds(0) };
+    let disconnected = Event::ProxyDisconnected { proxy: 12 };
+    let acknowledged = Event::UpdateAcknowledged { proxy: 12, ack_token: 7, elapsed: seconds(0) };
+    let timer = Event::TimerFired { token: 1 };
     controller.step(
         seconds(1),
-        &[start, nobody, joined, probed, came, left, applied, outcome_report(33, 2, 5, seconds(0))],
+        &[
+            start,
+            empty_snapshot,
+            connected,
+            checked,
+            arrivals,
+            disconnected,
+            acknowledged,
+            outcome_report(33, 2, 5, seconds(0)),
+        ],
     );
-    let commands = controller.step(seconds(2), &[woken]);
+    let commands = controller.step(seconds(2), &[timer]);
     assert!(commands.iter().all(|command| matches!(command, Command::SetTimer { .. })), "{commands:?}");
 }
 
@@ -69,18 +79,18 @@
 }
 
 #[test]
-fn endpoint_is_released_once_off_the_list_and_out_of_tables() {
-    let gone = Endpoint { health: Unknown, ..healthy_endpoint(0) };
-    let still = Endpoint { published: Some(TableEntry { table: 1, weight: 1.0 }), ..Endpoint::default() };
-    let controller = controller(vec![healthy_endpoint(0), gone, still]);
-    assert_eq!([0, 1, 2, 9].map(|s| controller.is_unused(s)), [false, true, false, true]);
+fn endpoint_is_unused_once_off_the_list_and_out_of_tables() {
+    let unlisted = Endpoint { health: Unknown, ..healthy_endpoint(0) };
+    let published = Endpoint { published: Some(TableEntry { table: 1, weight: 1.0 }), ..Endpoint::default() };
+    let controller = controller(vec![healthy_endpoint(0), unlisted, published]);
+    assert_eq!([0, 1, 2, 9].map(|server| controller.is_unused(server)), [false, true, false, true]);
 }
 
 #[test]
 fn released_index_starts_a_new_endpoint() {
-    let held =
+    let previous =
         Endpoint { health: Unknown, speed_factor: 0.4, ejections: [NOW, NOW].into(), ..healthy_endpoint(0) };
-    let mut controller = controller(vec![healthy_endpoint(0), held]);
+    let mut controller = controller(vec![healthy_endpoint(0), previous]);
     controller.handle_event(&Event::ServerReleased { server: 1 }, &mut vec![]);
     let (zone, kind, cell, state) = (0, 0, 0, ListedState::Ready);
     let record = EndpointRecord { server: 1, zone, kind, cell, state, weight: 2.0, started: Some(NOW) };
--- a/crates/controller/src/tests/endpoint_list.rs
+++ b/crates/controller/src/tests/endpoint_list.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn missing_endpoint_stays_in_service_while_it_answers() {
-    let mut controller = controller_with_doubtful_list(healthy_endpoint(0));
+    let mut controller = controller_with_unreliable_list(healthy_endpoint(0));
     controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Removed, None)]);
     controller.detect_outliers(&mut vec![]);
     assert_eq!(health_states(&controller)[0], Healthy);
@@ -41,7 +41,7 @@
 
 #[test]
 fn endpoint_that_answered_all_along_is_verified() {
-    let mut controller = controller_with_doubtful_list(Endpoint {
+    let mut controller = controller_with_unreliable_list(Endpoint {
         configured_weight: 0.0,
         health: Unknown,
         ..healthy_endpoint(0)
@@ -52,7 +52,7 @@
 
 #[test]
 fn draining_endpoint_stays_out_of_service() {
-    let mut controller = controller_with_doubtful_list(healthy_endpoint(0));
+    let mut controller = controller_with_unreliable_list(healthy_endpoint(0));
     controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Draining, None)]);
     controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Removed, None)]);
     assert_eq!(health_states(&controller)[0], Unknown);
@@ -60,7 +60,7 @@
 
 #[test]
 fn unverified_endpoint_is_removed_at_its_first_failure() {
-    let mut controller = controller_with_doubtful_list(Endpoint::default());
+    let mut controller = controller_with_unreliable_list(Endpoint::default());
     controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Ready, None)]);
     controller.endpoints[0].consecutive_failures = 1.0;
     controller.detect_outliers(&mut vec![]);
@@ -74,7 +74,7 @@
     assert_eq!(health_states(&controller), [Healthy]);
 }
 
-/// Guards against an endpoint without a weight: it was on the list only as draining before, and so had no speed.
+/// Guards against a ready endpoint without a weight: it was listed only as draining before, so its speed factor was 0.
 #[test]
 fn endpoint_that_was_first_listed_as_draining_gets_a_weight_once_it_is_ready() {
     for only_draining_binds in [true, false] {
@@ -86,22 +86,26 @@
         controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Ready)]);
         assert_eq!(health_states(&controller)[1], SlowStart);
         assert!(controller.weight(1) > 0.0, "{only_draining_binds}");
-        assert_eq!(controller.endpoints[1].last_success, NOW, "its silence begins now");
+        assert_eq!(
+            controller.endpoints[1].last_success, NOW,
+            "time without a success counts from the start of service"
+        );
     }
 }
 
-/// Guards against an endpoint that stays in service with the weight and zone of its removal, which may name none.
+/// Guards against an endpoint that stays in service with the weight and zone of the record of its removal, which may
+/// lack both.
 #[test]
 fn missing_endpoint_keeps_its_weight_zone_and_kind() {
     let endpoint = Endpoint { configured_weight: 4.0, kind: 2, ..healthy_endpoint(1) };
-    let mut controller = controller_with_doubtful_list(endpoint);
+    let mut controller = controller_with_unreliable_list(endpoint);
     controller.update_endpoints(EndpointUpdate::Delta, &[record(ListedState::Removed, None)]);
     let endpoint = &controller.endpoints[0];
     assert!(endpoint.missing_from_list && endpoint.is_in_service());
     assert_eq!((endpoint.configured_weight, endpoint.zone, endpoint.kind), (4.0, 1, 2));
 }
 
-/// Guards against a first list whose endpoints are all unverified, since a report came before it.
+/// Guards against a first list whose endpoints are all unverified because a report arrived before it.
 #[test]
 fn endpoints_of_the_first_list_are_warm_though_a_report_came_before() {
     let mut controller = controller(vec![]);
--- a/crates/controller/src/tests/outlier_detection.rs
+++ b/crates/controller/src/tests/outlier_detection.rs
@@ -17,28 +17,28 @@
 }
 
 #[test]
-fn row_of_failures_with_a_recent_success_does_not_eject() {
-    let full = Endpoint {
+fn consecutive_failures_with_a_recent_success_do_not_eject() {
+    let overloaded = Endpoint {
         consecutive_failures: 6.0,
         failures: 6.0,
         last_success: NOW - seconds(1),
         ..healthy_endpoint(0)
     };
-    let mut controller = controller(vec![full, healthy_endpoint(0), healthy_endpoint(0)]);
+    let mut controller = controller(vec![overloaded, healthy_endpoint(0), healthy_endpoint(0)]);
     controller.detect_outliers(&mut vec![]);
     assert_eq!(health_states(&controller)[0], Healthy);
 }
 
 #[test]
-fn row_of_failures_counts_less_when_most_endpoints_fail() {
-    let suffering = || Endpoint { failures: 10.0, ..healthy_endpoint(0) };
-    let row = Endpoint {
+fn consecutive_failures_count_less_when_most_endpoints_fail() {
+    let failing = || Endpoint { failures: 10.0, ..healthy_endpoint(0) };
+    let suspect = Endpoint {
         consecutive_failures: 6.0,
         failures: 14.0,
         last_success: NOW - seconds(3),
         ..healthy_endpoint(0)
     };
-    let mut controller = controller(vec![row, suffering(), suffering()]);
+    let mut controller = controller(vec![suspect, failing(), failing()]);
     controller.detect_outliers(&mut vec![]);
     assert_eq!(health_states(&controller)[0], Healthy);
 }
@@ -62,28 +62,28 @@
 
 #[test]
 fn high_failure_rate_ejects() {
-    let sick = Endpoint { failures: 14.0, ..healthy_endpoint(0) };
+    let failing = Endpoint { failures: 14.0, ..healthy_endpoint(0) };
     let mut controller =
-        controller(vec![sick, healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
+        controller(vec![failing, healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
     controller.detect_outliers(&mut vec![]);
     assert_eq!(health_states(&controller)[0], Ejected);
 }
 
 #[test]
 fn failure_rate_of_few_attempts_does_not_eject() {
-    let hardly_met = Endpoint { attempts: 12.0, failures: 11.0, ..healthy_endpoint(0) };
+    let rarely_tried = Endpoint { attempts: 12.0, failures: 11.0, ..healthy_endpoint(0) };
     let mut controller =
-        controller(vec![hardly_met, healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
+        controller(vec![rarely_tried, healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
     controller.detect_outliers(&mut vec![]);
     assert_eq!(health_states(&controller)[0], Healthy);
 }
 
 #[test]
 fn failing_slow_endpoint_loses_half_of_its_weight() {
-    let mut full = Endpoint { failures: 14.0, ..healthy_endpoint(0) };
-    full.latencies.add(3.0, 5.0);
+    let mut overloaded = Endpoint { failures: 14.0, ..healthy_endpoint(0) };
+    overloaded.latencies.add(3.0, 5.0);
     let mut controller =
-        controller(vec![full, healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
+        controller(vec![overloaded, healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
     controller.config = DeploymentConfig { classes: classes(&[(1.0, 1.0)]), ..DeploymentConfig::default() };
     controller.detect_outliers(&mut vec![]);
     assert!(controller.endpoints[0].is_weight_halved && controller.endpoints[0].health == Healthy);
@@ -91,39 +91,39 @@
 
 #[test]
 fn mostly_failing_zone_is_halved_and_stays() {
-    let sick = || Endpoint { failures: 14.0, ..healthy_endpoint(1) };
+    let failing = || Endpoint { failures: 14.0, ..healthy_endpoint(1) };
     let mut controller =
-        controller(vec![sick(), sick(), healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
+        controller(vec![failing(), failing(), healthy_endpoint(0), healthy_endpoint(0), healthy_endpoint(0)]);
     controller.detect_outliers(&mut vec![]);
     assert!(controller.endpoints[0].is_weight_halved && controller.endpoints[0].health == Healthy);
 }
 
 #[test]
 fn isolated_endpoint_is_not_ejected_for_failures() {
-    let full = Endpoint {
+    let overloaded = Endpoint {
         consecutive_failures: 60.0,
         failures: 19.0,
         is_isolated: true,
         last_success: NOW - seconds(9),
         ..healthy_endpoint(0)
     };
-    let mut controller = controller(vec![full, healthy_endpoint(0), healthy_endpoint(0)]);
+    let mut controller = controller(vec![overloaded, healthy_endpoint(0), healthy_endpoint(0)]);
     controller.detect_outliers(&mut vec![]);
     assert_eq!(health_states(&controller)[0], Healthy);
 }
 
 #[test]
 fn third_ejection_within_a_minute_is_long() {
-    let twice = [NOW - seconds(40), NOW - seconds(20)].into();
-    let mut controller = controller(vec![Endpoint { ejections: twice, ..healthy_endpoint(0) }]);
+    let ejections = [NOW - seconds(40), NOW - seconds(20)].into();
+    let mut controller = controller(vec![Endpoint { ejections, ..healthy_endpoint(0) }]);
     controller.eject(0, true, &mut vec![]);
     assert_eq!(health_states(&controller), [LongEjected]);
 }
 
 #[test]
 fn probation_takes_ten_seconds() {
-    let out = |health_since| Endpoint { health: Probation, health_since, ..healthy_endpoint(0) };
-    let mut controller = controller(vec![out(NOW - seconds(9)), out(NOW - seconds(10))]);
+    let in_probation = |health_since| Endpoint { health: Probation, health_since, ..healthy_endpoint(0) };
+    let mut controller = controller(vec![in_probation(NOW - seconds(9)), in_probation(NOW - seconds(10))]);
     controller.detect_outliers(&mut vec![]);
     assert_eq!(health_states(&controller), [Probation, SlowStart]);
 }
--- a/crates/controller/src/tests/panic_threshold.rs
+++ b/crates/controller/src/tests/panic_threshold.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn ejected_endpoints_of_a_zone_below_half_return() {
-    let out = || Endpoint { health: Ejected, health_since: NOW - seconds(6), ..healthy_endpoint(0) };
+    let ejected = || Endpoint { health: Ejected, health_since: NOW - seconds(6), ..healthy_endpoint(0) };
     let mut controller =
-        controller(vec![out(), out(), healthy_endpoint(0), healthy_endpoint(1), healthy_endpoint(1)]);
+        controller(vec![ejected(), ejected(), healthy_endpoint(0), healthy_endpoint(1), healthy_endpoint(1)]);
     controller.apply_panic_threshold();
     assert_eq!(health_states(&controller)[..2], [SlowStart, SlowStart]);
 }
--- a/crates/controller/src/tests/publication.rs
+++ b/crates/controller/src/tests/publication.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn previous_tables_are_kept_under_a_stale_list() {
-    let mut controller = controller_with_doubtful_list(healthy_endpoint(0));
+    let mut controller = controller_with_unreliable_list(healthy_endpoint(0));
     controller.proxies = vec![Proxy { has_previous_table: true, ..proxy(None) }];
     (controller.admission.list_is_stale, controller.admission.ticks_with_reports) = (true, 9);
     let window = UpdateWindow {
@@ -29,16 +29,16 @@
 
 #[test]
 fn removals_are_published_first() {
-    let gone = Endpoint {
+    let draining = Endpoint {
         health: Draining,
         published: Some(TableEntry { table: 1, weight: 1.0 }),
         ..healthy_endpoint(0)
     };
-    let mut controller = controller(vec![healthy_endpoint(0), gone]);
+    let mut controller = controller(vec![healthy_endpoint(0), draining]);
     controller.proxies = vec![proxy(Some(0))];
-    let out = Command::SetEntry { table: 1, server: 1, weight: 0.0 };
+    let removal = Command::SetEntry { table: 1, server: 1, weight: 0.0 };
     assert!(
-        matches!(&publish_all(&mut controller)[..2], [first, Command::SetEntry { server: 0, .. }] if *first == out)
+        matches!(&publish_all(&mut controller)[..2], [first, Command::SetEntry { server: 0, .. }] if *first == removal)
     );
 }
 
@@ -50,32 +50,32 @@
     controller.endpoints[0].health = Draining;
     controller.publish(false, &mut vec![]);
     let subset = controller.endpoints[0].subset;
-    let awaited = &controller.channel.in_flight[0].pending_acks;
-    assert!(!awaited.is_empty() && awaited.iter().all(|p| controller.proxies[*p].subset == subset));
+    let pending_acks = &controller.channel.in_flight[0].pending_acks;
+    assert!(!pending_acks.is_empty() && pending_acks.iter().all(|p| controller.proxies[*p].subset == subset));
 }
 
 #[test]
 fn rejected_commands_are_issued_again() {
     let mut controller = controller(vec![healthy_endpoint(0), healthy_endpoint(0)]);
     controller.proxies = vec![proxy(None)];
-    let lost = |command: &Command| {
+    let is_rejected = |command: &Command| {
         matches!(command, Command::SetEntry { server: 1, .. } | Command::AssignTable { .. })
     };
-    let first: Vec<Command> = publish_all(&mut controller).into_iter().filter(lost).collect();
+    let first: Vec<Command> = publish_all(&mut controller).into_iter().filter(is_rejected).collect();
     for command in &first {
         controller.handle_event(
             &Event::CommandRejected { command: command.clone(), published_weight: None },
             &mut vec![],
         );
     }
-    let again: Vec<Command> = publish_all(&mut controller).into_iter().filter(lost).collect();
-    assert!(first.len() == 2 && again == first, "{again:?}");
+    let reissued: Vec<Command> = publish_all(&mut controller).into_iter().filter(is_rejected).collect();
+    assert!(first.len() == 2 && reissued == first, "{reissued:?}");
 }
 
 /// Guards against an entry that stays in proxies' tables after its endpoint drains: its move to another table was
-/// rejected.
+/// rejected, and the controller forgot the entry in the old table.
 #[test]
-fn entry_whose_move_was_rejected_is_still_known_in_the_old_table() {
+fn entry_whose_move_was_rejected_is_still_published_in_the_old_table() {
     let old = TableEntry { table: 1, weight: 0.5 };
     let moves = [
         (Command::SetEntry { table: 1, server: 0, weight: 0.0 }, Some(0.5)),
@@ -99,9 +99,9 @@
     controller.proxies = vec![proxy(None)];
     let commands = publish_all(&mut controller);
     for classes in [0, 1] {
-        assert!(commands
-            .iter()
-            .any(|o| matches!(o, Command::AssignTable { class_mask: c, .. } if *c == classes)));
+        assert!(commands.iter().any(
+            |command| matches!(command, Command::AssignTable { class_mask: mask, .. } if *mask == classes)
+        ));
     }
 }
 
@@ -116,23 +116,19 @@
 fn nothing_is_published_into_a_full_channel() {
     let mut controller = controller(vec![healthy_endpoint(0)]);
     controller.proxies = vec![proxy(Some(0))];
-    let awaited = BTreeSet::from([0]);
-    controller.channel.in_flight.push_back(InFlightUpdate {
-        ack_token: 9,
-        entries: 1999.0,
-        pending_acks: awaited,
-    });
+    let pending_acks = BTreeSet::from([0]);
+    controller.channel.in_flight.push_back(InFlightUpdate { ack_token: 9, entries: 1999.0, pending_acks });
     assert_eq!(publish_all(&mut controller), vec![]);
 }
 
 #[test]
 fn limited_messages_go_out_at_even_intervals() {
-    let drain = Endpoint {
+    let draining = Endpoint {
         health: Draining,
         published: Some(TableEntry { table: 1, weight: 1.0 }),
         ..healthy_endpoint(0)
     };
-    let mut controller = controller(vec![healthy_endpoint(0), drain]);
+    let mut controller = controller(vec![healthy_endpoint(0), draining]);
     controller.config.channel.message_limit = 12.0;
     controller.proxies = vec![proxy(Some(0))];
     controller.channel.last_update = NOW - Duration::from_millis(900);
@@ -152,10 +148,12 @@
             .collect(),
     );
     controller.proxies = (0..100).map(|_| proxy(None)).collect();
-    let binds =
-        publish_all(&mut controller).iter().filter(|o| matches!(o, Command::AssignTable { .. })).count();
-    // 1,100 entries, where there is room for 1,500.
-    assert_eq!(binds, 100);
+    let assignments = publish_all(&mut controller)
+        .iter()
+        .filter(|command| matches!(command, Command::AssignTable { .. }))
+        .count();
+    // They need 1,100 entries; there is room for 1,500.
+    assert_eq!(assignments, 100);
 }
 
 #[test]
@@ -172,43 +170,46 @@
         controller.proxies = (0..100).map(|_| proxy(assigned)).collect();
         let pending_acks = BTreeSet::from([0]);
         controller.channel.in_flight.push_back(InFlightUpdate { ack_token: 9, entries, pending_acks });
-        publish_all(&mut controller).iter().filter(|o| matches!(o, Command::AssignTable { .. })).count()
+        publish_all(&mut controller)
+            .iter()
+            .filter(|command| matches!(command, Command::AssignTable { .. }))
+            .count()
     };
-    // Of 4,000 entries 500 are the messages' overhead; an assignment takes eleven.
+    // The queue has 4,000 entries, of which 500 are message overhead; an assignment needs eleven.
     assert_eq!(assignments(1500.0, None), 1000 / 11);
     assert_eq!(assignments(2400.0, None), 100 / 11);
     assert_eq!(assignments(2500.0, None), 0);
-    // Those that only change sides have the table of before meanwhile.
+    // Proxies that are reassigned keep their table meanwhile, and may not use the reserve.
     assert_eq!(assignments(1500.0, Some(1)), 0);
 }
 
 #[test]
-fn alternating_isolation_keeps_to_the_message_limit() {
+fn alternating_isolation_stays_within_the_message_limit() {
     let mut controller = controller((0..4).map(|_| healthy_endpoint(0)).collect());
     controller.config.channel.message_limit = 10.0;
     controller.config.channel.message_window = Some(seconds(10));
     controller.config.classes = classes(&[(1.0, 1.0), (1.0, 1.0)]);
     controller.proxies = vec![Proxy { arrival_rates: vec![1.0, 1.0], ..proxy(None) }];
     (controller.admission.isolated_classes, controller.admission.isolated_share) = (2, 0.3);
-    let mut sides = BTreeSet::new();
+    let mut assigned_classes = BTreeSet::new();
     let messages = (0..40).filter(|k| {
         controller.now += Duration::from_millis(250);
-        // A small subset that has four endpoints at one evaluation and three at the next.
+        // The subset alternates between four endpoints, which suffice to isolate classes, and three.
         controller.endpoints[3].health = if k % 2 == 0 { Healthy } else { Ejected };
         let commands = publish_all(&mut controller);
-        sides.extend(controller.proxies[0].assigned);
-        commands.iter().any(|o| matches!(o, Command::RequestAck { .. }))
+        assigned_classes.extend(controller.proxies[0].assigned);
+        commands.iter().any(|command| matches!(command, Command::RequestAck { .. }))
     });
     assert!((3..=10).contains(&messages.count()));
-    assert_eq!(sides, BTreeSet::from([0, 2]), "they do part and join");
+    assert_eq!(assigned_classes, BTreeSet::from([0, 2]), "the classes are isolated and joined again");
 }
 
-/// Guards against proxies that get no table at all, and operators who are not told, where the overhead of messages to
-/// all proxies is more than the queue holds.
+/// Guards against proxies that never get a table, without a report to the operators: the overhead of messages to all
+/// proxies exceeds the queue, so nothing could ever be published.
 #[test]
 fn first_tables_go_out_though_the_overhead_of_all_messages_exceeds_the_queue() {
     let mut controller = controller((0..10).map(|_| healthy_endpoint(0)).collect());
-    // A message costs five entries beside its own; the queue holds 4,000.
+    // A message has an overhead of five entries; the queue holds 4,000.
     controller.proxies = (0..1000).map(|_| proxy(None)).collect();
     let (mut shortages, mut is_assigned) = (0, BTreeSet::new());
     for _ in 0..20 {
@@ -221,13 +222,13 @@
             }
         }
         assert!(controller.channel.queued_entries() <= 3000.0, "a part of the queue stays free");
-        // All of them acknowledge.
+        // All proxies acknowledge.
         controller.channel.in_flight.clear();
     }
     assert_eq!((is_assigned.len(), shortages), (1000, 1));
 }
 
-/// With tables for few proxies each, changes fit too, and reach all of them within the queue.
+/// Changes to tables of few proxies each fit into a queue that cannot hold the overhead of messages to all proxies.
 #[test]
 fn changes_go_out_table_by_table_though_the_overhead_of_all_messages_exceeds_the_queue() {
     let mut controller = large_fleet();
@@ -240,13 +241,13 @@
         controller.channel.in_flight.clear();
     }
     assert!(controller.proxies.iter().all(|proxy| proxy.assigned.is_some()), "{count} proxies");
-    let gone =
+    let draining =
         (0..controller.endpoints.len()).find(|s| controller.endpoints[*s].published.is_some()).unwrap();
-    controller.endpoints[gone].health = Draining;
+    controller.endpoints[draining].health = Draining;
     for _ in 0..20 {
         publish_all(&mut controller);
         assert!(controller.channel.queued_entries() <= 75.0);
         controller.channel.in_flight.clear();
     }
-    assert_eq!(controller.endpoints[gone].published, None);
+    assert_eq!(controller.endpoints[draining].published, None);
 }
--- a/crates/controller/src/tests/subsetting.rs
+++ b/crates/controller/src/tests/subsetting.rs
@@ -9,7 +9,7 @@
 #[test]
 fn isolation_takes_neither_cold_nor_all_endpoints() {
     let mut controller = controller(vec![
-        cold(1),
+        cold_endpoint(1),
         healthy_endpoint(0),
         healthy_endpoint(0),
         healthy_endpoint(0),
@@ -17,7 +17,7 @@
     ]);
     (controller.admission.isolated_classes, controller.admission.isolated_share) = (1, 1.0);
     controller.isolate_classes();
-    let isolated: Vec<bool> = controller.endpoints.iter().map(|n| n.is_isolated).collect();
+    let isolated: Vec<bool> = controller.endpoints.iter().map(|endpoint| endpoint.is_isolated).collect();
     assert_eq!(isolated, [false, false, true, true, true]);
 }
 
@@ -39,7 +39,8 @@
     (controller.admission.isolated_classes, controller.admission.isolated_share) = (1, 0.5);
     controller.isolate_classes();
     assert!(
-        controller.subsets[0].isolated_classes == 0 && !controller.endpoints.iter().any(|n| n.is_isolated)
+        controller.subsets[0].isolated_classes == 0
+            && !controller.endpoints.iter().any(|endpoint| endpoint.is_isolated)
     );
 }
 
@@ -48,46 +49,67 @@
     let mut controller = large_fleet();
     controller.assign_subsets(true);
     assert_eq!(controller.subsets.len(), 6);
-    let of = |p: &Proxy| controller.subsets[p.subset.unwrap()].zone == Some(p.zone);
-    assert!(controller.proxies.iter().all(of));
+    let is_in_own_zone = |p: &Proxy| controller.subsets[p.subset.unwrap()].zone == Some(p.zone);
+    assert!(controller.proxies.iter().all(is_in_own_zone));
 }
 
 #[test]
-fn endpoints_follow_the_load() {
+fn endpoints_are_distributed_by_load() {
     let mut controller = large_fleet();
     controller.proxies.iter_mut().filter(|p| p.zone == 0).for_each(|p| p.arrival_rates = vec![60.0]);
     controller.assign_subsets(true);
-    let plenty: Vec<f64> = controller.subsets.iter().map(|g| g.weight / g.load).collect();
-    assert!(plenty.iter().all(|one| plenty.iter().all(|other| *one < 1.35 * other)), "{plenty:?}");
+    let weights_per_load: Vec<f64> =
+        controller.subsets.iter().map(|subset| subset.weight / subset.load).collect();
+    assert!(
+        weights_per_load.iter().all(|one| weights_per_load.iter().all(|other| *one < 1.35 * other)),
+        "{weights_per_load:?}"
+    );
 }
 
 #[test]
 fn subset_that_lost_its_endpoints_gets_others_at_once() {
     let mut controller = large_fleet();
     controller.assign_subsets(true);
-    controller.endpoints.iter_mut().filter(|n| n.zone == 1).for_each(|n| n.health = Ejected);
+    controller
+        .endpoints
+        .iter_mut()
+        .filter(|endpoint| endpoint.zone == 1)
+        .for_each(|endpoint| endpoint.health = Ejected);
     controller.assign_subsets(false);
-    assert!(controller.subsets.iter().all(|g| g.weight > 0.0));
+    assert!(controller.subsets.iter().all(|subset| subset.weight > 0.0));
 }
 
 #[test]
-fn subset_without_proxies_gives_its_endpoints() {
+fn subset_without_proxies_gives_away_its_endpoints() {
     let mut controller = large_fleet();
     controller.assign_subsets(true);
-    controller.endpoints.iter_mut().filter(|n| n.zone == 1).for_each(|n| n.health = Ejected);
+    controller
+        .endpoints
+        .iter_mut()
+        .filter(|endpoint| endpoint.zone == 1)
+        .for_each(|endpoint| endpoint.health = Ejected);
     controller.proxies.iter_mut().filter(|p| p.zone == 0).for_each(|p| p.is_connected = false);
     controller.assign_subsets(true);
-    assert!(controller.subsets.iter().all(|g| (g.proxy_count > 0.0) == (g.weight > 1e-9)));
+    assert!(controller.subsets.iter().all(|subset| (subset.proxy_count > 0.0) == (subset.weight > 1e-9)));
 }
 
 #[test]
-fn subset_that_can_spare_none_does_not_stop_others() {
+fn subset_that_can_spare_no_endpoint_does_not_stop_rebalancing() {
     let mut controller = large_fleet();
     controller.assign_subsets(true);
-    // One endpoint is more than enough for its subset; another subset has none.
+    // Subset 0 has one endpoint, more than it needs, and cannot spare it; subset 4 has none.
     controller.proxies.iter_mut().filter(|p| p.subset == Some(0)).for_each(|p| p.arrival_rates = vec![1e-3]);
-    controller.endpoints.iter_mut().filter(|n| n.subset == Some(0)).skip(1).for_each(|n| n.subset = Some(1));
-    controller.endpoints.iter_mut().filter(|n| n.subset == Some(4)).for_each(|n| n.subset = Some(1));
+    controller
+        .endpoints
+        .iter_mut()
+        .filter(|endpoint| endpoint.subset == Some(0))
+        .skip(1)
+        .for_each(|endpoint| endpoint.subset = Some(1));
+    controller
+        .endpoints
+        .iter_mut()
+        .filter(|endpoint| endpoint.subset == Some(4))
+        .for_each(|endpoint| endpoint.subset = Some(1));
     controller.assign_subsets(false);
     assert!(controller.subsets[4].weight > 0.0);
 }
@@ -96,24 +118,25 @@
 fn orphaned_proxies_move_to_subsets_with_endpoints() {
     let mut controller = large_fleet();
     publish_all(&mut controller);
-    controller.endpoints.iter_mut().skip(2).for_each(|n| n.health = Draining);
+    controller.endpoints.iter_mut().skip(2).for_each(|endpoint| endpoint.health = Draining);
     controller.channel = UpdateChannel::default();
     let commands = publish_all(&mut controller);
-    let held = |p: &Proxy| controller.subsets[p.subset.unwrap()].weight > 0.5 && p.assigned == Some(0);
-    assert!(controller.proxies.iter().all(held));
-    let binds = commands.iter().filter(|o| matches!(o, Command::AssignTable { .. })).count();
-    assert!((20..30).contains(&binds), "{binds}");
+    let is_served = |p: &Proxy| controller.subsets[p.subset.unwrap()].weight > 0.5 && p.assigned == Some(0);
+    assert!(controller.proxies.iter().all(is_served));
+    let assignments =
+        commands.iter().filter(|command| matches!(command, Command::AssignTable { .. })).count();
+    assert!((20..30).contains(&assignments), "{assignments}");
 }
 
 #[test]
 fn last_endpoint_does_not_alternate_between_subsets() {
     let mut controller = large_fleet();
     controller.assign_subsets(true);
-    controller.endpoints.iter_mut().skip(1).for_each(|n| n.health = Draining);
+    controller.endpoints.iter_mut().skip(1).for_each(|endpoint| endpoint.health = Draining);
     controller.assign_subsets(false);
-    let home = controller.endpoints[0].subset;
+    let subset = controller.endpoints[0].subset;
     controller.assign_subsets(true);
-    assert_eq!(controller.endpoints[0].subset, home);
+    assert_eq!(controller.endpoints[0].subset, subset);
 }
 
 #[test]
@@ -126,7 +149,7 @@
 }
 
 #[test]
-fn subsets_keep_to_a_zone_unless_a_planner_may_have_one_alone() {
+fn subsets_have_a_zone_unless_a_planner_may_serve_one_zone_alone() {
     let zones = |planners: f64| {
         let mut controller =
             controller((0..40).map(|k| Endpoint { subset: None, ..healthy_endpoint(k % 4) }).collect());
@@ -140,7 +163,7 @@
             ..DeploymentConfig::default()
         };
         controller.create_subsets();
-        controller.subsets.iter().map(|g| g.zone).collect::<Vec<_>>()
+        controller.subsets.iter().map(|subset| subset.zone).collect::<Vec<_>>()
     };
     assert_eq!(zones(2.0), [Some(0), Some(1), Some(2), Some(3)]);
     assert_eq!(zones(4.0), [None; 4]);
--- a/crates/controller/src/tests/support.rs
+++ b/crates/controller/src/tests/support.rs
@@ -1,4 +1,4 @@
-//! Endpoints, proxies and controllers in the states that the tests start from.
+//! Fixtures: endpoints, proxies and controllers in the initial states of the tests.
 
 use crate::admission_control::AdmissionController;
 use crate::config::{AdmissionKind, ChannelConfig, SlowStartConfig, TrafficClass};
@@ -28,13 +28,13 @@
     all.iter().map(class).collect()
 }
 
-/// A configuration whose endpoints warm up as given.
-pub(super) fn warming(initial_capacity: f64, warm_up_seconds: f64) -> DeploymentConfig {
+/// A configuration with this initial capacity (0 to 1) and warm-up time.
+pub(super) fn warm_up_config(initial_capacity: f64, warm_up_seconds: f64) -> DeploymentConfig {
     let slow_start = SlowStartConfig { initial_capacity, warm_up_seconds, overload_multiple: None };
     DeploymentConfig { slow_start, ..DeploymentConfig::default() }
 }
 
-/// An endpoint in full service with a success just now.
+/// A healthy endpoint of the first subset, with full weight and a success at [`NOW`].
 pub(super) fn healthy_endpoint(zone: usize) -> Endpoint {
     let (configured_weight, speed_factor, health, subset) = (1.0, 1.0, Healthy, Some(0));
     Endpoint {
@@ -57,7 +57,7 @@
     let config = DeploymentConfig { channel, ..DeploymentConfig::default() };
     let (subsets, random) = (vec![Subset::default()], Some(WyRand::new_seed(1)));
     let admission = AdmissionController { ticks_with_reports: 9, ..AdmissionController::default() };
-    // Endpoints that are there were listed.
+    // Endpoints that exist were listed.
     let has_listed_endpoints = !endpoints.is_empty();
     Controller {
         now: NOW,
@@ -81,7 +81,7 @@
     Event::OutcomeReport { zone: 0, server, attempts, failures, mean_latency, window, load: vec![] }
 }
 
-/// All that a tick publishes.
+/// Assigns subsets and publishes as at a tick, and returns the commands.
 pub(super) fn publish_all(controller: &mut Controller) -> Vec<Command> {
     let mut commands = Vec::new();
     controller.assign_subsets(true);
@@ -98,8 +98,8 @@
     controller.endpoints.iter().map(|endpoint| endpoint.health).collect()
 }
 
-/// An endpoint that started `age` seconds ago.
-pub(super) fn cold(age: u64) -> Endpoint {
+/// A healthy endpoint that started `age` seconds ago and was published with little weight.
+pub(super) fn cold_endpoint(age: u64) -> Endpoint {
     Endpoint {
         started_at: Some(NOW - seconds(age)),
         published: Some(TableEntry { table: 1, weight: 0.1 }),
@@ -141,8 +141,8 @@
     endpoint
 }
 
-/// A controller whose list may miss endpoints, with one endpoint beside two healthy ones.
-pub(super) fn controller_with_doubtful_list(endpoint: Endpoint) -> Controller {
+/// A controller with a list that may lack endpoints, with the given endpoint and two healthy ones.
+pub(super) fn controller_with_unreliable_list(endpoint: Endpoint) -> Controller {
     let mut controller = controller(vec![endpoint, healthy_endpoint(0), healthy_endpoint(0)]);
     controller.config.endpoint_list.only_draining_binds = true;
     controller
