--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Records that a rejected command did not go out, so that the next evaluation issues it again if it is still
+    /// Records that a rejected command was not carried out, so that the next evaluation issues it again if it is still
     /// wanted. It does not trigger an evaluation: the same command could be issued and rejected in an endless loop.
     fn revert(&mut self, command: &Command, published_weight: Option<f64>) {
         match command {
--- a/crates/controller/src/outlier_detection.rs
+++ b/crates/controller/src/outlier_detection.rs
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Ejects the endpoint, for a longer time if it was ejected repeatedly of late.
+    /// Ejects the endpoint, for a longer time if it was ejected repeatedly within [`LONG_EJECTION_WINDOW`].
     fn eject(&mut self, on_hard_evidence: bool, now: Duration) {
         self.ejected_on_hard_evidence = on_hard_evidence;
         self.ejections.push_back(now);
