--- a/crates/platform-protocol/src/platform.rs
+++ b/crates/platform-protocol/src/platform.rs
@@ -281,7 +281,7 @@
     fn is_unused(&self, server: ServerId) -> bool {
         // The list may already contain the server again while the controller has yet to handle that update.
         !self.list.is_listed(server)
-            && self.controller.is_released(server)
+            && self.controller.is_unused(server)
             && !self.tables.has_entry_of(server)
             && !self.pending_checks.contains(server)
     }
