--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -24,7 +24,7 @@
 
 /// A batch after validation.
 #[derive(Debug, Default)]
-pub struct Validated {
+pub struct ValidatedBatch {
     /// The commands to carry out, in their order.
     pub accepted: Vec<Command>,
     /// The others.
@@ -121,7 +121,7 @@
     }
 
     /// Validates a batch of commands that goes out as one message a proxy. What is accepted counts as sent.
-    pub fn validate(&mut self, now: Duration, commands: Vec<Command>) -> Validated {
+    pub fn validate(&mut self, now: Duration, commands: Vec<Command>) -> ValidatedBatch {
         self.validated_batches += 1;
         let rejections = self.find_rejections(now, &commands);
         let staged = self.state.stage(Batch { commands: &commands, rejections: &rejections });
@@ -151,8 +151,8 @@
     }
 
     /// Divides a batch into accepted and rejected commands, and keeps the rejections.
-    fn split(&mut self, now: Duration, commands: Vec<Command>, mut rejections: Rejections) -> Validated {
-        let mut validated = Validated::default();
+    fn split(&mut self, now: Duration, commands: Vec<Command>, mut rejections: Rejections) -> ValidatedBatch {
+        let mut validated = ValidatedBatch::default();
         for (position, command) in commands.into_iter().enumerate() {
             let Some(rejection) = rejections.remove(&position) else {
                 validated.accepted.push(command);
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -23,7 +23,7 @@
 mod tracked_table;
 
 pub use config::GuardConfig;
-pub use guard::{RejectedCommand, SafetyGuard, Validated};
+pub use guard::{RejectedCommand, SafetyGuard, ValidatedBatch};
 pub use rejection::{Overload, Rejection, RejectionReason};
 pub use rejection_case::{RejectionCase, RejectionCaseEntry};
 pub use replay::replay_case;
--- a/crates/guard/src/rejection.rs
+++ b/crates/guard/src/rejection.rs
@@ -11,41 +11,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
     /// Rule 1: a table that proxies use would have no usable server.
-    Empties,
+    EmptiesTable,
     /// Rule 1: an admission rate that leaves a class without service.
-    Closes,
+    AdmissionRateTooLow,
     /// Rule 3: an entry of a server that is draining, removed or was never listed.
-    Drains,
+    SendsToClosedServer,
     /// Rule 4: a raised entry would overload a cold server.
-    Pushes,
+    OverloadsColdServer,
     /// Rule 4: what other servers lose would overload a cold server.
-    Shifts,
+    ShiftsLoadToColdServer,
     /// A weight or admission rate that is not a usable number.
     Malformed,
     /// Rule 1, of an edit: no open server would be left.
-    EditEmpties,
+    EditEmptiesPool,
 }
 
 impl RejectionReason {
     /// The tag in the log, the state, the counters and `error-app-tag`.
     pub fn tag(self) -> &'static str {
         match self {
-            RejectionReason::Empties => "empties-table",
-            RejectionReason::Closes => "closes-class",
-            RejectionReason::Drains => "sends-to-draining",
-            RejectionReason::Pushes => "pushes-cold",
-            RejectionReason::Shifts => "shifts-to-cold",
+            RejectionReason::EmptiesTable => "empties-table",
+            RejectionReason::AdmissionRateTooLow => "closes-class",
+            RejectionReason::SendsToClosedServer => "sends-to-draining",
+            RejectionReason::OverloadsColdServer => "pushes-cold",
+            RejectionReason::ShiftsLoadToColdServer => "shifts-to-cold",
             RejectionReason::Malformed => "malformed",
-            RejectionReason::EditEmpties => "empties-pool",
+            RejectionReason::EditEmptiesPool => "empties-pool",
         }
     }
 
     /// The rule's number in `docs/guard.md`; 0 for values that no rule allows.
     pub fn rule(self) -> u8 {
         match self {
-            RejectionReason::Empties | RejectionReason::Closes | RejectionReason::EditEmpties => 1,
-            RejectionReason::Drains => 3,
-            RejectionReason::Pushes | RejectionReason::Shifts => 4,
+            RejectionReason::EmptiesTable
+            | RejectionReason::AdmissionRateTooLow
+            | RejectionReason::EditEmptiesPool => 1,
+            RejectionReason::SendsToClosedServer => 3,
+            RejectionReason::OverloadsColdServer | RejectionReason::ShiftsLoadToColdServer => 4,
             RejectionReason::Malformed => 0,
         }
     }
@@ -120,27 +122,27 @@
         let names: Vec<String> = self.servers.iter().map(|server| server_name(*server)).collect();
         let servers = names.join(", ");
         match self.reason {
-            RejectionReason::Empties => {
+            RejectionReason::EmptiesTable => {
                 format!("table {table}{proxies} would have no server left without {servers}")
             }
-            RejectionReason::Closes => {
+            RejectionReason::AdmissionRateTooLow => {
                 format!("an admission rate in table {table} would admit next to nothing")
             }
-            RejectionReason::Drains => format!(
+            RejectionReason::SendsToClosedServer => format!(
                 "{servers} is draining, removed or was never listed, and may not be in table {table}{proxies}"
             ),
-            RejectionReason::Pushes => {
+            RejectionReason::OverloadsColdServer => {
                 let load = self.describe_overload();
                 format!("{servers} has just started and would be sent {load}, by table {table}{proxies}")
             }
-            RejectionReason::Shifts => {
+            RejectionReason::ShiftsLoadToColdServer => {
                 let load = self.describe_overload();
                 format!("what other servers lose in table {table}{proxies} would go to {servers}: {load}")
             }
             RejectionReason::Malformed => {
                 format!("a weight or admission rate in table {table} is not a usable number")
             }
-            RejectionReason::EditEmpties => format!("no open server would be left without {servers}"),
+            RejectionReason::EditEmptiesPool => format!("no open server would be left without {servers}"),
         }
     }
 
@@ -160,19 +162,19 @@
     pub fn suggest_safe_change(&self, server_name: &dyn Fn(ServerId) -> String) -> String {
         let first = self.servers.first().map(|server| server_name(*server)).unwrap_or_default();
         match (self.reason, self.overload) {
-            (RejectionReason::Empties, _) => {
+            (RejectionReason::EmptiesTable, _) => {
                 format!("keep {first} in table {} until another open server is in it", self.table)
             }
-            (RejectionReason::EditEmpties, _) => format!("keep {first}, or list another server first"),
-            (RejectionReason::Drains, _) => format!("leave {first} out"),
-            (RejectionReason::Closes, _) => {
+            (RejectionReason::EditEmptiesPool, _) => format!("keep {first}, or list another server first"),
+            (RejectionReason::SendsToClosedServer, _) => format!("leave {first} out"),
+            (RejectionReason::AdmissionRateTooLow, _) => {
                 "an admission rate of at least one request in ten minutes, or no limit".into()
             }
-            (RejectionReason::Pushes, Some(Overload { load, limit })) => {
+            (RejectionReason::OverloadsColdServer, Some(Overload { load, limit })) => {
                 let factor = (limit / load).clamp(0.0, 1.0);
                 format!("{first} at {factor:.2} of the requested share now, more as it warms up")
             }
-            (RejectionReason::Shifts, _) => format!("keep the others until {first} is warm"),
+            (RejectionReason::ShiftsLoadToColdServer, _) => format!("keep the others until {first} is warm"),
             _ => "a weight from 0 to 1e9".into(),
         }
     }
--- a/crates/guard/src/rules/closed_server.rs
+++ b/crates/guard/src/rules/closed_server.rs
@@ -13,5 +13,5 @@
     }
     let proxies = state.assigned_proxies(*table);
     let servers = std::iter::once(*server);
-    Some(Rejection::new(RejectionReason::Drains, command, *table, &proxies, servers))
+    Some(Rejection::new(RejectionReason::SendsToClosedServer, command, *table, &proxies, servers))
 }
--- a/crates/guard/src/rules/cold_overload.rs
+++ b/crates/guard/src/rules/cold_overload.rs
@@ -78,10 +78,10 @@
         };
         let Some(change) = change.filter(LoadChange::is_overload) else { return };
         let raises = |command: &Command| self.raises_entry(command, server);
-        if self.reject(RejectionReason::Pushes, server, &change, raises, rejections) == 0 {
+        if self.reject(RejectionReason::OverloadsColdServer, server, &change, raises, rejections) == 0 {
             // Its own entry is not raised: what other servers lose falls on it.
             let shifts = |command: &Command| self.lowers_others(command, server);
-            self.reject(RejectionReason::Shifts, server, &change, shifts, rejections);
+            self.reject(RejectionReason::ShiftsLoadToColdServer, server, &change, shifts, rejections);
         }
     }
 
--- a/crates/guard/src/rules/empty_table.rs
+++ b/crates/guard/src/rules/empty_table.rs
@@ -25,7 +25,7 @@
                 let proxies = self.state.assigned_proxies(self.table);
                 let servers = usable.iter().copied();
                 let rejection =
-                    Rejection::new(RejectionReason::Empties, command, self.table, &proxies, servers);
+                    Rejection::new(RejectionReason::EmptiesTable, command, self.table, &proxies, servers);
                 rejections.insert(position, rejection);
             }
         }
--- a/crates/guard/src/rules/usable_value.rs
+++ b/crates/guard/src/rules/usable_value.rs
@@ -18,7 +18,7 @@
             Some(rejection(RejectionReason::Malformed, command, *table))
         }
         Command::SetAdmission { table, admission_rate: Some(rate), .. } if *rate < MIN_ADMISSION_RATE => {
-            Some(rejection(RejectionReason::Closes, command, *table))
+            Some(rejection(RejectionReason::AdmissionRateTooLow, command, *table))
         }
         _ => None,
     }
--- a/crates/guard/tests/rejection_log.rs
+++ b/crates/guard/tests/rejection_log.rs
@@ -14,12 +14,12 @@
     guard.validate(NOW, vec![set_entry(1, 1, 0.0)]);
     let rejections: Vec<_> = guard.rejections().cloned().collect();
     let reasons: Vec<_> = rejections.iter().map(|rejection| rejection.reason).collect();
-    assert_eq!(reasons, [RejectionReason::Pushes, RejectionReason::Empties]);
+    assert_eq!(reasons, [RejectionReason::OverloadsColdServer, RejectionReason::EmptiesTable]);
     for rejection in rejections {
         // Then its sentence names the server or the proxies concerned, and it suggests a change.
         let server_name = |server: usize| format!("s{server}");
         let sentence = rejection.describe(&server_name, &|proxy| format!("f{proxy}"));
-        let named = if rejection.reason == RejectionReason::Pushes { "s2" } else { "f0 first" };
+        let named = if rejection.reason == RejectionReason::OverloadsColdServer { "s2" } else { "f0 first" };
         assert!(sentence.contains(named), "{sentence}");
         assert!(!rejection.suggest_safe_change(&server_name).is_empty());
         // When its case is read from JSON, then it is rejected for the same reason.
--- a/crates/guard/tests/support/mod.rs
+++ b/crates/guard/tests/support/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use runloom_controller::{Command, ListedState, ProxyId, ServerId, TableId};
-use runloom_guard::{GuardConfig, SafetyGuard, Validated};
+use runloom_guard::{GuardConfig, SafetyGuard, ValidatedBatch};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -73,14 +73,14 @@
 }
 
 #[track_caller]
-pub fn assert_all_accepted(guard: &mut SafetyGuard, now: Duration, commands: Vec<Command>) -> Validated {
+pub fn assert_all_accepted(guard: &mut SafetyGuard, now: Duration, commands: Vec<Command>) -> ValidatedBatch {
     let validated = guard.validate(now, commands);
     assert_eq!(validated.rejected, vec![]);
     validated
 }
 
 #[track_caller]
-pub fn assert_all_rejected(guard: &mut SafetyGuard, now: Duration, commands: Vec<Command>) -> Validated {
+pub fn assert_all_rejected(guard: &mut SafetyGuard, now: Duration, commands: Vec<Command>) -> ValidatedBatch {
     let validated = guard.validate(now, commands);
     assert_eq!(validated.accepted, vec![]);
     validated
