--- a/crates/guard/src/batch.rs
+++ b/crates/guard/src/batch.rs
@@ -1,4 +1,4 @@
-//! A batch of commands under validation, and the tables as it would leave them.
+//! A batch of commands under validation, and the tables after it.
 
 use crate::rejection::Rejection;
 use crate::tracked_proxy::Assignment;
@@ -9,7 +9,7 @@
 /// Rejections by the position of the command in its batch.
 pub(crate) type Rejections = BTreeMap<usize, Rejection>;
 
-/// Commands that go out as one message a proxy.
+/// Commands that go out as one message per proxy, and those of them that are rejected so far.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Batch<'a> {
     pub commands: &'a [Command],
@@ -17,22 +17,22 @@
 }
 
 impl<'a> Batch<'a> {
-    /// The commands that are not rejected, with their position.
+    /// The commands that are not rejected so far, with their positions in the batch.
     pub fn accepted(self) -> impl Iterator<Item = (usize, &'a Command)> + Clone {
         let commands = self.commands.iter().enumerate();
         commands.filter(move |(position, _)| !self.rejections.contains_key(position))
     }
 }
 
-/// What the accepted commands of a batch would make of the tables.
+/// Tables, assignments and ejections after the accepted commands of a batch.
 #[derive(Debug, Default)]
 pub(crate) struct StagedBatch {
-    /// Tables that change, with their new entries.
+    /// The changed tables, with their entries after the batch.
     pub tables: BTreeMap<TableId, Entries>,
     pub assignments: Vec<Assignment>,
-    /// All ejected servers after the batch.
+    /// All servers that are ejected after the batch.
     pub ejected: BTreeSet<ServerId>,
-    /// By how many the proxies assigned to a table change.
+    /// Change in the number of proxies assigned to each table.
     pub assigned_count_changes: BTreeMap<TableId, i64>,
 }
 
@@ -43,7 +43,7 @@
         self.tables.keys().copied().chain(assigned).collect()
     }
 
-    /// Applies an accepted command; `published_entries` returns the entries of a table before the batch.
+    /// Applies an accepted command; `published_entries` returns a table's entries before the batch.
     pub fn apply(&mut self, command: &Command, published_entries: impl Fn(TableId) -> Entries) {
         match command {
             Command::SetEntry { table, server, weight } => {
--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -1,4 +1,5 @@
-//! What servers can serve: the listed servers and the best success rate seen of late.
+//! The listed servers and the capacity estimate. A server's capacity is its configured weight times the highest
+//! recent success rate per unit of weight, scaled down while it warms up.
 
 use crate::config::GuardConfig;
 use runloom_controller::{ListedState, ServerId};
@@ -6,20 +7,22 @@
 
 /// Weight of the newest rate in the moving average of a server's success rate.
 const SUCCESS_RATE_SMOOTHING: f64 = 0.3;
-/// Half-life of the best success rate, in seconds: a fleet that shrank is not taken for what it was.
+/// Half-life of the highest observed success rate, in seconds: without the decay, a fleet that shrank would be
+/// credited with its former capacity.
 const CAPACITY_HALF_LIFE_SECONDS: f64 = 60.0;
 /// Lower bound of a configured weight as a divisor.
 const MIN_CONFIGURED_WEIGHT: f64 = 1e-9;
 
-/// A server as it is listed, and its recent success rate.
+/// A server's record in the endpoint list, and its recent success rate.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TrackedServer {
     /// `None` for a server that was never listed.
     pub state: Option<ListedState>,
+    /// Its weight in the endpoint list.
     pub configured_weight: f64,
-    /// When its process started; `None` for long ago.
+    /// When its process started; `None` counts as long ago.
     pub started: Option<Duration>,
-    /// Moving average of its successful responses a second, over this planner's proxies.
+    /// Moving average of its successful responses per second to this planner's proxies.
     success_rate: f64,
 }
 
@@ -30,19 +33,20 @@
     until: Duration,
 }
 
-/// Listed servers and their estimated capacity.
+/// All servers that were ever listed, and the estimate of their capacity.
 #[derive(Debug)]
 pub(crate) struct Servers {
     pub config: GuardConfig,
     servers: Vec<TrackedServer>,
-    /// Best requests a second, of late, that a unit of configured weight was seen to serve.
+    /// Highest recent requests per second that warm servers served per unit of configured weight, which decays by
+    /// [`CAPACITY_HALF_LIFE_SECONDS`]; 0 if none was observed.
     capacity_per_weight: f64,
     capacity_updated_at: Duration,
     raised_multiple: Option<RaisedMultiple>,
 }
 
 impl Servers {
-    /// No servers.
+    /// Creates an empty set of servers, of unknown capacity.
     pub fn new(config: GuardConfig) -> Servers {
         Servers {
             config,
@@ -53,12 +57,12 @@
         }
     }
 
-    /// Indices of all servers, in sequence.
+    /// Indices of all servers; some of them may never have been listed.
     pub fn ids(&self) -> std::ops::Range<ServerId> {
         0..self.servers.len()
     }
 
-    /// A server that was listed.
+    /// A server by its index; `None` if it is beyond [`Servers::ids`].
     pub fn get(&self, server: ServerId) -> Option<&TrackedServer> {
         self.servers.get(server)
     }
@@ -70,7 +74,7 @@
         &mut self.servers[server]
     }
 
-    /// Takes a server's record of the endpoint list; `started` is `None` for long ago.
+    /// Replaces a server's record in the endpoint list; `None` for `started` counts as long ago.
     pub fn update(
         &mut self,
         server: ServerId,
@@ -84,17 +88,18 @@
         tracked.started = started;
     }
 
-    /// Replaces the configured overload multiple until a time.
+    /// Overrides the configured overload multiple before time `until`.
     pub fn raise_overload_multiple(&mut self, multiple: f64, until: Duration) {
         self.raised_multiple = Some(RaisedMultiple { multiple, until });
     }
 
-    /// Sets the capacity of a unit of weight to a known value.
+    /// Sets the capacity of a unit of configured weight, in requests per second.
     pub fn set_capacity_per_weight(&mut self, capacity_per_weight: f64) {
         self.capacity_per_weight = capacity_per_weight;
     }
 
-    /// Adds a server's success rate, in requests a second over all of this planner's proxies.
+    /// Updates the averages with a server's success rate, in requests per second over all of this planner's proxies.
+    /// Only a warm server updates the capacity estimate.
     pub fn record_success_rate(&mut self, now: Duration, server: ServerId, success_rate: f64) {
         let tracked = self.get_mut(server);
         let smoothing = if tracked.success_rate > 0.0 { SUCCESS_RATE_SMOOTHING } else { 1.0 };
@@ -109,7 +114,8 @@
         }
     }
 
-    /// Whether proxies may send to a server: it is listed as ready, or was removed where only draining closes.
+    /// Whether proxies may send to a server: it is listed as ready, or it was removed from the list and
+    /// [`GuardConfig::only_draining_binds`] is set.
     pub fn is_open(&self, server: ServerId) -> bool {
         match self.servers.get(server).and_then(|tracked| tracked.state) {
             Some(ListedState::Ready) => true,
@@ -118,19 +124,19 @@
         }
     }
 
-    /// The least share of its capacity (0 to 1) that a server has by its age.
+    /// The fraction of its full capacity (0 to 1) that a server is sure to have at its age; 1 for an unknown server.
     pub fn warm_fraction(&self, server: ServerId, now: Duration) -> f64 {
         let tracked = self.servers.get(server);
         tracked.map_or(1.0, |tracked| self.config.warm_fraction(tracked.started, now))
     }
 
-    /// Whether a server is warming up still.
+    /// Whether a server is still warming up.
     pub fn is_cold(&self, server: ServerId, now: Duration) -> bool {
         self.warm_fraction(server, now) < 1.0
     }
 
-    /// Requests a second that a unit of configured weight serves: the best seen, or an even share of
-    /// `request_rate` if that is more. `None` if nothing is known.
+    /// Requests per second that a unit of configured weight can serve: the observed estimate, or an even share of
+    /// `request_rate` among the ready servers if that is more. `None` if nothing is known.
     pub fn estimated_capacity_per_weight(&self, request_rate: f64) -> Option<f64> {
         let ready = self.servers.iter().filter(|tracked| tracked.state == Some(ListedState::Ready));
         let ready_weight: f64 = ready.map(|tracked| tracked.configured_weight).sum();
@@ -139,15 +145,17 @@
         (capacity > 0.0).then_some(capacity)
     }
 
-    /// The requests a second that this planner's proxies may send to a cold server; `None` for an unknown server.
+    /// Limit on the requests per second that this planner's proxies may send to a cold server; `None` for an unknown
+    /// server.
     ///
-    /// Planners exchange nothing: each other one is taken to send as much as a warm server of the weight gets.
+    /// Planners do not exchange their loads: each of the others is assumed to send the server as much as a warm one
+    /// of its weight gets from this planner.
     pub fn load_limit(&self, server: ServerId, now: Duration, capacity_per_weight: f64) -> Option<f64> {
         let tracked = self.servers.get(server)?;
         let raised = self.raised_multiple.filter(|raised| now < raised.until);
         let multiple = raised.map_or(self.config.overload_multiple, |raised| raised.multiple);
         let planners = self.config.planner_count;
-        let of_all_planners = multiple * self.config.warm_fraction(tracked.started, now) * planners;
-        Some((of_all_planners - (planners - 1.0)) * capacity_per_weight * tracked.configured_weight)
+        let limit_over_planners = multiple * self.config.warm_fraction(tracked.started, now) * planners;
+        Some((limit_over_planners - (planners - 1.0)) * capacity_per_weight * tracked.configured_weight)
     }
 }
--- a/crates/guard/src/config.rs
+++ b/crates/guard/src/config.rs
@@ -3,34 +3,34 @@
 use runloom_controller::DeploymentConfig;
 use std::time::Duration;
 
-/// The warm-up time where the configuration has none that can be used.
+/// Warm-up time if the configured one is not a valid duration.
 const DEFAULT_WARM_UP: Duration = Duration::from_secs(20);
-/// An endpoint that warms up is taken to fail at this many times its capacity where the configuration doesn't say.
+/// Overload multiple if none is configured.
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 4.0;
-/// Lower bound of the share of its capacity that a server starts with.
+/// Lower bound of [`GuardConfig::initial_capacity`].
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
-/// Lower bound of the warm-up time, in seconds.
+/// Lower bound of the warm-up time in seconds, as a divisor.
 const MIN_WARM_UP_SECONDS: f64 = 0.001;
 
 /// Settings of the guard.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GuardConfig {
-    /// Traffic classes.
+    /// Number of traffic classes.
     pub class_count: usize,
-    /// Planners that publish to the fleet, each to its own proxies.
+    /// Number of planners that publish to the fleet, each to its own proxies.
     pub planner_count: f64,
-    /// Share of its capacity (0 to 1) that a server has at its start.
+    /// Fraction of its full capacity (0 to 1) that a server has when it starts.
     pub initial_capacity: f64,
-    /// Time from a server's start to its full capacity.
+    /// Time from a server's start until it has its full capacity.
     pub warm_up: Duration,
-    /// A warming server fails under more than this many times the load that it can serve.
+    /// A server that is warming up is assumed to fail under more than this many times its current capacity.
     pub overload_multiple: f64,
-    /// Only draining servers are closed; a server that was removed from the list stays open.
+    /// Whether only a server listed as draining is closed; if set, one that was removed from the list stays open.
     pub only_draining_binds: bool,
 }
 
 impl GuardConfig {
-    /// The guard's settings for a deployment.
+    /// Derives the guard's settings from a deployment's, with unusable values clamped or replaced by defaults.
     pub fn of(config: &DeploymentConfig) -> GuardConfig {
         let slow_start = &config.slow_start;
         let warm_up = Duration::try_from_secs_f64(slow_start.warm_up_seconds);
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The least share of its capacity (0 to 1) that a server started at `started` has; `None` stands for long ago.
+    /// The fraction of its full capacity (0 to 1) that a server started at `started` is sure to have: it grows
+    /// linearly over the warm-up time. `None` counts as long ago, so as full capacity.
     pub(crate) fn warm_fraction(&self, started: Option<Duration>, now: Duration) -> f64 {
         let Some(started) = started else { return 1.0 };
         let warm_up = self.warm_up.as_secs_f64().max(MIN_WARM_UP_SECONDS);
--- a/crates/guard/src/fleet_state.rs
+++ b/crates/guard/src/fleet_state.rs
@@ -1,4 +1,4 @@
-//! What the guard knows of the fleet: servers, proxies, and the tables that may be in force.
+//! The guard's state: servers, proxies, and the table versions that may be in force.
 
 use crate::batch::StagedBatch;
 use crate::capacity::Servers;
@@ -8,10 +8,10 @@
 use runloom_controller::{ClassId, ProxyId, ServerId, TableId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Classes that a bit mask can name.
+/// Number of classes that a 64-bit class mask can represent.
 const MAX_MASKED_CLASSES: usize = 64;
 
-/// Servers, proxies, and the tables that may be in force.
+/// Servers, proxies, and the table versions that may be in force.
 #[derive(Debug)]
 pub(crate) struct FleetState {
     pub servers: Servers,
@@ -21,7 +21,7 @@
 }
 
 impl FleetState {
-    /// A state without servers, tables and proxies.
+    /// A state without servers, tables or proxies.
     pub fn new(config: GuardConfig) -> FleetState {
         FleetState {
             servers: Servers::new(config),
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Whether proxies may send to a server: it is listed as ready, or was removed where only draining closes.
+    /// Whether proxies may send to a server; see [`Servers::is_open`].
     pub fn is_open(&self, server: ServerId) -> bool {
         self.servers.is_open(server)
     }
 
-    /// Forgets tables and proxies.
+    /// Replaces the settings and forgets tables, ejections and proxies; the servers stay.
     pub fn restart(&mut self, config: GuardConfig) {
         self.servers.config = config;
         self.tables.clear();
@@ -44,14 +44,14 @@
         self.proxies.clear();
     }
 
-    /// A proxy connected that expects `request_rate` requests a second.
+    /// Adds a proxy that expects `request_rate` requests per second, and forgets an earlier connection of it.
     pub fn connect_proxy(&mut self, proxy: ProxyId, request_rate: f64) {
         self.disconnect_proxy(proxy);
         let class_count = self.servers.config.class_count.max(1);
         self.proxies.insert(proxy, TrackedProxy::new(request_rate, class_count));
     }
 
-    /// A proxy's connection ended.
+    /// Removes a proxy, also from the tables that it may use.
     pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
         let Some(tracked) = self.proxies.remove(&proxy) else { return };
         for table in tracked.possible_tables() {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Requests a second of one class that arrive at a proxy.
+    /// Records the requests per second of one class that arrive at a proxy.
     pub fn record_arrival_rate(&mut self, proxy: ProxyId, class: ClassId, arrival_rate: f64) {
         let Some(tracked) = self.proxies.get_mut(&proxy) else { return };
         let Some(change) = tracked.record_arrival_rate(class, arrival_rate) else { return };
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A message went out to a proxy: it brings the newest version of all its tables.
+    /// Records that message `number`, with the newest version of all of the proxy's tables, was sent to it.
     pub fn record_sent(&mut self, proxy: ProxyId, number: u64) {
         let Some(tracked) = self.proxies.get_mut(&proxy) else { return };
         let mut versions = Vec::new();
@@ -83,7 +83,7 @@
         tracked.record_sent(number, versions);
     }
 
-    /// A proxy acknowledged message `number`, and so all before it.
+    /// Records that a proxy acknowledged message `number`, and with it all earlier ones.
     pub fn acknowledge(&mut self, proxy: ProxyId, number: u64) {
         let Some(tracked) = self.proxies.get_mut(&proxy) else { return };
         let applied = tracked.acknowledge(number);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Records that the accepted commands of a batch go out.
+    /// Records that a staged batch is published.
     pub fn publish(&mut self, staged: StagedBatch) {
         for (table, entries) in staged.tables {
             self.tables.entry(table).or_default().publish(entries, &staged.ejected);
@@ -132,23 +132,24 @@
         }
     }
 
-    /// The classes of a bit mask; 0 stands for all.
+    /// The classes of a bit mask; mask 0 stands for all classes.
     pub fn classes(&self, class_mask: u64) -> impl Iterator<Item = ClassId> {
         let is_in_mask = move |class: &ClassId| class_mask == 0 || class_mask & (1 << class) != 0;
         (0..self.servers.config.class_count.min(MAX_MASKED_CLASSES)).filter(is_in_mask)
     }
 
-    /// The newest entries of a table.
+    /// The newest entries of a table; empty if it was never published.
     pub fn entries(&self, table: TableId) -> Entries {
         self.tables.get(&table).map(|tracked| tracked.entries().clone()).unwrap_or_default()
     }
 
-    /// The proxies assigned to a table.
+    /// The proxies that the newest commands assign to a table.
     pub fn assigned_proxies(&self, table: TableId) -> Vec<ProxyId> {
         self.tables.get(&table).map(TrackedTable::assigned_proxies).unwrap_or_default()
     }
 
-    /// Requests a second that a unit of configured weight serves; `None` if nothing is known.
+    /// Requests per second that a unit of configured weight can serve; `None` if nothing is known. See
+    /// [`Servers::estimated_capacity_per_weight`].
     pub fn estimated_capacity_per_weight(&self) -> Option<f64> {
         let request_rate: f64 = self.proxies.values().flat_map(|proxy| &proxy.request_rates).sum();
         self.servers.estimated_capacity_per_weight(request_rate)
--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -1,4 +1,4 @@
-//! [`SafetyGuard`]: validates batches of commands and keeps the rejections.
+//! [`SafetyGuard`]: validates batches of commands and keeps the most recent rejections.
 
 use crate::batch::{Batch, Rejections};
 use crate::config::GuardConfig;
@@ -10,76 +10,78 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Rejections that are kept for reading; the counters go on.
-const MAX_KEPT_REJECTIONS: usize = 256;
+/// Limit on the rejections that [`SafetyGuard::rejections`] returns; the counters cover all of them.
+const MAX_RECENT_REJECTIONS: usize = 256;
 
-/// A command that was rejected, and what stays in its place.
+/// A rejected command, and the value that stays published instead.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RejectedCommand {
-    /// The command.
+    /// The command, as the controller issued it.
     pub command: Command,
-    /// For [`Command::SetEntry`]: the weight that stays published.
+    /// For [`Command::SetEntry`]: the weight that stays published; `None` if the table has no entry for the server,
+    /// and for other commands.
     pub published_weight: Option<f64>,
 }
 
 /// A batch after validation.
 #[derive(Debug, Default)]
 pub struct ValidatedBatch {
-    /// The commands to carry out, in their order.
+    /// The commands to execute, in the order of the batch.
     pub accepted: Vec<Command>,
-    /// The others.
+    /// The remaining commands, in the order of the batch.
     pub rejected: Vec<RejectedCommand>,
-    /// Proxies that rejected commands would have reached: the controller waits for their acknowledgement.
+    /// Proxies that the rejected commands would have updated: the controller waits for their acknowledgement.
     pub affected_proxies: BTreeSet<ProxyId>,
 }
 
-/// Validates commands against all table versions that may be in force.
+/// Validates commands against all table versions that may be in force at the proxies.
 #[derive(Debug)]
 pub struct SafetyGuard {
     /// Batches validated since the start.
     pub validated_batches: u64,
     state: FleetState,
-    kept_rejections: VecDeque<Rejection>,
+    recent_rejections: VecDeque<Rejection>,
     rejection_counts: BTreeMap<&'static str, u64>,
 }
 
 impl SafetyGuard {
-    /// A guard that knows of no servers, tables and proxies.
+    /// A guard without servers, tables or proxies.
     pub fn new(config: GuardConfig) -> SafetyGuard {
         SafetyGuard {
             validated_batches: 0,
             state: FleetState::new(config),
-            kept_rejections: VecDeque::new(),
+            recent_rejections: VecDeque::new(),
             rejection_counts: BTreeMap::new(),
         }
     }
 
-    /// The newest rejections, oldest first.
+    /// The most recent rejections (up to 256), oldest first.
     pub fn rejections(&self) -> impl Iterator<Item = &Rejection> {
-        self.kept_rejections.iter()
+        self.recent_rejections.iter()
     }
 
-    /// What the guard knows of the fleet.
+    /// The tracked servers, tables and proxies.
     pub(crate) fn state_mut(&mut self) -> &mut FleetState {
         &mut self.state
     }
 
-    /// Rejections since the start, by [`crate::RejectionReason::tag`].
+    /// Number of rejections since the start, by [`crate::RejectionReason::tag`].
     pub fn rejection_counts(&self) -> &BTreeMap<&'static str, u64> {
         &self.rejection_counts
     }
 
-    /// Replaces the limit on the load of cold servers (see [`GuardConfig::overload_multiple`]) until a time.
+    /// Overrides [`GuardConfig::overload_multiple`], the limit on the load of cold servers, before time `until`.
     pub fn raise_overload_multiple(&mut self, multiple: f64, until: Duration) {
         self.state.servers.raise_overload_multiple(multiple, until);
     }
 
-    /// The controller starts over: its tables count no more, and proxies keep what they hold.
+    /// Forgets all tables, ejections and proxies, since the controller starts over. The servers stay; proxies keep
+    /// the tables that they hold.
     pub fn restart(&mut self, config: GuardConfig) {
         self.state.restart(config);
     }
 
-    /// A server's record in the endpoint list changed. `started` is `None` for long ago.
+    /// Records what the endpoint list says of a server. `None` for `started` counts as long ago.
     pub fn update_endpoint(
         &mut self,
         server: ServerId,
@@ -90,42 +92,43 @@
         self.state.servers.update(server, state, configured_weight, started);
     }
 
-    /// A server's successful responses a second, over all of this planner's proxies.
+    /// Records a server's successful responses per second, summed over all of this planner's proxies.
     pub fn record_success_rate(&mut self, now: Duration, server: ServerId, success_rate: f64) {
         self.state.servers.record_success_rate(now, server, success_rate);
     }
 
-    /// A proxy connected that expects `request_rate` requests a second.
+    /// Records that a proxy connected that expects `request_rate` requests per second.
     pub fn connect_proxy(&mut self, proxy: ProxyId, request_rate: f64) {
         self.state.connect_proxy(proxy, request_rate);
     }
 
-    /// A proxy's connection ended.
+    /// Records that a proxy's connection ended.
     pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
         self.state.disconnect_proxy(proxy);
     }
 
-    /// Requests a second of one class that arrive at a proxy.
+    /// Records the requests per second of one class that arrive at a proxy.
     pub fn record_arrival_rate(&mut self, proxy: ProxyId, class: ClassId, arrival_rate: f64) {
         self.state.record_arrival_rate(proxy, class, arrival_rate);
     }
 
-    /// A message went out to a proxy: it brings the newest version of all its tables.
+    /// Records that message `number`, with the newest version of all of the proxy's tables, was sent to it.
     pub fn record_sent(&mut self, proxy: ProxyId, number: u64) {
         self.state.record_sent(proxy, number);
     }
 
-    /// A proxy acknowledged message `number`, and so all before it.
+    /// Records that a proxy acknowledged message `number`, and with it all earlier ones.
     pub fn acknowledge(&mut self, proxy: ProxyId, number: u64) {
         self.state.acknowledge(proxy, number);
     }
 
-    /// Validates a batch of commands that goes out as one message a proxy. What is accepted counts as sent.
+    /// Validates a batch of commands, which goes out as one message per proxy. The accepted commands count as
+    /// published from now on.
     pub fn validate(&mut self, now: Duration, commands: Vec<Command>) -> ValidatedBatch {
         self.validated_batches += 1;
         let rejections = self.find_rejections(now, &commands);
         let staged = self.state.stage(Batch { commands: &commands, rejections: &rejections });
-        let validated = self.split(now, commands, rejections);
+        let validated = self.split_batch(now, commands, rejections);
         self.state.publish(staged);
         validated
     }
@@ -137,7 +140,8 @@
                 rejections.insert(position, rejection);
             }
         }
-        // Each round rejects at least one more command, or is the last.
+        // A rejection changes the staged tables, so the check is repeated until it finds no more. Each round but the
+        // last rejects at least one command.
         for _ in 0..=commands.len() {
             let batch = Batch { commands, rejections: &rejections };
             let staged = self.state.stage(batch);
@@ -150,8 +154,13 @@
         rejections
     }
 
-    /// Divides a batch into accepted and rejected commands, and keeps the rejections.
-    fn split(&mut self, now: Duration, commands: Vec<Command>, mut rejections: Rejections) -> ValidatedBatch {
+    /// Splits a batch into accepted and rejected commands, and records the rejections.
+    fn split_batch(
+        &mut self,
+        now: Duration,
+        commands: Vec<Command>,
+        mut rejections: Rejections,
+    ) -> ValidatedBatch {
         let mut validated = ValidatedBatch::default();
         for (position, command) in commands.into_iter().enumerate() {
             let Some(rejection) = rejections.remove(&position) else {
@@ -161,7 +170,7 @@
             validated.affected_proxies.extend(self.affected_proxies(&command));
             let published_weight = self.published_weight(&command);
             validated.rejected.push(RejectedCommand { command, published_weight });
-            self.keep_rejection(now, rejection);
+            self.record_rejection(now, rejection);
         }
         validated
     }
@@ -181,12 +190,12 @@
         }
     }
 
-    fn keep_rejection(&mut self, now: Duration, rejection: Rejection) {
+    fn record_rejection(&mut self, now: Duration, rejection: Rejection) {
         *self.rejection_counts.entry(rejection.reason.tag()).or_default() += 1;
-        if self.kept_rejections.len() >= MAX_KEPT_REJECTIONS {
-            self.kept_rejections.pop_front();
+        if self.recent_rejections.len() >= MAX_RECENT_REJECTIONS {
+            self.recent_rejections.pop_front();
         }
         let case = RejectionCase::capture(&self.state, now, &rejection);
-        self.kept_rejections.push_back(Rejection { at: now, case: Some(case), ..rejection });
+        self.recent_rejections.push_back(Rejection { at: now, case: Some(case), ..rejection });
     }
 }
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,10 +1,10 @@
 //! The safety guard: validates the controller's commands before they are published, and operators' edits before
 //! they are accepted.
 //!
-//! It judges all versions of a table that may be in force at some proxy, and not only the newest. It rejects
-//! commands that would leave a class without a server or overload a server that has just started. It never makes
-//! up a weight: what a rejected command would have changed stays as it was. `docs/guard.md` has the rules and
-//! their order.
+//! It considers every version of a table that may be in force at some proxy, not only the newest. It rejects
+//! commands that would leave a class without a server or overload a server that has just started. It never
+//! computes a weight of its own: whatever a rejected command would have changed stays as published.
+//! `docs/guard.md` has the rules and their order.
 
 mod batch;
 mod capacity;
--- a/crates/guard/src/staging.rs
+++ b/crates/guard/src/staging.rs
@@ -1,4 +1,4 @@
-//! The tables as a batch would leave them.
+//! Stages a batch: computes the tables that it would publish.
 
 use crate::batch::{Batch, StagedBatch};
 use crate::fleet_state::FleetState;
@@ -8,21 +8,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl FleetState {
-    /// Applies the accepted commands of a batch to a copy of the tables that they change.
+    /// Applies the accepted commands of a batch to copies of the tables that they change.
     pub(crate) fn stage(&self, batch: Batch) -> StagedBatch {
         let mut staged = StagedBatch { ejected: self.ejected.clone(), ..StagedBatch::default() };
         for (_, command) in batch.accepted() {
             staged.apply(command, |table| self.entries(table));
         }
         if staged.ejected != self.ejected {
-            self.stage_tables_of_ejected(&mut staged);
+            self.stage_tables_with_ejections(&mut staged);
         }
         staged.assigned_count_changes = self.assigned_count_changes(&staged.assignments);
         staged
     }
 
-    /// Adds the tables with servers that are ejected or readmitted: the shares of their other servers change.
-    fn stage_tables_of_ejected(&self, staged: &mut StagedBatch) {
+    /// Adds the tables that list an ejected or readmitted server, since the shares of their other servers change.
+    fn stage_tables_with_ejections(&self, staged: &mut StagedBatch) {
         let changed: BTreeSet<ServerId> =
             staged.ejected.symmetric_difference(&self.ejected).copied().collect();
         for (table, tracked) in &self.tables {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// By how many the proxies assigned to each table change.
+    /// Change in the number of proxies assigned to each table.
     fn assigned_count_changes(&self, assignments: &[Assignment]) -> BTreeMap<TableId, i64> {
         let mut reassigned: BTreeMap<ProxyId, BTreeMap<ClassId, TableId>> = BTreeMap::new();
         for assignment in assignments {
@@ -57,9 +57,9 @@
         changes
     }
 
-    /// How many proxies are assigned to a table once the batch is published.
+    /// Number of proxies assigned to a table once the batch is published.
     pub(crate) fn assigned_count(&self, table: TableId, staged: &StagedBatch) -> i64 {
-        let now = self.tables.get(&table).map_or(0, TrackedTable::assigned_count) as i64;
-        now + staged.assigned_count_changes.get(&table).copied().unwrap_or(0)
+        let published = self.tables.get(&table).map_or(0, TrackedTable::assigned_count) as i64;
+        published + staged.assigned_count_changes.get(&table).copied().unwrap_or(0)
     }
 }
--- a/crates/guard/src/tracked_proxy.rs
+++ b/crates/guard/src/tracked_proxy.rs
@@ -1,34 +1,34 @@
-//! A connected proxy: its request rates, its tables, and the messages on their way to it.
+//! A connected proxy: its request rates, its tables, and the messages in flight to it.
 
 use runloom_controller::{ClassId, ProxyId, TableId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Messages to one proxy that may wait for acknowledgement. Beyond that the oldest are given up: their table
-/// versions then count as not acknowledged, the cautious side.
+/// Limit on the unacknowledged messages that are tracked per proxy. Beyond it the oldest are forgotten: their
+/// table versions then do not count as acknowledged, which is the conservative assumption.
 const MAX_IN_FLIGHT: usize = 1024;
 /// Weight of the newest rate in the moving average of a class's arrival rate.
 const ARRIVAL_RATE_SMOOTHING: f64 = 0.5;
 
-/// A version of a table.
+/// A table and one of its version numbers.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TableVersion {
     pub table: TableId,
     pub version: u64,
 }
 
-/// A message on its way.
+/// A message that is sent and not acknowledged.
 #[derive(Debug, Clone)]
 struct InFlightUpdate {
     number: u64,
-    /// The versions that are in force once it is applied.
+    /// The table versions that are in force once the proxy applies the message.
     versions: Vec<TableVersion>,
 }
 
-/// A table that the proxy was assigned away from.
+/// A table that the proxy is no longer assigned to, but may still use.
 #[derive(Debug, Clone)]
 struct LeavingTable {
     table: TableId,
-    /// The message that takes the proxy off it, once that is sent.
+    /// The message that assigns the proxy elsewhere; `None` until it is sent.
     message: Option<u64>,
 }
 
@@ -38,18 +38,18 @@
     }
 }
 
-/// What an acknowledgement puts in force.
+/// Changes that an acknowledgement confirms.
 #[derive(Debug, Default)]
 pub(crate) struct AppliedUpdates {
     pub versions: Vec<TableVersion>,
-    /// Tables that the proxy does not use any more.
+    /// Tables that the proxy no longer uses.
     pub left_tables: Vec<TableId>,
 }
 
 /// A connected proxy.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TrackedProxy {
-    /// Requests a second by class.
+    /// Requests per second by class: moving averages, which start at an even share of the expected rate.
     pub request_rates: Vec<f64>,
     pub table_of_class: BTreeMap<ClassId, TableId>,
     in_flight: VecDeque<InFlightUpdate>,
@@ -57,24 +57,24 @@
 }
 
 impl TrackedProxy {
-    /// A proxy whose request rate divides evenly among the classes.
+    /// A proxy without tables, whose request rate is divided evenly among the classes.
     pub fn new(request_rate: f64, class_count: usize) -> TrackedProxy {
         let rate_of_class = request_rate.max(0.0) / class_count as f64;
         TrackedProxy { request_rates: vec![rate_of_class; class_count], ..TrackedProxy::default() }
     }
 
-    /// The tables that it is assigned to.
+    /// The tables that the proxy is assigned to.
     pub fn tables(&self) -> BTreeSet<TableId> {
         self.table_of_class.values().copied().collect()
     }
 
-    /// The tables that it may use, those included that it is being assigned away from.
+    /// The tables that the proxy may use: those that it is assigned to, and those that it is leaving.
     pub fn possible_tables(&self) -> BTreeSet<TableId> {
         let leaving = self.leaving.iter().map(|leaving| leaving.table);
         self.table_of_class.values().copied().chain(leaving).collect()
     }
 
-    /// Requests a second by table.
+    /// Requests per second by assigned table.
     pub fn rates_by_table(&self) -> BTreeMap<TableId, f64> {
         let mut rates = BTreeMap::new();
         for (class, table) in &self.table_of_class {
@@ -83,8 +83,8 @@
         rates
     }
 
-    /// Adds a class's arrival rate to its moving average, and returns by how much that changed; `None` for an
-    /// unknown class.
+    /// Adds an arrival rate to a class's moving average, and returns by how much the average changed; `None` for
+    /// an unknown class.
     pub fn record_arrival_rate(&mut self, class: ClassId, arrival_rate: f64) -> Option<f64> {
         let average = self.request_rates.get_mut(class)?;
         let smoothing = if *average > 0.0 { ARRIVAL_RATE_SMOOTHING } else { 1.0 };
@@ -93,7 +93,7 @@
         Some(change)
     }
 
-    /// Records a message that brings these versions.
+    /// Records a sent message with the table versions that it carries.
     pub fn record_sent(&mut self, number: u64, versions: Vec<TableVersion>) {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             self.in_flight.pop_front();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Records the acknowledgement of message `number`, which covers all before it.
+    /// Records the acknowledgement of message `number`, which covers all earlier ones.
     pub fn acknowledge(&mut self, number: u64) -> AppliedUpdates {
         let mut applied = AppliedUpdates::default();
         while self.in_flight.front().is_some_and(|update| update.number <= number) {
@@ -118,12 +118,12 @@
         applied
     }
 
-    /// Records that it is being assigned away from a table.
+    /// Records that the next message assigns the proxy away from a table.
     pub fn start_leaving(&mut self, table: TableId) {
         self.leaving.push(LeavingTable { table, message: None });
     }
 
-    /// Forgets that it was being assigned away from tables that it is assigned to again.
+    /// Cancels the leaving of tables that the proxy is assigned to again.
     pub fn stop_leaving(&mut self, is_assigned: impl Fn(TableId) -> bool) {
         self.leaving.retain(|leaving| !is_assigned(leaving.table));
     }
@@ -134,6 +134,6 @@
 pub(crate) struct Assignment {
     pub proxy: ProxyId,
     pub table: TableId,
-    /// The classes as a bit mask; 0 stands for all.
+    /// The classes as a bit mask; 0 stands for all classes.
     pub class_mask: u64,
 }
