--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -98,8 +98,8 @@
         self.capacity_per_weight = capacity_per_weight;
     }
 
-    /// Updates the averages with a server's success rate, in requests per second over all of this planner's proxies.
-    /// Only a warm server updates the capacity estimate.
+    /// Updates a server's average success rate, in requests per second over all of this planner's proxies. Only a
+    /// warm server updates the capacity estimate.
     pub fn record_success_rate(&mut self, now: Duration, server: ServerId, success_rate: f64) {
         let tracked = self.get_mut(server);
         let smoothing = if tracked.success_rate > 0.0 { SUCCESS_RATE_SMOOTHING } else { 1.0 };
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The fraction of its full capacity (0 to 1) that a server is sure to have at its age; 1 for an unknown server.
+    /// The fraction of its full capacity (0 to 1) that a server is sure to have at its age; 1 if it is unknown.
     pub fn warm_fraction(&self, server: ServerId, now: Duration) -> f64 {
         let tracked = self.servers.get(server);
         tracked.map_or(1.0, |tracked| self.config.warm_fraction(tracked.started, now))
@@ -145,11 +145,11 @@
         (capacity > 0.0).then_some(capacity)
     }
 
-    /// Limit on the requests per second that this planner's proxies may send to a cold server; `None` for an unknown
-    /// server.
+    /// Limit on the requests per second that this planner's proxies may send to a cold server; `None` if the
+    /// server is unknown.
     ///
-    /// Planners do not exchange their loads: each of the others is assumed to send the server as much as a warm one
-    /// of its weight gets from this planner.
+    /// Planners do not exchange their loads: each of the others is assumed to send the server as much as a
+    /// warm one of its weight gets from this planner.
     pub fn load_limit(&self, server: ServerId, now: Duration, capacity_per_weight: f64) -> Option<f64> {
         let tracked = self.servers.get(server)?;
         let raised = self.raised_multiple.filter(|raised| now < raised.until);
--- a/crates/guard/src/case_capture.rs
+++ b/crates/guard/src/case_capture.rs
@@ -1,4 +1,4 @@
-//! Captures what a rejection depended on.
+//! Captures the inputs of a rejection as a [`RejectionCase`].
 
 use crate::command_text::command_text;
 use crate::fleet_state::FleetState;
@@ -9,6 +9,7 @@
 use std::time::Duration;
 
 impl RejectionCase {
+    /// Captures the table of a rejected command with its servers, before the batch is published.
     pub(crate) fn capture(state: &FleetState, now: Duration, rejection: &Rejection) -> RejectionCase {
         let config = &state.servers.config;
         let rejected_entry = match &rejection.command {
--- a/crates/guard/src/command_text.rs
+++ b/crates/guard/src/command_text.rs
@@ -1,8 +1,8 @@
-//! The wording of commands in logs and records.
+//! The text of commands in logs and records.
 
 use runloom_controller::{Command, RetryPolicy};
 
-/// A command as logs and records word it. Records are compared with a replay: the wording is stable.
+/// Formats a command for logs and records. The text is stable, since a replay compares its own with the record's.
 pub fn command_text(command: &Command) -> String {
     match command {
         Command::SetEntry { table, server, weight } => {
@@ -19,7 +19,7 @@
             let tries = retry_policy_text(*retry_policy);
             format!("Level {{ table: {table}, class: {class}, level: {admission_rate:?}, tries: {tries} }}")
         }
-        // The guard rejects no others.
+        // The guard never rejects the other commands.
         other => format!("{other:?}"),
     }
 }
--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -18,8 +18,8 @@
 pub struct RejectedCommand {
     /// The command, as the controller issued it.
     pub command: Command,
-    /// For [`Command::SetEntry`]: the weight that stays published; `None` if the table has no entry for the server,
-    /// and for other commands.
+    /// For [`Command::SetEntry`]: the weight that stays published; `None` if the table has no entry for the
+    /// server, and for other commands.
     pub published_weight: Option<f64>,
 }
 
@@ -140,8 +140,8 @@
                 rejections.insert(position, rejection);
             }
         }
-        // A rejection changes the staged tables, so the check is repeated until it finds no more. Each round but the
-        // last rejects at least one command.
+        // A rejection changes the staged tables, so the check is repeated until it finds no more. Each round but
+        // the last rejects at least one command.
         for _ in 0..=commands.len() {
             let batch = Batch { commands, rejections: &rejections };
             let staged = self.state.stage(batch);
--- a/crates/guard/src/rejection.rs
+++ b/crates/guard/src/rejection.rs
@@ -1,33 +1,33 @@
-//! Why a command was rejected: as data, and as a sentence.
+//! Why a command was rejected, as data and as text for operators.
 
 use crate::rejection_case::RejectionCase;
 use runloom_controller::{Command, ProxyId, ServerId, TableId};
 use std::time::Duration;
 
-/// Proxies and servers that a rejection names.
-const MAX_NAMED: usize = 5;
+/// Limit on the proxies, and on the servers, that a rejection lists.
+const MAX_LISTED: usize = 5;
 
 /// Why a command or an edit was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// Rule 1: a table that proxies use would have no usable server.
+    /// Rule 1: a table that proxies use would have no usable server left.
     EmptiesTable,
-    /// Rule 1: an admission rate that leaves a class without service.
+    /// Rule 1: an admission rate would leave a class practically without service.
     AdmissionRateTooLow,
-    /// Rule 3: an entry of a server that is draining, removed or was never listed.
+    /// Rule 3: an entry would be raised whose server is draining, was removed or was never listed.
     SendsToClosedServer,
     /// Rule 4: a raised entry would overload a cold server.
     OverloadsColdServer,
-    /// Rule 4: what other servers lose would overload a cold server.
+    /// Rule 4: requests that other servers lose would overload a cold server.
     ShiftsLoadToColdServer,
-    /// A weight or admission rate that is not a usable number.
+    /// A weight is not within 0 to 1e9, or an admission rate is not finite.
     Malformed,
-    /// Rule 1, of an edit: no open server would be left.
+    /// Rule 1: an edit would leave no usable server.
     EditEmptiesPool,
 }
 
 impl RejectionReason {
-    /// The tag in the log, the state, the counters and `error-app-tag`.
+    /// The stable name in logs, state, counters and `error-app-tag`.
     pub fn tag(self) -> &'static str {
         match self {
             RejectionReason::EmptiesTable => "empties-table",
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The rule's number in `docs/guard.md`; 0 for values that no rule allows.
+    /// The number of the rule in `docs/guard.md`; 0 for values that are not usable at all.
     pub fn rule(self) -> u8 {
         match self {
             RejectionReason::EmptiesTable
@@ -53,39 +53,40 @@
     }
 }
 
-/// The load that a rejected command would have put on a cold server, and the load that it may get.
+/// The load that a rejected command would have put on a cold server, and its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Overload {
-    /// Requests a second; where cold servers are compared with each other, a share of the table.
+    /// Requests per second; a share of the table's requests (0 to 1) if only cold servers can take them.
     pub load: f64,
-    /// In the same unit.
+    /// The largest acceptable load, in the unit of `load`.
     pub limit: f64,
 }
 
-/// A rejected command, and why.
+/// A rejected command with the reason and its context.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rejection {
-    /// When, on the controller's clock.
+    /// Time of the rejection on the controller's clock.
     pub at: Duration,
-    /// Why.
+    /// The rule or value check that failed.
     pub reason: RejectionReason,
-    /// The command.
+    /// The rejected command, as the controller issued it.
     pub command: Command,
-    /// The table that it would have changed.
+    /// The table that the command would have changed; for an ejection, one of the tables that list the server.
     pub table: TableId,
-    /// Proxies assigned to the table.
+    /// Number of proxies assigned to the table; 0 for an unusable value.
     pub proxy_count: usize,
-    /// The first few of them.
+    /// Up to five of these proxies.
     pub first_proxies: Vec<ProxyId>,
-    /// The first few servers that it would have harmed or taken out.
+    /// Up to five servers that the rule is about: closed, overloaded, or taken out.
     pub servers: Vec<ServerId>,
-    /// For rule 4: the load and its limit.
+    /// For rule 4, the load and its limit; `None` for other reasons.
     pub overload: Option<Overload>,
-    /// All that the decision depended on, for [`crate::replay_case`].
+    /// The inputs of the decision, for [`crate::replay_case`]; `None` before the guard has recorded the rejection.
     pub case: Option<RejectionCase>,
 }
 
 impl Rejection {
+    /// A rejection without time, overload and case; the lists of names are cut to [`MAX_LISTED`].
     pub(crate) fn new(
         reason: RejectionReason,
         command: &Command,
@@ -99,8 +100,8 @@
             command: command.clone(),
             table,
             proxy_count: proxies.len(),
-            first_proxies: proxies.iter().take(MAX_NAMED).copied().collect(),
-            servers: servers.take(MAX_NAMED).collect(),
+            first_proxies: proxies.iter().take(MAX_LISTED).copied().collect(),
+            servers: servers.take(MAX_LISTED).collect(),
             overload: None,
             case: None,
         }
@@ -111,7 +112,7 @@
         self
     }
 
-    /// The reason as one sentence; `server_name` and `proxy_name` name indices.
+    /// Describes the reason in one sentence; `server_name` and `proxy_name` translate indices to names.
     pub fn describe(
         &self,
         server_name: &dyn Fn(ServerId) -> String,
@@ -158,7 +159,7 @@
         self.overload.map(describe).unwrap_or_default()
     }
 
-    /// A change that would have been accepted.
+    /// Suggests a change that would have been accepted; `server_name` translates indices to names.
     pub fn suggest_safe_change(&self, server_name: &dyn Fn(ServerId) -> String) -> String {
         let first = self.servers.first().map(|server| server_name(*server)).unwrap_or_default();
         match (self.reason, self.overload) {
--- a/crates/guard/src/rejection_case.rs
+++ b/crates/guard/src/rejection_case.rs
@@ -1,42 +1,42 @@
-//! All that one rejection depended on, small enough for a log line.
+//! The inputs of one rejection, small enough for a log line.
 
 use serde::{Deserialize, Serialize};
 
-/// One entry of the table of a rejected command.
+/// One entry of a rejected command's table, with the state of its server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RejectionCaseEntry {
-    /// The server's index.
+    /// Index of the server.
     pub server: usize,
-    /// Its published weight; 0 if it has no entry.
+    /// Published weight; 0 if the table has no entry for the server.
     pub weight: f64,
-    /// Whether proxies may send to it.
+    /// Whether proxies may send to the server: it is neither closed nor ejected.
     #[serde(rename = "open")]
     pub is_open: bool,
-    /// Its weight in the endpoint list.
+    /// Weight of the server in the endpoint list.
     #[serde(rename = "listed")]
     pub configured_weight: f64,
-    /// Seconds since its start; `None` for long ago.
+    /// Seconds since the server's start; `None` counts as long ago.
     #[serde(rename = "age")]
     pub age_seconds: Option<f64>,
 }
 
-/// All that one rejection depended on.
+/// The inputs of one rejection.
 ///
-/// It is written to the log as JSON and read from there by [`crate::replay_case`]: its JSON keys are stable, and
-/// `reason` comes first.
+/// It is written to the log as JSON, and read from there to be validated again by [`crate::replay_case`]. Its JSON
+/// keys are therefore stable, and `reason` comes first: readers find a case in a log line by it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RejectionCase {
-    /// [`crate::RejectionReason::tag`].
+    /// See [`crate::RejectionReason::tag`].
     pub reason: String,
-    /// The table that the command would have changed.
+    /// See [`crate::Rejection::table`].
     pub table: u16,
-    /// Its entries.
+    /// The table's published entries, with one of weight 0 for a server that the command would have added.
     #[serde(rename = "lines")]
     pub entries: Vec<RejectionCaseEntry>,
-    /// Requests a second of the table's proxies.
+    /// Requests per second of the table's proxies.
     #[serde(rename = "rate")]
     pub request_rate: f64,
-    /// Requests a second that a unit of configured weight serves; 0 if that is not known.
+    /// Requests per second that a unit of configured weight can serve; 0 if that is not known.
     #[serde(rename = "can")]
     pub capacity_per_weight: f64,
     /// See [`crate::GuardConfig::class_count`].
@@ -48,7 +48,7 @@
     /// See [`crate::GuardConfig::initial_capacity`].
     #[serde(rename = "cold_from")]
     pub initial_capacity: f64,
-    /// See [`crate::GuardConfig::warm_up`]; in seconds.
+    /// [`crate::GuardConfig::warm_up`] in seconds.
     #[serde(rename = "warm_after")]
     pub warm_up_seconds: f64,
     /// See [`crate::GuardConfig::overload_multiple`].
@@ -57,10 +57,10 @@
     /// See [`crate::GuardConfig::only_draining_binds`].
     #[serde(rename = "only_drains_bind")]
     pub only_draining_binds: bool,
-    /// Server and weight of a rejected entry; `None` for other commands.
+    /// Server and weight of a rejected [`runloom_controller::Command::SetEntry`]; `None` for other commands.
     #[serde(rename = "line")]
     pub rejected_entry: Option<(usize, f64)>,
-    /// The command, as [`crate::command_text::command_text`] words it.
+    /// The command as text, see [`crate::command_text::command_text`].
     #[serde(rename = "what")]
     pub command: String,
 }
--- a/crates/guard/src/replay.rs
+++ b/crates/guard/src/replay.rs
@@ -1,4 +1,4 @@
-//! Validates a rejected command again, from its case alone.
+//! Validates a rejected command again, from its recorded case alone.
 
 use crate::config::GuardConfig;
 use crate::guard::SafetyGuard;
@@ -9,16 +9,17 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The time at which a case is replayed: late enough for every server's age.
+/// The time at which a case is replayed: later than any replayed server age.
 const REPLAY_TIME: Duration = Duration::from_secs(10_000_000);
-/// Bounds, in seconds, of a replayed age or warm-up time.
+/// Upper bound of a replayed server age or warm-up time, in seconds.
 const MAX_REPLAYED_SECONDS: f64 = 1e6;
+/// Lower bound of a replayed warm-up time, in seconds.
 const MIN_REPLAYED_WARM_UP_SECONDS: f64 = 0.001;
-/// The one proxy of a replay, with the request rate of all of the case's proxies.
+/// The only proxy of a replay: it sends the requests of all of the case's proxies.
 const REPLAYED_PROXY: ProxyId = 0;
 
 impl RejectionCase {
-    /// The rejected command.
+    /// The rejected command; one that is no [`Command::SetEntry`] is replayed as [`Command::ClearTable`].
     fn to_command(&self) -> Command {
         match self.rejected_entry {
             Some((server, weight)) => Command::SetEntry { table: self.table, server, weight },
@@ -26,6 +27,7 @@
         }
     }
 
+    /// The guard's settings at the rejection, within the bounds of a replay.
     fn to_config(&self) -> GuardConfig {
         let warm_up = self.warm_up_seconds.clamp(MIN_REPLAYED_WARM_UP_SECONDS, MAX_REPLAYED_SECONDS);
         GuardConfig {
@@ -39,8 +41,8 @@
     }
 }
 
-/// Validates a case again, with a guard that knows no more than the case holds, and returns the rejection if it is
-/// rejected again.
+/// Validates a case's command again, with a new guard that has the case's state only. Returns the rejection, or
+/// `None` if the command is accepted now.
 pub fn replay_case(case: &RejectionCase) -> Option<Rejection> {
     let mut guard = SafetyGuard::new(case.to_config());
     for entry in &case.entries {
@@ -49,7 +51,7 @@
     let state = guard.state_mut();
     state.servers.set_capacity_per_weight(case.capacity_per_weight);
     state.connect_proxy(REPLAYED_PROXY, case.request_rate);
-    // The published table is taken as it is, without validation.
+    // The published entries are installed as they are, without validation.
     let published = case.entries.iter().filter(|entry| entry.weight > 0.0);
     let published = published.map(|entry| (entry.server, entry.weight)).collect();
     state.tables.entry(case.table).or_default().publish(published, &BTreeSet::new());
--- a/crates/guard/src/rules.rs
+++ b/crates/guard/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of `docs/guard.md`, each in a module.
+//! The rules of `docs/guard.md`, one per module.
 
 mod closed_server;
 mod cold_overload;
@@ -15,12 +15,12 @@
 
 pub(crate) use empty_table::MIN_WEIGHT_SHARE;
 
-/// Checks a command by itself: its values, and whether it sends to a server that is closed.
+/// Checks a command by itself: its values, and whether it raises the entry of a closed server.
 pub(crate) fn check_command(state: &FleetState, command: &Command) -> Option<Rejection> {
     usable_value::check(command).or_else(|| closed_server::check(state, command))
 }
 
-/// Checks the tables as the batch would leave them, and returns the commands that break a rule.
+/// Checks the tables after the batch, and returns the rejections of the commands that break a rule.
 pub(crate) fn check_batch(
     state: &FleetState,
     now: Duration,
@@ -32,13 +32,13 @@
     for table in staged.touched_tables() {
         let published = state.entries(table);
         let check = TableCheck { state, now, batch, staged, table, published: &published };
-        check.empty_table(&mut rejections);
-        check.cold_overload(&cold_servers, &mut rejections);
+        check.reject_emptying(&mut rejections);
+        check.reject_cold_overload(&cold_servers, &mut rejections);
     }
     rejections
 }
 
-/// One table of a batch under check.
+/// The check of one table that a batch changes or assigns proxies to.
 #[derive(Clone, Copy)]
 struct TableCheck<'a> {
     state: &'a FleetState,
@@ -46,7 +46,7 @@
     batch: Batch<'a>,
     staged: &'a StagedBatch,
     table: TableId,
-    /// Its entries before the batch.
+    /// The table's entries before the batch.
     published: &'a Entries,
 }
 
--- a/crates/guard/src/rules/closed_server.rs
+++ b/crates/guard/src/rules/closed_server.rs
@@ -1,10 +1,10 @@
-//! Rule 3: the entry of a server that is draining, removed or was never listed may be lowered, and no more.
+//! Rule 3: the entry of a closed server (draining, removed or never listed) may be lowered, but not raised.
 
 use crate::fleet_state::FleetState;
 use crate::rejection::{Rejection, RejectionReason};
 use runloom_controller::Command;
 
-/// Rejects a raised weight of a server that is closed.
+/// Rejects a command that raises the weight of a closed server.
 pub(super) fn check(state: &FleetState, command: &Command) -> Option<Rejection> {
     let Command::SetEntry { table, server, weight } = command else { return None };
     let published = state.tables.get(table).and_then(|tracked| tracked.entries().get(server));
--- a/crates/guard/src/rules/cold_overload.rs
+++ b/crates/guard/src/rules/cold_overload.rs
@@ -1,4 +1,4 @@
-//! Rule 4: a server that has just started gets no more than it can serve at its age.
+//! Rule 4: a cold server, which is still warming up, gets no more requests than it can serve at its age.
 
 use super::empty_table::usable_servers;
 use super::TableCheck;
@@ -10,16 +10,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Where only cold servers are left, each may get this times its share by weight and age.
-const MAX_EVEN_SHARE_MULTIPLE: f64 = 1.5;
+/// If only cold servers can take the requests, limit on a server's share as a multiple of its fair share, which
+/// follows its weight and age.
+const MAX_FAIR_SHARE_MULTIPLE: f64 = 1.5;
 /// A load that grows by no more than this factor counts as unchanged.
 const LOAD_TOLERANCE: f64 = 1.0001;
 
-/// The cold servers, looked up once a batch.
+/// The cold servers and the capacity estimate, computed once per check of a batch.
 pub(super) struct ColdServers {
-    /// The tables that may send to each, in some version that may be in force.
+    /// For each cold server, the tables that list it in some version that may be in force.
     tables: BTreeMap<ServerId, Vec<TableId>>,
-    /// Requests a second that a unit of configured weight serves.
+    /// Requests per second that a unit of configured weight can serve; `None` if that is not known.
     capacity_per_weight: Option<f64>,
 }
 
@@ -43,7 +44,8 @@
     }
 }
 
-/// A cold server's load before and after a batch, and its limit: requests a second, or shares of a table.
+/// A cold server's load before and after a batch, and its limit, all in requests per second or all as shares of a
+/// table's requests.
 struct LoadChange {
     before: f64,
     after: f64,
@@ -61,16 +63,16 @@
 }
 
 impl TableCheck<'_> {
-    /// Rejects the commands by which cold servers of the table would be overloaded.
-    pub(super) fn cold_overload(&self, cold_servers: &ColdServers, rejections: &mut Rejections) {
+    /// Rejects the commands that would overload cold servers of the table.
+    pub(super) fn reject_cold_overload(&self, cold_servers: &ColdServers, rejections: &mut Rejections) {
         for server in self.next().keys() {
             if self.state.servers.is_cold(*server, self.now) && self.state.is_open(*server) {
-                self.overload_of(*server, cold_servers, rejections);
+                self.check_cold_server(*server, cold_servers, rejections);
             }
         }
     }
 
-    fn overload_of(&self, server: ServerId, cold_servers: &ColdServers, rejections: &mut Rejections) {
+    fn check_cold_server(&self, server: ServerId, cold_servers: &ColdServers, rejections: &mut Rejections) {
         let change = if self.has_only_cold_servers() {
             Some(self.share_change(server))
         } else {
@@ -79,13 +81,13 @@
         let Some(change) = change.filter(LoadChange::is_overload) else { return };
         let raises = |command: &Command| self.raises_entry(command, server);
         if self.reject(RejectionReason::OverloadsColdServer, server, &change, raises, rejections) == 0 {
-            // Its own entry is not raised: what other servers lose falls on it.
-            let shifts = |command: &Command| self.lowers_others(command, server);
+            // Its own entry is not raised: the load comes from what other servers lose.
+            let shifts = |command: &Command| self.shifts_load_to(command, server);
             self.reject(RejectionReason::ShiftsLoadToColdServer, server, &change, shifts, rejections);
         }
     }
 
-    /// Rejects the accepted commands that are at fault, and returns how many.
+    /// Rejects the accepted commands that are at fault, and returns their number.
     fn reject(
         &self,
         reason: RejectionReason,
@@ -108,27 +110,27 @@
     /// Whether a command raises the server's entry in the table.
     fn raises_entry(&self, command: &Command, server: ServerId) -> bool {
         match command {
-            Command::SetEntry { table, server: of, weight } => {
-                *table == self.table && *of == server && *weight > self.published_weight(*of)
+            Command::SetEntry { table, server: changed, weight } => {
+                *table == self.table && *changed == server && *weight > self.published_weight(*changed)
             }
             _ => false,
         }
     }
 
-    /// Whether a command takes requests from other servers of the table, or assigns a proxy to it.
-    fn lowers_others(&self, command: &Command, server: ServerId) -> bool {
+    /// Whether a command takes requests from other servers of the table, or reassigns a proxy to the table.
+    fn shifts_load_to(&self, command: &Command, server: ServerId) -> bool {
         match command {
-            Command::SetEntry { table, server: of, weight } => {
+            Command::SetEntry { table, server: changed, weight } => {
                 *table == self.table
-                    && *of != server
-                    && self.state.is_open(*of)
-                    && *weight < self.published_weight(*of)
+                    && *changed != server
+                    && self.state.is_open(*changed)
+                    && *weight < self.published_weight(*changed)
             }
             Command::ClearTable { table } => *table == self.table,
-            Command::EjectServer { server: of, ejected } => {
-                *ejected && self.state.is_open(*of) && self.published.contains_key(of)
+            Command::EjectServer { server: changed, ejected } => {
+                *ejected && self.state.is_open(*changed) && self.published.contains_key(changed)
             }
-            // A first assignment is accepted: what the proxy holds until then may name draining servers.
+            // A first assignment is not at fault: until then the proxy may hold a table with draining servers.
             Command::AssignTable { proxy, table, .. } => *table == self.table && self.is_assigned(*proxy),
             _ => false,
         }
@@ -142,22 +144,25 @@
         self.state.proxies.get(&proxy).is_some_and(|tracked| !tracked.table_of_class.is_empty())
     }
 
-    /// Whether cold servers are compared with each other and not with what they can serve: no warm server is open
-    /// at all, or proxies are assigned for the first time, to a table that has none. What those hold until then
-    /// may name draining servers, and rule 3 comes before rule 4.
+    /// Whether only cold servers can take the requests, so that they are compared with each other and not with
+    /// their capacity. That is so if no warm server is open at all, or if proxies get their first assignment and
+    /// the table has no warm server. What these proxies hold until then may list draining servers, and rule 3
+    /// takes precedence over rule 4.
     fn has_only_cold_servers(&self) -> bool {
-        let is_warm =
+        let is_open_and_warm =
             |server: ServerId| !self.state.servers.is_cold(server, self.now) && self.state.is_open(server);
-        // Before the batch: one that ejects the last warm server is not excused by that.
-        let was_warm = |server: ServerId| is_warm(server) && !self.state.ejected.contains(&server);
+        // Ejections before the batch: one that ejects the last warm server is still held to the capacity limit.
+        let was_warm = |server: ServerId| is_open_and_warm(server) && !self.state.ejected.contains(&server);
         if !self.state.servers.ids().any(was_warm) {
             return true;
         }
-        let stays_warm = |server: ServerId| is_warm(server) && !self.staged.ejected.contains(&server);
+        let stays_warm =
+            |server: ServerId| is_open_and_warm(server) && !self.staged.ejected.contains(&server);
         self.has_first_assignment()
             && !usable_servers(self.state, self.next(), &self.staged.ejected).any(stays_warm)
     }
 
+    /// Whether the batch gives a proxy that has no table yet its first assignment, and does so to this table.
     fn has_first_assignment(&self) -> bool {
         self.staged.assignments.iter().any(|assignment| {
             let proxy = self.state.proxies.get(&assignment.proxy);
@@ -165,25 +170,25 @@
         })
     }
 
-    /// The server's share of the table, limited by its share by weight and age among the usable servers.
+    /// The server's share of the table's requests, limited by its fair share among the usable servers.
     fn share_change(&self, server: ServerId) -> LoadChange {
         let usable = usable_servers(self.state, self.next(), &self.staged.ejected);
         let total: f64 = usable.map(|server| self.warm_weight(server)).sum();
         LoadChange {
             before: share(&without_ejected(self.published, &self.state.ejected), server),
             after: share(&without_ejected(self.next(), &self.staged.ejected), server),
-            limit: MAX_EVEN_SHARE_MULTIPLE * self.warm_weight(server) / total.max(f64::MIN_POSITIVE),
+            limit: MAX_FAIR_SHARE_MULTIPLE * self.warm_weight(server) / total.max(f64::MIN_POSITIVE),
         }
     }
 
-    /// A server's configured weight, by its age.
+    /// A server's configured weight, scaled down while it warms up.
     fn warm_weight(&self, server: ServerId) -> f64 {
         let configured_weight =
             self.state.servers.get(server).map_or(0.0, |tracked| tracked.configured_weight);
         configured_weight * self.state.servers.warm_fraction(server, self.now)
     }
 
-    /// The requests a second that the server may get, limited by its capacity; `None` if that is not known.
+    /// The requests per second that the server may get, limited by its capacity; `None` if that is not known.
     fn load_change(&self, server: ServerId, cold_servers: &ColdServers) -> Option<LoadChange> {
         let capacity_per_weight = cold_servers.capacity_per_weight?;
         let limit = self.state.servers.load_limit(server, self.now, capacity_per_weight)?;
@@ -196,33 +201,36 @@
     }
 }
 
-/// The most requests a second that all proxies may send to a server, each on any version that may be in force.
+/// Upper bound of the requests per second that all proxies send to a server, each on any version that may be in
+/// force there.
 fn current_load(state: &FleetState, server: ServerId, tables: &[TableId]) -> f64 {
     let tracked = tables.iter().filter_map(|table| state.tables.get(table));
     tracked.map(|tracked| tracked.max_load(server, None)).sum()
 }
 
-/// The same once the batch is published.
+/// The same upper bound once the batch is published.
 fn staged_load(state: &FleetState, server: ServerId, tables: &[TableId], staged: &StagedBatch) -> f64 {
     let changed = staged.tables.iter();
-    let newly = changed.filter(|(table, entries)| entries.contains_key(&server) && !tables.contains(table));
-    let newly = newly.map(|(table, _)| table);
-    let tracked = tables.iter().chain(newly).filter_map(|table| Some((table, state.tables.get(table)?)));
+    let newly_listing =
+        changed.filter(|(table, entries)| entries.contains_key(&server) && !tables.contains(table));
+    let newly_listing = newly_listing.map(|(table, _)| table);
+    let tracked =
+        tables.iter().chain(newly_listing).filter_map(|table| Some((table, state.tables.get(table)?)));
     let next =
         |table: &TableId| staged.tables.get(table).map(|entries| without_ejected(entries, &staged.ejected));
     let mut load: f64 = tracked.map(|(table, tracked)| tracked.max_load(server, next(table).as_ref())).sum();
     for assignment in &staged.assignments {
         let Some(proxy) = state.proxies.get(&assignment.proxy) else { continue };
-        let moved = state
+        let reassigned_classes = state
             .classes(assignment.class_mask)
             .filter(|class| proxy.table_of_class.get(class) != Some(&assignment.table));
-        let request_rate: f64 = moved.map(|class| proxy.request_rates[class]).sum();
+        let request_rate: f64 = reassigned_classes.map(|class| proxy.request_rates[class]).sum();
         load += request_rate * staged_share(state, server, assignment.table, staged);
     }
     load
 }
 
-/// The server's share of a table once the batch is published.
+/// The server's share of a table's requests once the batch is published.
 fn staged_share(state: &FleetState, server: ServerId, table: TableId, staged: &StagedBatch) -> f64 {
     let published = || state.tables.get(&table).map(TrackedTable::entries);
     let entries = staged.tables.get(&table).or_else(published);
--- a/crates/guard/src/rules/empty_table.rs
+++ b/crates/guard/src/rules/empty_table.rs
@@ -1,4 +1,4 @@
-//! Rule 1: a table that proxies use keeps a server that requests can go to.
+//! Rule 1: a table that proxies use keeps at least one usable server.
 
 use super::TableCheck;
 use crate::batch::Rejections;
@@ -8,12 +8,12 @@
 use runloom_controller::{Command, ServerId};
 use std::collections::BTreeSet;
 
-/// Share of the table's largest weight below which an entry counts as none: it gets a request in hours.
+/// Fraction of the table's largest weight below which an entry counts as none: it gets one request in hours.
 pub(crate) const MIN_WEIGHT_SHARE: f64 = 1e-6;
 
 impl TableCheck<'_> {
-    /// Rejects the commands that would leave the table without a usable server.
-    pub(super) fn empty_table(&self, rejections: &mut Rejections) {
+    /// Rejects the commands that would leave the table without a usable server, if proxies use it.
+    pub(super) fn reject_emptying(&self, rejections: &mut Rejections) {
         let is_used = self.state.assigned_count(self.table, self.staged) > 0;
         if !is_used || usable_servers(self.state, self.next(), &self.staged.ejected).next().is_some() {
             return;
@@ -21,7 +21,7 @@
         let usable: BTreeSet<ServerId> =
             usable_servers(self.state, self.published, &self.state.ejected).collect();
         for (position, command) in self.batch.accepted() {
-            if self.removes_usable_server(command, &usable) {
+            if self.may_empty_table(command, &usable) {
                 let proxies = self.state.assigned_proxies(self.table);
                 let servers = usable.iter().copied();
                 let rejection =
@@ -31,16 +31,16 @@
         }
     }
 
-    /// Whether a command takes one of the `usable` servers out of the table, or assigns a proxy to it.
-    fn removes_usable_server(&self, command: &Command, usable: &BTreeSet<ServerId>) -> bool {
+    /// Whether a command lowers or removes one of the table's `usable` servers, or assigns a proxy to the table.
+    fn may_empty_table(&self, command: &Command, usable: &BTreeSet<ServerId>) -> bool {
         match command {
-            // The entry of a draining server is not usable: its removal is never rejected.
+            // A draining server is not usable, so the removal of its entry is never rejected.
             Command::SetEntry { table, server, weight } => {
                 *table == self.table && usable.contains(server) && *weight < self.published[server]
             }
             Command::ClearTable { table } => *table == self.table && !usable.is_empty(),
             Command::EjectServer { server, ejected } => *ejected && usable.contains(server),
-            // Where no server is open at all, there is no better table.
+            // If no server is open at all, no other table would be better.
             Command::AssignTable { table, .. } => *table == self.table && has_open_server(self.state),
             _ => false,
         }
@@ -51,7 +51,7 @@
     state.servers.ids().any(|server| state.is_open(server) && !state.ejected.contains(&server))
 }
 
-/// The servers of a table that requests can go to: open, not ejected, and of some weight.
+/// The usable servers of a table: open, not ejected, and with a weight that is not negligible beside the largest.
 pub(super) fn usable_servers<'a>(
     state: &'a FleetState,
     entries: &'a Entries,
--- a/crates/guard/src/tracked_table.rs
+++ b/crates/guard/src/tracked_table.rs
@@ -45,8 +45,8 @@
 #[derive(Debug)]
 struct OlderVersion {
     version: u64,
-    /// Share (0 to 1) of the table's requests for each server that was not ejected. Merged shares may add up to more
-    /// than 1.
+    /// Share (0 to 1) of the table's requests for each server that was not ejected. Merged shares may add up to
+    /// more than 1.
     shares: BTreeMap<ServerId, f64>,
 }
 
