--- a/crates/guard/tests/command_text.rs
+++ b/crates/guard/tests/command_text.rs
@@ -1,10 +1,10 @@
-//! Records and logs keep the wording that they had before the code was renamed.
+//! The text of commands in records and logs is stable, so that earlier records can be compared with a replay.
 
 use runloom_controller::{Command, RetryPolicy};
 use runloom_guard::command_text::command_text;
 
 #[test]
-fn commands_are_worded_as_in_earlier_records() {
+fn commands_have_the_same_text_as_in_earlier_records() {
     let cases = [
         (Command::SetEntry { table: 1, server: 2, weight: 0.0 }, "Line { table: 1, server: 2, weight: 0.0 }"),
         (Command::ClearTable { table: 3 }, "Clear { table: 3 }"),
--- a/crates/guard/tests/random_batches.rs
+++ b/crates/guard/tests/random_batches.rs
@@ -8,13 +8,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use support::{assert_all_accepted, assign, clear, config, eject, list_cold, set_entry, Entries, NOW};
 
+/// Number of servers in the fleets of random batches.
 const SERVERS: usize = 12;
+/// Number of proxies in the fleets of random batches.
 const PROXIES: usize = 8;
+/// Requests per second of each proxy.
 const REQUEST_RATE: f64 = 12.0;
-/// Weights that a random command may set.
+/// The weights that random commands set.
 const WEIGHTS: [f64; 5] = [0.0, 0.1, 1.0, 30.0, f64::NAN];
 
-/// Tables and assignments as the accepted commands leave them.
+/// Tables and assignments after the accepted commands.
 #[derive(Clone, Default)]
 struct Published {
     tables: BTreeMap<TableId, Entries>,
@@ -36,26 +39,28 @@
         }
     }
 
-    /// Whether a table has a server that is open, with a weight that is not negligible.
+    /// Whether a table has an open server with a weight that is not negligible.
     fn has_usable_server(&self, table: TableId, is_open: impl Fn(ServerId) -> bool) -> bool {
         let Some(entries) = self.tables.get(&table) else { return false };
         let max_weight = entries.values().copied().fold(0.0, f64::max);
         entries.iter().any(|(server, weight)| is_open(*server) && *weight >= max_weight * 1e-6)
     }
 
+    /// Whether a proxy is assigned to the table that was not before.
     fn has_new_proxy(&self, table: TableId, before: &Published) -> bool {
         let mut assignments = self.assignments.iter();
         assignments.any(|(proxy, of)| *of == table && before.assignments.get(proxy) != Some(of))
     }
 }
 
-/// One random command: what it does, and to whom.
+/// One random command: `kind` selects the command, the other fields its arguments.
 #[derive(Debug, Clone)]
 struct RandomCommand {
     kind: u8,
     table: TableId,
     server: ServerId,
     proxy: ProxyId,
+    /// Index in [`WEIGHTS`].
     weight: usize,
 }
 
@@ -108,8 +113,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Whatever is commanded in whatever batches: a table that proxies use keeps an open server if it had one, and
-    /// all weights are usable.
+    /// After any sequence of batches, a table that proxies use keeps an open server if it had one, and all weights
+    /// are positive and finite.
     #[test]
     fn no_batch_empties_a_table_that_proxies_use(
         modes in proptest::collection::vec(random_mode(), SERVERS),
@@ -141,25 +146,26 @@
     }
 }
 
-/// An unsafe batch, of one of eight kinds, for the `k`th round on three tables of eight warm servers each.
-fn unsafe_batch(k: u32) -> Vec<Command> {
-    let table = 1 + (k % 3) as TableId;
-    let server = (k % 24) as ServerId;
-    let part = f64::from(k % 97) / 97.0;
+/// An unsafe batch of one of eight kinds, by turns, for tables 1 to 3 with eight warm servers each. Servers 0 to
+/// 23 are warm, 24 to 29 are cold.
+fn unsafe_batch(round: u32) -> Vec<Command> {
+    let table = 1 + (round % 3) as TableId;
+    let server = (round % 24) as ServerId;
+    let fraction = f64::from(round % 97) / 97.0;
     let servers_of_table = || (0..24).filter(|server| 1 + (*server as TableId) % 3 == table);
-    match k % 8 {
+    match round % 8 {
         0 => vec![set_entry(table, server, f64::NAN)],
-        1 => vec![set_entry(table, server, -part - 1e-9)],
+        1 => vec![set_entry(table, server, -fraction - 1e-9)],
         2 => servers_of_table().map(|server| set_entry(table, server, 0.0)).collect(),
         3 => vec![clear(table)],
-        4 => vec![set_entry(table, 24 + server % 6, 10.0 + part)],
+        4 => vec![set_entry(table, 24 + server % 6, 10.0 + fraction)],
         5 => vec![Command::SetAdmission {
             table,
             class: 0,
-            admission_rate: Some(part * 1e-3),
+            admission_rate: Some(fraction * 1e-3),
             retry_policy: RetryPolicy::Never,
         }],
-        6 => vec![assign((k % 24) as ProxyId, 60_000, 0)],
+        6 => vec![assign((round % 24) as ProxyId, 60_000, 0)],
         _ => servers_of_table().map(eject).collect(),
     }
 }
@@ -180,10 +186,10 @@
     let entries = (0..24).map(|server| set_entry(1 + server as TableId % 3, server, 1.0));
     let assignments = (0..24).map(|proxy| assign(proxy, 1 + proxy as TableId % 3, 0));
     assert_all_accepted(&mut guard, NOW, entries.chain(assignments).collect());
-    // When a million unsafe batches follow, then all commands of each are rejected.
+    // When a million unsafe batches follow, then every command of each is rejected.
     let mut rejected_batches = 0u32;
-    for k in 0..1_000_000u32 {
-        let batch = unsafe_batch(k);
+    for round in 0..1_000_000u32 {
+        let batch = unsafe_batch(round);
         assert!(!batch.is_empty());
         let validated = guard.validate(NOW, batch);
         assert!(validated.accepted.is_empty(), "{:?}", validated.accepted);
--- a/crates/guard/tests/rejection_log.rs
+++ b/crates/guard/tests/rejection_log.rs
@@ -1,4 +1,4 @@
-//! Rejections as the log has them: sentences, and cases that can be validated again.
+//! What the log holds of a rejection: a description, and a case that can be validated again.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::{clear, set_entry, small_fleet, NOW};
 
 #[test]
-fn a_rejection_is_described_and_can_be_validated_again_from_the_log() {
+fn a_rejection_is_described_and_can_be_replayed_from_its_json() {
     // Given a rejection by rule 4 and one by rule 1.
     let mut guard = small_fleet();
     guard.validate(NOW, vec![set_entry(1, 2, 1.0)]);
@@ -16,20 +16,20 @@
     let reasons: Vec<_> = rejections.iter().map(|rejection| rejection.reason).collect();
     assert_eq!(reasons, [RejectionReason::OverloadsColdServer, RejectionReason::EmptiesTable]);
     for rejection in rejections {
-        // Then its sentence names the server or the proxies concerned, and it suggests a change.
+        // Then its description names the server or the proxies concerned, and it suggests a change.
         let server_name = |server: usize| format!("s{server}");
-        let sentence = rejection.describe(&server_name, &|proxy| format!("f{proxy}"));
+        let description = rejection.describe(&server_name, &|proxy| format!("f{proxy}"));
         let named = if rejection.reason == RejectionReason::OverloadsColdServer { "s2" } else { "f0 first" };
-        assert!(sentence.contains(named), "{sentence}");
+        assert!(description.contains(named), "{description}");
         assert!(!rejection.suggest_safe_change(&server_name).is_empty());
-        // When its case is read from JSON, then it is rejected for the same reason.
+        // When its case is read back from JSON and replayed, then it is rejected for the same reason.
         let json = serde_json::to_string(rejection.case.as_ref().unwrap()).unwrap();
         let case: RejectionCase = serde_json::from_str(&json).unwrap();
         assert_eq!(replay_case(&case).map(|again| again.reason), Some(rejection.reason));
     }
 }
 
-/// Logs are read by later builds.
+/// Later versions of the program read the logs of earlier ones.
 #[test]
 fn the_json_of_a_case_is_stable() {
     let mut guard = small_fleet();
--- a/crates/guard/tests/support/mod.rs
+++ b/crates/guard/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A small fleet under a guard, and short forms of commands.
+//! Shared test support: a small fleet under a guard, and constructors of commands.
 
-// Each test file uses some of these.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use runloom_controller::{Command, ListedState, ProxyId, ServerId, TableId};
@@ -8,11 +8,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Weight of each server in a table.
 pub type Entries = BTreeMap<ServerId, f64>;
 
+/// Time of the tests on the guard's clock; cold servers start then.
 pub const NOW: Duration = Duration::from_secs(1000);
+/// Number of traffic classes of [`config`].
 pub const CLASSES: usize = 2;
 
+/// Two classes and one planner. A server starts at 0.2 of its capacity, and may get 4 times its current capacity
+/// while it warms up.
 pub fn config() -> GuardConfig {
     GuardConfig {
         class_count: CLASSES,
@@ -28,6 +33,7 @@
     Command::SetEntry { table, server, weight }
 }
 
+/// Assigns a proxy's classes to a table; class mask 0 stands for all classes.
 pub fn assign(proxy: ProxyId, table: TableId, class_mask: u64) -> Command {
     Command::AssignTable { proxy, table, class_mask }
 }
@@ -54,13 +60,14 @@
     guard.update_endpoint(server, ListedState::Draining, 1.0, None);
 }
 
+/// Records that a message was sent to a proxy and acknowledged.
 pub fn acknowledge(guard: &mut SafetyGuard, proxy: ProxyId, number: u64) {
     guard.record_sent(proxy, number);
     guard.acknowledge(proxy, number);
 }
 
-/// Two warm servers (0 and 1), which are in table 1, a cold one (2), and a proxy with 30 requests a second that has
-/// acknowledged its assignment to the table.
+/// Table 1 with two warm servers (0 and 1), a cold server (2) in no table, and a proxy with 30 requests per second
+/// that has acknowledged its assignment to table 1.
 pub fn small_fleet() -> SafetyGuard {
     let mut guard = SafetyGuard::new(config());
     list_warm(&mut guard, 0);
@@ -86,7 +93,7 @@
     validated
 }
 
-/// The tags of all rejections so far.
+/// The tags of the guard's rejections, oldest first.
 pub fn rejection_tags(guard: &SafetyGuard) -> Vec<&'static str> {
     guard.rejections().map(|rejection| rejection.reason.tag()).collect()
 }
