--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's settings as a typed configuration.
+//! Reads the platform's settings, which are JSON, into a typed configuration.
 //!
-//! The adapter and the planner on the platform both read their settings here, so that the same decisions go by the
-//! same configuration. The module `wire` holds the settings' own names.
+//! The adapter and the planner on the platform both read their settings with this crate, so that the same settings
+//! give the same configuration. The module `wire` has the names of the settings on the wire.
 
 #![warn(missing_docs)]
 
@@ -10,27 +10,27 @@
 use runloom_controller::{DeploymentConfig, IdMap};
 use serde_json::Value;
 
-/// The admission rate that admits everything, where rates are requests a second.
+/// Admission rate that admits all requests, if rates are in requests per second.
 const UNLIMITED_REQUEST_RATE: f64 = 1e9;
-/// The same where rates are shares.
+/// Admission rate that admits all requests, if rates are shares of the requests (0 to 1).
 const UNLIMITED_SHARE: f64 = 1.0;
 
-/// What the settings say.
+/// The settings of a start message, as [`read`] returns them.
 #[derive(Debug, Clone, Default)]
 pub struct Settings {
-    /// The configuration of the decisions.
+    /// Configuration of the controller; settings that are not given have their defaults.
     pub config: DeploymentConfig,
-    /// The names of the traffic classes.
+    /// Names of the traffic classes, by index; a class without a name is called `#` with its position.
     pub classes: IdMap<String>,
-    /// The names of the zones.
+    /// Names of the zones, by index, including the planner's own.
     pub zones: IdMap<String>,
-    /// The wire's names of a load report's values, in the order in which they are handed on.
+    /// Wire names of the values in a load report, in the order in which the controller gets the values.
     pub load_fields: Vec<String>,
-    /// The wire's admission rate that admits everything.
+    /// The admission rate that stands for no limit on the wire: 1e9 if rates are in requests per second, else 1.
     pub unlimited_rate: f64,
 }
 
-/// Reads the settings of a start message. What is missing or mistyped keeps its default.
+/// Reads the settings of a start message. A setting that is missing or of the wrong type keeps its default.
 pub fn read(settings: &Value) -> Settings {
     let config = wire::config(settings);
     let limits_rate = config.limits_request_rate();
--- a/crates/deployment-config/src/wire.rs
+++ b/crates/deployment-config/src/wire.rs
@@ -1,4 +1,6 @@
-//! The names of the settings, and where each goes.
+//! Maps the settings, by their names on the wire, to the fields of the configuration.
+//!
+//! Paths are JSON pointers.
 
 use runloom_controller::config::{
     AdmissionKind, ChannelConfig, EndpointListConfig, LoadMetric, LoadReportConfig, SelectionMethod,
@@ -8,27 +10,32 @@
 use serde_json::Value;
 use std::time::Duration;
 
+/// A finite number; `None` if it is missing or of another type.
 fn number(settings: &Value, path: &str) -> Option<f64> {
     settings.pointer(path).and_then(Value::as_f64).filter(|number| number.is_finite())
 }
 
+/// A Boolean; `false` if it is missing or of another type.
 fn flag(settings: &Value, path: &str) -> bool {
     settings.pointer(path).and_then(Value::as_bool).unwrap_or(false)
 }
 
+/// A string; empty if it is missing or of another type.
 fn text<'a>(settings: &'a Value, path: &str) -> &'a str {
     settings.pointer(path).and_then(Value::as_str).unwrap_or_default()
 }
 
+/// A duration given in seconds; `None` if it is missing, negative or too large.
 fn seconds(settings: &Value, path: &str) -> Option<Duration> {
     number(settings, path).and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
 }
 
+/// An array; empty if it is missing or of another type.
 fn list<'a>(settings: &'a Value, path: &str) -> &'a [Value] {
     settings.pointer(path).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
-/// The configuration that the settings stand for.
+/// Reads the controller's configuration; missing settings keep their defaults.
 pub(crate) fn config(settings: &Value) -> DeploymentConfig {
     let defaults = DeploymentConfig::default();
     DeploymentConfig {
@@ -48,8 +55,8 @@
             is_available: !matches!(text(settings, "/stats/how"), "" | "none"),
             metrics: load_fields(settings).iter().map(|field| load_metric(field)).collect(),
         },
-        admission: admission(text(settings, "/familyInfo/levelKind")),
-        selection: selection(text(settings, "/familyInfo/choice")),
+        admission: admission_kind(text(settings, "/familyInfo/levelKind")),
+        selection: selection_method(text(settings, "/familyInfo/choice")),
         proxies_prefer_local_planner: flag(settings, "/familyInfo/localFirst"),
         service_limits: ServiceLimits {
             drain_grace_seconds: number(settings, "/rules/drainGraceS"),
@@ -98,7 +105,7 @@
     }
 }
 
-fn admission(kind: &str) -> AdmissionKind {
+fn admission_kind(kind: &str) -> AdmissionKind {
     match kind {
         "rps" => AdmissionKind::RequestRate,
         "ratio" => AdmissionKind::Share,
@@ -106,7 +113,7 @@
     }
 }
 
-fn selection(choice: &str) -> SelectionMethod {
+fn selection_method(choice: &str) -> SelectionMethod {
     match choice {
         "lottery" => SelectionMethod::Random,
         "wheel" => SelectionMethod::RoundRobin,
@@ -114,7 +121,7 @@
     }
 }
 
-/// The classes' names; one without a name gets one by its position.
+/// Names of the traffic classes, in order; a class without a name is called `#` with its position.
 pub(crate) fn class_names(settings: &Value) -> IdMap<String> {
     let mut names = IdMap::default();
     for (position, class) in list(settings, "/classes").iter().enumerate() {
@@ -124,7 +131,7 @@
     names
 }
 
-/// The zones' names, the planner's own among them.
+/// Names of the zones, in order; the planner's own is appended if it is not listed.
 pub(crate) fn zone_names(settings: &Value) -> IdMap<String> {
     let mut names = IdMap::default();
     let zones = list(settings, "/zones").iter().filter_map(Value::as_str);
@@ -134,7 +141,7 @@
     names
 }
 
-/// The names of a load report's values.
+/// Wire names of the values in a load report; empty for one that is not a string.
 pub(crate) fn load_fields(settings: &Value) -> Vec<String> {
     let fields = list(settings, "/stats/fields").iter();
     fields.map(|field| field.as_str().unwrap_or_default().to_string()).collect()
--- a/crates/deployment-config/tests/settings.rs
+++ b/crates/deployment-config/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings are read into the configuration that they stand for.
+//! Tests of how settings are read into the typed configuration.
 
 use runloom_controller::config::{AdmissionKind, LoadMetric, SelectionMethod};
 use runloom_controller::DeploymentConfig;
 
 #[test]
-fn settings_become_the_typed_configuration() {
+fn settings_are_read_into_the_typed_configuration() {
     let settings = serde_json::json!({
         "classes": [{"name": "a", "aimS": 0.5}], "familyInfo": {"levelKind": "rps", "choice": "lottery"},
         "stats": {"fields": ["rif", "busy"], "how": "answers"}, "zones": ["x", "y"], "myZone": "y"});
