--- a/crates/guard/tests/exhaustive_check.rs
+++ b/crates/guard/tests/exhaustive_check.rs
@@ -8,7 +8,7 @@
 use std::ops::AddAssign;
 use support::{assign, config, list_draining, set_entry, Entries, CLASSES, NOW};
 
-/// Requests a second of each proxy.
+/// Requests per second of each proxy.
 const REQUEST_RATE: f64 = 12.0;
 /// Limit on the load of a server at its start, as a multiple of an even share: overload multiple times initial
 /// capacity.
--- a/crates/guard/tests/rules.rs
+++ b/crates/guard/tests/rules.rs
@@ -66,7 +66,7 @@
     // A weight that is the largest of its table is usable, however small.
     let mut guard = small_fleet();
     assert_all_accepted(&mut guard, NOW, vec![set_entry(1, 0, 1e-9), set_entry(1, 1, 0.0)]);
-    // A draining server's weight may not be raised, which would make the share of the open server negligible.
+    // To raise a draining server's weight, so that the open server's share becomes negligible, is rejected.
     let mut guard = small_fleet();
     list_draining(&mut guard, 1);
     let validated = guard.validate(NOW, vec![set_entry(1, 0, 1e-3), set_entry(1, 1, 1e6)]);
