--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -180,16 +180,16 @@
             true
         }
         RecordedEvent::ProxyDisconnected { proxy } => {
-            let proxy = session.proxy(proxy);
+            let proxy = session.proxy_id(proxy);
             proxy.map(|proxy| session.disconnect_proxy(proxy)).is_some()
         }
         RecordedEvent::UpdateAcknowledged { proxy, number } => {
-            let proxy = session.proxy(proxy);
+            let proxy = session.proxy_id(proxy);
             proxy.map(|proxy| session.acknowledge(at, proxy, *number)).is_some()
         }
         RecordedEvent::Report { proxy, window_us, outcomes, arrivals } => {
             let report = replay_report(*window_us, outcomes, arrivals);
-            let proxy = session.proxy(proxy);
+            let proxy = session.proxy_id(proxy);
             proxy.map(|proxy| session.handle_report(at, proxy, &report)).is_some()
         }
         RecordedEvent::WarmStart { hints } => {
@@ -201,7 +201,7 @@
             let result = health_check_result(*result);
             let elapsed = Duration::from_micros(*elapsed_us);
             let load = load_from_bits(load_bits);
-            let server = session.server(server);
+            let server = session.server_id(server);
             server.map(|server| session.record_health_check(server, result, elapsed, load)).is_some()
         }
         _ => true,
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -128,7 +128,7 @@
     }
 
     /// The index of a proxy that has connected.
-    pub fn proxy(&self, name: &str) -> Option<ProxyId> {
+    pub fn proxy_id(&self, name: &str) -> Option<ProxyId> {
         self.proxies.get(name)
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// The index of a server that has been listed.
-    pub fn server(&self, name: &str) -> Option<ServerId> {
+    pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.endpoints.index(name)
     }
 
--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -102,7 +102,7 @@
             has_no_table: description.text_of("fresh") == Some("true"),
             transport: Transport::Edits,
             filters: vec![TopicFilter::ALL],
-            held: vec![],
+            held_versions: vec![],
         })
     }
 
--- a/crates/daemon/src/planner_runtime/proxy_session.rs
+++ b/crates/daemon/src/planner_runtime/proxy_session.rs
@@ -4,7 +4,7 @@
 use super::core::ProxyId;
 use super::subscriber::{BodyCache, SubscriberSession};
 use crate::tls_credentials::CertificateHolder;
-use runloom_distribution::Outgoing;
+use runloom_distribution::OutgoingMessage;
 use std::time::Duration;
 
 /// A proxy's session, by the protocol that it speaks.
@@ -47,16 +47,16 @@
     }
 
     /// Sends a message of the distributor.
-    pub(super) fn send(&mut self, now: Duration, outgoing: &Outgoing, bodies: &mut BodyCache) {
+    pub(super) fn send(&mut self, now: Duration, outgoing: &OutgoingMessage, bodies: &mut BodyCache) {
         match (self, outgoing) {
-            (ProxySession::CallHome(session), Outgoing::Edit { number, text, .. }) => {
+            (ProxySession::CallHome(session), OutgoingMessage::Edit { number, text, .. }) => {
                 session.send(now, *number, text);
             }
-            (ProxySession::Subscriber(session), Outgoing::Part { number, part }) => {
+            (ProxySession::Subscriber(session), OutgoingMessage::Part { number, part }) => {
                 session.send(now, *number, part, bodies);
             }
-            (ProxySession::CallHome(_), Outgoing::Part { .. })
-            | (ProxySession::Subscriber(_), Outgoing::Edit { .. }) => {}
+            (ProxySession::CallHome(_), OutgoingMessage::Part { .. })
+            | (ProxySession::Subscriber(_), OutgoingMessage::Edit { .. }) => {}
         }
     }
 }
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -188,7 +188,7 @@
         if let Some(sent) = sent {
             record_micros(&mut core.statistics.acknowledgement_time, now.saturating_sub(sent));
         }
-        let update = core.distributor.acknowledged(now, proxy, number);
+        let update = core.distributor.acknowledge(now, proxy, number);
         core.update_applied(now, proxy, update);
     }
 
@@ -202,8 +202,8 @@
     ) {
         let now = event_loop.now();
         let Some(proxy) = self.proxy(connection) else { return };
-        let rejection = core.distributor.rejected(now, proxy, number, topic);
-        core.update_applied(now, proxy, rejection.in_force);
+        let rejection = core.distributor.reject(now, proxy, number, topic);
+        core.update_applied(now, proxy, rejection.newest_in_force);
         if rejection.verdict == Verdict::Disconnect {
             tracing::error!(
                 proxy = core.control.proxy_name(proxy),
@@ -346,7 +346,7 @@
     ) {
         let timeout = core.acknowledgement_timeout();
         for (name, _) in core.distributor.publisher().overdue(now, timeout) {
-            let connection = core.control.proxy(&name).and_then(|proxy| core.connection_of(proxy));
+            let connection = core.control.proxy_id(&name).and_then(|proxy| core.connection_of(proxy));
             if let Some(connection) = connection {
                 tracing::warn!(proxy = %name, "disconnected: the proxy does not acknowledge what was published");
                 self.disconnect(core, event_loop, connection, CloseReason::Unread);
--- a/crates/daemon/src/planner_runtime/subscriber.rs
+++ b/crates/daemon/src/planner_runtime/subscriber.rs
@@ -141,7 +141,7 @@
             has_no_table: self.info.has_no_table,
             transport: Transport::Published,
             filters: self.filters.clone(),
-            held,
+            held_versions: held,
         };
         let is_complete = self.proxy.is_none() && pending.can_apply_tables();
         is_complete.then_some(ProxyEvent::Introduced(pending))
--- a/crates/distribution/src/distributor.rs
+++ b/crates/distribution/src/distributor.rs
@@ -21,9 +21,9 @@
 /// A proxy's number, as the controller has it.
 pub type ProxyId = usize;
 
-/// What is sent to a proxy next. Its number is acknowledged to [`Distributor::acknowledged`].
+/// What is sent to a proxy next. Its number is acknowledged to [`Distributor::acknowledge`].
 #[derive(Debug, Clone)]
-pub enum Outgoing {
+pub enum OutgoingMessage {
     /// An edit of the proxy's datastore. Proxies at the same position share the text.
     Edit {
         /// The message's number.
@@ -44,9 +44,9 @@
 
 /// What came of a message that a proxy could not use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rejection {
+pub struct RejectionOutcome {
     /// Token of the newest command that came in force by the messages before it, if one did.
-    pub in_force: Option<u64>,
+    pub newest_in_force: Option<u64>,
     /// What is to be done about the proxy.
     pub verdict: Verdict,
 }
--- a/crates/distribution/src/distributor/delivery.rs
+++ b/crates/distribution/src/distributor/delivery.rs
@@ -1,6 +1,6 @@
 //! Delivery: the next message to a proxy, and what follows its answer.
 
-use super::{Distributor, EditText, Outgoing, ProxyId, Rejection, UpdateIds, REJECTION_LIMIT};
+use super::{Distributor, EditText, OutgoingMessage, ProxyId, RejectionOutcome, UpdateIds, REJECTION_LIMIT};
 use crate::edit_message::add_update;
 use crate::member::PendingCommand;
 use crate::pending_proxy::Transport;
@@ -11,21 +11,21 @@
 
 impl Distributor {
     /// The next message to a proxy; `None`: it has everything, or too many messages in flight.
-    pub fn next_message(&mut self, now: Duration, proxy: ProxyId) -> Option<Outgoing> {
+    pub fn next_message(&mut self, now: Duration, proxy: ProxyId) -> Option<OutgoingMessage> {
         let member = self.members.get(&proxy)?;
         if member.transport == Transport::Published {
             let (number, part) = self.publisher.next_part(now, &member.name)?;
-            return Some(Outgoing::Part { number, part });
+            return Some(OutgoingMessage::Part { number, part });
         }
         if let Some((number, updates)) = self.publisher.next_bundle(now, &member.name) {
             let EditText { text, entries } = self.edit_text(proxy, updates)?;
-            return Some(Outgoing::Edit { number, text, entries });
+            return Some(OutgoingMessage::Edit { number, text, entries });
         }
         self.next_empty_message(now, proxy)
     }
 
     /// A message that changes nothing, for commands to a proxy that is assigned to no table.
-    fn next_empty_message(&mut self, now: Duration, proxy: ProxyId) -> Option<Outgoing> {
+    fn next_empty_message(&mut self, now: Duration, proxy: ProxyId) -> Option<OutgoingMessage> {
         let member = self.members.get_mut(&proxy)?;
         if !member.pending_commands.iter().any(PendingCommand::needs_empty_message) {
             return None;
@@ -34,7 +34,7 @@
         for command in member.pending_commands.iter_mut().filter(|command| command.needs_empty_message()) {
             command.empty_message = Some(number);
         }
-        Some(Outgoing::Edit { number, text: UpdateMessage::default().to_xml().into(), entries: 0 })
+        Some(OutgoingMessage::Edit { number, text: UpdateMessage::default().to_xml().into(), entries: 0 })
     }
 
     /// Writes updates as one edit.
@@ -70,7 +70,7 @@
 
     /// A proxy acknowledged a message, and all before it. Returns the token of the newest command that came in force
     /// by that, if one did.
-    pub fn acknowledged(&mut self, now: Duration, proxy: ProxyId, number: u64) -> Option<u64> {
+    pub fn acknowledge(&mut self, now: Duration, proxy: ProxyId, number: u64) -> Option<u64> {
         let member = self.members.get(&proxy)?;
         let held = self.publisher.acknowledge(&member.name, member.session, number);
         self.ready.insert(proxy);
@@ -78,16 +78,19 @@
     }
 
     /// A proxy could not use a message of a topic, which is sent again as a snapshot.
-    pub fn rejected(&mut self, now: Duration, proxy: ProxyId, number: u64, topic: Topic) -> Rejection {
+    pub fn reject(&mut self, now: Duration, proxy: ProxyId, number: u64, topic: Topic) -> RejectionOutcome {
         let Some(member) = self.members.get_mut(&proxy) else {
-            return Rejection { in_force: None, verdict: Verdict::Trusted };
+            return RejectionOutcome { newest_in_force: None, verdict: Verdict::Trusted };
         };
         let held = self.publisher.reject(&member.name, member.session, number, topic);
         let rejections = member.rejections.entry(topic).or_default();
         *rejections += 1;
         let verdict = if *rejections > REJECTION_LIMIT { Verdict::Disconnect } else { Verdict::Resync };
         self.ready.insert(proxy);
-        Rejection { in_force: self.versions_held(now, proxy, number.saturating_sub(1), held), verdict }
+        RejectionOutcome {
+            newest_in_force: self.versions_held(now, proxy, number.saturating_sub(1), held),
+            verdict,
+        }
     }
 
     /// A proxy holds these versions by its acknowledgement of message `number`.
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -13,7 +13,7 @@
 mod member;
 mod pending_proxy;
 
-pub use distributor::{Distributor, Outgoing, ProxyId, Rejection};
+pub use distributor::{Distributor, OutgoingMessage, ProxyId, RejectionOutcome};
 pub use pending_proxy::{PendingProxy, Transport};
 
 #[cfg(test)]
--- a/crates/distribution/src/member.rs
+++ b/crates/distribution/src/member.rs
@@ -78,7 +78,8 @@
             TopicKind::Assignments => assignments_of(proxy),
             _ => topic,
         };
-        let held = pending.held.into_iter().map(|(topic, held)| (to_own_topic(topic), held)).collect();
+        let held =
+            pending.held_versions.into_iter().map(|(topic, held)| (to_own_topic(topic), held)).collect();
         Member {
             name: pending.name,
             session,
--- a/crates/distribution/src/pending_proxy.rs
+++ b/crates/distribution/src/pending_proxy.rs
@@ -29,14 +29,14 @@
     /// What it subscribes to.
     pub filters: Vec<TopicFilter>,
     /// Versions of topics that it holds.
-    pub held: Vec<(Topic, HeldVersion)>,
+    pub held_versions: Vec<(Topic, HeldVersion)>,
 }
 
 impl PendingProxy {
     /// The oldest version that it holds; `None`: nothing. One that does not report its versions holds something old,
     /// unless it has no table.
     pub(crate) fn oldest_held(&self) -> Option<HeldVersion> {
-        let oldest = self.held.iter().map(|(_, held)| *held).min();
+        let oldest = self.held_versions.iter().map(|(_, held)| *held).min();
         oldest.or((!self.has_no_table).then_some(HeldVersion { epoch: 0, version: 0 }))
     }
 
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -25,7 +25,7 @@
     Duration::from_secs(n)
 }
 
-fn pending_proxy(name: &str, transport: Transport, held: Vec<(Topic, HeldVersion)>) -> PendingProxy {
+fn pending_proxy(name: &str, transport: Transport, held_versions: Vec<(Topic, HeldVersion)>) -> PendingProxy {
     PendingProxy {
         connection: 1,
         name: name.into(),
@@ -34,7 +34,7 @@
         has_no_table: true,
         transport,
         filters: vec![TopicFilter::ALL],
-        held,
+        held_versions,
     }
 }
 
@@ -59,8 +59,8 @@
 /// Sends a proxy all messages that it lacks, each acknowledged at once.
 fn acknowledge_all(distributor: &mut Distributor, proxy: usize, now: Duration) {
     while let Some(outgoing) = distributor.next_message(now, proxy) {
-        let (Outgoing::Edit { number, .. } | Outgoing::Part { number, .. }) = outgoing;
-        distributor.acknowledged(now, proxy, number);
+        let (OutgoingMessage::Edit { number, .. } | OutgoingMessage::Part { number, .. }) = outgoing;
+        distributor.acknowledge(now, proxy, number);
     }
 }
 
@@ -72,7 +72,7 @@
     reader: UpdateReader,
     tables: RouteTables,
     is_connected: bool,
-    in_flight: VecDeque<Outgoing>,
+    in_flight: VecDeque<OutgoingMessage>,
 }
 
 impl Peer {
@@ -91,9 +91,9 @@
     }
 
     /// Applies a message. Returns its number, and its topic if it could not be used.
-    fn apply(&mut self, outgoing: Outgoing) -> (u64, Option<Topic>) {
+    fn apply(&mut self, outgoing: OutgoingMessage) -> (u64, Option<Topic>) {
         match outgoing {
-            Outgoing::Edit { number, text, .. } => {
+            OutgoingMessage::Edit { number, text, .. } => {
                 let rpc = Element::parse(&text).unwrap();
                 let config = rpc.child("config").unwrap();
                 let applied =
@@ -104,7 +104,7 @@
                 self.tables = tables.unwrap_or_default();
                 (number, None)
             }
-            Outgoing::Part { number, mut part } => {
+            OutgoingMessage::Part { number, mut part } => {
                 if part.topic.kind == TopicKind::Assignments {
                     part.topic.table = 0;
                 }
@@ -259,10 +259,10 @@
             let Some(outgoing) = self.peers[p].in_flight.pop_front() else { return };
             let (number, rejected) = self.peers[p].apply(outgoing);
             let newest = match rejected {
-                None => self.distributor.acknowledged(ZERO, p, number),
+                None => self.distributor.acknowledge(ZERO, p, number),
                 Some(mut topic) => {
                     topic.table = if topic.kind == TopicKind::Assignments { p as u16 } else { topic.table };
-                    self.distributor.rejected(ZERO, p, number, topic).in_force
+                    self.distributor.reject(ZERO, p, number, topic).newest_in_force
                 }
             };
             if let Some(newest) = newest {
@@ -389,14 +389,14 @@
     for p in 0..3 {
         distributor.connect(p, pending_proxy(&format!("f{p}"), Transport::Edits, vec![]));
         distributor.issue_command(p, 1, &assignments(true, &[("q", 1)]));
-        let Some(Outgoing::Edit { number, text, .. }) = distributor.next_message(ZERO, p) else {
+        let Some(OutgoingMessage::Edit { number, text, .. }) = distributor.next_message(ZERO, p) else {
             panic!("no message")
         };
         assert!(text.contains("operation=\"replace\"") && text.contains("<bind><class>q</class>"), "{text}");
-        assert_eq!(distributor.acknowledged(ZERO, p, number), Some(1));
+        assert_eq!(distributor.acknowledge(ZERO, p, number), Some(1));
     }
     let text = |distributor: &mut Distributor, p| match distributor.next_message(ZERO, p) {
-        Some(Outgoing::Edit { text, .. }) => text,
+        Some(OutgoingMessage::Edit { text, .. }) => text,
         other => panic!("{other:?}"),
     };
     for k in 0..5 {
@@ -411,11 +411,11 @@
         texts[0]
     );
     assert!(!texts[0].contains("bind") && distributor.next_message(ZERO, 0).is_none());
-    assert_eq!(distributor.acknowledged(ZERO, 0, 2), Some(6), "all five commands at once");
+    assert_eq!(distributor.acknowledge(ZERO, 0, 2), Some(6), "all five commands at once");
     // A command that changes nothing is a message too.
     distributor.issue_command(0, 7, &UpdateMessage::default());
     assert!(text(&mut distributor, 0).contains("<tables"));
-    assert_eq!(distributor.acknowledged(ZERO, 0, 3), Some(7));
+    assert_eq!(distributor.acknowledge(ZERO, 0, 3), Some(7));
 }
 
 /// A proxy that acknowledges a server's removal and goes on sending requests there is resynced once, and disconnected
@@ -442,14 +442,14 @@
         assert_eq!(report(&mut distributor, secs(15), "s1"), Verdict::Trusted, "once again");
         assert_eq!(report(&mut distributor, secs(16), "s1"), Verdict::Resync);
         let Some(outgoing) = distributor.next_message(secs(16), 0) else { panic!("no resync") };
-        let (Outgoing::Edit { number, .. } | Outgoing::Part { number, .. }) = outgoing.clone();
+        let (OutgoingMessage::Edit { number, .. } | OutgoingMessage::Part { number, .. }) = outgoing.clone();
         match outgoing {
-            Outgoing::Edit { text, .. } => {
+            OutgoingMessage::Edit { text, .. } => {
                 assert!(text.contains("<tables xmlns=\"urn:runloom:proxy\" xmlns:nc="))
             }
-            Outgoing::Part { part, .. } => assert_eq!(part.base_version, None),
+            OutgoingMessage::Part { part, .. } => assert_eq!(part.base_version, None),
         }
-        distributor.acknowledged(secs(16), 0, number);
+        distributor.acknowledge(secs(16), 0, number);
         acknowledge_all(&mut distributor, 0, secs(16));
         assert_eq!(report(&mut distributor, secs(20), "s1"), Verdict::Trusted);
         assert_eq!(report(&mut distributor, secs(21), "s1"), Verdict::Disconnect);
@@ -501,7 +501,7 @@
     while let Some(outgoing) = distributor.next_message(ZERO, 0) {
         let (number, rejected) = peer.apply(outgoing);
         assert_eq!(rejected, None);
-        distributor.acknowledged(ZERO, 0, number);
+        distributor.acknowledge(ZERO, 0, number);
     }
 
     assert_eq!(peer.entries("q"), [("s0".into(), 1), ("s1".into(), 1), ("s3".into(), 1)]);
@@ -515,11 +515,11 @@
     distributor.update_table(1, &weights(&[(1, 0.8)]));
     distributor.issue_command(0, 2, &UpdateMessage::default());
 
-    let Some(Outgoing::Part { part, number }) = distributor.next_message(ZERO, 0) else {
+    let Some(OutgoingMessage::Part { part, number }) = distributor.next_message(ZERO, 0) else {
         panic!("no message")
     };
     assert!(part.topic.kind == TopicKind::Assignments && part.changes.is_empty());
-    assert_eq!(distributor.acknowledged(ZERO, 0, number), Some(2));
+    assert_eq!(distributor.acknowledge(ZERO, 0, number), Some(2));
 }
 
 #[test]
@@ -531,10 +531,10 @@
     let subset = Topic { kind: TopicKind::Subset, table: 1 };
 
     let mut verdicts = vec![];
-    while let Some(Outgoing::Part { number, .. }) =
+    while let Some(OutgoingMessage::Part { number, .. }) =
         distributor.next_message(ZERO, 0).filter(|_| verdicts.len() < 20)
     {
-        verdicts.push(distributor.rejected(ZERO, 0, number, subset).verdict);
+        verdicts.push(distributor.reject(ZERO, 0, number, subset).verdict);
     }
 
     assert_eq!(verdicts.iter().position(|v| *v == Verdict::Disconnect), Some(REJECTION_LIMIT as usize));
@@ -558,7 +558,7 @@
 
         while let Some(outgoing) = distributor.next_message(ZERO, p) {
             let (number, _) = peer.apply(outgoing);
-            distributor.acknowledged(ZERO, p, number);
+            distributor.acknowledge(ZERO, p, number);
         }
 
         assert_eq!(peer.tables.admission_limit("q"), Some(limit(Some(2.5), RetryPolicy::Never)));
--- a/crates/replay/src/what_if/mod.rs
+++ b/crates/replay/src/what_if/mod.rs
@@ -179,7 +179,7 @@
 
     fn acknowledge_next(&mut self, now: Duration) {
         let Some(((_, proxy), number)) = self.pending_acks.pop_first() else { return };
-        if let Some(id) = self.session.proxy(&proxy) {
+        if let Some(id) = self.session.proxy_id(&proxy) {
             self.session.acknowledge(now, id, number);
         }
         self.tracker.record_acknowledged(&proxy, number);
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -6,7 +6,7 @@
 use super::BenchmarkResult;
 use crate::scenario::{DeliveryMode, FaultKind, Scenario, ScheduledFault};
 use crate::testbed::Testbed;
-use runloom_distribution::{Distributor, Outgoing, PendingProxy, Transport};
+use runloom_distribution::{Distributor, OutgoingMessage, PendingProxy, Transport};
 use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use runloom_model::table_update::{EntryEdit, TableEdit, UpdateMessage};
 use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
@@ -87,7 +87,7 @@
         has_no_table: true,
         transport,
         filters: vec![TopicFilter::ALL],
-        held: vec![],
+        held_versions: vec![],
     }
 }
 
@@ -227,11 +227,13 @@
             while let Some(outgoing) = self.distributor.next_message(Duration::ZERO, proxy) {
                 sent.totals.messages += 1;
                 match outgoing {
-                    Outgoing::Edit { number, text, .. } => {
+                    OutgoingMessage::Edit { number, text, .. } => {
                         sent.totals.bytes += text.len() as u64;
                         sent.edits.push((proxy, number));
                     }
-                    Outgoing::Part { number, part } => self.send_part(proxy, number, &part, &mut bodies),
+                    OutgoingMessage::Part { number, part } => {
+                        self.send_part(proxy, number, &part, &mut bodies)
+                    }
                 }
             }
         }
@@ -264,12 +266,12 @@
             let Some(subscription) = self.subscriptions.get_mut(&proxy) else { continue };
             for event in subscription.session.receive(now, &bytes) {
                 if let SessionEvent::Acknowledged(number) = event {
-                    self.distributor.acknowledged(now, proxy, number);
+                    self.distributor.acknowledge(now, proxy, number);
                 }
             }
         }
         for (proxy, number) in edits {
-            self.distributor.acknowledged(now, proxy, number);
+            self.distributor.acknowledge(now, proxy, number);
         }
     }
 
