--- a/crates/control-session/src/action.rs
+++ b/crates/control-session/src/action.rs
@@ -1,4 +1,4 @@
-//! What a step asks of the runtime.
+//! Results of a step: actions for the runtime, and what was published.
 
 use runloom_controller::{ProxyId, ServerId, TableId};
 use runloom_model::table_update::{TableEdit, UpdateMessage};
@@ -6,38 +6,38 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What the runtime has to do after a step.
+/// An action that the runtime carries out after a step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// A table changed. It precedes the messages that carry the change.
+    /// A table changed. Within a step this precedes the messages that carry the change.
     UpdateTable {
         /// The table.
         table: TableId,
-        /// What changed of it, or its complete content.
+        /// The changes, or the complete content if [`TableEdit::replaces_table`] is set.
         edit: TableEdit,
     },
     /// Servers were ejected from all tables (true) or readmitted (false).
     UpdateEjections {
-        /// The servers by name.
+        /// By server name: whether the server was ejected.
         servers: BTreeMap<String, bool>,
     },
-    /// Send one message to one proxy. Proxies on the same tables share the message; the transport chooses its
-    /// encoding.
+    /// Send one message to one proxy. Proxies assigned to the same tables share the message; its encoding depends on
+    /// the transport.
     Send {
         /// The recipient.
         proxy: ProxyId,
-        /// Sequence number at this proxy, from 1 on.
+        /// Sequence number of the message to this proxy, starting at 1 with each connection.
         number: u64,
         /// The content.
         message: Rc<UpdateMessage>,
         /// Table entries in the message.
         entries: usize,
     },
-    /// Check a server's health; the result goes to [`crate::ControlSession::record_health_check`].
+    /// Check a server's health, and pass the result to [`crate::ControlSession::record_health_check`].
     CheckHealth {
         /// The server.
         server: ServerId,
-        /// Where it listens.
+        /// The address that the server listens on.
         address: SocketAddr,
     },
     /// Write a line to the log.
@@ -47,11 +47,11 @@
     },
 }
 
-/// What one step published, for the edit history.
+/// The changes that one step published, for the edit history.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct IssuedUpdate {
     /// Servers whose entries changed.
     pub servers: BTreeSet<String>,
-    /// The messages sent: recipient and sequence number.
+    /// Recipient and sequence number of each message sent.
     pub messages: Vec<(ProxyId, u64)>,
 }
--- a/crates/control-session/src/endpoint_directory.rs
+++ b/crates/control-session/src/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The listed servers: their indices, addresses and last weights.
+//! Directory of the listed servers: indices, addresses, states and last weights.
 
 use crate::clock::WallClock;
 use crate::session::UNKNOWN_NAME;
@@ -7,10 +7,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The weight of a server that is removed without ever having been listed.
+/// Weight of a server that is removed without ever having been listed.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// All servers that have been listed.
+/// All servers that have ever been listed or removed.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointDirectory {
     servers: IdMap<String>,
@@ -21,27 +21,27 @@
 }
 
 impl EndpointDirectory {
-    /// The index of a server.
-    pub fn index(&self, name: &str) -> Option<ServerId> {
+    /// The index of a server; `None` if no endpoint list has named it.
+    pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.servers.get(name)
     }
 
-    /// The name of a server, or `?`.
+    /// The name of a server, or `?` for an unknown index.
     pub fn name(&self, server: ServerId) -> &str {
         self.servers.name(server).map_or(UNKNOWN_NAME, String::as_str)
     }
 
-    /// Where a server listens.
+    /// Address that a server listens on, by the last list that had one; `None` if it was never listed.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.addresses.get(&server).copied()
     }
 
-    /// State of each server by the newest list: `ready`, `draining` or `gone`.
+    /// State of each server as of the newest list: `ready`, `draining` or `gone`.
     pub fn states(&self) -> &BTreeMap<ServerId, &'static str> {
         &self.states
     }
 
-    /// Takes a change in, and returns it as the controller's record.
+    /// Applies a change of the endpoint list, and returns it as the controller's record.
     pub fn update(
         &mut self,
         name: String,
@@ -51,12 +51,12 @@
     ) -> EndpointRecord {
         let server = self.servers.index(name);
         match change {
-            Change::Updated(listed) => self.list(server, listed, zones, wall_clock),
-            Change::Removed => self.remove(server),
+            Change::Updated(listed) => self.list_server(server, listed, zones, wall_clock),
+            Change::Removed => self.remove_server(server),
         }
     }
 
-    fn list(
+    fn list_server(
         &mut self,
         server: ServerId,
         listed: Server,
@@ -72,12 +72,12 @@
             cell: listed.cell,
             state: if listed.is_draining { ListedState::Draining } else { ListedState::Ready },
             weight: listed.weight,
-            // A start before the controller's clock began is long ago.
+            // A start before the controller's clock began becomes `None`, which the controller takes for long ago.
             started: listed.started_ms.and_then(|at| wall_clock.to_controller_time(at)),
         }
     }
 
-    fn remove(&mut self, server: ServerId) -> EndpointRecord {
+    fn remove_server(&mut self, server: ServerId) -> EndpointRecord {
         self.states.insert(server, "gone");
         EndpointRecord {
             server,
@@ -90,8 +90,8 @@
         }
     }
 
-    /// The weight of a record; for a removed server the one that was listed last.
-    pub fn last_weight(&mut self, record: &EndpointRecord) -> f64 {
+    /// Returns the weight of a record, or for a removed server the last one listed, and remembers it.
+    pub fn update_weight(&mut self, record: &EndpointRecord) -> f64 {
         let weight = if record.state == ListedState::Removed {
             self.weights.get(&record.server).copied().unwrap_or(DEFAULT_WEIGHT)
         } else {
--- a/crates/control-session/src/lib.rs
+++ b/crates/control-session/src/lib.rs
@@ -1,9 +1,9 @@
-//! The session between the proxies' transports and [`runloom_controller::Controller`], free of I/O.
+//! The layer between the proxies' transports and [`runloom_controller::Controller`], free of I/O.
 //!
-//! A [`ControlSession`] takes events under the names of servers and proxies, has the controller decide, has its
-//! commands validated by the safety guard, and returns [`Action`]s for the runtime. It holds the tables as
-//! published, sends each proxy at most one message a step, and counts what waits for acknowledgement. It decides
-//! nothing about servers itself.
+//! A [`ControlSession`] maps the names of servers and proxies to the controller's indices, passes it the events, has
+//! the safety guard validate its commands, and returns [`Action`]s for the runtime. It holds the tables as published,
+//! sends each proxy at most one message per step, and tracks the messages that are not acknowledged. All decisions
+//! about servers are the controller's.
 
 mod action;
 mod clock;
--- a/crates/control-session/src/member.rs
+++ b/crates/control-session/src/member.rs
@@ -1,32 +1,35 @@
-//! Connected proxies and the messages on their way to them.
+//! State of connected proxies and of their unacknowledged messages.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A message on its way to one proxy.
+/// A message that was sent to a proxy and is not acknowledged.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InFlightUpdate {
-    /// Sequence number at the proxy.
+    /// Sequence number of the message to this proxy.
     pub number: u64,
-    /// The controller's token, if it waits for this message's acknowledgement.
+    /// The controller's token; `None` if it does not wait for this message's acknowledgement.
     pub ack_token: Option<u16>,
     /// Table entries in the message.
     pub entries: usize,
+    /// When the message was sent, by the session's clock.
     pub sent_at: Duration,
 }
 
 /// A connected proxy.
 #[derive(Debug, Default)]
 pub struct Member {
-    /// Its zone.
+    /// Zone that the proxy runs in.
     pub zone: String,
-    /// When the last message was sent to it.
+    /// When the last message was sent to the proxy; `None` if none was.
     pub last_sent_at: Option<Duration>,
-    /// When its last acknowledgement arrived.
+    /// When its last acknowledgement of an in-flight message arrived.
     pub last_acknowledged_at: Option<Duration>,
     /// When its last report arrived.
     pub last_report_at: Option<Duration>,
+    /// Sequence number of the last message; 0 before the first.
     last_number: u64,
+    /// Unacknowledged messages, oldest first.
     in_flight: VecDeque<InFlightUpdate>,
 }
 
@@ -35,22 +38,22 @@
         Member { zone: zone.to_string(), ..Member::default() }
     }
 
-    /// Messages that were sent and are not acknowledged.
+    /// Number of messages that were sent and are not acknowledged.
     pub fn in_flight_messages(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// How long the oldest unacknowledged message has been on its way.
+    /// Age of the oldest unacknowledged message.
     pub fn oldest_in_flight(&self, now: Duration) -> Option<Duration> {
         self.in_flight.front().map(|update| now.saturating_sub(update.sent_at))
     }
 
-    /// Table entries on their way, with `message_overhead` entries added for each message.
+    /// Table entries in flight, plus `message_overhead` entries for each message.
     pub(crate) fn queued_entries(&self, message_overhead: usize) -> usize {
         self.in_flight.iter().map(|update| update.entries + message_overhead).sum()
     }
 
-    /// Records a message and returns its sequence number.
+    /// Records that a message is sent, and returns its sequence number.
     pub(crate) fn send(&mut self, now: Duration, ack_token: Option<u16>, entries: usize) -> u64 {
         self.last_number += 1;
         self.last_sent_at = Some(now);
@@ -63,8 +66,8 @@
         self.last_number
     }
 
-    /// Records the acknowledgement of message `number`, which covers all before it, and returns the messages that
-    /// it covers.
+    /// Records the acknowledgement of message `number` and of all before it, and returns the messages that it
+    /// covers.
     pub(crate) fn acknowledge(&mut self, now: Duration, number: u64) -> Vec<InFlightUpdate> {
         let covered = self.in_flight.iter().take_while(|update| update.number <= number).count();
         if covered > 0 {
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -139,7 +139,7 @@
 
     /// The index of a server that has been listed.
     pub fn server_id(&self, name: &str) -> Option<ServerId> {
-        self.endpoints.index(name)
+        self.endpoints.server_id(name)
     }
 
     /// The name of a server, or `?`.
@@ -207,7 +207,7 @@
             |(name, change)| self.endpoints.update(name, change, &mut self.zones, self.wall_clock);
         let records: Vec<EndpointRecord> = changes.into_iter().map(to_record).collect();
         for record in &records {
-            let weight = self.endpoints.last_weight(record);
+            let weight = self.endpoints.update_weight(record);
             self.guard.update_endpoint(record.server, record.state, weight, record.started);
         }
         self.pending_events.push(Event::EndpointsListed { update, records });
@@ -219,7 +219,7 @@
         self.record(|| recording::warm_start(hints));
         let known = hints.iter().filter_map(|hint| {
             Some(WarmStartHint {
-                server: self.endpoints.index(&hint.name)?,
+                server: self.endpoints.server_id(&hint.name)?,
                 speed_factor: hint.speed_factor,
                 suspicion: hint.suspicion,
             })
