--- a/crates/control-session/src/execution.rs
+++ b/crates/control-session/src/execution.rs
@@ -1,4 +1,4 @@
-//! Carries out the controller's commands: validation by the guard, changes of the tables, messages to the proxies.
+//! Execution of the controller's commands: the guard validates them, the tables change, and the proxies get messages.
 
 use crate::published_tables::OutgoingMessage;
 use crate::session::UNKNOWN_NAME;
@@ -10,15 +10,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The controller's request to acknowledge the messages of a step.
+/// The controller's request for acknowledgements of a step's messages.
 #[derive(Debug, Clone, Copy)]
 struct AckRequest {
+    /// Token that the controller gets back with each acknowledgement.
     token: u16,
-    /// All proxies get a message, and not only those that a change concerns.
+    /// All proxies get a message, not only those that a change affects.
     all_proxies: bool,
 }
 
-/// What carrying out one step's commands has come to so far.
+/// Results of the commands of one step that were executed so far.
 #[derive(Debug, Default)]
 struct Execution {
     actions: Vec<Action>,
@@ -29,12 +30,12 @@
 /// A step's commands after validation.
 struct AcceptedCommands {
     commands: Vec<Command>,
-    /// Proxies that rejected commands would have reached.
+    /// Proxies that the rejected commands would have affected.
     affected_by_rejected: BTreeSet<ProxyId>,
 }
 
 impl ControlSession {
-    /// Carries out the commands of one step.
+    /// Executes the commands of one step, and returns the actions for the runtime and what was published.
     pub(crate) fn execute(&mut self, now: Duration, commands: Vec<Command>) -> (Vec<Action>, IssuedUpdate) {
         let accepted = self.validate(now, commands);
         let mut execution = Execution::default();
@@ -46,9 +47,9 @@
         (execution.actions, execution.issued)
     }
 
-    /// Has the guard validate the commands. The controller learns of those rejected with the next step.
+    /// Has the guard validate the commands. The next step tells the controller of the rejected ones.
     fn validate(&mut self, now: Duration, commands: Vec<Command>) -> AcceptedCommands {
-        if !self.is_guarded || !commands.iter().any(concerns_proxies) {
+        if !self.is_guarded || !commands.iter().any(affects_proxies) {
             return AcceptedCommands { commands, affected_by_rejected: BTreeSet::new() };
         }
         let validated = self.guard.validate(CLOCK_LEAD + now, commands);
@@ -87,20 +88,20 @@
             Command::LogQueueShortage(shortage) => {
                 execution.actions.push(Action::Log { text: shortage.log_line() });
             }
-            // Endpoint lists arrive here without being asked for, and a planner has no peers.
+            // Endpoint lists arrive without a request, and a planner has no peers.
             Command::WatchEndpoints { .. } | Command::FetchEndpoints | Command::SendToPeer { .. } => {}
         }
     }
 
-    /// Assigns the classes of `class_mask` to a table; a mask of 0 stands for all classes.
+    /// Assigns a proxy's classes in the bit mask `class_mask` to a table; a mask of 0 stands for all classes.
     fn assign_table(&mut self, proxy: ProxyId, table: TableId, class_mask: u64) {
         let is_assigned = |class: &ClassId| class_mask == 0 || class_mask & (1 << class) != 0;
         let classes = (0..self.fleet.classes.len()).filter(is_assigned);
         self.tables.assign(proxy, table, classes);
     }
 
-    /// The proxies that get a message even if nothing changed for them: the controller waits for the
-    /// acknowledgement of all that its commands concerned, those rejected included.
+    /// The proxies that get a message even if nothing changed for them: the controller waits for an acknowledgement
+    /// from every proxy that its commands affect, rejected commands included.
     fn required_recipients(
         &self,
         ack_request: Option<AckRequest>,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sends one message to each proxy that the changes concern, and to the `required` ones.
+    /// Sends one message to each proxy that the changes affect, and to each of `required`.
     fn send_messages(&mut self, now: Duration, required: &BTreeSet<ProxyId>, execution: &mut Execution) {
         let names = IndexNames {
             server: &|server| self.endpoints.name(server),
@@ -147,8 +148,8 @@
     }
 }
 
-/// Whether a command changes what proxies hold, which is what the guard validates.
-fn concerns_proxies(command: &Command) -> bool {
+/// Whether a command may change what proxies hold. A step without such a command is not validated by the guard.
+fn affects_proxies(command: &Command) -> bool {
     !matches!(
         command,
         Command::CheckHealth { .. }
@@ -158,6 +159,7 @@
     )
 }
 
+/// The address as text; empty if there is none.
 fn address_text(address: Option<SocketAddr>) -> String {
     address.map(|address| address.to_string()).unwrap_or_default()
 }
--- a/crates/control-session/src/published_tables.rs
+++ b/crates/control-session/src/published_tables.rs
@@ -6,28 +6,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// In [`runloom_controller::Command::SetAdmission`]: all tables.
+/// Table number that stands for all tables in [`runloom_controller::Command::SetAdmission`].
 const ALL_TABLES: TableId = TableId::MAX;
 
 /// One table as published.
 #[derive(Debug, Clone, Default)]
 pub struct PublishedTable {
-    /// Weight of each server, above 0.
+    /// Weight of each server, greater than 0.
     pub entries: BTreeMap<ServerId, f64>,
     /// Admission limit of each class.
     pub admission_limits: BTreeMap<ClassId, AdmissionLimit>,
 }
 
 impl PublishedTable {
+    /// An edit that replaces the table with this content.
     fn to_edit(&self, names: &IndexNames) -> TableEdit {
         let content = TableContent { entries: &self.entries, admission_limits: &self.admission_limits };
         content.to_edit(true, names)
     }
 }
 
-/// What changed of a table since the last messages.
+/// Changes of a table since the last messages.
 #[derive(Debug, Default)]
 struct TableDelta {
+    /// The table was cleared first: the delta is its complete content.
     is_cleared: bool,
     /// New weights; 0 removes the entry.
     entries: BTreeMap<ServerId, f64>,
@@ -41,17 +43,18 @@
     }
 }
 
-/// The tables that one proxy is assigned to.
+/// The tables that a proxy is assigned to, and what it has still to be told of that.
 #[derive(Debug, Default)]
 struct AssignedTables {
+    /// The assigned table of each class.
     table_of_class: BTreeMap<ClassId, TableId>,
-    /// Classes assigned since the last message.
+    /// Classes assigned to a table since the last message.
     unsent_classes: BTreeSet<ClassId>,
-    /// Tables assigned since the last message, which are sent completely.
+    /// Tables assigned since the last message; their complete content is sent.
     unsent_tables: BTreeSet<TableId>,
-    /// Tables of this planner that the proxy holds.
+    /// Tables of this planner that the proxy was assigned to as of the last message with assignments.
     held_tables: BTreeSet<TableId>,
-    /// Nothing was sent since the proxy connected: the first message replaces all that it holds.
+    /// No assignment was sent since the proxy connected: the first one replaces all that it holds.
     awaits_first_message: bool,
 }
 
@@ -81,21 +84,22 @@
     pub entries: usize,
 }
 
-/// What the message of a proxy depends on if its assignment did not change: proxies with the same can share it.
+/// What determines the message to a proxy whose assignment did not change. Proxies for which it is equal share one
+/// message.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SharedContent {
     changed_tables: Vec<TableId>,
     has_ejections: bool,
 }
 
-/// All tables of a planner, as published.
+/// All tables of a planner as published, and the changes that are not sent yet.
 #[derive(Debug, Default)]
 pub(crate) struct PublishedTables {
     tables: BTreeMap<TableId, PublishedTable>,
     deltas: BTreeMap<TableId, TableDelta>,
     assignments: BTreeMap<ProxyId, AssignedTables>,
     ejected: BTreeSet<ServerId>,
-    /// Servers ejected (true) or readmitted (false) since the last messages.
+    /// Servers ejected (true) or readmitted (false) since the last messages were taken.
     ejection_changes: BTreeMap<ServerId, bool>,
 }
 
@@ -105,18 +109,19 @@
         &self.tables
     }
 
-    /// Adds a proxy that holds nothing of this planner.
+    /// Adds a proxy that is not assigned to any table yet.
     pub fn connect_proxy(&mut self, proxy: ProxyId) {
         let assigned = AssignedTables { awaits_first_message: true, ..AssignedTables::default() };
         self.assignments.insert(proxy, assigned);
     }
 
-    /// Removes a proxy.
+    /// Removes a proxy and its assignments.
     pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
         self.assignments.remove(&proxy);
     }
 
-    /// Sets a server's weight in a table; 0 removes the entry. Setting the published weight again costs no entry.
+    /// Sets a server's weight in a table; 0 removes the entry. Setting the published weight again adds no change to a
+    /// table that has none.
     pub fn set_entry(&mut self, table: TableId, server: ServerId, weight: f64) {
         let published = self.tables.entry(table).or_default();
         let published_weight = published.entries.get(&server).copied().unwrap_or(0.0);
@@ -131,13 +136,15 @@
         self.deltas.entry(table).or_default().entries.insert(server, weight);
     }
 
-    /// Empties a table.
+    /// Clears a table: the next message replaces its content.
     pub fn clear(&mut self, table: TableId) {
         self.tables.insert(table, PublishedTable::default());
         self.deltas.insert(table, TableDelta { is_cleared: true, ..TableDelta::default() });
     }
 
-    /// Sets the admission limit of a class in a table, or in all of them.
+    /// Sets the admission limit of a class in a table, or in all tables if `table` is [`ALL_TABLES`].
+    ///
+    /// `admission_rate` is what each proxy admits, in requests per second or as a share; `None` admits all requests.
     pub fn set_admission(
         &mut self,
         table: TableId,
@@ -164,7 +171,7 @@
         self.ejection_changes.insert(server, is_ejected);
     }
 
-    /// Assigns classes of a proxy to a table.
+    /// Assigns classes of a proxy to a table. Has no effect for a proxy that is not connected.
     pub fn assign(&mut self, proxy: ProxyId, table: TableId, classes: impl Iterator<Item = ClassId>) {
         let Some(assigned) = self.assignments.get_mut(&proxy) else { return };
         for class in classes {
@@ -174,19 +181,19 @@
         assigned.unsent_tables.insert(table);
     }
 
-    /// The tables that changed since the last messages.
+    /// Changes of each table since the last messages were taken.
     pub fn table_changes(&self, names: &IndexNames) -> Vec<(TableId, TableEdit)> {
         self.deltas.iter().map(|(table, delta)| (*table, delta.to_edit(names))).collect()
     }
 
-    /// The servers ejected (true) or readmitted (false) since the last messages.
+    /// Servers ejected (true) or readmitted (false) since the last messages were taken, by name.
     pub fn ejection_changes(&self, names: &IndexNames) -> BTreeMap<String, bool> {
         names.ejections(self.ejection_changes.iter().map(|(server, is_ejected)| (server, *is_ejected)))
     }
 
-    /// Takes the messages with all changes since the last call.
+    /// Takes the messages that carry all changes since the last call to the proxies in `members`.
     ///
-    /// Proxies of `required` get one even if nothing changed for them.
+    /// A proxy in `required` gets a message even if nothing changed for it.
     pub fn take_messages(
         &mut self,
         members: &[ProxyId],
@@ -197,14 +204,14 @@
         let mut messages = Vec::new();
         for proxy in members {
             let Some(assigned) = self.assignments.get(proxy) else { continue };
-            let made = if assigned.has_unsent_assignment() {
+            let prepared = if assigned.has_unsent_assignment() {
                 let message = self.assignment_message(assigned, names);
                 let entries = message.entry_count();
                 Some((Rc::new(message), entries))
             } else {
                 self.shared_delta_message(assigned, required.contains(proxy), &mut shared, names)
             };
-            if let Some((message, entries)) = made {
+            if let Some((message, entries)) = prepared {
                 messages.push(OutgoingMessage { proxy: *proxy, message, entries });
             }
         }
@@ -216,8 +223,8 @@
         messages
     }
 
-    /// The message for a proxy whose assignment did not change, if it needs one. Proxies with the same changes
-    /// share one message.
+    /// The message for a proxy whose assignment did not change, with its number of entries; `None` if the proxy needs
+    /// no message. Proxies with the same changes share one message.
     fn shared_delta_message(
         &self,
         assigned: &AssignedTables,
@@ -227,20 +234,21 @@
     ) -> Option<(Rc<UpdateMessage>, usize)> {
         let mut changed_tables = Vec::from_iter(assigned.tables());
         changed_tables.retain(|table| self.deltas.contains_key(table));
-        // A proxy without an assignment by this planner learns of ejections by its first message.
+        // A proxy without an assignment by this planner learns of ejections from its first message.
         let has_ejections = !self.ejection_changes.is_empty() && !assigned.table_of_class.is_empty();
         if changed_tables.is_empty() && !has_ejections && !is_required {
             return None;
         }
         let content = SharedContent { changed_tables, has_ejections };
-        let made = shared.entry(content).or_insert_with_key(|content| {
+        let prepared = shared.entry(content).or_insert_with_key(|content| {
             let message = self.delta_message(content, names);
             let entries = message.entry_count();
             (Rc::new(message), entries)
         });
-        Some(made.clone())
+        Some(prepared.clone())
     }
 
+    /// The message that carries the changes named by `content`.
     fn delta_message(&self, content: &SharedContent, names: &IndexNames) -> UpdateMessage {
         let mut message = UpdateMessage::default();
         for table in &content.changed_tables {
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -1,4 +1,4 @@
-//! The session's calls as entries of a record, and entries as calls of a session.
+//! Conversion of the session's calls to entries of the record, and replay of entries as calls of a session.
 
 use crate::{Action, ControlSession, ServerHint};
 use runloom_controller::{EndpointUpdate, HealthCheckResult};
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Results of health checks by their number in a record.
+/// Results of health checks, indexed by their number in the record.
 const HEALTH_CHECK_RESULTS: [HealthCheckResult; 6] = [
     HealthCheckResult::Success,
     HealthCheckResult::ErrorResponse,
@@ -23,9 +23,10 @@
     HealthCheckResult::ConnectionFailed,
     HealthCheckResult::Inconclusive,
 ];
-/// The number of [`HealthCheckResult::Inconclusive`].
+/// The number of [`HealthCheckResult::Inconclusive`] in the record.
 const INCONCLUSIVE: usize = 5;
 
+/// The entry for an endpoint list.
 pub(crate) fn endpoint_list(update: EndpointUpdate, changes: &[(String, Change)]) -> RecordedEvent {
     let mut servers = Vec::new();
     let mut removed = Vec::new();
@@ -51,6 +52,7 @@
     }
 }
 
+/// The entry for the hints of a warm start.
 pub(crate) fn warm_start(hints: &[ServerHint]) -> RecordedEvent {
     RecordedEvent::WarmStart { hints: hints.iter().map(record_hint).collect() }
 }
@@ -63,6 +65,7 @@
     }
 }
 
+/// The entry for a proxy's report, without the outcomes by class.
 pub(crate) fn report(proxy: String, report: &Report) -> RecordedEvent {
     RecordedEvent::Report {
         proxy,
@@ -91,12 +94,12 @@
     }
 }
 
-/// A report's outcomes by class, if it has any.
+/// The entry for a report's outcomes by class; `None` if it has none.
 pub(crate) fn class_outcomes(proxy: &str, report: &Report) -> Option<RecordedEvent> {
     let mut recorded = Vec::new();
     for outcomes in &report.outcomes {
-        for of_class in &outcomes.classes {
-            recorded.push(record_class_outcome(&outcomes.server, of_class));
+        for class_outcomes in &outcomes.classes {
+            recorded.push(record_class_outcome(&outcomes.server, class_outcomes));
         }
     }
     (!recorded.is_empty())
@@ -113,6 +116,7 @@
     }
 }
 
+/// The entry for a health check's result; `load` is the load report that came with the answer.
 pub(crate) fn health_check(
     server: String,
     result: HealthCheckResult,
@@ -128,8 +132,8 @@
     }
 }
 
-/// What a step came to; `rejections` is how many commands the guard rejected in it. A text that several proxies
-/// share is recorded once.
+/// The entry for a step's outcome; `rejections` is the number of commands that the guard rejected in it. The text of
+/// a message that several proxies share is recorded once.
 pub(crate) fn step(session: &ControlSession, actions: &[Action], rejections: usize) -> RecordedEvent {
     let mut texts = Vec::new();
     let mut text_of_message = BTreeMap::new();
@@ -149,7 +153,7 @@
             Action::CheckHealth { server, .. } => {
                 health_checks.push(session.server_name(*server).to_string())
             }
-            // The messages of the same step carry these.
+            // The messages of the same step carry these changes.
             Action::UpdateTable { .. } | Action::UpdateEjections { .. } => {}
             Action::Log { text } => log.push(text.clone()),
         }
@@ -158,7 +162,7 @@
     RecordedEvent::Step { duration_us: 0, texts, sent, health_checks, log, rejections }
 }
 
-/// The newest `count` rejections: reason and command of each.
+/// Reason and command of each of the newest `count` rejections.
 fn newest_rejections(guard: &SafetyGuard, count: usize) -> Vec<String> {
     let rejections: Vec<_> = guard.rejections().collect();
     let first = rejections.len().saturating_sub(count);
@@ -168,8 +172,8 @@
         .collect()
 }
 
-/// Makes the call that an entry records, and returns false if the entry names something unknown. Steps are not
-/// replayed here: the caller makes them.
+/// Makes the call that an entry records. Returns false if the entry names an unknown proxy or server, or has a
+/// malformed address. Other entries, such as steps, are left to the caller, and return true.
 pub fn replay_event(session: &mut ControlSession, at: Duration, event: &RecordedEvent) -> bool {
     match event {
         RecordedEvent::EndpointsListed { is_complete, servers, removed } => {
@@ -208,7 +212,7 @@
     }
 }
 
-/// The result of a number in a record; a number that is not known says nothing.
+/// The health check result with a number in the record; an unknown number counts as inconclusive.
 fn health_check_result(number: u8) -> HealthCheckResult {
     let known = HEALTH_CHECK_RESULTS.get(usize::from(number)).copied();
     known.unwrap_or(HealthCheckResult::Inconclusive)
@@ -243,7 +247,7 @@
     })
 }
 
-/// A recorded report, without the outcomes by class: the controller does not use them.
+/// Rebuilds a recorded report without the outcomes by class, which the controller does not use.
 fn replay_report(window_us: u64, outcomes: &[RecordedOutcome], arrivals: &[RecordedArrivals]) -> Report {
     let outcomes = outcomes.iter().map(|recorded| ServerOutcomes {
         server: recorded.server.clone(),
