--- a/crates/control-session/src/report_aggregator.rs
+++ b/crates/control-session/src/report_aggregator.rs
@@ -1,42 +1,45 @@
-//! Sums of the proxies' reports.
+//! Aggregation of the proxies' reports.
 //!
-//! Outcomes are summed by zone and server, arrivals by proxy and class, and the controller gets them once a period,
-//! the oldest first and with a limit on their number: it takes an outcome report for the sum over a zone's proxies.
+//! Outcomes are summed by zone and server, arrivals by proxy and class. The controller gets the sums once per period,
+//! oldest first and up to a limit. It expects an outcome report to be the sum over a zone's proxies.
 
 use runloom_controller::{ClassId, Event, ProxyId, ServerId, ZoneId};
 use runloom_model::report::{ClassArrivals, ServerOutcomes};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Shortest time between two deliveries.
+/// Lower bound of the time between two deliveries.
 const MIN_PERIOD: Duration = Duration::from_millis(50);
 
+/// What is summed up in one aggregate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Key {
+enum AggregateKey {
     Outcomes { zone: ZoneId, server: ServerId },
     Arrivals { proxy: ProxyId, class: ClassId },
 }
 
-/// Sum of the reports under one key.
+/// Sum of the reports under one key since its last delivery.
 #[derive(Debug, Default)]
 struct Aggregate {
+    /// Start of the earliest report's window.
     from: Duration,
+    /// When the latest report arrived.
     to: Duration,
     /// Attempts, or requests that arrived.
     attempts: u64,
     /// Failed attempts, or unanswered requests.
     failures: u64,
-    /// Seconds of the successful attempts together.
+    /// Sum of the latencies of successful attempts, in seconds.
     latency_sum: f64,
-    /// The newest load report.
+    /// The newest load report; empty if there was none.
     load: Vec<f64>,
 }
 
 impl Aggregate {
-    fn into_event(self, key: Key) -> Event {
+    fn into_event(self, key: AggregateKey) -> Event {
         let window = self.to.saturating_sub(self.from);
         match key {
-            Key::Outcomes { zone, server } => Event::OutcomeReport {
+            AggregateKey::Outcomes { zone, server } => Event::OutcomeReport {
                 zone,
                 server,
                 attempts: self.attempts,
@@ -45,7 +48,7 @@
                 window,
                 load: self.load,
             },
-            Key::Arrivals { proxy, class } => Event::ArrivalReport {
+            AggregateKey::Arrivals { proxy, class } => Event::ArrivalReport {
                 proxy,
                 class,
                 requests: self.attempts,
@@ -55,28 +58,30 @@
         }
     }
 
+    /// Mean latency of the successful attempts; zero if there was none.
     fn mean_latency(&self) -> Duration {
         let successes = self.attempts - self.failures;
         Duration::from_secs_f64(if successes > 0 { self.latency_sum / successes as f64 } else { 0.0 })
     }
 }
 
-/// Sums reports and hands them to the controller once a period.
+/// Sums reports and delivers them to the controller once per period.
 ///
-/// It holds at most one sum for each server and zone, and for each proxy and class.
+/// It holds at most one sum per server and zone, and one per proxy and class.
 #[derive(Debug)]
 pub(crate) struct ReportAggregator {
     period: Duration,
-    /// Limit on the events of one delivery.
+    /// Limit on the number of events in one delivery.
     max_events: usize,
+    /// When the next delivery is due; `None` if there is nothing to deliver.
     next_delivery: Option<Duration>,
-    aggregates: BTreeMap<Key, Aggregate>,
-    /// Keys in the order of their first report since their last delivery.
-    queue: VecDeque<Key>,
+    aggregates: BTreeMap<AggregateKey, Aggregate>,
+    /// Keys with a report since their last delivery, in the order of the first such report.
+    delivery_queue: VecDeque<AggregateKey>,
 }
 
 impl ReportAggregator {
-    /// `period` is the time between deliveries, `events_per_second` the limit on the events that they hold.
+    /// `period` is the time between deliveries; `events_per_second` limits the rate of delivered events.
     pub fn new(period: Duration, events_per_second: f64) -> ReportAggregator {
         let period = period.max(MIN_PERIOD);
         ReportAggregator {
@@ -84,16 +89,16 @@
             max_events: (events_per_second * period.as_secs_f64()).max(1.0) as usize,
             next_delivery: None,
             aggregates: BTreeMap::new(),
-            queue: VecDeque::new(),
+            delivery_queue: VecDeque::new(),
         }
     }
 
-    /// The sum under `key`, extended by a report of the last `window`.
-    fn aggregate(&mut self, key: Key, now: Duration, window: Duration) -> &mut Aggregate {
+    /// The sum under `key`, with its time span extended to a report of the last `window`.
+    fn aggregate(&mut self, key: AggregateKey, now: Duration, window: Duration) -> &mut Aggregate {
         self.next_delivery.get_or_insert(now + self.period);
         let from = now.saturating_sub(window);
         let aggregate = self.aggregates.entry(key).or_insert_with(|| {
-            self.queue.push_back(key);
+            self.delivery_queue.push_back(key);
             Aggregate { from, ..Aggregate::default() }
         });
         aggregate.from = aggregate.from.min(from);
@@ -101,7 +106,7 @@
         aggregate
     }
 
-    /// Adds a proxy's outcomes at one server.
+    /// Adds the outcomes that a proxy of a zone reported for one server.
     pub fn add_outcomes(
         &mut self,
         now: Duration,
@@ -110,7 +115,7 @@
         outcomes: &ServerOutcomes,
         window: Duration,
     ) {
-        let aggregate = self.aggregate(Key::Outcomes { zone, server }, now, window);
+        let aggregate = self.aggregate(AggregateKey::Outcomes { zone, server }, now, window);
         let failures = outcomes.failures.min(outcomes.attempts);
         aggregate.attempts += outcomes.attempts;
         aggregate.failures += failures;
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Adds the requests of one class that arrived at a proxy.
+    /// Adds the requests of one class that a proxy reported as arrived.
     pub fn add_arrivals(
         &mut self,
         now: Duration,
@@ -129,7 +134,7 @@
         arrivals: &ClassArrivals,
         window: Duration,
     ) {
-        let aggregate = self.aggregate(Key::Arrivals { proxy, class }, now, window);
+        let aggregate = self.aggregate(AggregateKey::Arrivals { proxy, class }, now, window);
         aggregate.attempts += arrivals.requests;
         aggregate.failures += arrivals.unanswered;
     }
@@ -139,16 +144,17 @@
         self.next_delivery
     }
 
-    /// Appends the sums that are due to `events`, the oldest first.
+    /// Appends the sums that are due by `now` to `events`, oldest first. Sums beyond the limit wait for the next
+    /// delivery.
     pub fn deliver(&mut self, now: Duration, events: &mut Vec<Event>) {
         if self.next_delivery.is_none_or(|at| now < at) {
             return;
         }
         for _ in 0..self.max_events {
-            let Some(key) = self.queue.pop_front() else { break };
+            let Some(key) = self.delivery_queue.pop_front() else { break };
             let Some(aggregate) = self.aggregates.remove(&key) else { continue };
             events.push(aggregate.into_event(key));
         }
-        self.next_delivery = (!self.queue.is_empty()).then_some(now + self.period);
+        self.next_delivery = (!self.delivery_queue.is_empty()).then_some(now + self.period);
     }
 }
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -1,4 +1,4 @@
-//! [`ControlSession`]: events in, actions out.
+//! [`ControlSession`]: takes events, steps the controller, and returns actions for the runtime.
 
 use crate::clock::{truncate_to_microseconds, WallClock};
 use crate::endpoint_directory::EndpointDirectory;
@@ -17,67 +17,71 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// Largest request rate, in requests a second, that a connecting proxy may claim.
+/// Upper bound, in requests per second, of the rate that a connecting proxy may announce.
 const MAX_REQUEST_RATE: f64 = 1e6;
-/// Name of an index that was never assigned.
+/// Name shown for an index that was never assigned.
 pub(crate) const UNKNOWN_NAME: &str = "?";
 
-/// Changes commands before they are validated: for trials of the guard only.
+/// Changes a step's commands before they are validated; the first argument is the time of the step.
 pub type CommandTamper = Box<dyn FnMut(Duration, &mut Vec<Command>)>;
 
-/// What an earlier process learned of a server.
+/// What an earlier process learned of a server, for a warm start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerHint {
     /// The server's name.
     pub name: String,
     /// Its speed relative to its weight.
     pub speed_factor: f64,
-    /// How likely it is to fail still, 0 to 1.
+    /// Likelihood that it still fails, from 0 to 1.
     pub suspicion: f64,
 }
 
-/// What this process learned of a server and a later one may use.
+/// What this process learned of a server, to be stored for a later process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LearnedServerState {
     /// The server's name.
     pub name: String,
     /// Its speed relative to its weight.
     pub speed_factor: f64,
-    /// When it was last ejected, in milliseconds since 1970.
+    /// When it was last out of service for failures, in milliseconds since 1970: now if it is ejected. `None` if no
+    /// ejection is known.
     pub last_ejected_ms: Option<u64>,
-    /// Whether it is ejected for long.
+    /// Whether it is out of service for long, after repeated ejections.
     pub is_long_ejected: bool,
 }
 
-/// One planner's controller, with the proxies connected to it.
+/// A planner's controller, its guard, the published tables and the connected proxies.
 pub struct ControlSession {
-    /// Whether commands are validated before they go out; switched off for trials only.
+    /// Whether the guard validates commands before they take effect; switched off only in
+    /// what-if replays and tests of the guard.
     pub is_guarded: bool,
-    /// Changes commands before they are validated: for trials of the guard only.
+    /// Fault injection for tests of the guard; `None` in operation.
     pub tamper: Option<CommandTamper>,
-    /// All calls with their time and what came of them, for a record; `None` if there is no record.
+    /// Calls and their outcomes, each with its time, that are to be added to the record; `None` if nothing is
+    /// recorded.
     pub recorded_events: Option<Vec<(Duration, RecordedEvent)>>,
     /// Table entries sent since the start.
     pub entries_sent: u64,
     /// Messages sent since the start.
     pub messages_sent: u64,
-    /// Largest number of table entries on their way at once, as [`ControlSession::queued_entries`] counts them.
+    /// Largest number of queued entries since the start, as counted by [`ControlSession::queued_entries`].
     pub max_queued_entries: usize,
     pub(crate) guard: SafetyGuard,
     pub(crate) fleet: Fleet,
     pub(crate) endpoints: EndpointDirectory,
     pub(crate) tables: PublishedTables,
     pub(crate) members: BTreeMap<ProxyId, Member>,
+    /// Events that the controller gets with the next step.
     pub(crate) pending_events: Vec<Event>,
-    /// Timers of the controller: when they fire, and their token.
+    /// The controller's timers: when each fires, and its token.
     pub(crate) timers: BinaryHeap<Reverse<(Duration, u64)>>,
     pub(crate) reports: ReportAggregator,
     pub(crate) zones: IdMap<String>,
-    /// Successful requests a second of each server, by the zone that sent them.
+    /// Successful requests per second of each server, by the zone that sent them.
     pub(crate) success_rates: BTreeMap<(ServerId, ZoneId), f64>,
     controller: Controller,
     proxies: IdMap<String>,
-    /// Time of the newest call, for the record.
+    /// Time of the newest call that passed one, for the record.
     now: Duration,
     wall_clock: WallClock,
 }
@@ -85,7 +89,7 @@
 impl ControlSession {
     /// Starts a controller with the fleet's configuration and no endpoints.
     ///
-    /// `epoch_ms` is the wall clock at time zero of the calls, in milliseconds since 1970.
+    /// `epoch_ms` is the wall-clock time, in milliseconds since 1970, at which the `now` of later calls is zero.
     pub fn new(fleet: Fleet, seed: u64, epoch_ms: u64) -> ControlSession {
         let config = fleet.deployment_config();
         ControlSession {
@@ -112,58 +116,58 @@
         }
     }
 
-    /// The fleet's configuration in force.
+    /// The fleet configuration in force.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The guard that validates commands.
+    /// The guard that validates the controller's commands.
     pub fn guard(&self) -> &SafetyGuard {
         &self.guard
     }
 
-    /// The connected proxies.
+    /// The connected proxies, by index.
     pub fn members(&self) -> &BTreeMap<ProxyId, Member> {
         &self.members
     }
 
-    /// The index of a proxy that has connected.
+    /// The index of a proxy; `None` if no proxy of that name ever connected.
     pub fn proxy_id(&self, name: &str) -> Option<ProxyId> {
         self.proxies.get(name)
     }
 
-    /// The name of a proxy, or `?`.
+    /// The name of a proxy, or `?` for an unknown index.
     pub fn proxy_name(&self, proxy: ProxyId) -> &str {
         self.proxies.name(proxy).map_or(UNKNOWN_NAME, String::as_str)
     }
 
-    /// The index of a server that has been listed.
+    /// The index of a server; `None` if no endpoint list has named it.
     pub fn server_id(&self, name: &str) -> Option<ServerId> {
         self.endpoints.server_id(name)
     }
 
-    /// The name of a server, or `?`.
+    /// The name of a server, or `?` for an unknown index.
     pub fn server_name(&self, server: ServerId) -> &str {
         self.endpoints.name(server)
     }
 
-    /// The tables as published.
+    /// The published tables, by number.
     pub fn published_tables(&self) -> &BTreeMap<TableId, PublishedTable> {
         self.tables.tables()
     }
 
-    /// State of each server by the newest list: `ready`, `draining` or `gone`.
+    /// State of each server as of the newest list: `ready`, `draining` or `gone`.
     pub fn endpoint_states(&self) -> &BTreeMap<ServerId, &'static str> {
         self.endpoints.states()
     }
 
-    /// Table entries on their way, each message's overhead included, as the channel's limit counts them.
+    /// Table entries in flight, including each message's overhead, as the update channel's limit counts them.
     pub fn queued_entries(&self) -> usize {
         let message_overhead = self.fleet.channel.message_overhead as usize;
         self.members.values().map(|member| member.queued_entries(message_overhead)).sum()
     }
 
-    /// What the controller learned of servers.
+    /// What the controller learned of servers, to be stored for the next start.
     pub fn learned_states(&self) -> Vec<LearnedServerState> {
         let named = |state: LearnedState| LearnedServerState {
             name: self.server_name(state.server).to_string(),
@@ -174,20 +178,21 @@
         self.controller.learned().map(named).collect()
     }
 
-    /// Puts an edited fleet in force, and returns whether the controller starts over.
+    /// Applies an edited fleet, and returns whether the controller starts over.
     ///
-    /// It does if its configuration or the zones changed; proxies keep their tables until they are assigned again.
-    /// Shares and overrides of servers are not part of the configuration: they come with the endpoint list.
+    /// It does if its configuration or the names of the zones changed; proxies keep their tables until they are
+    /// assigned again. Zone shares and overrides of servers are not part of the controller's configuration: they arrive
+    /// with the endpoint list.
     pub fn reconfigure(&mut self, fleet: Fleet, seed: u64) -> bool {
         let config = fleet.deployment_config();
         let is_same_config = config == self.fleet.deployment_config();
-        let is_same_zones = zone_names(&fleet).eq(zone_names(&self.fleet));
+        let has_same_zones = zone_names(&fleet).eq(zone_names(&self.fleet));
         self.fleet = fleet;
         if let Some(RaisedMultiple { multiple, until_ms }) = self.fleet.raised_multiple {
             let until = self.wall_clock.to_controller_time(until_ms).unwrap_or_default();
             self.guard.raise_overload_multiple(multiple, until);
         }
-        if is_same_config && is_same_zones {
+        if is_same_config && has_same_zones {
             return false;
         }
         self.guard.restart(GuardConfig::of(&config));
@@ -200,7 +205,7 @@
         true
     }
 
-    /// Passes an endpoint list to the controller: the complete list or changes, as `update` says.
+    /// Passes an endpoint list to the controller; `update` says whether `changes` is the complete list or a delta.
     pub fn update_endpoints(&mut self, update: EndpointUpdate, changes: Vec<(String, Change)>) {
         self.record(|| recording::endpoint_list(update, &changes));
         let to_record =
@@ -213,8 +218,8 @@
         self.pending_events.push(Event::EndpointsListed { update, records });
     }
 
-    /// Passes what an earlier process learned to the controller. It follows the endpoint list that names the
-    /// servers; hints of other servers are left out.
+    /// Passes the hints of an earlier process to the controller. The caller passes the endpoint list first: hints about
+    /// servers that it does not name are ignored.
     pub fn warm_start(&mut self, hints: &[ServerHint]) {
         self.record(|| recording::warm_start(hints));
         let known = hints.iter().filter_map(|hint| {
@@ -228,10 +233,10 @@
         self.pending_events.push(Event::WarmStart { hints });
     }
 
-    /// A proxy connected. A proxy of the same name that is connected still is disconnected first.
+    /// Connects a proxy and returns its index. A proxy of the same name that is still connected is disconnected first.
     ///
-    /// `request_rate` is what it expects, in requests a second; `has_no_table` whether it holds no table of an
-    /// earlier planner.
+    /// `request_rate` is the rate that the proxy expects, in requests per second. `has_no_table` says that it holds no
+    /// table of an earlier planner.
     pub fn connect_proxy(
         &mut self,
         name: &str,
@@ -260,7 +265,7 @@
         proxy
     }
 
-    /// A proxy's connection ended.
+    /// Handles the end of a proxy's connection.
     pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
         let name = self.proxy_name(proxy).to_string();
         self.record(|| RecordedEvent::ProxyDisconnected { proxy: name });
@@ -275,7 +280,7 @@
         }
     }
 
-    /// A proxy acknowledged message `number`, and so all before it.
+    /// Handles a proxy's acknowledgement of message `number`, which covers all before it.
     pub fn acknowledge(&mut self, now: Duration, proxy: ProxyId, number: u64) {
         let now = self.advance_clock(now);
         if self.recorded_events.is_some() {
@@ -292,7 +297,7 @@
         }
     }
 
-    /// A health check ended after `elapsed`; `load` is the load report that came with the answer.
+    /// Handles the result of a health check that took `elapsed`; `load` is the load report that came with the answer.
     pub fn record_health_check(
         &mut self,
         server: ServerId,
@@ -308,14 +313,14 @@
         self.pending_events.push(Event::HealthChecked { server, result, elapsed, load });
     }
 
-    /// When [`ControlSession::step`] is to be called though nothing arrived.
+    /// When [`ControlSession::step`] has to be called even if nothing arrives; `None` if there is no such time.
     pub fn next_wakeup(&self) -> Option<Duration> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         [timer, self.reports.next_delivery()].into_iter().flatten().min()
     }
 
-    /// Passes all that happened to the controller, carries out its commands, and returns what the runtime has to
-    /// do.
+    /// Passes the pending events to the controller, executes its commands, and returns the actions for the runtime and
+    /// what was published.
     pub fn step(&mut self, now: Duration) -> (Vec<Action>, IssuedUpdate) {
         let now = self.advance_clock(now);
         self.fire_timers(now);
@@ -354,13 +359,13 @@
         self.guard.rejection_counts().values().sum()
     }
 
-    /// Sets the time of this call, in the resolution of a record, and returns it.
+    /// Sets the time of the current call, truncated to the resolution of the record, and returns it.
     pub(crate) fn advance_clock(&mut self, now: Duration) -> Duration {
         self.now = truncate_to_microseconds(now);
         self.now
     }
 
-    /// Adds an entry to the record, if there is one.
+    /// Adds an entry to the record, if recording is on.
     pub(crate) fn record(&mut self, event: impl FnOnce() -> RecordedEvent) {
         if let Some(recorded_events) = &mut self.recorded_events {
             recorded_events.push((self.now, event()));
@@ -372,7 +377,7 @@
     fleet.zones.iter().map(|zone| zone.name.as_str())
 }
 
-/// Indices of the fleet's zones, in the fleet's order.
+/// Assigns indices to the fleet's zones, in the order of the configuration.
 fn index_zones(fleet: &Fleet) -> IdMap<String> {
     let mut zones = IdMap::default();
     for zone in &fleet.zones {
--- a/crates/control-session/src/tests.rs
+++ b/crates/control-session/src/tests.rs
@@ -69,7 +69,7 @@
     // When a proxy connects.
     session.connect_proxy("f1", "a", 5.0, false);
     let (actions, _) = session.step(ms(0));
-    // Then one message replaces all that it holds, with all servers and its assignment.
+    // Then one message replaces all that it holds, with all servers and the assignment of its class.
     let sent = message_texts(&actions);
     assert_eq!(sent.len(), 1);
     assert!(sent[0].contains("operation=\"replace\""), "{}", sent[0]);
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn a_drain_reaches_all_proxies_at_once_in_one_shared_message() {
-    // Given two proxies that hold their tables.
+fn a_drain_reaches_all_proxies_in_one_step_with_a_shared_message() {
+    // Given two proxies that acknowledged their tables.
     let mut session = session();
     let proxies = ["f1", "f2"].map(|name| session.connect_proxy(name, "a", 5.0, true));
     session.step(ms(0));
@@ -106,40 +106,40 @@
 }
 
 #[test]
-fn connecting_again_under_the_same_name_disconnects_first() {
+fn connecting_again_under_the_same_name_replaces_the_connection() {
     // Given a proxy with one message in flight.
     let mut session = session();
     let first = session.connect_proxy("f1", "a", 5.0, true);
     session.step(ms(0));
     assert_eq!(session.members()[&first].in_flight_messages(), 1);
-    // When it connects again.
+    // When a proxy connects under the same name.
     let second = session.connect_proxy("f1", "a", 5.0, false);
     let (actions, _) = session.step(ms(10));
-    // Then it keeps its index, and only the new message is in flight.
+    // Then it has the same index, and only the new message is in flight.
     assert_eq!(second, first);
     assert_eq!(session.members()[&first].in_flight_messages(), 1);
     assert_eq!(messages(&actions).len(), 1);
 }
 
 #[test]
-fn an_acknowledgement_covers_earlier_messages_and_none_after_a_disconnect() {
+fn an_acknowledgement_covers_earlier_messages_and_is_ignored_after_a_disconnect() {
     // Given a proxy with one message in flight.
     let mut session = session();
     let proxy = session.connect_proxy("f1", "a", 5.0, true);
     session.step(ms(0));
-    // When a later number is acknowledged, then nothing is in flight.
+    // When a higher number is acknowledged, then nothing is in flight.
     session.acknowledge(ms(3), proxy, 9);
     assert_eq!(session.members()[&proxy].in_flight_messages(), 0);
     assert_eq!(session.queued_entries(), 0);
-    // When an acknowledgement follows the disconnect, then it has no effect.
+    // When an acknowledgement arrives after the proxy is disconnected, then it has no effect.
     session.disconnect_proxy(proxy);
     session.acknowledge(ms(4), proxy, 1);
     assert!(session.members().is_empty());
 }
 
 #[test]
-fn reports_of_a_zone_are_summed_and_delivered_once_a_period_oldest_first() {
-    // Given a limit of two events a delivery, and reports under three keys.
+fn reports_of_a_zone_are_summed_and_delivered_once_per_period_oldest_first() {
+    // Given a limit of two events per delivery, and reports under three keys.
     let mut reports = ReportAggregator::new(ms(1000), 2.0);
     let outcomes =
         ServerOutcomes { attempts: 10, failures: 2, mean_latency: ms(100), ..ServerOutcomes::default() };
@@ -148,11 +148,11 @@
     reports.add_outcomes(ms(1500), 0, 7, &outcomes, ms(1000));
     reports.add_outcomes(ms(1600), 0, 8, &outcomes, ms(1000));
     reports.add_arrivals(ms(1700), 3, 0, &arrivals, ms(1000));
-    // When the period has not ended, then nothing is delivered.
+    // When the period has not elapsed, then nothing is delivered.
     let mut events = Vec::new();
     reports.deliver(ms(1999), &mut events);
     assert!(events.is_empty());
-    // When it has, then the two oldest sums are, and the third is due a period later.
+    // When it has elapsed, then the two oldest sums are delivered, and the third is due one period later.
     reports.deliver(ms(2000), &mut events);
     assert_eq!(events.len(), 2);
     let Event::OutcomeReport { attempts, failures, mean_latency, window, .. } = &events[0] else {
@@ -166,32 +166,33 @@
 }
 
 #[test]
-fn a_changed_configuration_restarts_the_controller_and_changed_shares_do_not() {
-    // Given a session in operation.
+fn a_changed_configuration_restarts_the_controller_and_a_changed_zone_share_does_not() {
+    // Given a session whose controller has started.
     let mut session = session();
     session.step(ms(0));
-    // When a zone's share changes, then the controller goes on.
+    // When a zone's share changes, then the controller continues.
     let with_share = FLEET.replace("<name>a</name>", "<name>a</name><share>0.5</share>");
     assert!(!session.reconfigure(fleet(&with_share), 2));
-    // When the channel's limit changes, then it starts over.
+    // When the update channel's limit changes, then the controller starts over.
     let with_backlog = FLEET.replace("<backlog>9000", "<backlog>8000");
     assert!(session.reconfigure(fleet(&with_backlog), 2));
 }
 
-/// Guards against an ejection that a proxy never learns of, since it shares the message of one that has no tables yet.
+/// An ejection would never reach a proxy that shared the message of a proxy without tables: that message carries no
+/// ejections.
 #[test]
 fn a_message_without_ejections_is_not_shared_with_proxies_that_need_them() {
-    // Given a proxy without an assignment, and one that holds its table.
+    // Given proxy 0 without an assignment, and proxy 1 that was sent its table.
     let mut tables = PublishedTables::default();
     let names = IndexNames { server: &|_| "s3", address: &|_| String::new(), class: &|_| "q" };
     tables.connect_proxy(0);
     tables.connect_proxy(1);
     tables.assign(1, 1, std::iter::once(0));
     tables.take_messages(&[0, 1], &BTreeSet::new(), &names);
-    // When a server is ejected, and the first one gets a message for its acknowledgement.
+    // When a server is ejected, and proxy 0 gets a message only to acknowledge it.
     tables.set_ejected(3, true);
     let messages = tables.take_messages(&[0, 1], &BTreeSet::from([0]), &names);
-    // Then the second one learns of the ejection, and the first one by its first table.
+    // Then only the message to proxy 1 carries the ejection; proxy 0 gets it with its first table.
     let ejections = |k: usize| messages[k].message.ejections.clone();
     assert_eq!((ejections(0), ejections(1)), (BTreeMap::new(), BTreeMap::from([("s3".into(), true)])));
 }
