--- a/crates/distribution/src/distributor.rs
+++ b/crates/distribution/src/distributor.rs
@@ -1,4 +1,4 @@
-//! The distributor: connected proxies, their tables, and the commands in force at each.
+//! The distributor: connected proxies, their tables, and the commands that are in force at each.
 
 mod admission;
 mod delivery;
@@ -13,88 +13,93 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A proxy that cannot use this many messages in a row, each followed by a snapshot, never will.
+/// Consecutive rejections of one topic's messages that are answered with a snapshot. A proxy that exceeds this is
+/// disconnected, since further snapshots would not help.
 pub(crate) const REJECTION_LIMIT: u32 = 8;
-/// Time allowed on top of the longest deadline for clocks that differ, and for reports that are late.
+/// Time allowed in addition to the longest deadline, for differences between clocks and for late reports.
 const REPORT_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// A proxy's number, as the controller has it.
+/// The controller's index of a proxy.
 pub type ProxyId = usize;
 
-/// What is sent to a proxy next. Its number is acknowledged to [`Distributor::acknowledge`].
+/// The next message to a proxy. The caller passes its number to [`Distributor::acknowledge`] once the proxy
+/// acknowledges it.
 #[derive(Debug, Clone)]
 pub enum OutgoingMessage {
-    /// An edit of the proxy's datastore. Proxies at the same position share the text.
+    /// An edit of the proxy's datastore. Proxies that need the same updates share the text.
     Edit {
-        /// The message's number.
+        /// Sequence number of the message.
         number: u64,
-        /// The `<edit-config>`.
+        /// The `<edit-config>` element.
         text: Rc<str>,
-        /// Entries that it changes.
+        /// Number of entries in the edit.
         entries: usize,
     },
     /// A part of a published update.
     Part {
-        /// The message's number.
+        /// Sequence number of the message.
         number: u64,
         /// The part.
         part: UpdatePart,
     },
 }
 
-/// What came of a message that a proxy could not use.
+/// Result of a proxy's rejection of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RejectionOutcome {
-    /// Token of the newest command that came in force by the messages before it, if one did.
+    /// Token of the newest command that came into force with the messages before the rejected one; `None` if none did.
     pub newest_in_force: Option<u64>,
-    /// What is to be done about the proxy.
+    /// Whether the proxy is resynced or to be disconnected.
     pub verdict: Verdict,
 }
 
-/// An edit's text, and how many entries it changes.
+/// An edit's text and its number of entries.
 #[derive(Debug, Clone)]
 struct EditText {
     text: Rc<str>,
     entries: usize,
 }
 
-/// The updates that an edit consists of, each with its topic, base version and version.
+/// Identifies the updates in an edit: topic, base version (`None` for a snapshot) and version of each.
 type UpdateIds = Vec<(Topic, Option<Version>, Version)>;
 
-/// Distributes one planner's tables.
+/// Distributes a planner's tables to its connected proxies.
 #[derive(Debug)]
 pub struct Distributor {
     publisher: Publisher,
+    /// The connected proxies.
     members: BTreeMap<ProxyId, Member>,
+    /// Order and rate of admission of the waiting proxies.
     reconnect_queue: ReconnectQueue,
-    /// Proxies that wait to be admitted, by name.
-    waiting: BTreeMap<String, PendingProxy>,
-    /// Proxies that may have something to receive.
-    ready: BTreeSet<ProxyId>,
-    /// Commands that came in force without an acknowledgement, since there was nothing to send.
-    completed: Vec<(ProxyId, u64)>,
-    /// Edits since the tables changed last, for proxies at the same position.
+    /// Proxies that wait for admission, by name.
+    waiting_proxies: BTreeMap<String, PendingProxy>,
+    /// Proxies for which there may be a message.
+    ready_proxies: BTreeSet<ProxyId>,
+    /// Proxy and token of commands that came into force without an acknowledgement, as there was nothing to send.
+    completed_commands: Vec<(ProxyId, u64)>,
+    /// Edits since the last change of a table or ejection, shared by proxies that need the same updates.
     shared_edits: BTreeMap<UpdateIds, EditText>,
-    /// By table.
+    /// Servers removed from each table.
     removed_servers: BTreeMap<u16, RemovedServers>,
-    /// Whether subsets are created: not until a proxy subscribes to them.
+    /// Whether subsets are published, which starts once a proxy that needs them connects.
     publishes_subsets: bool,
-    /// The longest time after which a request may end that was in flight when a table changed.
+    /// Longest time after a table's change until requests that were in flight at the change have ended.
     grace_period: Duration,
+    /// Resyncs of proxies whose reports contradicted their acknowledgements.
     resync_count: u64,
 }
 
 impl Distributor {
-    /// A distributor without tables. `epoch` rises with each start; a drain has to reach all proxies within
-    /// `drain_grace_period`; `longest_deadline` is that of all classes.
+    /// Creates a distributor without tables. `epoch` has to increase with each start. A drain has to reach all proxies
+    /// within `drain_grace_period`. `longest_deadline` is the longest request deadline of all classes.
     pub fn new(epoch: u64, drain_grace_period: Duration, longest_deadline: Duration) -> Distributor {
         Distributor {
             publisher: Publisher::new(epoch),
             members: BTreeMap::new(),
             reconnect_queue: ReconnectQueue::new(drain_grace_period),
-            waiting: BTreeMap::new(),
-            ready: BTreeSet::new(),
-            completed: vec![],
+            waiting_proxies: BTreeMap::new(),
+            ready_proxies: BTreeSet::new(),
+            completed_commands: vec![],
             shared_edits: BTreeMap::new(),
             removed_servers: BTreeMap::new(),
             publishes_subsets: false,
@@ -103,32 +108,32 @@
         }
     }
 
-    /// Starts over with other settings. Connected proxies stay so, keep what they hold, and have none of this
-    /// planner's tables until they are assigned to them again.
+    /// Starts over with other settings and no tables. Proxies stay connected and keep what they hold, but are assigned
+    /// to no table until the caller assigns them again.
     pub fn restart(&mut self, epoch: u64, drain_grace_period: Duration, longest_deadline: Duration) {
         self.publisher.restart(epoch);
         self.reconnect_queue.set_grace_period(drain_grace_period);
         self.grace_period = longest_deadline + REPORT_TOLERANCE;
         self.shared_edits.clear();
         self.removed_servers.clear();
-        self.ready.clear();
-        self.completed.clear();
+        self.ready_proxies.clear();
+        self.completed_commands.clear();
         for member in self.members.values_mut() {
             member.restart();
         }
     }
 
-    /// The publisher, for its figures.
+    /// The publisher, for its metrics and overdue messages.
     pub fn publisher(&self) -> &Publisher {
         &self.publisher
     }
 
-    /// Resyncs of proxies that did not apply what they acknowledged.
+    /// Number of resyncs of proxies that did not apply what they acknowledged.
     pub fn resync_count(&self) -> u64 {
         self.resync_count
     }
 
-    /// Connects an admitted proxy; an earlier session of it is over.
+    /// Connects an admitted proxy. This ends an earlier session of the same proxy.
     pub fn connect(&mut self, proxy: ProxyId, pending: PendingProxy) {
         let session = self.publisher.connect(&pending.name);
         let member = Member::new(proxy, pending, session);
@@ -141,21 +146,21 @@
         self.members.insert(proxy, member);
     }
 
-    /// Disconnects a proxy.
+    /// Disconnects a proxy and discards its state.
     pub fn disconnect(&mut self, proxy: ProxyId) {
-        self.ready.remove(&proxy);
+        self.ready_proxies.remove(&proxy);
         if let Some(member) = self.members.remove(&proxy) {
             self.publisher.disconnect(&member.name, member.session);
         }
     }
 
-    /// Takes the proxies that may have something to receive.
+    /// Takes the proxies for which [`Distributor::next_message`] may have a message.
     pub fn take_ready(&mut self) -> Vec<ProxyId> {
-        std::mem::take(&mut self.ready).into_iter().collect()
+        std::mem::take(&mut self.ready_proxies).into_iter().collect()
     }
 
-    /// Takes commands, by proxy and token, that came in force without an acknowledgement.
+    /// Takes the proxy and token of each command that came into force without an acknowledgement.
     pub fn take_completed(&mut self) -> Vec<(ProxyId, u64)> {
-        std::mem::take(&mut self.completed)
+        std::mem::take(&mut self.completed_commands)
     }
 }
--- a/crates/distribution/src/distributor/delivery.rs
+++ b/crates/distribution/src/distributor/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery: the next message to a proxy, and what follows its answer.
+//! Delivery: the next message to a proxy, and the handling of acknowledgements and rejections.
 
 use super::{Distributor, EditText, OutgoingMessage, ProxyId, RejectionOutcome, UpdateIds, REJECTION_LIMIT};
 use crate::edit_message::add_update;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Distributor {
-    /// The next message to a proxy; `None`: it has everything, or too many messages in flight.
+    /// The next message to a proxy; `None` if the proxy is up to date or has too many messages in flight.
     pub fn next_message(&mut self, now: Duration, proxy: ProxyId) -> Option<OutgoingMessage> {
         let member = self.members.get(&proxy)?;
         if member.transport == Transport::Published {
@@ -24,7 +24,8 @@
         self.next_empty_message(now, proxy)
     }
 
-    /// A message that changes nothing, for commands to a proxy that is assigned to no table.
+    /// A message without changes, only to be acknowledged: it completes commands to a proxy that is assigned to no
+    /// table.
     fn next_empty_message(&mut self, now: Duration, proxy: ProxyId) -> Option<OutgoingMessage> {
         let member = self.members.get_mut(&proxy)?;
         if !member.pending_commands.iter().any(PendingCommand::needs_empty_message) {
@@ -37,28 +38,28 @@
         Some(OutgoingMessage::Edit { number, text: UpdateMessage::default().to_xml().into(), entries: 0 })
     }
 
-    /// Writes updates as one edit.
+    /// Writes updates as one edit, or returns the shared edit of the same updates.
     fn edit_text(&mut self, proxy: ProxyId, updates: Vec<TableUpdate>) -> Option<EditText> {
         let member = self.members.get_mut(&proxy)?;
         let is_assignment = |update: &TableUpdate| update.topic.kind == TopicKind::Assignments;
         let assigns = updates.iter().any(|update| is_assignment(update) && update.changes().next().is_some());
-        let can_share = !member.is_first_message && !assigns;
+        let can_share = !member.replaces_all && !assigns;
         let shared = updates.iter().filter(|update| !is_assignment(update));
         let ids: UpdateIds =
             shared.map(|update| (update.topic, update.base_version, update.version)).collect();
         if let Some(edit) = self.shared_edits.get(&ids).filter(|_| can_share) {
             return Some(edit.clone());
         }
-        let mut message = UpdateMessage { replaces_all: member.is_first_message, ..UpdateMessage::default() };
-        member.is_first_message = false;
+        let mut message = UpdateMessage { replaces_all: member.replaces_all, ..UpdateMessage::default() };
+        member.replaces_all = false;
         for update in &updates {
             add_update(&mut message, update);
         }
         if assigns {
-            let left = std::mem::take(&mut member.leaving);
+            let dropped_tables = std::mem::take(&mut member.unassigned_tables);
             if !message.replaces_all {
-                let gone = || TableEdit { is_removed: true, ..TableEdit::default() };
-                message.tables.extend(left.into_keys().map(|table| (table, gone())));
+                let removal = || TableEdit { is_removed: true, ..TableEdit::default() };
+                message.tables.extend(dropped_tables.into_keys().map(|table| (table, removal())));
             }
         }
         let edit = EditText { text: message.to_xml().into(), entries: message.entry_count() };
@@ -68,16 +69,16 @@
         Some(edit)
     }
 
-    /// A proxy acknowledged a message, and all before it. Returns the token of the newest command that came in force
-    /// by that, if one did.
+    /// Handles a proxy's acknowledgement of message `number`, which covers all before it. Returns the token of the
+    /// newest command that came into force with it; `None` if none did.
     pub fn acknowledge(&mut self, now: Duration, proxy: ProxyId, number: u64) -> Option<u64> {
         let member = self.members.get(&proxy)?;
         let held = self.publisher.acknowledge(&member.name, member.session, number);
-        self.ready.insert(proxy);
-        self.versions_held(now, proxy, number, held)
+        self.ready_proxies.insert(proxy);
+        self.handle_held_versions(now, proxy, number, held)
     }
 
-    /// A proxy could not use a message of a topic, which is sent again as a snapshot.
+    /// Handles a proxy's rejection of a message of `topic`, whose next update is a snapshot.
     pub fn reject(&mut self, now: Duration, proxy: ProxyId, number: u64, topic: Topic) -> RejectionOutcome {
         let Some(member) = self.members.get_mut(&proxy) else {
             return RejectionOutcome { newest_in_force: None, verdict: Verdict::Trusted };
@@ -86,15 +87,16 @@
         let rejections = member.rejections.entry(topic).or_default();
         *rejections += 1;
         let verdict = if *rejections > REJECTION_LIMIT { Verdict::Disconnect } else { Verdict::Resync };
-        self.ready.insert(proxy);
+        self.ready_proxies.insert(proxy);
         RejectionOutcome {
-            newest_in_force: self.versions_held(now, proxy, number.saturating_sub(1), held),
+            newest_in_force: self.handle_held_versions(now, proxy, number.saturating_sub(1), held),
             verdict,
         }
     }
 
-    /// A proxy holds these versions by its acknowledgement of message `number`.
-    fn versions_held(
+    /// Handles the versions that a proxy holds since it acknowledged message `number`. Returns the token of the newest
+    /// command that came into force.
+    fn handle_held_versions(
         &mut self,
         now: Duration,
         proxy: ProxyId,
@@ -106,11 +108,11 @@
             member.rejections.remove(&topic);
             if topic.kind == TopicKind::Weights {
                 let removed = self.removed_servers.get(&topic.table);
-                member.suspicion.acknowledged(now, topic.table, version, removed);
+                member.report_checker.record_acknowledged_version(now, topic.table, version, removed);
             }
             if topic.kind == TopicKind::Assignments && member.transport == Transport::Published {
                 let kind = member.table_kind();
-                for table in member.take_left_tables(version) {
+                for table in member.take_dropped_tables(version) {
                     self.publisher.unsubscribe(&member.name, Topic { kind, table });
                 }
             }
--- a/crates/distribution/src/distributor/publication.rs
+++ b/crates/distribution/src/distributor/publication.rs
@@ -1,8 +1,8 @@
-//! Publication: tables, ejections, and commands with the assignments of single proxies.
+//! Publication of tables and ejections, and commands to single proxies with their assignments.
 
 use super::{Distributor, ProxyId};
-use crate::edit_message::changes_of;
-use crate::member::{assignments_of, Member, PendingCommand, EJECTIONS};
+use crate::edit_message::edit_changes;
+use crate::member::{assignment_topic, Member, PendingCommand, EJECTION_TOPIC};
 use crate::pending_proxy::Transport;
 use crate::subset::create_subset;
 use runloom_model::table_update::{TableEdit, UpdateMessage};
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Distributor {
-    /// Applies an edit to a table.
+    /// Applies an edit to a table, and records the servers that it removes.
     pub fn update_table(&mut self, table: u16, edit: &TableEdit) {
         let topic = Topic { kind: TopicKind::Weights, table };
-        let former = if edit.replaces_table { self.servers(topic) } else { removed_by(edit) };
+        let former = if edit.replaces_table { self.servers(topic) } else { removed_servers(edit) };
         let version = self.publish_edit(topic, edit);
         let current = if edit.replaces_table { self.servers(topic) } else { BTreeSet::new() };
         let removed = former.into_iter().filter(|server| !current.contains(server));
@@ -25,7 +25,7 @@
     }
 
     fn publish_edit(&mut self, topic: Topic, edit: &TableEdit) -> Version {
-        let changes = changes_of(edit);
+        let changes = edit_changes(edit);
         if !edit.replaces_table {
             return self.publisher.apply(topic, changes);
         }
@@ -33,6 +33,7 @@
         self.publisher.replace(topic, state.collect())
     }
 
+    /// The servers that a published table has entries for.
     fn servers(&self, topic: Topic) -> BTreeSet<String> {
         let server = |key: &Key| match key {
             Key::Entry(server) => Some(server.clone()),
@@ -42,6 +43,7 @@
         state.into_iter().flat_map(|state| state.keys()).filter_map(server).collect()
     }
 
+    /// Publishes the subset of a table, if the table was published.
     pub(super) fn publish_subset(&mut self, table: u16) {
         let weights = Topic { kind: TopicKind::Weights, table };
         if let Some((_, state)) = self.publisher.table(weights) {
@@ -50,18 +52,19 @@
         }
     }
 
-    /// Ejects servers, or ends their ejection.
+    /// Ejects servers (true) or readmits them (false), by server name.
     pub fn update_ejections(&mut self, servers: &BTreeMap<String, bool>) {
         let change = |(server, is_ejected): (&String, &bool)| Change {
             key: Key::Ejection(server.clone()),
             value: is_ejected.then(|| "".into()),
         };
-        self.publisher.apply(EJECTIONS, servers.iter().map(change).collect());
+        self.publisher.apply(EJECTION_TOPIC, servers.iter().map(change).collect());
         self.shared_edits.clear();
     }
 
-    /// Issues a command to a proxy: its assignments, if the message has any, and all of its tables as they are now.
-    /// `ack_token` is returned once that is in force.
+    /// Issues a command to a proxy: the assignments in `message`, if it has any, and the present state of all tables that
+    /// the proxy is assigned to. `ack_token` is returned once the command is in force, by an acknowledgement, a rejection
+    /// or [`Distributor::take_completed`].
     pub fn issue_command(&mut self, proxy: ProxyId, ack_token: u64, message: &UpdateMessage) {
         if !message.assignments.is_empty() {
             self.assign(proxy, message);
@@ -74,22 +77,23 @@
         let mut required: Vec<(Topic, Version)> =
             member.topics(proxy).into_iter().filter_map(unacknowledged).collect();
         if required.is_empty() && !member.assignments.is_empty() {
-            // Nothing is to be changed, only acknowledged.
-            let assignments = assignments_of(proxy);
+            // The proxy holds everything: a version without changes gets its acknowledgement.
+            let assignments = assignment_topic(proxy);
             required.push((assignments, self.publisher.advance_unchanged(assignments)));
         }
         let needs_no_message = required.is_empty() && member.transport == Transport::Published;
         if needs_no_message && member.pending_commands.is_empty() {
-            self.completed.push((proxy, ack_token));
+            self.completed_commands.push((proxy, ack_token));
             return;
         }
         member.pending_commands.push_back(PendingCommand { ack_token, required, empty_message: None });
-        self.ready.insert(proxy);
+        self.ready_proxies.insert(proxy);
     }
 
+    /// Assigns the classes in `message` to tables, and adjusts the proxy's subscriptions.
     fn assign(&mut self, proxy: ProxyId, message: &UpdateMessage) {
         let Some(member) = self.members.get_mut(&proxy) else { return };
-        let topic = assignments_of(proxy);
+        let topic = assignment_topic(proxy);
         let former = member.assigned_tables();
         if message.replaces_all {
             member.assignments.clear();
@@ -99,45 +103,46 @@
             |(class, table): (&String, &u16)| (Key::Assignment(class.clone()), table.to_string().into());
         let version = self.publisher.replace(topic, member.assignments.iter().map(value).collect());
         for table in former.difference(&member.assigned_tables()) {
-            leave_table(&mut self.publisher, member, *table, (topic, version));
+            unassign_table(&mut self.publisher, member, *table, (topic, version));
         }
         for topic in member.topics(proxy) {
             subscribe(&mut self.publisher, member, topic);
         }
-        // With its first assignments a proxy drops all tables that they do not name.
-        member.held.clear();
+        // A proxy's first assignments make it drop all tables that they do not name.
+        member.held_versions.clear();
     }
 }
 
-/// Servers that an edit of some entries removes.
-fn removed_by(edit: &TableEdit) -> BTreeSet<String> {
+/// The servers that an edit of single entries removes.
+fn removed_servers(edit: &TableEdit) -> BTreeSet<String> {
     let removed = edit.entries.iter().filter(|(_, entry)| entry.weight <= 0.0);
     removed.map(|(server, _)| server.clone()).collect()
 }
 
-/// A proxy is no longer assigned to a table, by this version of its assignments.
+/// Ends a proxy's assignment to a table, as of this topic and version of its assignments.
 ///
-/// With [`Transport::Edits`], one message both assigns and removes the table, and commands that wait for the table wait
-/// for that. With [`Transport::Published`], drains in the table reach the proxy until it holds its new assignments.
-fn leave_table(publisher: &mut Publisher, member: &mut Member, table: u16, assignments: (Topic, Version)) {
+/// With [`Transport::Edits`], one message changes the assignments and removes the table, and commands that require the
+/// table require that message instead. With [`Transport::Published`], the proxy stays subscribed to the table until it
+/// holds its new assignments, so that drains reach it meanwhile.
+fn unassign_table(publisher: &mut Publisher, member: &mut Member, table: u16, assignments: (Topic, Version)) {
     if member.transport == Transport::Edits {
         let topic = Topic { kind: member.table_kind(), table };
         publisher.unsubscribe(&member.name, topic);
         member.replace_requirement(topic, assignments);
     }
-    member.leaving.insert(table, assignments.1);
+    member.unassigned_tables.insert(table, assignments.1);
 }
 
-/// Subscribes a proxy to a topic, unless it is already.
+/// Subscribes a proxy to a topic, unless it is already subscribed.
 fn subscribe(publisher: &mut Publisher, member: &mut Member, topic: Topic) {
     let is_table = topic.kind == member.table_kind();
-    let was_leaving = is_table && member.leaving.remove(&topic.table).is_some();
-    if was_leaving && member.transport == Transport::Published {
-        // Assignments in flight may have dropped the table: it is sent again ahead of the new ones.
+    let was_unassigned = is_table && member.unassigned_tables.remove(&topic.table).is_some();
+    if was_unassigned && member.transport == Transport::Published {
+        // Assignments in flight may make the proxy drop the table, so it is sent again before the new assignments.
         publisher.resync(&member.name, topic);
     }
     if !publisher.is_subscribed(&member.name, topic) {
-        let held = member.held.remove(&topic);
+        let held = member.held_versions.remove(&topic);
         publisher.subscribe(&member.name, topic, held);
     }
 }
--- a/crates/distribution/src/distributor/reports.rs
+++ b/crates/distribution/src/distributor/reports.rs
@@ -1,4 +1,4 @@
-//! Reports, by which proxies are found that do not apply what they acknowledged.
+//! Checks of reports, which find proxies that do not apply what they acknowledged.
 
 use super::{Distributor, ProxyId};
 use crate::pending_proxy::Transport;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Distributor {
-    /// Checks by a proxy's report over `window` whether it applies what it acknowledged. `attempted` are the servers
-    /// that it sent requests to.
+    /// Checks whether a proxy applies what it acknowledged, by its report over `window`. `attempted` are the servers that
+    /// it sent requests to. The proxy is trusted while it has updates that it has not acknowledged.
     pub fn check_report<'a>(
         &mut self,
         now: Duration,
@@ -20,32 +20,35 @@
         let topics = member.topics(proxy);
         let is_current =
             |topic: &Topic| self.publisher.unacknowledged_version(&member.name, *topic).is_none();
-        if member.assignments.is_empty() || !member.leaving.is_empty() || !topics.iter().all(is_current) {
+        if member.assignments.is_empty()
+            || !member.unassigned_tables.is_empty()
+            || !topics.iter().all(is_current)
+        {
             return Verdict::Trusted;
         }
         let removed: Vec<&str> =
-            attempted.filter(|server| member.suspicion.acknowledged_removal(server)).collect();
+            attempted.filter(|server| member.report_checker.has_acknowledged_removal(server)).collect();
         let is_listed = |server: &str| {
             let key = Key::Entry(server.to_string());
             let mut tables = topics.iter().filter_map(|topic| self.publisher.table(*topic));
             tables.any(|(_, state)| state.contains_key(&key))
         };
         let unlisted = removed.into_iter().filter(|server| !is_listed(server));
-        let verdict = member.suspicion.check_report(now, window, self.grace_period, unlisted);
+        let verdict = member.report_checker.check_report(now, window, self.grace_period, unlisted);
         if verdict == Verdict::Resync {
             self.resync(proxy, &topics);
         }
         verdict
     }
 
-    /// Sends a proxy its tables again, from snapshots.
+    /// Sends a proxy its tables again, as snapshots.
     fn resync(&mut self, proxy: ProxyId, topics: &[Topic]) {
         let Some(member) = self.members.get_mut(&proxy) else { return };
         self.resync_count += 1;
         for topic in topics {
             self.publisher.resync(&member.name, *topic);
         }
-        member.is_first_message = member.transport == Transport::Edits;
-        self.ready.insert(proxy);
+        member.replaces_all = member.transport == Transport::Edits;
+        self.ready_proxies.insert(proxy);
     }
 }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,9 +1,9 @@
 //! Distribution of route tables to proxies, free of I/O and the same for both transports.
 //!
-//! A [`Distributor`] knows which proxies are connected, which tables each is assigned to, what each has still to
-//! receive, and which commands are in force where. A proxy whose datastore is edited receives all that it lacks in one
-//! message; a proxy that subscribes receives it in parts by topic. Both go through one
-//! [`runloom_versioned_publisher::Publisher`], so that the backlog is conflated and acknowledged in the same way.
+//! A [`Distributor`] tracks which proxies are connected, the tables that each is assigned to, the updates that each has
+//! yet to receive, and the commands that are in force at each. A proxy whose datastore is edited receives all missing
+//! updates in one message; a proxy that subscribes receives them in parts, topic by topic. Both go through one
+//! [`runloom_versioned_publisher::Publisher`], so backlogs are conflated and acknowledged in the same way.
 
 pub mod subset;
 pub mod suspicion;
--- a/crates/distribution/src/pending_proxy.rs
+++ b/crates/distribution/src/pending_proxy.rs
@@ -1,40 +1,40 @@
-//! Proxies that connected and wait to be admitted.
+//! Proxies that are connected and wait for admission.
 
 use runloom_versioned_publisher::{HeldVersion, Topic, TopicFilter, TopicKind};
 
 /// How a proxy receives its tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transport {
-    /// By edits of its datastore: all that it lacks as one message, applied as a whole.
+    /// By edits of its datastore: one message carries all missing updates and is applied as a whole.
     Edits,
-    /// By subscription: topic by topic, in parts.
+    /// By subscription: updates arrive topic by topic, in parts.
     Published,
 }
 
-/// A proxy that connected, and what it reported of itself.
+/// A proxy that waits for admission, with what it reported about itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PendingProxy {
-    /// The caller's number of its connection.
+    /// The caller's number for the connection.
     pub connection: usize,
-    /// Its name.
+    /// Name of the proxy; a newer connection under the same name replaces this one.
     pub name: String,
-    /// Its zone.
+    /// Zone that the proxy runs in.
     pub zone: String,
-    /// Requests a second.
+    /// Rate that the proxy expects, in requests per second.
     pub request_rate: f64,
-    /// It holds no table of any planner.
+    /// Whether the proxy holds no table of any planner.
     pub has_no_table: bool,
-    /// How it receives its tables.
+    /// How the proxy receives its tables.
     pub transport: Transport,
-    /// What it subscribes to.
+    /// Filters of the topics that the proxy subscribes to.
     pub filters: Vec<TopicFilter>,
-    /// Versions of topics that it holds.
+    /// Version that the proxy holds of each topic; empty if it does not report versions.
     pub held_versions: Vec<(Topic, HeldVersion)>,
 }
 
 impl PendingProxy {
-    /// The oldest version that it holds; `None`: nothing. One that does not report its versions holds something old,
-    /// unless it has no table.
+    /// The oldest version that the proxy holds; `None` if it holds nothing. A proxy that has tables but reports no
+    /// versions is taken to hold the oldest version possible.
     pub(crate) fn oldest_held(&self) -> Option<HeldVersion> {
         let oldest = self.held_versions.iter().map(|(_, held)| *held).min();
         oldest.or((!self.has_no_table).then_some(HeldVersion { epoch: 0, version: 0 }))
@@ -46,7 +46,7 @@
         self.filters.iter().any(matches)
     }
 
-    /// Whether it subscribes to all that it takes to apply tables: assignments, and weights or subsets.
+    /// Whether the proxy subscribes to all topics that it needs to apply tables: assignments, and weights or subsets.
     pub fn can_apply_tables(&self) -> bool {
         let has_entries = self.subscribes_to(TopicKind::Weights) || self.subscribes_to(TopicKind::Subset);
         self.subscribes_to(TopicKind::Assignments) && has_entries
