--- a/crates/distribution/src/distributor/publication.rs
+++ b/crates/distribution/src/distributor/publication.rs
@@ -62,9 +62,9 @@
         self.shared_edits.clear();
     }
 
-    /// Issues a command to a proxy: the assignments in `message`, if it has any, and the present state of all tables that
-    /// the proxy is assigned to. `ack_token` is returned once the command is in force, by an acknowledgement, a rejection
-    /// or [`Distributor::take_completed`].
+    /// Issues a command to a proxy: the assignments in `message`, if it has any, and the present state of all tables
+    /// that the proxy is assigned to. Once the command is in force, [`Distributor::acknowledge`],
+    /// [`Distributor::reject`] or [`Distributor::take_completed`] returns `ack_token`, or that of a newer command.
     pub fn issue_command(&mut self, proxy: ProxyId, ack_token: u64, message: &UpdateMessage) {
         if !message.assignments.is_empty() {
             self.assign(proxy, message);
--- a/crates/distribution/src/distributor/reports.rs
+++ b/crates/distribution/src/distributor/reports.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Distributor {
-    /// Checks whether a proxy applies what it acknowledged, by its report over `window`. `attempted` are the servers that
-    /// it sent requests to. The proxy is trusted while it has updates that it has not acknowledged.
+    /// Checks by a proxy's report over `window` whether the proxy applies what it acknowledged. `attempted` are the
+    /// servers that it sent requests to. A proxy without assignments, or with unacknowledged updates, is not checked.
     pub fn check_report<'a>(
         &mut self,
         now: Duration,
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -42,21 +42,21 @@
     Distributor::new(1, secs(2), secs(1))
 }
 
-/// An edit of servers' weights.
+/// An edit that sets the weights of servers by number; 0 removes the entry.
 fn weights(weights: &[(usize, f64)]) -> TableEdit {
-    let line = |(k, w): &(usize, f64)| {
+    let entry = |(k, w): &(usize, f64)| {
         (format!("s{k}"), EntryEdit { address: format!("127.0.0.1:{}", k + 1), weight: *w })
     };
-    TableEdit { entries: weights.iter().map(line).collect(), ..TableEdit::default() }
+    TableEdit { entries: weights.iter().map(entry).collect(), ..TableEdit::default() }
 }
 
 /// A message that assigns classes to tables.
-fn assignments(whole: bool, assignments: &[(&str, u16)]) -> UpdateMessage {
+fn assignments(replaces_all: bool, assignments: &[(&str, u16)]) -> UpdateMessage {
     let assignments = assignments.iter().map(|(class, table)| (class.to_string(), *table)).collect();
-    UpdateMessage { replaces_all: whole, assignments, ..UpdateMessage::default() }
+    UpdateMessage { replaces_all, assignments, ..UpdateMessage::default() }
 }
 
-/// Sends a proxy all messages that it lacks, each acknowledged at once.
+/// Delivers all outstanding messages to a proxy, and acknowledges each immediately.
 fn acknowledge_all(distributor: &mut Distributor, proxy: usize, now: Duration) {
     while let Some(outgoing) = distributor.next_message(now, proxy) {
         let (OutgoingMessage::Edit { number, .. } | OutgoingMessage::Part { number, .. }) = outgoing;
@@ -64,7 +64,7 @@
     }
 }
 
-/// A proxy at the other end, with the program's own code for either transport.
+/// The receiving proxy, which applies messages with the product's own code for each transport.
 struct Peer {
     transport: Transport,
     schema: Schema,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Applies a message. Returns its number, and its topic if it could not be used.
+    /// Applies a message. Returns its number, and its topic if the message could not be applied.
     fn apply(&mut self, outgoing: OutgoingMessage) -> (u64, Option<Topic>) {
         match outgoing {
             OutgoingMessage::Edit { number, text, .. } => {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Servers and weights that a class's requests go by.
+    /// Servers and weights by which the proxy distributes the requests of a class.
     fn entries(&self, class: &str) -> Vec<(String, u64)> {
         let entries = self.tables.entries(class).into_iter();
         let mut entries: Vec<_> = entries.map(|entry| (entry.server, entry.weight as u64)).collect();
@@ -133,7 +133,7 @@
 
 #[derive(Debug, Clone)]
 enum Operation {
-    /// Sets servers' weights in a table (0 removes), or replaces the table. Server 0 stays.
+    /// Sets weights of servers in a table (0 removes the entry), or replaces the table. Server 0 always stays.
     UpdateTable {
         table: u16,
         replace: bool,
@@ -145,24 +145,25 @@
         class: usize,
         table: u16,
     },
-    /// Issues a command that changes nothing, only to be acknowledged.
+    /// Issues a command without changes, only to be acknowledged.
     RequestAck(usize),
-    /// Sends up to this many messages to a proxy.
+    /// Sends a proxy (first field) up to this many messages (second field).
     Send(usize, usize),
-    /// A proxy receives up to this many messages.
+    /// Has a proxy (first field) receive up to this many messages (second field).
     Receive(usize, usize),
     Disconnect(usize),
     Connect(usize),
+    /// Restarts the distributor with a new epoch.
     Restart,
 }
 
 fn operation() -> impl Strategy<Value = Operation> {
-    let line = || (1usize..300, 0u64..4);
-    let lines =
-        prop_oneof![4 => prop::collection::vec(line(), 1..6), 1 => prop::collection::vec(line(), 150..300)];
+    let entry = || (1usize..300, 0u64..4);
+    let entries =
+        prop_oneof![4 => prop::collection::vec(entry(), 1..6), 1 => prop::collection::vec(entry(), 150..300)];
     let proxy = || 0usize..3;
     prop_oneof![
-        6 => (1u16..4, prop::bool::weighted(0.1), lines).prop_map(|(table, replace, weights)| Operation::UpdateTable { table, replace, weights }),
+        6 => (1u16..4, prop::bool::weighted(0.1), entries).prop_map(|(table, replace, weights)| Operation::UpdateTable { table, replace, weights }),
         3 => (proxy(), 0usize..2, 1u16..4).prop_map(|(proxy, class, table)| Operation::Assign { proxy, class, table }),
         1 => proxy().prop_map(Operation::RequestAck),
         6 => (proxy(), 1usize..9).prop_map(|(p, n)| Operation::Send(p, n)),
@@ -173,22 +174,25 @@
     ]
 }
 
-/// Servers and weights of a table.
+/// Weight of each server of a table, by the server's number.
 type Weights = BTreeMap<usize, u64>;
 
-/// What was published at one time.
+/// Tables and assignments as published at one time.
 #[derive(Clone)]
 struct State {
     tables: BTreeMap<u16, Weights>,
+    /// Table of each class, for each proxy.
     assignments: [BTreeMap<usize, u16>; 3],
 }
 
+/// A distributor with three proxies, and all states that it published since the start.
 struct Model {
     distributor: Distributor,
     peers: Vec<Peer>,
     states: Vec<State>,
-    /// Each proxy's commands: the state that each was issued with.
+    /// Index in `states` at which each command was issued, for each proxy. Tokens start at 1.
     commands: [Vec<usize>; 3],
+    /// Token of the newest command in force at each proxy; 0 if there is none.
     in_force: [u64; 3],
 }
 
@@ -208,7 +212,7 @@
         model
     }
 
-    /// A copy of the newest state, to be changed.
+    /// Appends a copy of the newest state and returns it to be changed.
     fn new_state(&mut self) -> &mut State {
         let last = self.states.last().unwrap().clone();
         self.states.push(last);
@@ -229,10 +233,10 @@
         self.distributor.issue_command(p, self.commands[p].len() as u64, message);
     }
 
-    fn assign(&mut self, p: usize, whole: bool, class: &[(usize, u16)]) {
+    fn assign(&mut self, p: usize, replaces_all: bool, class: &[(usize, u16)]) {
         class.iter().for_each(|(c, t)| _ = self.new_state().assignments[p].insert(*c, *t));
         let class: Vec<(&str, u16)> = class.iter().map(|(c, t)| (CLASSES[*c], *t)).collect();
-        self.issue_command(p, &assignments(whole, &class));
+        self.issue_command(p, &assignments(replaces_all, &class));
     }
 
     fn connect(&mut self, p: usize) {
@@ -266,26 +270,29 @@
                 }
             };
             if let Some(newest) = newest {
-                assert!(newest > self.in_force[p], "commands come in force in their order");
+                assert!(
+                    newest > self.in_force[p],
+                    "commands come into force in the order in which they were issued"
+                );
                 self.in_force[p] = newest;
             }
             self.check_tables(p);
         }
     }
 
-    /// What the proxy holds was published with or after the newest command in force, and is never empty.
+    /// Checks that what the proxy holds was published with or after the newest command in force, and is not empty.
     fn check_tables(&self, p: usize) {
         let Some(number) = self.in_force[p].checked_sub(1) else { return };
         let from = self.commands[p][number as usize];
         for (c, class) in CLASSES.iter().enumerate() {
             let entries = self.peers[p].entries(class);
-            assert!(!entries.is_empty(), "without an entry");
+            assert!(!entries.is_empty(), "proxy {p} has no entry for class {class}");
             let tables: BTreeSet<u16> =
                 self.states[from..].iter().filter_map(|s| s.assignments[p].get(&c).copied()).collect();
             let fits = |s: &State| tables.iter().any(|t| entries_of(&s.tables[t]) == entries);
             assert!(
                 self.states[from..].iter().any(fits),
-                "{p} {class}: {entries:?} was never published since {number}"
+                "proxy {p}, class {class}: {entries:?} was not published since the command at index {number}"
             );
         }
     }
@@ -356,10 +363,10 @@
 }
 
 proptest! {
-    /// With either transport, whatever is published, sent, received, disconnected and restarted: a command that is said
-    /// to be in force is, no proxy is without an entry, and once nothing changes all hold the latest tables.
+    /// For any sequence of operations, with either transport: commands reported as in force are applied, no proxy is
+    /// left without an entry, and once changes stop all proxies hold the latest tables.
     #[test]
-    fn commands_in_force_are_applied_and_finally_all_hold_the_latest_tables(operations in prop::collection::vec(operation(), 1..50)) {
+    fn commands_in_force_are_applied_and_proxies_converge_on_the_latest_tables(operations in prop::collection::vec(operation(), 1..50)) {
         let mut model = Model::new();
         for operation in operations {
             model.run(operation);
@@ -372,16 +379,17 @@
                 model.receive(p, 9);
                 model.send(p, 9);
             }
-            prop_assert_eq!(model.in_force[p], model.commands[p].len() as u64, "all commands to {} are in force", p);
+            prop_assert_eq!(model.in_force[p], model.commands[p].len() as u64, "all commands to proxy {} are in force", p);
             let last = model.states.last().unwrap();
             for (c, class) in CLASSES.iter().enumerate() {
-                prop_assert_eq!(model.peers[p].entries(class), entries_of(&last.tables[&last.assignments[p][&c]]), "{} {}", p, class);
+                prop_assert_eq!(model.peers[p].entries(class), entries_of(&last.tables[&last.assignments[p][&c]]), "proxy {}, class {}", p, class);
             }
         }
     }
 }
 
-/// Proxies at one position share the text of an edit; a proxy that is behind receives one edit and not a history.
+/// Proxies that need the same updates share the text of an edit. A proxy that is behind receives one edit instead of
+/// all missed ones.
 #[test]
 fn edits_are_shared_and_the_backlog_is_conflated() {
     let mut distributor = distributor();
@@ -411,15 +419,15 @@
         texts[0]
     );
     assert!(!texts[0].contains("bind") && distributor.next_message(ZERO, 0).is_none());
-    assert_eq!(distributor.acknowledge(ZERO, 0, 2), Some(6), "all five commands at once");
-    // A command that changes nothing is a message too.
+    assert_eq!(distributor.acknowledge(ZERO, 0, 2), Some(6), "one message completes all five commands");
+    // A command without changes is sent as a message too.
     distributor.issue_command(0, 7, &UpdateMessage::default());
     assert!(text(&mut distributor, 0).contains("<tables"));
     assert_eq!(distributor.acknowledge(ZERO, 0, 3), Some(7));
 }
 
-/// A proxy that acknowledges a server's removal and goes on sending requests there is resynced once, and disconnected
-/// the second time; one whose requests in flight end there is not.
+/// A proxy that acknowledges a server's removal but still sends requests to the server is resynced, and disconnected if
+/// that does not help. Requests in flight at the removal and single reports do not count.
 #[test]
 fn a_proxy_that_does_not_apply_what_it_acknowledges_is_resynced_and_then_disconnected() {
     for transport in [Transport::Edits, Transport::Published] {
@@ -435,11 +443,16 @@
         };
         assert_eq!(report(&mut distributor, secs(9), "s1"), Verdict::Trusted, "not acknowledged yet");
         acknowledge_all(&mut distributor, 0, secs(10));
-        // A deadline of 1 s, a second for clocks, and the report's own window.
+        // Reports count from 3 s after the acknowledgement: 1 s each for the deadline, the tolerance for clocks and late
+        // reports, and the report's window.
         assert_eq!(report(&mut distributor, secs(12), "s1"), Verdict::Trusted);
-        assert_eq!(report(&mut distributor, secs(13), "s1"), Verdict::Trusted, "once");
+        assert_eq!(report(&mut distributor, secs(13), "s1"), Verdict::Trusted, "first suspicious report");
         assert_eq!(report(&mut distributor, secs(14), "s0"), Verdict::Trusted);
-        assert_eq!(report(&mut distributor, secs(15), "s1"), Verdict::Trusted, "once again");
+        assert_eq!(
+            report(&mut distributor, secs(15), "s1"),
+            Verdict::Trusted,
+            "first one after an unsuspicious report"
+        );
         assert_eq!(report(&mut distributor, secs(16), "s1"), Verdict::Resync);
         let Some(outgoing) = distributor.next_message(secs(16), 0) else { panic!("no resync") };
         let (OutgoingMessage::Edit { number, .. } | OutgoingMessage::Part { number, .. }) = outgoing.clone();
@@ -458,7 +471,7 @@
 }
 
 #[test]
-fn requests_to_a_server_that_is_listed_again_are_not_suspicious() {
+fn requests_to_a_server_that_is_back_in_the_table_are_not_suspicious() {
     let mut distributor = distributor();
     distributor.update_table(1, &TableEdit { replaces_table: true, ..weights(&[(0, 1.0), (1, 1.0)]) });
     distributor.connect(0, pending_proxy("f0", Transport::Published, vec![]));
@@ -476,7 +489,7 @@
     }
 }
 
-/// A distributor with one table of four servers, and proxy 0, which subscribes to subsets and is assigned to it.
+/// A distributor with one table of four servers. Proxy 0 subscribes to subsets and is assigned to that table.
 fn distributor_with_subset_proxy() -> Distributor {
     let mut distributor = distributor();
     let edit = weights(&[(0, 1.0), (1, 0.9), (2, 0.1), (3, 1.1)]);
@@ -508,7 +521,7 @@
 }
 
 #[test]
-fn a_weight_that_leaves_the_subset_unchanged_is_only_acknowledged() {
+fn a_weight_change_that_leaves_the_subset_unchanged_needs_only_an_acknowledgement() {
     let mut distributor = distributor_with_subset_proxy();
     acknowledge_all(&mut distributor, 0, ZERO);
 
@@ -523,7 +536,7 @@
 }
 
 #[test]
-fn a_proxy_that_can_use_no_message_is_disconnected() {
+fn a_proxy_that_rejects_every_message_is_disconnected() {
     let mut distributor = distributor_with_subset_proxy();
     acknowledge_all(&mut distributor, 0, ZERO);
     distributor.update_table(1, &weights(&[(0, 0.0)]));
@@ -541,11 +554,11 @@
 }
 
 #[test]
-fn admission_limits_and_ejections_arrive_by_both_transports() {
+fn admission_limits_and_ejections_arrive_over_both_transports() {
     let mut distributor = distributor();
     let limit = |rate, retry_policy| AdmissionLimit { rate, retry_policy };
     let limits = [("q", limit(Some(2.5), RetryPolicy::Never)), ("r", limit(None, RetryPolicy::Twice))];
-    let admission_limits = limits.map(|(class, level)| (class.to_string(), level)).into();
+    let admission_limits = limits.map(|(class, limit)| (class.to_string(), limit)).into();
     distributor.update_table(
         1,
         &TableEdit { replaces_table: true, admission_limits, ..weights(&[(0, 1.0), (1, 1.0)]) },
