--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// Upper bound, in requests per second, of the rate that a connecting proxy may announce.
+/// Upper bound, in requests per second, to which the rate that a connecting proxy announces is clamped.
 const MAX_REQUEST_RATE: f64 = 1e6;
 /// Name shown for an index that was never assigned.
 pub(crate) const UNKNOWN_NAME: &str = "?";
@@ -52,8 +52,8 @@
 
 /// A planner's controller, its guard, the published tables and the connected proxies.
 pub struct ControlSession {
-    /// Whether the guard validates commands before they take effect; switched off only in
-    /// what-if replays and tests of the guard.
+    /// Whether the guard validates commands before they take effect; switched off only in what-if replays and tests of
+    /// the guard.
     pub is_guarded: bool,
     /// Fault injection for tests of the guard; `None` in operation.
     pub tamper: Option<CommandTamper>,
--- a/crates/distribution/src/distributor.rs
+++ b/crates/distribution/src/distributor.rs
@@ -49,7 +49,7 @@
 pub struct RejectionOutcome {
     /// Token of the newest command that came into force with the messages before the rejected one; `None` if none did.
     pub newest_in_force: Option<u64>,
-    /// Whether the proxy is resynced or to be disconnected.
+    /// Whether the proxy is resynced or has to be disconnected; [`Verdict::Trusted`] for an unknown proxy.
     pub verdict: Verdict,
 }
 
--- a/crates/distribution/src/tests.rs
+++ b/crates/distribution/src/tests.rs
@@ -443,8 +443,8 @@
         };
         assert_eq!(report(&mut distributor, secs(9), "s1"), Verdict::Trusted, "not acknowledged yet");
         acknowledge_all(&mut distributor, 0, secs(10));
-        // Reports count from 3 s after the acknowledgement: 1 s each for the deadline, the tolerance for clocks and late
-        // reports, and the report's window.
+        // Reports count from 3 s after the acknowledgement: 1 s each for the deadline, the tolerance for clocks and
+        // late reports, and the report's window.
         assert_eq!(report(&mut distributor, secs(12), "s1"), Verdict::Trusted);
         assert_eq!(report(&mut distributor, secs(13), "s1"), Verdict::Trusted, "first suspicious report");
         assert_eq!(report(&mut distributor, secs(14), "s0"), Verdict::Trusted);
