--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -101,8 +101,8 @@
         };
         tracing::info!(
             planner = %settings.name,
-            edits = %addresses.edits,
-            home = %addresses.home,
+            edits = %addresses.operators,
+            home = %addresses.call_home,
             "planner started"
         );
         Ok((planner, addresses))
--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -23,11 +23,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ListenAddresses {
     /// NETCONF sessions of operators.
-    pub edits: SocketAddr,
+    pub operators: SocketAddr,
     /// Proxies that call home.
-    pub home: SocketAddr,
+    pub call_home: SocketAddr,
     /// Proxies that subscribe.
-    pub pubsub: Option<SocketAddr>,
+    pub subscribers: Option<SocketAddr>,
     /// Metrics over HTTP.
     pub metrics: Option<SocketAddr>,
 }
@@ -62,23 +62,28 @@
         let server_tls = Security::TlsServer(tls.server_config.clone());
         // RFC 8071: the side that calls home is the NETCONF server, and this side starts TLS.
         let client_tls = Security::TlsClient(tls.client_config.clone(), server_name(PROXY));
-        let (operators, edits) =
+        let (operators, operators_address) =
             event_loop.listen(settings.operator_address, server_tls.clone(), operator_limits())?;
-        let (call_home, home) =
+        let (call_home, call_home_address) =
             event_loop.listen(settings.call_home_address, client_tls, call_home_limits(fleet))?;
         let mut listen_if_set = |address: Option<SocketAddr>, security: Security, limits: BufferLimits| {
             address.map(|address| event_loop.listen(address, security, limits)).transpose()
         };
         let subscribers = listen_if_set(settings.subscription_address, server_tls, subscriber_limits())?;
         let metrics = listen_if_set(settings.metrics_address, Security::Plain, metrics_limits())?;
-        let pubsub_address = subscribers.map(|(_, address)| address);
+        let subscribers_address = subscribers.map(|(_, address)| address);
         let metrics_address = metrics.map(|(_, address)| address);
         Ok(Listeners {
             operators,
             call_home,
             subscribers: subscribers.map(|(listener, _)| listener),
             metrics: metrics.map(|(listener, _)| listener),
-            addresses: ListenAddresses { edits, home, pubsub: pubsub_address, metrics: metrics_address },
+            addresses: ListenAddresses {
+                operators: operators_address,
+                call_home: call_home_address,
+                subscribers: subscribers_address,
+                metrics: metrics_address,
+            },
         })
     }
 
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -44,7 +44,7 @@
     }
 
     /// Cuts the session with the planner.
-    pub fn break_planner_session(&mut self, event_loop: &mut EventLoop) {
+    pub fn abort_planner_session(&mut self, event_loop: &mut EventLoop) {
         if let Some(session) = self.planner_link.session.take() {
             event_loop.abort(session.connection);
             self.planner_link.session_lost(event_loop.now(), &session);
@@ -170,7 +170,7 @@
         if is_untrusted {
             let name = &self.settings.name;
             tracing::warn!(forwarder = %name, "the planner's identity has ended, or is no longer trusted");
-            self.break_planner_session(event_loop);
+            self.abort_planner_session(event_loop);
         }
         is_untrusted
     }
--- a/crates/daemon/src/proxy_runtime/table_delivery.rs
+++ b/crates/daemon/src/proxy_runtime/table_delivery.rs
@@ -45,7 +45,7 @@
                 Err(error) => {
                     tracing::warn!(forwarder = %self.settings.name, reason = %error, "stream ends");
                     self.write_planner(event_loop);
-                    return self.break_planner_session(event_loop);
+                    return self.abort_planner_session(event_loop);
                 }
             };
             let event_count = events.len();
@@ -148,7 +148,7 @@
         let end = self.planner_link.mqtt_client().and_then(Client::end);
         if let Some(end) = end {
             tracing::info!(forwarder = %self.settings.name, over = ?end, "stream ends; tables stay in force");
-            self.break_planner_session(event_loop);
+            self.abort_planner_session(event_loop);
         }
     }
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -57,10 +57,10 @@
     let seed = seed.unwrap_or_else(wall_ms);
     let (mut planner, addresses) = PlannerRuntime::start(&mut event_loop, &planner_settings, seed)?;
     planner.apply_test_hooks(hooks);
-    println!("edits {}", addresses.edits);
-    println!("home {}", addresses.home);
-    if let Some(pubsub) = addresses.pubsub {
-        println!("pubsub {pubsub}");
+    println!("edits {}", addresses.operators);
+    println!("home {}", addresses.call_home);
+    if let Some(subscribers) = addresses.subscribers {
+        println!("pubsub {subscribers}");
     }
     if let Some(metrics) = addresses.metrics {
         println!("metrics {metrics}");
--- a/crates/testbed/src/testbed/fault_injection.rs
+++ b/crates/testbed/src/testbed/fault_injection.rs
@@ -257,7 +257,7 @@
 
     fn break_streams(&mut self, fault: &ScheduledFault) {
         for proxy in self.first_proxies(fault) {
-            self.proxies[proxy].runtime.break_planner_session(&mut self.event_loop);
+            self.proxies[proxy].runtime.abort_planner_session(&mut self.event_loop);
         }
     }
 
