--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -1,5 +1,5 @@
-//! The planner's driver: connects the state machines, which do no I/O, with sockets, files and the clock. One event
-//! loop serves operators' NETCONF sessions, proxies, health checks and metrics.
+//! The planner's runtime: connects the state machines, which do no I/O, to sockets, files and the clock. One event loop
+//! serves operators' NETCONF sessions, proxies, health checks and metrics requests.
 
 mod call_home;
 mod core;
@@ -54,12 +54,12 @@
 use std::io;
 use std::time::Duration;
 
-/// Time between two checks of identities and of silent subscribers.
+/// Time between two checks of identities, silent subscribers and unacknowledged messages.
 const SESSION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for connections to close in order when the planner stops.
+/// Time for connections to write their output and close when the planner stops.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A running planner.
+/// A running planner: its state machines, its connections and its files.
 pub struct PlannerRuntime {
     core: PlannerCore,
     reconfiguration: Reconfiguration,
@@ -71,13 +71,14 @@
     durability: Durability,
     recording: EventRecording,
     rejection_log: RejectionLog,
-    /// `None`: a check is due.
+    /// `None`: the check runs in the next iteration.
     last_session_check: Option<Duration>,
     is_stopping: bool,
 }
 
 impl PlannerRuntime {
-    /// Starts a planner: with the configuration that an earlier start stored, else with that of the settings.
+    /// Starts a planner with the configuration that its state folder holds, or else with that of the settings, and
+    /// returns it with the addresses that it listens on.
     pub fn start(
         event_loop: &mut EventLoop,
         settings: &PlannerSettings,
@@ -115,7 +116,7 @@
         self.core.control.tamper = hooks.command_tamper;
     }
 
-    /// Runs until a signal asks the planner to stop.
+    /// Runs until a signal asks the planner to stop and its connections are closed, or the time for that is over.
     pub fn run(&mut self, event_loop: &mut EventLoop) -> io::Result<()> {
         let mut stop_by: Option<Duration> = None;
         loop {
@@ -140,7 +141,7 @@
         sessions.chain(self.health_checks.connections()).chain(self.metrics.connections()).collect()
     }
 
-    /// Proxies keep their tables while the planner is away.
+    /// Closes the listeners, and each connection once its output is written. Proxies keep their tables.
     fn close_connections(&self, event_loop: &mut EventLoop) {
         tracing::info!("stopping: proxies keep their tables");
         event_loop.close_listeners();
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Certificates that changed are read now instead of at the next check. The fleet changes by edits only.
+    /// Reloads certificates in this iteration instead of at the next check. The fleet's configuration is not reloaded:
+    /// it changes by edits only.
     fn reload_certificates(&mut self) {
         tracing::info!("SIGHUP: certificates are read again; settings apply from the next start");
         self.last_session_check = None;
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Ends the connection of a holder that is not entitled to it.
+    /// Aborts a connection whose peer may not use the listener's service, and audits the denial.
     fn reject(
         &mut self,
         event_loop: &mut EventLoop,
@@ -226,7 +228,7 @@
             let name = identity.id.name().unwrap_or_default();
             self.core.config.audit_denial(&identity.id, RequestedAccess::Connect { name });
         }
-        tracing::warn!(who = ?holder, "connection rejected: the certificate's holder may not connect here");
+        tracing::warn!(who = ?holder, "connection rejected: the certificate's holder may not use this listener");
         self.core.identities.forget(connection);
         event_loop.abort(connection);
     }
@@ -258,10 +260,10 @@
 
     // The steps after the events of an iteration.
 
-    /// Acts on all events of an iteration of the event loop.
+    /// Runs the steps that follow the events of an iteration.
     ///
-    /// The order matters: accepted edits go to the persistence worker first, and no reply leaves before what it promises
-    /// is stored; the inventory and the list of proxies are up to date before the decisions run.
+    /// The order matters: accepted edits go to the persistence worker first, and no reply is sent before what it
+    /// promises is stored; the inventory and the connected proxies are up to date before the controller runs.
     fn finish_iteration(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         self.core.set_time(now);
@@ -271,7 +273,7 @@
         self.reconfiguration.apply(&mut self.core, &mut self.durability, now);
         self.close_unresponsive(event_loop, now);
         self.proxies.admit(&mut self.core, event_loop, now);
-        self.decide(event_loop, now);
+        self.step_control(event_loop, now);
         self.rejection_log.log_new(&self.core.control, now);
         self.announce_edits_in_force();
         self.operators.write_replies(&self.core, event_loop);
@@ -281,8 +283,8 @@
         self.log_denials();
     }
 
-    /// Steps the decisions, and sends what they command.
-    fn decide(&mut self, event_loop: &mut EventLoop, now: Duration) {
+    /// Runs the controller, and sends the commands that it issues.
+    fn step_control(&mut self, event_loop: &mut EventLoop, now: Duration) {
         let (actions, issued) = self.core.control.step(now);
         self.core.config.edit_history.record_published(&issued.servers, &issued.messages);
         let has_commands = actions.iter().any(|action| matches!(action, Action::Send { .. }));
@@ -301,7 +303,7 @@
             Action::UpdateTable { table, edit } => self.core.distributor.update_table(table, &edit),
             Action::UpdateEjections { servers } => self.core.distributor.update_ejections(&servers),
             Action::Send { proxy, number, message, entries } => {
-                tracing::debug!(proxy, number, lines = entries, "issued");
+                tracing::debug!(proxy, number, lines = entries, "command issued");
                 self.core.distributor.issue_command(proxy, number, &message);
             }
             Action::CheckHealth { server, address } => {
@@ -334,7 +336,7 @@
         }
     }
 
-    /// Notifies subscribed operators of edits that are in force at all proxies.
+    /// Records and logs edits that have come into force, and notifies subscribed operators.
     fn announce_edits_in_force(&mut self) {
         let now = self.core.config.now;
         for edit in self.core.config.edit_history.take_completed(now) {
@@ -348,9 +350,9 @@
                 at = edit.acknowledged_count(),
                 of = edit.proxy_count,
                 after_ms = elapsed.as_millis() as u64,
-                "in force"
+                "the edit is in force"
             );
-            self.operators.notify(&edit_in_force(&edit, elapsed));
+            self.operators.notify(&edit_in_force_notification(&edit, elapsed));
         }
     }
 
@@ -367,8 +369,8 @@
     }
 }
 
-/// The notification of an edit that is in force.
-fn edit_in_force(edit: &Edit, elapsed: Duration) -> Element {
+/// The notification that an edit is in force; `elapsed` is the time since it was stored.
+fn edit_in_force_notification(edit: &Edit, elapsed: Duration) -> Element {
     Element::new(STATE, "edit-in-force")
         .with_leaf("id", &edit.stored.id)
         .with_leaf("at", edit.acknowledged_count())
--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -1,4 +1,4 @@
-//! A proxy that called home: the planner is its NETCONF client and edits its tables (RFC 8071).
+//! Session of a proxy that called home: the planner is its NETCONF client and edits its tables (RFC 8071).
 
 use super::core::ProxyId;
 use super::proxy_event::ProxyEvent;
@@ -16,7 +16,7 @@
 
 /// A message that the proxy has not acknowledged yet.
 struct UnacknowledgedMessage {
-    /// The distributor's number of the message.
+    /// Its number at the distributor.
     number: u64,
     sent: Duration,
 }
@@ -27,9 +27,9 @@
     pub session: Session,
     /// The proxy's index, once it is admitted.
     pub proxy: Option<ProxyId>,
-    /// Message id of the `<get>` that asks the proxy for its name, zone and rate.
+    /// Message id of the pending `<get>` that asks the proxy for its name, zone and request rate.
     description_request: Option<String>,
-    /// By message id.
+    /// Unacknowledged messages, by NETCONF message id.
     unacknowledged: BTreeMap<String, UnacknowledgedMessage>,
 }
 
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Sends one message of the distributor.
+    /// Sends message `number` of the distributor, an `<edit-config>` with this text.
     pub(super) fn send(&mut self, now: Duration, number: u64, text: &str) {
         let message_id = self.session.send_rpc_text(text);
         self.unacknowledged.insert(message_id, UnacknowledgedMessage { number, sent: now });
     }
 
-    /// Handles an event of the NETCONF session; returns what follows for the planner, if anything.
+    /// Handles an event of the NETCONF session, and returns the resulting proxy event, if there is one.
     pub(super) fn handle_event(
         &mut self,
         connection: ConnectionId,
@@ -84,13 +84,13 @@
         self.description_request = Some(message_id);
     }
 
-    /// The proxy described itself. It may speak only for the holder of its certificate.
+    /// Handles the proxy's description of itself. Its name has to be that of its certificate.
     fn handle_description(&self, connection: ConnectionId, reply: &Element) -> ProxyEvent {
         let empty = Element::default();
         let description = reply.child("data").and_then(|data| data.child("proxy")).unwrap_or(&empty);
         let name = description.text_of("name").unwrap_or_default();
         if name != self.holder.name {
-            tracing::warn!(holder = %self.holder.name, name, "a proxy's name is not that of its certificate");
+            tracing::warn!(holder = %self.holder.name, name, "connection rejected: the proxy's name is not that of its certificate");
             return ProxyEvent::Disconnect(CloseReason::Untrusted);
         }
         let rate = description.text_of("rate").and_then(|rate| rate.parse().ok());
@@ -106,8 +106,8 @@
         })
     }
 
-    /// The proxy acknowledged a message, or rejected it. It does not hold what it rejects: it has to connect again,
-    /// and then receives its complete tables.
+    /// Handles the proxy's acknowledgement or rejection of a message. A proxy that rejected one lacks its changes: it
+    /// is disconnected, and receives its complete tables when it connects again.
     fn handle_reply(&mut self, message_id: &str, reply: &Element) -> Option<ProxyEvent> {
         let message = self.unacknowledged.remove(message_id)?;
         self.proxy?;
--- a/crates/daemon/src/planner_runtime/core.rs
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -1,4 +1,5 @@
-//! What all sessions of a planner act on: the state machines, which do no I/O, and the identities behind connections.
+//! State that all sessions of a planner share: the state machines, which do no I/O, the connected proxies, and the
+//! identities of peers.
 
 use super::identities::IdentityTracker;
 use crate::config_service::ConfigService;
@@ -10,35 +11,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Index of a proxy.
+/// Index that the control session gives a proxy.
 pub(super) type ProxyId = usize;
 
-/// A proxy that is connected and receives its tables.
+/// A proxy that was admitted and receives its tables.
 pub(super) struct ConnectedProxy {
     pub connection: ConnectionId,
     pub name: String,
-    /// Its zone.
+    /// The zone that it reported.
     pub zone: String,
-    /// Requests per second that it expects.
+    /// Requests per second, as it reported them on connecting.
     pub request_rate: f64,
     /// How it receives its tables.
     pub transport: Transport,
 }
 
-/// Numbers of the batches in which accepted edits are written to disk.
+/// How far the batches of accepted edits, numbered from 1, are written to disk.
 #[derive(Default)]
 pub(super) struct EditBatches {
     /// The last batch handed to the persistence worker.
     pub submitted: u64,
-    /// The last batch that is on disk.
+    /// The last batch that is on disk, or that was rolled back.
     pub durable: u64,
 }
 
-/// Figures for the metrics; all times in microseconds.
+/// Measurements for the metrics endpoint; all times in microseconds.
 pub(super) struct PlannerStatistics {
     /// Time to write one batch of edits to disk.
     pub edit_write_time: Histogram<u64>,
-    /// Time from a decision until its commands are handed to the sockets.
+    /// Time from the end of an iteration's events until the commands issued for them are handed to the sockets.
     pub issue_time: Histogram<u64>,
     /// Time from sending a message until its acknowledgement.
     pub acknowledgement_time: Histogram<u64>,
@@ -46,7 +47,7 @@
     pub malformed_reports: u64,
 }
 
-/// Longest time that the histograms distinguish, in microseconds.
+/// Highest value of the histograms, in microseconds; longer times count as this.
 const MAX_RECORDED_MICROS: u64 = 60_000_000;
 /// Significant decimal digits of recorded times.
 const HISTOGRAM_DIGITS: u8 = 2;
@@ -72,28 +73,28 @@
 pub(super) struct PlannerCore {
     /// The planner's name.
     pub name: String,
-    /// The decisions.
+    /// The controller, and the guard that validates its commands.
     pub control: ControlSession,
-    /// Which update each proxy gets next.
+    /// Chooses the update that each proxy gets next.
     pub distributor: Distributor,
-    /// The configuration and its edits.
+    /// The configuration and its edit history.
     pub config: ConfigService,
     /// Identities of connected peers.
     pub identities: IdentityTracker,
-    /// Admitted proxies.
+    /// Admitted proxies, by index.
     pub connected: BTreeMap<ProxyId, ConnectedProxy>,
     pub edit_batches: EditBatches,
     pub statistics: PlannerStatistics,
 }
 
 impl PlannerCore {
-    /// Tells the configuration service the time of the events that follow.
+    /// Sets the time at which the configuration service handles the events that follow.
     pub(super) fn set_time(&mut self, now: Duration) {
         self.config.now = now;
         self.config.wall_ms = wall_ms();
     }
 
-    /// Time within which a proxy has to acknowledge what it was sent.
+    /// Time within which a proxy has to acknowledge a message.
     pub(super) fn acknowledgement_timeout(&self) -> Duration {
         self.config.fleet().grace.acknowledgement
     }
@@ -103,7 +104,7 @@
         self.connected.get(&proxy).map(|connected| connected.connection)
     }
 
-    /// A message, and so all before it, took effect at a proxy. `update` is the update that this completes.
+    /// Records that a proxy has applied `update` and all before it; `None`: no update is complete yet.
     pub(super) fn update_applied(&mut self, now: Duration, proxy: ProxyId, update: Option<u64>) {
         if let Some(update) = update {
             self.control.acknowledge(now, proxy, update);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A proxy's connection ended.
+    /// Removes a proxy whose connection ended from the state machines.
     pub(super) fn proxy_disconnected(&mut self, proxy: ProxyId) {
         self.connected.remove(&proxy);
         self.control.disconnect_proxy(proxy);
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -1,4 +1,4 @@
-//! Recording of all that the decisions are told and command, for replay.
+//! The event log: records the controller's events and commands, for replay.
 
 use crate::config_service::ConfigService;
 use runloom_control_session::ControlSession;
@@ -7,18 +7,18 @@
 use std::io;
 use std::time::Duration;
 
-/// The build, as event logs name it: another build may decide otherwise.
+/// The build's name in event logs: a replay by another build may decide otherwise.
 pub const BUILD: &str = concat!("runloom ", env!("CARGO_PKG_VERSION"));
 
 /// The event log of a planner, if its settings name a folder for one.
 pub(super) struct EventRecording {
     writer: Option<Writer>,
-    /// Whether recording had stopped when last checked, to log each change once.
+    /// Whether recording had stopped at the last check, so that each change is logged once.
     is_stopped: bool,
 }
 
 impl EventRecording {
-    /// Opens the log, if one is wanted, and records the start.
+    /// Opens the event log, if the settings name a folder for it, and records the start.
     pub(super) fn open(
         settings: &PlannerSettings,
         control: &mut ControlSession,
@@ -43,7 +43,7 @@
         Ok(EventRecording { writer: Some(Writer::new(recorder)), is_stopped: false })
     }
 
-    /// Writes what happened in an iteration that began at `iteration_start`.
+    /// Writes the events of an iteration whose controller step began at `iteration_start`.
     pub(super) fn write(&mut self, control: &mut ControlSession, now: Duration, iteration_start: Duration) {
         let (Some(writer), Some(recorded_events)) = (&mut self.writer, &mut control.recorded_events) else {
             return;
@@ -60,13 +60,13 @@
         if is_stopped && !self.is_stopped {
             tracing::error!(why = status.failure, "recording stopped; planning goes on");
         } else if !is_stopped && self.is_stopped {
-            tracing::info!(lost = status.lost_entries, "recording goes on");
+            tracing::info!(lost = status.lost_entries, "recording resumed");
         }
         self.is_stopped = is_stopped;
         log_conversion_errors(writer.take_conversion_errors());
     }
 
-    /// Writes what is buffered, and ends the log.
+    /// Writes buffered events, and closes the log.
     pub(super) fn finish(&mut self) {
         if let Some(writer) = self.writer.take() {
             log_conversion_errors(writer.finish());
@@ -76,11 +76,11 @@
 
 fn log_conversion_errors(errors: Vec<ConversionError>) {
     for error in errors {
-        tracing::error!(why = %error, "a journal of the record stays as it is");
+        tracing::error!(why = %error, "a journal of the event log was not converted to a columnar file and is kept");
     }
 }
 
-/// Adds an event that the decisions are not told of to the log of the iteration.
+/// Records an event that is not passed to the controller.
 pub(super) fn note_event(control: &mut ControlSession, now: Duration, event: RecordedEvent) {
     if let Some(recorded_events) = &mut control.recorded_events {
         recorded_events.push((now, event));
--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -8,31 +8,32 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Operators' sessions that send nothing for this long are closed.
+/// An operator's session that sends nothing for this long is closed.
 const OPERATOR_IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
 const MAX_OPERATOR_CONNECTIONS: usize = 64;
-/// A proxy that called home and is silent for this many report periods is gone, and at least this time.
+/// A proxy that called home is disconnected after this many report periods without a byte.
 const SILENT_REPORT_PERIODS: u32 = 4;
+/// Shortest idle timeout of a proxy that called home, however short its report period is.
 const MIN_PROXY_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes that may wait to be read by a subscriber: its window of update parts.
+/// Unsent bytes that a subscriber's connection may buffer: its window of update parts.
 const SUBSCRIBER_BUFFER_BYTES: usize = 4 << 20;
 const METRICS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_METRICS_CONNECTIONS: usize = 16;
 
-/// Where a planner can be reached; a port that the settings give as 0 is the one that the system chose.
+/// The addresses at which a planner listens. For port 0 in the settings they have the port that the system chose.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenAddresses {
     /// NETCONF sessions of operators.
     pub operators: SocketAddr,
     /// Proxies that call home.
     pub call_home: SocketAddr,
-    /// Proxies that subscribe.
+    /// Proxies that subscribe; `None` if the settings name no address.
     pub subscribers: Option<SocketAddr>,
-    /// Metrics over HTTP.
+    /// Metrics over HTTP; `None` if the settings name no address.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Which service a connection belongs to, by the listener that accepted it.
+/// The service of a listener and of the connections that it accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListenerKind {
     Operators,
@@ -52,7 +53,7 @@
 }
 
 impl Listeners {
-    /// Opens all listeners that the settings name.
+    /// Opens the listeners of all addresses in the settings.
     pub(super) fn open(
         event_loop: &mut EventLoop,
         settings: &PlannerSettings,
@@ -87,7 +88,7 @@
         })
     }
 
-    /// The service behind a listener.
+    /// The service of a listener; `None` if it is none of these.
     pub(super) fn kind(&self, listener: ConnectionId) -> Option<ListenerKind> {
         if Some(listener) == self.metrics {
             Some(ListenerKind::Metrics)
@@ -111,13 +112,13 @@
     }
 }
 
-/// A proxy that called home reports in each period.
+/// A proxy that called home sends a report in each period, so its silence shows that it is gone.
 fn call_home_limits(fleet: &Fleet) -> BufferLimits {
     let idle_timeout = (fleet.report_period * SILENT_REPORT_PERIODS).max(MIN_PROXY_IDLE_TIMEOUT);
     BufferLimits { idle_timeout: Some(idle_timeout), ..BufferLimits::default() }
 }
 
-/// MQTT has its own keep-alive.
+/// No idle timeout: MQTT has its own keep-alive.
 fn subscriber_limits() -> BufferLimits {
     BufferLimits { max_unsent_bytes: SUBSCRIBER_BUFFER_BYTES, ..BufferLimits::default() }
 }
--- a/crates/daemon/src/planner_runtime/netconf_sessions.rs
+++ b/crates/daemon/src/planner_runtime/netconf_sessions.rs
@@ -1,12 +1,12 @@
-//! NETCONF sessions by connection: handling what a connection received, event by event.
+//! NETCONF sessions by connection: passes received bytes to a session, and handles the events that result.
 
 use super::core::PlannerCore;
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_netconf::session::{Session, SessionEvent};
 
-/// A set of connections, some or all of which hold a NETCONF session.
+/// A set of connections, some or all of which carry a NETCONF session.
 pub(super) trait NetconfSessions {
-    /// The connection's session, while it lasts.
+    /// The session on a connection; `None` if there is none, or if it has ended.
     fn netconf_session(&mut self, connection: ConnectionId) -> Option<&mut Session>;
 
     /// Handles one event of a session.
@@ -18,7 +18,7 @@
         event: SessionEvent,
     );
 
-    /// Forgets a connection that has ended.
+    /// Removes the session of a connection that has ended.
     fn handle_close(
         &mut self,
         core: &mut PlannerCore,
@@ -27,7 +27,7 @@
         reason: CloseReason,
     );
 
-    /// Handles received bytes. A session that breaks the protocol is closed.
+    /// Handles received bytes. A session that violates the protocol is closed.
     fn handle_netconf_bytes(
         &mut self,
         core: &mut PlannerCore,
@@ -41,7 +41,7 @@
             let events = match received {
                 Ok(events) => events,
                 Err(error) => {
-                    tracing::warn!(reason = %error, "session ends");
+                    tracing::warn!(reason = %error, "session ends: the peer violated the protocol");
                     self.write_netconf_output(event_loop, connection);
                     event_loop.finish(connection);
                     return self.handle_close(core, event_loop, connection, CloseReason::Broken);
@@ -54,7 +54,7 @@
                 }
                 self.handle_netconf_event(core, event_loop, connection, event);
             }
-            // One read may hold more messages than are handed on at once; the read itself is bounded.
+            // One read may hold more messages than the session returns at once; the size of a read is bounded.
             let session = self.netconf_session(connection).filter(|session| session.may_have_more(count));
             let Some(session) = session else { return };
             received = session.receive_buffered();
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -1,4 +1,4 @@
-//! What a planner starts from: the state that an earlier start stored, or the settings.
+//! Restores what a planner starts from: the state that an earlier start stored, or else the settings.
 
 use crate::config_service::ConfigService;
 use crate::error::StartError;
@@ -15,13 +15,14 @@
 use std::io;
 use std::sync::Arc;
 
-/// File with the epoch of the last start.
+/// File with the last epoch that was used.
 const EPOCH_FILE: &str = "epoch.xml";
 /// Files of the first layout of the state folder.
 const LEGACY_ACCEPTED_FILE: &str = "accepted.xml";
 const LEGACY_ROSTER_FILE: &str = "roster.xml";
 
-/// A number that rises with each start, whatever the clock says. It distinguishes what several starts publish.
+/// Returns the epoch of this start, and stores it. It is higher than any earlier one, even if the clock was set back,
+/// so that versions published by different starts can be told apart.
 pub(super) fn next_epoch(files: &StateFile) -> io::Result<u64> {
     let last = files.read(EPOCH_FILE)?.and_then(|epoch| epoch.text.parse::<u64>().ok()).unwrap_or(0);
     let epoch = wall_ms().max(last + 1);
@@ -29,19 +30,19 @@
     Ok(epoch)
 }
 
-/// Stores the epoch.
+/// Stores the epoch, which the next start has to exceed.
 pub(super) fn write_epoch(files: &StateFile, epoch: u64) -> io::Result<()> {
     files.write(EPOCH_FILE, &Element::leaf("", "epoch", epoch))
 }
 
-/// Renames files of the first layout, once the present layout holds what they held.
+/// Renames files of the first layout, once their content is stored in the present one.
 pub(super) fn set_legacy_files_aside(files: &StateFile) -> io::Result<()> {
     files.set_aside(LEGACY_ACCEPTED_FILE)?;
     files.set_aside(LEGACY_ROSTER_FILE)
 }
 
-/// The configuration as it was accepted before this start; without one, that of the settings. Folders of the first
-/// layout are taken over.
+/// Restores the accepted configuration and its edit history; without a stored one, takes that of the settings. State
+/// folders of the first layout are read as well.
 pub(super) fn restore_config(
     files: &StateFile,
     settings: &PlannerSettings,
@@ -69,13 +70,13 @@
     Ok(ConfigService::new(Arc::new(data), edit_history)?)
 }
 
-/// Puts a top-level element in place of the one with its name.
+/// Replaces the top-level element with this name, or adds it.
 fn replace_child(data: &mut Element, name: &str, element: Element) {
     data.children.retain(|child| child.name != name);
     data.children.push(Arc::new(element));
 }
 
-/// The stored `<fleet>`. A confirmed commit that a restart interrupted is rolled back (RFC 6241, section 8.4.1).
+/// Parses the stored `<fleet>`. A confirmed commit that a restart interrupted is rolled back (RFC 6241, section 8.4.1).
 fn stored_fleet(accepted: &AcceptedState) -> Result<Element, StartError> {
     if accepted.rollback_entries.is_some() {
         tracing::warn!("a confirmed commit was never confirmed: it is rolled back");
@@ -102,7 +103,7 @@
     EditHistory::restore(edits.unwrap_or_default().into_iter())
 }
 
-/// What an earlier start learned of servers that are listed unchanged, as far as it still counts.
+/// Hints for servers that are listed unchanged, from what an earlier start learned of them; they decay with its age.
 pub(super) fn warm_start_hints(restored: &RestoredState, inventory: &Inventory) -> Vec<ServerHint> {
     let Some(learned) = &restored.learned else { return vec![] };
     let hint = |(name, server): (&String, &Server)| {
--- a/crates/daemon/src/planner_runtime/startup.rs
+++ b/crates/daemon/src/planner_runtime/startup.rs
@@ -1,4 +1,5 @@
-//! Start of a planner: state folder, certificates, listeners, and the state machines with what was restored.
+//! Start of a planner: opens the state folder, certificates and listeners, and creates the state machines from the
+//! restored state.
 
 use super::core::{EditBatches, PlannerCore, PlannerStatistics};
 use super::durability::Durability;
@@ -30,7 +31,7 @@
     pub reconfiguration: Reconfiguration,
 }
 
-/// The state folder, opened.
+/// The opened state folder, and what was restored from it.
 struct OpenedState {
     files: StateFile,
     worker: PersistenceWorker,
@@ -38,7 +39,7 @@
     config: ConfigService,
 }
 
-/// Starts from the configuration that an earlier start stored, else from that of the settings.
+/// Starts from the configuration that the state folder holds, or else from that of the settings.
 pub(super) fn start(
     event_loop: &mut EventLoop,
     settings: &PlannerSettings,
@@ -54,9 +55,9 @@
     let distributor = Distributor::new(epoch, config.fleet().grace.drain, max_deadline(config.fleet()));
     let mut control = ControlSession::new(config.fleet().clone(), seed, started_at_ms);
     let mut inventory = Inventory::default();
-    let listed = inventory.update(config.fleet(), config.listed());
+    let endpoints = inventory.update(config.fleet(), config.listed());
     let recording = EventRecording::open(settings, &mut control, &config, seed, started_at_ms)?;
-    control.update_endpoints(EndpointUpdate::Cached, listed);
+    control.update_endpoints(EndpointUpdate::Cached, endpoints);
     restore_learned(&mut control, &restored, &inventory);
 
     let core = PlannerCore {
@@ -78,7 +79,7 @@
     })
 }
 
-/// Opens the state folder, and the configuration that it holds.
+/// Opens the state folder and restores the configuration from it.
 fn open_state(
     event_loop: &EventLoop,
     files: StateFile,
@@ -92,7 +93,7 @@
     Ok(OpenedState { files, worker, restored, config })
 }
 
-/// Tells the decisions what an earlier start learned.
+/// Passes what an earlier start learned of servers to the controller, as warm-start hints.
 fn restore_learned(control: &mut ControlSession, restored: &RestoredState, inventory: &Inventory) {
     let hints = restore::warm_start_hints(restored, inventory);
     if !hints.is_empty() {
