--- a/crates/daemon/src/planner_runtime/health_checks.rs
+++ b/crates/daemon/src/planner_runtime/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: one HTTP request to a server for each that the decisions ask for.
+//! Health checks that the controller orders: one HTTP request to a server each.
 
 use crate::http::MessageReader;
 use runloom_control_session::ControlSession;
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time within which a health check has to be answered.
+/// Time from dialing within which a health check has to be answered.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Health checks in flight at a time; further ones end as inconclusive.
+/// Most health checks in flight at a time; further ones end as inconclusive.
 const MAX_IN_FLIGHT: usize = 1024;
-/// The request of a health check.
+/// The HTTP request of a health check.
 const REQUEST: &[u8] = b"GET /health HTTP/1.1\r\nhost: server\r\nconnection: close\r\n\r\n";
 /// The response header with the server's load report.
 const LOAD_HEADER: &str = "runloom-load";
@@ -45,7 +45,7 @@
         self.in_flight.contains_key(&connection)
     }
 
-    /// Connects to a server to check it; one that cannot even be tried is reported as inconclusive.
+    /// Dials a server for a health check. Without a free slot or a socket, the result is inconclusive.
     pub(super) fn start(
         &mut self,
         control: &mut ControlSession,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sends the request once the connection is open.
+    /// Sends the request on a connection that was established.
     pub(super) fn send_request(event_loop: &mut EventLoop, connection: ConnectionId) {
         event_loop.write(connection, REQUEST);
     }
@@ -98,7 +98,7 @@
         event_loop.abort(connection);
     }
 
-    /// Reports a health check whose connection ended without a response.
+    /// Reports the health check on a connection that ended without a response.
     pub(super) fn handle_close(
         &mut self,
         control: &mut ControlSession,
@@ -114,7 +114,7 @@
         check.report(control, result, now, vec![]);
     }
 
-    /// Ends health checks that were not answered in time.
+    /// Aborts health checks that were not answered in time, and reports a timeout for each.
     pub(super) fn time_out(
         &mut self,
         control: &mut ControlSession,
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -1,4 +1,4 @@
-//! The metrics in Prometheus' text format, over plain HTTP.
+//! Serves metrics in Prometheus' text format over plain HTTP.
 
 use super::core::PlannerCore;
 use crate::http::{serialize_response, MessageReader};
@@ -12,7 +12,7 @@
 const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Clients that read the metrics, and the recorder that renders them.
+/// Connections of clients that read the metrics, and the recorder that renders them.
 pub(super) struct MetricsEndpoint {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
@@ -42,7 +42,7 @@
         self.clients.remove(&connection);
     }
 
-    /// Answers one request, and closes the connection.
+    /// Responds to one request, and closes the connection.
     pub(super) fn handle_bytes(
         &mut self,
         core: &PlannerCore,
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -18,8 +18,9 @@
     /// The NETCONF session id.
     id: u32,
     session: Session,
+    /// Whether the connection closes once its pending replies are written.
     is_closing: bool,
-    /// The batch of edits that has to be on disk before pending replies may leave.
+    /// The batch of edits that has to be on disk before pending replies may be sent.
     required_batch: u64,
 }
 
@@ -29,13 +30,13 @@
     }
 }
 
-/// All operators' sessions, and the NETCONF server behind them.
+/// All operators' sessions, and the NETCONF service that handles their operations.
 pub(super) struct OperatorSessions {
     service: Service,
     sessions: BTreeMap<ConnectionId, OperatorSession>,
 }
 
-/// Capabilities that the server announces, the modules of its schema among them (RFC 6020, section 5.6.4).
+/// Capabilities that the server announces, including its YANG modules (RFC 6020, section 5.6.4).
 fn capabilities() -> Vec<String> {
     let module = |(name, revision, _): &(&str, &str, &str)| {
         format!("urn:{}?module={name}&revision={revision}", name.replace('-', ":"))
@@ -60,12 +61,12 @@
         self.service.next_wakeup()
     }
 
-    /// Handles timeouts of the NETCONF server.
+    /// Handles timeouts of the NETCONF service, such as that of a confirmed commit.
     pub(super) fn handle_timeouts(&mut self, core: &mut PlannerCore, now: Duration) {
         self.service.handle_timeout(now, &mut core.config);
     }
 
-    /// Opens a session for a client that was authenticated.
+    /// Opens a session for the authenticated holder of a certificate; aborts the connection if there are too many.
     pub(super) fn open(
         &mut self,
         core: &mut PlannerCore,
@@ -104,7 +105,7 @@
         let answer = self.service.handle(now, operator.id, rpc, &mut core.config);
         log_rpc_error(operator.id, rpc, &answer.content);
         operator.session.reply(rpc, answer.content);
-        // The answer may depend on edits that are not on disk yet.
+        // The reply may depend on edits that are not on disk yet.
         if core.config.has_unsaved_changes() {
             operator.required_batch = core.edit_batches.submitted + 1;
         } else if core.config.has_write_in_flight() {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// `<kill-session>` (RFC 6241, section 7.9).
+    /// Ends the session that a `<kill-session>` names (RFC 6241, section 7.9).
     fn kill(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, id: u32) {
         let killed = self.sessions.iter().find(|(_, operator)| operator.id == id);
         if let Some(connection) = killed.map(|(connection, _)| *connection) {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Sends a notification to the sessions that subscribed to it.
+    /// Queues a notification for the sessions that subscribed to it.
     pub(super) fn notify(&mut self, event: &Element) {
         let subscribers = self.service.subscribers(event);
         for operator in self.sessions.values_mut().filter(|operator| subscribers.contains(&operator.id)) {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Writes the replies whose edits are on disk.
+    /// Writes the output of sessions whose required batch of edits is on disk.
     pub(super) fn write_replies(&mut self, core: &PlannerCore, event_loop: &mut EventLoop) {
         let durable = core.edit_batches.durable;
         let may_write =
@@ -149,8 +150,8 @@
         }
     }
 
-    /// Ends the sessions whose pending replies depend on edits that could not be written. Their clients do not learn
-    /// whether these edits were accepted, and send them again under the same id.
+    /// Aborts the sessions whose pending replies depend on edits that could not be written. Their clients do not learn
+    /// whether these edits were accepted, and retry them with the same edit id.
     pub(super) fn abort_unsaved(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop) {
         let durable = core.edit_batches.durable;
         let is_unsaved = |operator: &OperatorSession| {
@@ -169,7 +170,7 @@
 fn log_rpc_error(session: u32, rpc: &Rpc, reply: &[Element]) {
     if let Some(error) = reply.first().filter(|content| content.name == "rpc-error") {
         let (tag, why) = (error.text_of("error-tag"), error.text_of("error-message"));
-        tracing::info!(session, operation = %rpc.operation().name, tag, why, "rejected");
+        tracing::info!(session, operation = %rpc.operation().name, tag, why, "operation rejected");
     }
 }
 
--- a/crates/daemon/src/planner_runtime/proxy_event.rs
+++ b/crates/daemon/src/planner_runtime/proxy_event.rs
@@ -1,4 +1,4 @@
-//! What a proxy's session means for the planner, whichever protocol the proxy speaks.
+//! Events of a proxy's session, common to both protocols.
 
 use runloom_distribution::PendingProxy;
 use runloom_event_loop::CloseReason;
@@ -6,28 +6,28 @@
 use runloom_versioned_publisher::Topic;
 use std::time::Duration;
 
-/// An event of a proxy's session.
+/// An event of a proxy's session that the planner handles.
 pub(super) enum ProxyEvent {
-    /// The session has something to write.
+    /// The session has output to write.
     OutputReady,
-    /// The proxy said what it is, and waits for admission.
+    /// The proxy sent its name and properties, and waits for admission.
     Introduced(PendingProxy),
     /// The proxy applied a message.
     Acknowledged {
-        /// The distributor's number of the message.
+        /// The message's number at the distributor.
         number: u64,
-        /// When it was sent, if that is known.
+        /// When the message was sent, if that is known.
         sent: Option<Duration>,
     },
-    /// The proxy cannot apply a message: it does not hold what the message builds on.
+    /// The proxy cannot apply a message, such as one that is based on a version that it does not hold.
     NotApplicable {
-        /// The distributor's number of the message.
+        /// The message's number at the distributor.
         number: u64,
         topic: Topic,
     },
     /// The proxy reported its traffic.
     Reported(Report),
-    /// A report could not be parsed.
+    /// A report could not be parsed, with the reason.
     MalformedReport(String),
     /// The connection has to end at once.
     Disconnect(CloseReason),
--- a/crates/daemon/src/planner_runtime/proxy_session.rs
+++ b/crates/daemon/src/planner_runtime/proxy_session.rs
@@ -1,4 +1,4 @@
-//! One proxy's session, whichever protocol the proxy speaks.
+//! One proxy's session, over either of the two protocols.
 
 use super::call_home::CallHomeSession;
 use super::core::ProxyId;
@@ -7,7 +7,7 @@
 use runloom_distribution::Outgoing;
 use std::time::Duration;
 
-/// A proxy's session, by the protocol that it speaks.
+/// A proxy's session: NETCONF if the proxy called home, MQTT if it subscribes.
 pub(super) enum ProxySession {
     CallHome(Box<CallHomeSession>),
     Subscriber(Box<SubscriberSession>),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The proxy was admitted.
+    /// Stores the index of a proxy that was admitted.
     pub(super) fn set_proxy(&mut self, proxy: ProxyId) {
         match self {
             ProxySession::CallHome(session) => session.proxy = Some(proxy),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether it takes a further message now. One that does not gets the next with its next acknowledgement.
+    /// Whether a further message may be sent now. Otherwise the next one is sent after the proxy's next acknowledgement.
     pub(super) fn can_send(&self) -> bool {
         match self {
             ProxySession::CallHome(_) => true,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends a message of the distributor.
+    /// Sends a message of the distributor; ignores one of the other protocol.
     pub(super) fn send(&mut self, now: Duration, outgoing: &Outgoing, bodies: &mut BodyCache) {
         match (self, outgoing) {
             (ProxySession::CallHome(session), Outgoing::Edit { number, text, .. }) => {
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -1,5 +1,5 @@
-//! Connections of proxies, whether they called home or subscribe: admission, delivery of updates, acknowledgements
-//! and timeouts. Which update a proxy gets is decided by the distributor.
+//! Sessions of proxies, whether they called home or subscribe: admission, delivery of updates, acknowledgements and
+//! timeouts. The distributor chooses the update that a proxy gets.
 
 use super::call_home::CallHomeSession;
 use super::core::{record_micros, ConnectedProxy, PlannerCore, ProxyId};
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All proxies' sessions.
+/// All proxies' sessions, and the update parts serialized for them.
 #[derive(Default)]
 pub(super) struct ProxySessions {
     sessions: BTreeMap<ConnectionId, ProxySession>,
@@ -30,7 +30,7 @@
         self.sessions.keys().copied()
     }
 
-    /// A proxy called home.
+    /// Opens a NETCONF session with a proxy that called home.
     pub(super) fn open_call_home(
         &mut self,
         event_loop: &mut EventLoop,
@@ -42,7 +42,7 @@
         self.write_netconf_output(event_loop, connection);
     }
 
-    /// A proxy connected to subscribe.
+    /// Opens an MQTT session with a proxy that connected to subscribe.
     pub(super) fn open_subscriber(
         &mut self,
         event_loop: &EventLoop,
@@ -54,7 +54,7 @@
         self.sessions.insert(connection, ProxySession::Subscriber(Box::new(session)));
     }
 
-    /// Handles bytes that a proxy sent.
+    /// Handles bytes that a proxy sent, and writes the session's output.
     pub(super) fn handle_bytes(
         &mut self,
         core: &mut PlannerCore,
@@ -106,7 +106,7 @@
 
     // Admission.
 
-    /// Puts a proxy that introduced itself into the distributor's queue.
+    /// Queues a proxy that introduced itself for admission. It replaces a queued connection of the same proxy.
     fn enqueue(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, pending: PendingProxy) {
         let connection = pending.connection;
         if let Some(other) =
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Admits the proxies whose turn has come.
+    /// Admits the proxies that the distributor releases from its queue.
     pub(super) fn admit(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, now: Duration) {
         while let Some(pending) = core.distributor.admit_next(now) {
             self.admit_one(core, event_loop, pending);
@@ -157,12 +157,12 @@
         );
         let previous = core.connected.insert(proxy, connected);
         if let Some(previous) = previous.filter(|previous| previous.connection != connection) {
-            // The previous connection is half open, or belongs to another holder of the same certificate.
+            // The previous connection is half open, or another process uses the same certificate.
             self.take_over(event_loop, previous.connection);
         }
     }
 
-    /// Ends a connection whose proxy has opened another one.
+    /// Ends a connection whose proxy has opened another one; a subscriber is told so first.
     fn take_over(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         if let Some(ProxySession::Subscriber(mut subscriber)) = self.sessions.remove(&connection) {
             tracing::warn!(proxy = %subscriber.holder.name, "another connection of this proxy took over");
@@ -254,7 +254,7 @@
 
     // Delivery.
 
-    /// Sends proxies the updates that they lack.
+    /// Sends connected proxies the updates that they lack.
     pub(super) fn deliver_updates(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         for (proxy, update) in core.distributor.take_completed() {
@@ -264,7 +264,7 @@
         let wall = wall_seconds();
         for proxy in core.distributor.take_ready() {
             let Some(connection) = core.connection_of(proxy) else { continue };
-            // Nothing is sent on behalf of an identity that has expired, however recently.
+            // Nothing is sent to a proxy whose identity expired since the last periodic check.
             if core.identities.has_expired(connection, wall) {
                 self.disconnect(core, event_loop, connection, CloseReason::Untrusted);
                 continue;
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Writes a session's output, and closes a subscriber's session that has ended.
+    /// Writes a session's output, and closes the connection of a subscriber's session that has ended.
     fn write_output(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, connection: ConnectionId) {
         let Some(ProxySession::Subscriber(subscriber)) = self.sessions.get_mut(&connection) else {
             return self.write_netconf_output(event_loop, connection);
@@ -301,7 +301,7 @@
 
     // Timeouts and closing.
 
-    /// Closes subscribers' sessions that have fallen silent.
+    /// Closes subscribers' sessions whose MQTT keep-alive has timed out.
     pub(super) fn close_silent(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop, now: Duration) {
         let mut ended = vec![];
         for (connection, session) in &mut self.sessions {
@@ -316,7 +316,8 @@
         }
     }
 
-    /// Disconnects proxies that have not acknowledged an update in time: others wait for them. They may connect again.
+    /// Disconnects proxies that have not acknowledged an update in time, since they delay others. They may connect
+    /// again.
     pub(super) fn close_unacknowledged_updates(
         &mut self,
         core: &mut PlannerCore,
@@ -354,7 +355,7 @@
         }
     }
 
-    /// Ends a connection at once; output that is not written yet is dropped.
+    /// Aborts a connection; output that is not written yet is dropped.
     pub(super) fn disconnect(
         &mut self,
         core: &mut PlannerCore,
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration and of the endpoint list, on their way to the decisions.
+//! Passes changes of the configuration and of the endpoint list to the controller.
 
 use super::core::PlannerCore;
 use super::durability::Durability;
@@ -12,11 +12,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the decisions were told of the configuration.
+/// The configuration as it was last passed to the controller.
 pub(super) struct Reconfiguration {
     inventory: Inventory,
     files: StateFile,
-    /// Seed of the decisions' random choices; another one after each change.
+    /// Seed of the controller's random choices; incremented with each change.
     seed: u64,
 }
 
@@ -25,15 +25,15 @@
         Reconfiguration { inventory, files, seed }
     }
 
-    /// The servers that the decisions were told of.
+    /// The servers that were passed to the controller.
     pub(super) fn inventory(&self) -> &Inventory {
         &self.inventory
     }
 
-    /// Tells the decisions of what has changed and is on disk.
+    /// Passes what has changed and is on disk to the controller.
     pub(super) fn apply(&mut self, core: &mut PlannerCore, durability: &mut Durability, now: Duration) {
         if !std::mem::take(&mut core.config.is_list_changed) {
-            // An edit that changes nothing is complete without a decision.
+            // An edit that changes nothing counts as decided at once.
             core.config.edit_history.record_decided(now, &BTreeSet::new());
             return;
         }
@@ -44,7 +44,7 @@
         self.record(core, now);
         let fleet = core.config.persisted_fleet().clone();
         if core.control.reconfigure(fleet, self.seed) {
-            self.restart_decisions(core);
+            self.handle_controller_restart(core);
         } else if !changes.is_empty() {
             core.control.update_endpoints(EndpointUpdate::Delta, changes);
         }
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The decisions started over with another configuration: they are told again of all servers and proxies.
-    fn restart_decisions(&self, core: &mut PlannerCore) {
+    /// Passes all servers and proxies again to a controller that started over with another configuration.
+    fn handle_controller_restart(&self, core: &mut PlannerCore) {
         tracing::warn!("the configuration changed: the decisions start over, proxies keep their tables until new ones are assigned");
         let servers = self.inventory.servers().iter();
         let servers = servers.map(|(name, server)| (name.clone(), Change::Updated(server.clone()))).collect();
--- a/crates/daemon/src/planner_runtime/state_report.rs
+++ b/crates/daemon/src/planner_runtime/state_report.rs
@@ -1,5 +1,5 @@
-//! The operational state that NETCONF's `<get>` returns: what the planner believes of servers and proxies, the edits,
-//! and what the guard rejected.
+//! The operational state that NETCONF's `<get>` returns: the planner's view of servers and proxies, the edits, and the
+//! guard's rejections.
 
 use super::core::PlannerCore;
 use super::rejection_log::RejectionText;
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Rejections in the report, the newest first.
+/// Most rejections in the report; the newest come first.
 const MAX_REJECTIONS: usize = 20;
 
-/// What the tables hold of a server.
+/// A server's entry in the published tables.
 struct PublishedEntry {
     table: u16,
     weight: f64,
@@ -28,26 +28,26 @@
     }
 }
 
-/// The `<state>` element.
+/// Builds the `<state>` element; `now` is the time since the planner's start.
 pub(super) fn state_report(core: &PlannerCore, now: Duration) -> Element {
     let mut state = Element::new(STATE, "state")
         .with_leaf("planner", &core.name)
         .with_leaf("up-ms", now.as_millis())
         .with_leaf("joined", core.connected.len())
         .with_leaf("lines-waiting", core.control.queued_entries());
-    for server in servers(core) {
+    for server in server_elements(core) {
         state = state.with(server);
     }
-    for proxy in proxies(core, now) {
+    for proxy in proxy_elements(core, now) {
         state = state.with(proxy);
     }
     for edit in core.config.edit_history.edits() {
         state = state.with(edit_element(edit));
     }
-    state.with(guard(core, now))
+    state.with(guard_element(core, now))
 }
 
-fn servers(core: &PlannerCore) -> Vec<Element> {
+fn server_elements(core: &PlannerCore) -> Vec<Element> {
     let mut entries = BTreeMap::new();
     for (table, published) in core.control.published_tables() {
         for (server, weight) in &published.entries {
@@ -68,19 +68,19 @@
     core.control.endpoint_states().iter().map(|(server, health)| server_element(server, health)).collect()
 }
 
-fn proxies(core: &PlannerCore, now: Duration) -> Vec<Element> {
+fn proxy_elements(core: &PlannerCore, now: Duration) -> Vec<Element> {
     let age = |at: Option<Duration>| at.map(|at| now.saturating_sub(at));
     let mut elements = vec![];
     for (proxy, member) in core.control.members() {
         let transport = core.connected.get(proxy).map(|connected| connected.transport);
-        let told = match transport {
+        let delivery = match transport {
             Some(Transport::Published) => "published",
             Some(Transport::Edits) | None => "edits",
         };
         let mut element = Element::new(STATE, "proxy")
             .with_leaf("name", core.control.proxy_name(*proxy))
             .with_leaf("zone", &member.zone)
-            .with_leaf("told", told);
+            .with_leaf("told", delivery);
         element = with_optional_millis(element, "ordered-ms", age(member.last_sent_at));
         element = with_optional_millis(element, "applied-ms", age(member.last_acknowledged_at));
         element = with_optional_millis(element, "report-ms", age(member.last_report_at));
@@ -101,7 +101,7 @@
     element.with_leaf("at", edit.acknowledged_count()).with_leaf("of", edit.proxy_count)
 }
 
-fn guard(core: &PlannerCore, now: Duration) -> Element {
+fn guard_element(core: &PlannerCore, now: Duration) -> Element {
     let guard = core.control.guard();
     let mut element = Element::new(STATE, "guard").with_leaf("judged", guard.validated_batches);
     let raised = core.config.fleet().raised_multiple;
--- a/crates/daemon/src/planner_runtime/test_hooks.rs
+++ b/crates/daemon/src/planner_runtime/test_hooks.rs
@@ -2,19 +2,19 @@
 
 use runloom_control_session::CommandTamper;
 
-/// A point on the way of an edit at which the process aborts.
+/// A point in the processing of an edit at which the process aborts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// The edit is accepted and not yet handed to the disk.
+    /// The edit is accepted, and not yet handed to the persistence worker.
     BeforeWrite,
-    /// The edit is on disk; its reply has not left.
+    /// The edit is on disk, and its reply not yet sent.
     Written,
-    /// The reply has left.
+    /// The reply was sent.
     Replied,
 }
 
 impl CrashPoint {
-    /// The point by its name on the command line.
+    /// The point with this name on the testbed's command line; `None` if there is none.
     pub fn from_name(name: &str) -> Option<CrashPoint> {
         match name {
             "before-kept" => Some(CrashPoint::BeforeWrite),
@@ -25,13 +25,13 @@
     }
 }
 
-/// Faults of a planner; none by default.
+/// Faults to inject into a planner; none by default.
 #[derive(Default)]
 pub struct TestHooks {
-    /// Where the process aborts, once.
+    /// Where the process aborts; `None`: nowhere.
     pub crash_point: Option<CrashPoint>,
-    /// Commands are sent without the guard's check.
+    /// Whether commands are sent without validation by the guard.
     pub skip_guard: bool,
-    /// Changes commands before the guard sees them.
+    /// Changes commands before the guard validates them.
     pub command_tamper: Option<CommandTamper>,
 }
