--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -1,5 +1,5 @@
-//! What outlasts the planner: accepted edits, the endpoint list and what was learned of servers, handed to the
-//! persistence worker and followed until they are on disk.
+//! Writes the state that a restart needs: accepted edits, the endpoint list and learned state of servers. The
+//! persistence worker writes it; the progress of each write is tracked here.
 
 use super::core::{record_micros, PlannerCore};
 use super::operator_sessions::OperatorSessions;
@@ -12,24 +12,24 @@
 
 /// Shortest time between two writes of the endpoint list.
 const LIST_WRITE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two writes of what was learned of servers.
+/// Time between two writes of the learned state.
 const LEARNED_WRITE_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two attempts to write after a write has failed.
+/// Time between two checks whether edits can be written again, after a write has failed.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Progress of all that is to be on disk.
+/// The persistence worker, and what is still to be written.
 pub(super) struct Durability {
     worker: PersistenceWorker,
-    /// What was last handed over of what was learned.
+    /// The learned state that was last handed to the worker.
     learned: LearnedServers,
     next_learned_write: Duration,
     next_retry: Duration,
     last_list_write: Option<Duration>,
-    /// The endpoint list has changed since it was last handed over.
+    /// Whether the endpoint list has changed since it was last handed to the worker.
     pub is_list_unsaved: bool,
-    /// A batch of edits was written since replies were last sent.
+    /// Whether a batch of edits was written since replies were last sent.
     has_written_edits: bool,
-    /// Where the process aborts, in tests.
+    /// Where the process aborts, for tests; `None`: nowhere.
     pub crash_point: Option<CrashPoint>,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// When something is to be written next.
+    /// When the next write is due.
     pub(super) fn next_wakeup(&self) -> Duration {
         let list_write = self.last_list_write.map_or(Duration::ZERO, |at| at + LIST_WRITE_INTERVAL);
         if self.is_list_unsaved {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Takes results of earlier writes, and hands over the edits accepted since. Edits that arrive while a batch is
-    /// being written share the next one.
+    /// Handles results of earlier writes, and hands the edits accepted since to the worker. Edits that arrive while a
+    /// batch is being written share the next batch.
     pub(super) fn write_edits(
         &mut self,
         core: &mut PlannerCore,
@@ -70,7 +70,7 @@
             self.handle_result(core, operators, event_loop, result);
         }
         if let Some(patch) = core.config.take_patch() {
-            self.crash_at(CrashPoint::BeforeWrite);
+            self.abort_if_at(CrashPoint::BeforeWrite);
             core.edit_batches.submitted += 1;
             if !self.worker.write_edits(patch) {
                 roll_back_edits(core, operators, event_loop, "the write queue is full".into());
@@ -94,7 +94,7 @@
                 core.config.patch_written();
                 core.edit_batches.durable = core.edit_batches.submitted;
                 self.has_written_edits = true;
-                self.crash_at(CrashPoint::Written);
+                self.abort_if_at(CrashPoint::Written);
             }
             PersistenceResult::EditsWritten(Err(error)) => {
                 roll_back_edits(core, operators, event_loop, error.to_string());
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Writes what was learned, if that is due.
+    /// Writes the learned state, if that is due.
     pub(super) fn write_learned_if_due(&mut self, core: &PlannerCore, inventory: &Inventory, now: Duration) {
         if now >= self.next_learned_write {
             self.next_learned_write = now + LEARNED_WRITE_INTERVAL;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Writes what the decisions have learned of servers.
+    /// Hands the controller's learned state of servers to the worker.
     pub(super) fn write_learned(&mut self, core: &PlannerCore, inventory: &Inventory) {
         let servers = inventory.servers();
         let learned = core.control.learned_states().into_iter().filter_map(|state| {
@@ -136,11 +136,11 @@
         let learned = LearnedServers { written_ms: core.config.wall_ms, servers: learned.collect() };
         self.learned = learned.merge_earlier(&self.learned);
         if !self.worker.write_learned(self.learned.clone()) {
-            tracing::warn!("what was learned could not be written: the write queue is full");
+            tracing::warn!("the learned state could not be written: the write queue is full");
         }
     }
 
-    /// Writes the endpoint list, if it has changed and was not written just before.
+    /// Writes the endpoint list, if it has changed and [`LIST_WRITE_INTERVAL`] has passed since the last write.
     pub(super) fn write_list_if_due(&mut self, core: &PlannerCore, now: Duration) {
         let is_due = self.last_list_write.is_none_or(|at| now >= at + LIST_WRITE_INTERVAL);
         if self.is_list_unsaved && is_due {
@@ -150,21 +150,23 @@
         }
     }
 
-    /// Replies were sent: the end of the way of the edits that were written.
+    /// Called when replies were sent: the processing of written edits is complete.
     pub(super) fn replies_sent(&mut self) {
         if std::mem::take(&mut self.has_written_edits) {
-            self.crash_at(CrashPoint::Replied);
+            self.abort_if_at(CrashPoint::Replied);
         }
     }
 
-    fn crash_at(&self, point: CrashPoint) {
+    /// Aborts the process if a test chose this point.
+    fn abort_if_at(&self, point: CrashPoint) {
         if self.crash_point == Some(point) {
             std::process::abort();
         }
     }
 }
 
-/// Edits could not be written: they count as never accepted, and none is accepted until writing works again.
+/// Rolls back edits that could not be written: they count as never accepted, and none is accepted until writing works
+/// again.
 fn roll_back_edits(
     core: &mut PlannerCore,
     operators: &mut OperatorSessions,
--- a/crates/daemon/src/planner_runtime/identities.rs
+++ b/crates/daemon/src/planner_runtime/identities.rs
@@ -1,5 +1,5 @@
-//! The identities behind open connections: when they expire, whether their authority is still trusted, and the
-//! planner's own certificate.
+//! The identities of connected peers: when they expire, and whether their authority is still trusted. Also warns when
+//! the planner's own certificate expires soon.
 
 use crate::tls_credentials::{CertificateHolder, TlsPolicy};
 use crate::wall_ms;
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two warnings that the planner's own identity expires soon.
+/// Shortest time between two warnings that the planner's own identity expires soon.
 const EXPIRY_WARNING_INTERVAL: Duration = Duration::from_secs(60);
-/// A renewed certificate is due once less than one part in this many of the lifetime is left.
-const RENEWAL_DUE_FRACTION: i64 = 3;
+/// The planner's certificate is due for renewal once less than its lifetime divided by this is left.
+const RENEWAL_DUE_DIVISOR: i64 = 3;
 
-/// A peer's certificate.
+/// A peer's certificate (DER), and its holder.
 struct PeerCertificate {
     holder: CertificateHolder,
     der: Vec<u8>,
@@ -45,7 +45,7 @@
         &self.tls
     }
 
-    /// Tracks a connection whose certificate holds an identity that expires.
+    /// Tracks a connection if its certificate holds an identity, which expires.
     pub(super) fn track(&mut self, connection: ConnectionId, holder: &CertificateHolder, der: &[u8]) {
         if holder.identity.is_some() {
             let certificate = PeerCertificate { holder: holder.clone(), der: der.to_vec() };
@@ -57,13 +57,13 @@
         self.peers.remove(&connection);
     }
 
-    /// Whether a connection's identity has expired at `wall`, in seconds since 1970.
+    /// Whether a connection's identity has expired by `wall`, in seconds since 1970.
     pub(super) fn has_expired(&self, connection: ConnectionId, wall: i64) -> bool {
         self.peers.get(&connection).is_some_and(|peer| peer.holder.has_expired(wall))
     }
 
-    /// Reloads certificates that changed, and returns the connections that have to end: their identity has expired,
-    /// or its authority is no longer trusted.
+    /// Reloads certificates that changed, and returns the connections to end: those whose identity has expired or whose
+    /// authority is no longer trusted.
     #[must_use]
     pub(super) fn check(&mut self, now: Duration) -> Vec<InvalidIdentity> {
         let is_reloaded = self.reload();
@@ -89,7 +89,7 @@
             }
             Ok(false) => false,
             Err(why) => {
-                tracing::error!(%why, "new certificates cannot be used: the ones before stay in force");
+                tracing::error!(%why, "new certificates cannot be used: the previous ones stay in force");
                 false
             }
         }
@@ -98,7 +98,7 @@
     fn warn_of_expiry(&mut self, now: Duration, wall: i64) {
         let Some(own) = self.tls.own_identity() else { return };
         let seconds_left = own.not_after - wall;
-        let is_renewal_due = seconds_left < (own.not_after - own.not_before) / RENEWAL_DUE_FRACTION;
+        let is_renewal_due = seconds_left < (own.not_after - own.not_before) / RENEWAL_DUE_DIVISOR;
         let may_warn = self.last_expiry_warning.is_none_or(|at| now >= at + EXPIRY_WARNING_INTERVAL);
         if is_renewal_due && may_warn {
             self.last_expiry_warning = Some(now);
--- a/crates/daemon/src/planner_runtime/rejection_log.rs
+++ b/crates/daemon/src/planner_runtime/rejection_log.rs
@@ -1,14 +1,14 @@
-//! Log of the commands that the guard rejected.
+//! Logs the commands that the guard rejects.
 
 use runloom_control_session::{ControlSession, CLOCK_LEAD};
 use runloom_guard::Rejection;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time before the same rejection is logged again: it recurs at each evaluation while its cause lasts.
+/// Shortest time between two log lines of the same rejection, which recurs at each evaluation while its cause lasts.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Identifies a rejection that recurs.
+/// What makes a rejection the same as an earlier one.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RejectionKey {
     reason: &'static str,
@@ -26,13 +26,13 @@
     }
 }
 
-/// A rejection in words.
+/// Texts that describe a rejection.
 pub(super) struct RejectionText {
     /// Why the command was rejected.
     pub why: String,
     /// What would have been accepted.
     pub safe: String,
-    /// The case as JSON, for `runloom guard explain`; empty if there is none.
+    /// The rejection case as JSON, for `runloom guard explain`; empty if there is none.
     pub case: String,
 }
 
@@ -49,11 +49,11 @@
     }
 }
 
-/// Which rejections were logged, and when.
+/// The rejections that were logged lately, and when.
 #[derive(Default)]
 pub(super) struct RejectionLog {
     logged: BTreeMap<RejectionKey, Duration>,
-    /// Rejections up to this time of the guard were handled.
+    /// Time of the controller's clock up to which rejections were handled.
     handled_until: Duration,
 }
 
@@ -70,7 +70,7 @@
             self.logged.insert(key, now);
             let RejectionText { why, safe, case } = RejectionText::new(control, rejection);
             let reason = rejection.reason;
-            tracing::warn!(reason = reason.tag(), rule = reason.rule(), why, safe, %case, "rejected");
+            tracing::warn!(reason = reason.tag(), rule = reason.rule(), why, safe, %case, "command rejected");
         }
     }
 }
--- a/crates/daemon/src/planner_runtime/subscriber.rs
+++ b/crates/daemon/src/planner_runtime/subscriber.rs
@@ -1,4 +1,4 @@
-//! A proxy that subscribes to its tables over MQTT.
+//! Session of a proxy that subscribes to its tables over MQTT.
 
 use super::core::ProxyId;
 use super::proxy_event::ProxyEvent;
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Serialized update parts kept at a time.
+/// Serialized update parts to keep; beyond this the cache is cleared.
 const MAX_CACHED_BODIES: usize = 1024;
 
-/// Identifies a serialized update part.
+/// What distinguishes one serialized update part from another.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct BodyKey {
     epoch: u64,
@@ -25,21 +25,21 @@
     part: usize,
 }
 
-/// Serialized update parts, shared by the proxies that receive the same part.
+/// Cache of serialized update parts: proxies that receive the same part share its bytes.
 #[derive(Default)]
 pub(super) struct BodyCache {
     bodies: BTreeMap<BodyKey, Arc<[u8]>>,
 }
 
 impl BodyCache {
-    /// Drops all bodies once there are too many.
+    /// Clears the cache once it exceeds [`MAX_CACHED_BODIES`].
     pub(super) fn limit_size(&mut self) {
         if self.bodies.len() > MAX_CACHED_BODIES {
             self.bodies.clear();
         }
     }
 
-    /// The serialized form of an update part.
+    /// Returns the serialized form of an update part, from the cache if it is there.
     fn body(&mut self, part: &UpdatePart) -> Arc<[u8]> {
         let key = BodyKey {
             epoch: part.epoch,
@@ -60,7 +60,7 @@
     pub proxy: Option<ProxyId>,
     info: ProxyInfo,
     filters: Vec<TopicFilter>,
-    /// Times at which unacknowledged messages were sent, by the distributor's number.
+    /// Times at which unacknowledged messages were sent, by their number at the distributor.
     sent: BTreeMap<u64, Duration>,
 }
 
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Sends one update part of the distributor.
+    /// Sends an update part, as message `number` of the distributor.
     pub(super) fn send(&mut self, now: Duration, number: u64, part: &UpdatePart, bodies: &mut BodyCache) {
         self.session.publish(now, number, part.topic, bodies.body(part));
         self.sent.insert(number, now);
     }
 
-    /// Why the session has ended, if it has.
+    /// Why the session has ended; `None` while it lasts. Logs a protocol violation.
     pub(super) fn close_reason(&self) -> Option<CloseReason> {
         match self.session.end()? {
             ConnectionEnd::Disconnected => Some(CloseReason::Ended),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Handles an event of the MQTT session; returns what follows for the planner, if anything.
+    /// Handles an event of the MQTT session, and returns the resulting proxy event, if there is one.
     pub(super) fn handle_event(
         &mut self,
         connection: ConnectionId,
@@ -112,7 +112,7 @@
             }
             SessionEvent::Unsubscribed { filters } => {
                 self.filters.retain(|filter| !filters.contains(filter));
-                // A proxy without its tables cannot be commanded, and must not count as one that can.
+                // A proxy that does not receive its tables must not count as one that follows commands.
                 tracing::warn!(proxy = %self.holder.name, "disconnected: the proxy unsubscribed from its tables");
                 Some(ProxyEvent::Finish(CloseReason::Ended))
             }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A proxy introduces itself once it subscribes to all that it has to follow.
+    /// Introduces the proxy, once it has subscribed to all the topics that it takes to apply tables.
     fn introduction(&self, connection: ConnectionId, held: Vec<(Topic, HeldVersion)>) -> Option<ProxyEvent> {
         let pending = PendingProxy {
             connection,
