--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -1,5 +1,5 @@
-//! The runtime of a planner on the platform: sockets, signals, the bootstrap file and the clock around
-//! [`runloom_platform_protocol::Platform`], on one event loop. It makes no decision about servers.
+//! The runtime of a planner on the platform: connects [`runloom_platform_protocol::Platform`], which does no I/O, to
+//! sockets, signals, the bootstrap file and the clock, on one event loop. It makes no decision about servers.
 
 mod bootstrap_file;
 mod error;
@@ -23,24 +23,26 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The core's clock is at this time when the process starts, so that earlier starts of servers have a place on it.
-/// It is longer than any server warms up.
+/// Time of the platform's clock at the start of the process, so that servers that started earlier have a start time on
+/// it. It is longer than the warm-up of any server.
 const CLOCK_OFFSET: Duration = Duration::from_secs(3600);
 /// File descriptors other than those of clients: standard streams, the event loop's three, signals, the listener, the
 /// bootstrap file, two watches, and a reserve.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Connections accepted in one poll iteration: enough when all proxies connect at once, few against the descriptors.
+/// Connections accepted in one iteration: enough when all proxies connect at once, and few compared to the file
+/// descriptors.
 const MAX_ACCEPTS: usize = 16;
-/// How often the counters are logged.
+/// Time between two log lines of the counters.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Whether the runtime goes on.
+/// Whether the runtime continues after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Running,
     Stopped,
 }
 
+/// A running planner: the platform's state machine with its connections and its bootstrap file.
 struct PlatformRuntime {
     event_loop: EventLoop,
     listener: ConnectionId,
@@ -53,7 +55,7 @@
     counters_logged_at: Duration,
 }
 
-/// Runs a planner until a signal ends it.
+/// Runs a planner until SIGTERM or SIGINT.
 pub fn run() -> Result<(), String> {
     run_planner().map_err(|error| error.to_string())
 }
@@ -66,13 +68,13 @@
     let path = PathBuf::from(environment("EDGE_CONFIG").ok_or(RuntimeError::NoBootstrapFile)?);
     let bootstrap = read_bootstrap(&path)?;
     let Some(mut runtime) = PlatformRuntime::start(event_loop, path, &bootstrap)? else { return Ok(()) };
-    while runtime.poll()? == Progress::Running {}
+    while runtime.run_iteration()? == Progress::Running {}
     runtime.log_counters();
     Ok(())
 }
 
 impl PlatformRuntime {
-    /// Listens and starts the core; `None` if a signal ended it before the address was free.
+    /// Opens the listener and creates the platform; `None` if a signal came before the address was free.
     fn start(
         mut event_loop: EventLoop,
         bootstrap_path: PathBuf,
@@ -81,10 +83,10 @@
         event_loop.max_accepts = MAX_ACCEPTS;
         let Some(listener) = listen(&mut event_loop, bootstrap.listen)? else { return Ok(None) };
         let reserved = RESERVED_DESCRIPTORS + health_check::MAX_CONCURRENT + MAX_ACCEPTS;
-        let room = bootstrap.limits.sockets.saturating_sub(reserved);
+        let max_connections = bootstrap.limits.sockets.saturating_sub(reserved);
         let epoch_ms = wall_ms().saturating_sub((event_loop.now() + CLOCK_OFFSET).as_millis() as u64);
-        let platform = Platform::new(bootstrap, epoch_ms, room);
-        tracing::info!(name = bootstrap.name, at = %listener.address, room, "started");
+        let platform = Platform::new(bootstrap, epoch_ms, max_connections);
+        tracing::info!(name = bootstrap.name, at = %listener.address, room = max_connections, "started");
         Ok(Some(PlatformRuntime {
             event_loop,
             listener: listener.id,
@@ -102,24 +104,24 @@
         self.event_loop.now() + CLOCK_OFFSET
     }
 
-    /// All input that arrived before this time was handled: a peer is late only by this time.
+    /// Time up to which all input that arrived was handled. Deadlines of peers are compared with this time.
     fn read_until(&self) -> Duration {
         self.event_loop.read_until() + CLOCK_OFFSET
     }
 
-    /// One iteration: handles timeouts, steps the core, carries out its actions, and waits for events.
-    fn poll(&mut self) -> std::io::Result<Progress> {
+    /// Handles timeouts, steps the platform, performs its actions, and waits for events and handles them.
+    fn run_iteration(&mut self) -> std::io::Result<Progress> {
         self.handle_timeouts();
         for action in self.platform.step(self.now(), self.read_until()) {
-            self.carry_out(action);
+            self.perform(action);
         }
         self.start_queued_health_checks();
         self.event_loop.pause_accepting(self.listener, self.platform.is_full());
         let until = self.next_timeout().map(|at| at.saturating_sub(CLOCK_OFFSET));
         let events = self.event_loop.wait(until)?;
-        // A change of the list counts from the time it is sent: the watch goes before all else.
+        // A change of the endpoint list counts from the time it is sent, so events of the watch are handled first.
         let (watch_events, other_events): (Vec<_>, Vec<_>) =
-            events.into_iter().partition(|event| self.is_of_watch(event));
+            events.into_iter().partition(|event| self.is_watch_event(event));
         for event in watch_events {
             self.handle_watch_event(event);
         }
@@ -192,7 +194,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Write { conn, bytes } => self.event_loop.write(conn, &bytes),
             Action::Close { conn } => self.event_loop.abort(conn),
--- a/crates/daemon/src/platform_runtime/bootstrap_file.rs
+++ b/crates/daemon/src/platform_runtime/bootstrap_file.rs
@@ -1,4 +1,4 @@
-//! The bootstrap file: read at start and on SIGHUP.
+//! Reads the bootstrap file at start, and again on SIGHUP.
 
 use super::error::RuntimeError;
 use super::PlatformRuntime;
@@ -6,16 +6,17 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A bootstrap file that cannot be read after SIGHUP may be half written: it is read again this often, for so long.
+/// Time between two attempts to read a bootstrap file that could not be read after SIGHUP: it may be half written.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after SIGHUP for which these attempts are made.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// A reload of the bootstrap file that is to be tried again.
+/// A reload of the bootstrap file that failed and is to be retried.
 pub(super) struct PendingReload {
     pub(super) next_attempt: Duration,
     deadline: Duration,
 }
 
-/// A variable of the environment that is set and not empty.
+/// The value of an environment variable; `None` if it is not set or empty.
 pub(super) fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
@@ -34,7 +35,7 @@
 }
 
 impl PlatformRuntime {
-    /// Reads the bootstrap file again after one that could not be read.
+    /// Retries a failed reload, if one is due. After the last attempt the file is left until the next SIGHUP.
     pub(super) fn retry_reload(&mut self) {
         let now = self.now();
         let Some(reload) = self.pending_reload.take_if(|reload| now >= reload.next_attempt) else { return };
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Reads the bootstrap file again on SIGHUP. One that cannot be read is logged and changes nothing.
+    /// Reads the bootstrap file again on SIGHUP. A failure is logged, changes nothing and is retried.
     pub(super) fn reload(&mut self) {
         let now = self.now();
         self.pending_reload = None;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Applies what of a changed file takes effect while the planner runs: the address of discovery.
+    /// Applies the one value that takes effect while the planner runs: the address of discovery.
     fn apply(&mut self, bootstrap: &BootstrapConfig) {
         if bootstrap.discovery == self.watch.address() {
             tracing::info!("read again, nothing new");
--- a/crates/daemon/src/platform_runtime/error.rs
+++ b/crates/daemon/src/platform_runtime/error.rs
@@ -1,4 +1,4 @@
-//! Why a planner on the platform could not start or had to stop.
+//! Errors of the runtime of a planner on the platform.
 
 use runloom_platform_protocol::bootstrap::BootstrapError;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 pub(super) enum RuntimeError {
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    #[error("EDGE_CONFIG is not set")]
+    #[error("the environment variable EDGE_CONFIG is not set")]
     NoBootstrapFile,
     #[error("{}: {source}", .path.display())]
     ReadBootstrap { path: PathBuf, source: std::io::Error },
--- a/crates/daemon/src/platform_runtime/health_checks.rs
+++ b/crates/daemon/src/platform_runtime/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: queued, dialed, and reported to the core.
+//! Health checks that the platform orders: queued, dialed, and reported back to it.
 
 use super::PlatformRuntime;
 use runloom_controller::HealthCheckResult;
@@ -13,7 +13,7 @@
 }
 
 impl PlatformRuntime {
-    /// Dials queued health checks as far as there are free connections.
+    /// Dials queued health checks until [`health_check::MAX_CONCURRENT`] are in flight.
     pub(super) fn start_queued_health_checks(&mut self) {
         while self.health_checks.len() < health_check::MAX_CONCURRENT {
             let Some(queued) = self.queued_health_checks.pop_front() else { return };
@@ -26,12 +26,12 @@
         let limits = BufferLimits { handshake_timeout: health_check::TIMEOUT * 2, ..BufferLimits::default() };
         match self.event_loop.dial(check.address, &Security::Plain, limits) {
             Ok(conn) => {
-                // What is written before the connection is established is sent with it.
+                // What is written before the connection is established is sent once it is.
                 let request = health_check::request(check.address, self.platform.wants_load());
                 self.event_loop.write(conn, &request);
                 self.health_checks.insert(conn, check);
             }
-            // No file descriptor or no route from here: that says nothing about the server.
+            // No file descriptor or no route: a local failure, which says nothing about the server.
             Err(_) => self.report_health_check(&check, HealthCheckResult::Inconclusive.into()),
         }
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Hands an outcome to the core, and logs it unless it is a success.
+    /// Reports an outcome to the platform, and logs it unless it is a success.
     pub(super) fn report_health_check(&mut self, check: &HealthCheck, outcome: HealthCheckOutcome) {
         let elapsed = self.now().saturating_sub(check.started_at);
         if outcome.result != HealthCheckResult::Success {
--- a/crates/daemon/src/platform_runtime/list_watch.rs
+++ b/crates/daemon/src/platform_runtime/list_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list on its connections.
+//! Connections of the endpoint list's watch: dialing, reading, and starting over.
 
 use super::PlatformRuntime;
 use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security};
@@ -6,7 +6,7 @@
 
 impl PlatformRuntime {
     /// Whether an event belongs to a connection of the watch.
-    pub(super) fn is_of_watch(&self, event: &IoEvent) -> bool {
+    pub(super) fn is_watch_event(&self, event: &IoEvent) -> bool {
         match event {
             IoEvent::Open { conn, .. } | IoEvent::Bytes { conn, .. } | IoEvent::Closed { conn, .. } => {
                 self.watch.owns(*conn)
@@ -15,7 +15,8 @@
         }
     }
 
-    /// Closes watches that have expired, and dials where there is none.
+    /// Closes connections of the watch that have expired, and dials a new one if it is due. Starts over with the
+    /// complete list if discovery has reset its revisions.
     pub(super) fn maintain_watch(&mut self) {
         let read_until = self.read_until();
         let address = self.watch.address();
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Handles a line; whether it, or an entry of it, is to be asked for again.
-    fn must_ask_again(&mut self, line: &[u8]) -> bool {
+    /// Handles a line of the watch. Returns whether the line, or an entry of it, has to be requested again.
+    fn handle_list_line(&mut self, line: &[u8]) -> bool {
         let result = self.platform.handle_list_line(line, self.now());
         result.is_err() || self.platform.take_must_reread_list()
     }
@@ -67,18 +68,18 @@
         let now = self.now();
         let at = self.watch.address();
         let output = self.watch.handle_bytes(conn, bytes, now);
-        // The lines behind one that is asked for again come again too.
-        let has_unreadable_line = output.lines.iter().any(|line| self.must_ask_again(line));
+        // The lines after one that is requested again are sent again too, so they are skipped.
+        let must_request_again = output.lines.iter().any(|line| self.handle_list_line(line));
         if output.is_first {
             tracing::info!(%at, "watching");
         }
-        if output.is_unreadable || has_unreadable_line {
-            tracing::info!(%at, "the watch can't be read");
+        if output.is_unreadable || must_request_again {
+            tracing::info!(%at, "the watch cannot be read");
         }
         if output.should_close {
             self.event_loop.abort(conn);
         }
-        if has_unreadable_line {
+        if must_request_again {
             self.restart_watch();
         }
     }
--- a/crates/daemon/src/platform_runtime/listen.rs
+++ b/crates/daemon/src/platform_runtime/listen.rs
@@ -1,4 +1,4 @@
-//! Listening on an address that the preceding process may still hold.
+//! Listens on an address that the previous process may still hold.
 
 use super::error::RuntimeError;
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The preceding process may still hold the address: listening is tried again this often, for so long. The platform
-/// gives a planner thirty seconds to become ready.
+/// Time between two attempts to listen on an address that the previous process still holds.
 const LISTEN_INTERVAL: Duration = Duration::from_millis(50);
+/// Time from the start for which these attempts are made. The platform gives a planner thirty seconds to become ready.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes that may wait for a client that does not read: some hundred updates.
+/// Unsent bytes to buffer for a client that does not read: some hundred updates.
 const MAX_UNSENT_BYTES: usize = 128 << 10;
 
 /// A bound listener.
@@ -20,7 +20,8 @@
     pub(super) address: SocketAddr,
 }
 
-/// Listens for clients, again for a while as long as the address is in use; `None` if a signal ended that.
+/// Listens for clients, and retries for [`LISTEN_TIMEOUT`] while the address is in use; `None` if a stop signal came
+/// first.
 pub(super) fn listen(
     event_loop: &mut EventLoop,
     address: SocketAddr,
