--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -1,7 +1,9 @@
-//! The proxy's process: HTTP/1.1 requests in and out, route tables from a planner that it dials.
+//! The proxy's runtime: forwards HTTP/1.1 requests from clients to endpoints, and receives route tables from a planner
+//! that it dials.
 //!
-//! The rules are those of [`runloom_proxy::Proxy`]. Here are its sockets, one module for each kind of peer: clients,
-//! endpoints (`upstream_connections`) and the planner (`planner_session`, `table_delivery`, `reports`).
+//! [`runloom_proxy::Proxy`] makes the decisions. The submodules connect it to sockets, by kind of peer: clients
+//! (`client_connections`), endpoints (`upstream_connections`) and the planner (`planner_session`, `table_delivery`,
+//! `reports`).
 
 mod client_connections;
 mod datastore;
@@ -37,30 +39,30 @@
 use std::time::Duration;
 use upstream_connections::UpstreamConnections;
 
-/// How often certificates, and the planner's identity, are checked.
+/// Time between two checks of certificates and of the planner's identity.
 const CERTIFICATE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A client's connection is closed after this time without a byte.
+/// A client's connection is closed after this time without receiving a byte.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Bytes of responses that a client may leave unread.
+/// Unsent bytes of responses to buffer for a client that does not read.
 const MAX_UNSENT_BYTES: usize = 4 << 20;
 /// Makes the redial delays' random sequence differ from that of endpoint selection.
 const REDIAL_SEED_MASK: u64 = 0x5151;
 
-/// An update of the route tables that was applied.
+/// An update of the route tables that the proxy has applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AppliedUpdate {
-    /// Entries that it changed.
+    /// Number of entries that it changed.
     pub entries: usize,
-    /// The version that a published topic has with it; `None` for an edit.
+    /// The published topic and its version after the update; `None` for an edit.
     pub version: Option<(Topic, Version)>,
 }
 
-/// A proxy with its sockets. Several may share one event loop, whose owner hands each its own connections' events.
+/// A proxy with its sockets. Several may share one event loop, whose owner passes each the events of its connections.
 pub struct ProxyRuntime {
     settings: ProxySettings,
     proxy: Proxy,
     tls: TlsPolicy,
-    /// `None`: a check is due.
+    /// `None`: a check is due at once.
     certificates_checked_at: Option<Duration>,
     listener: ConnectionId,
     clients: BTreeMap<ConnectionId, ClientConnection>,
@@ -75,7 +77,7 @@
 }
 
 impl ProxyRuntime {
-    /// Opens the listener and returns its address with the proxy. `seed` is that of all random choices.
+    /// Opens the listener, and returns the proxy with the listener's address. `seed` determines all random choices.
     pub fn start(
         event_loop: &mut EventLoop,
         settings: ProxySettings,
@@ -112,7 +114,8 @@
         Ok((runtime, address))
     }
 
-    /// Runs until a signal ends it, and then until requests in flight are answered or past their deadlines.
+    /// Runs until a signal asks the proxy to stop, and then until requests in flight are answered or past their
+    /// deadlines.
     pub fn run(&mut self, event_loop: &mut EventLoop) -> io::Result<()> {
         let mut stop_at: Option<Duration> = None;
         loop {
@@ -134,32 +137,34 @@
         self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// The proxy's name.
+    /// The proxy's name in its settings.
     pub fn name(&self) -> &str {
         &self.settings.name
     }
 
-    /// The proxy's rules and state.
+    /// The proxy's state machine, with its route tables.
     pub fn proxy(&self) -> &Proxy {
         &self.proxy
     }
 
-    /// Connections opened since the last call, for an owner of several proxies on one event loop.
+    /// Takes the connections opened since the last call. An owner of several proxies on one event loop needs them to
+    /// pass on events.
     pub fn take_opened_connections(&mut self) -> Vec<ConnectionId> {
         std::mem::take(&mut self.opened_connections)
     }
 
-    /// Updates applied since the last call.
+    /// Takes the updates applied since the last call.
     pub fn take_applied_updates(&mut self) -> Vec<AppliedUpdate> {
         std::mem::take(&mut self.applied_updates)
     }
 
-    /// Sessions with planners since the start.
+    /// Number of sessions with planners since the start.
     pub fn session_count(&self) -> u64 {
         self.session_count
     }
 
-    /// Counts a request that succeeded after `latency` without a socket, to load planners with many proxies' reports.
+    /// Counts a successful request that took `latency`, without sending one. Load tests of planners use it to produce
+    /// the reports of many proxies.
     pub fn simulate_request(&mut self, now: Duration, class: usize, latency: Duration) {
         let id = self.requests.next_id();
         let arrival = now.saturating_sub(latency);
@@ -168,7 +173,7 @@
         }
     }
 
-    /// When [`ProxyRuntime::run_due_tasks`] is to be called next, if no event comes before.
+    /// When to call [`ProxyRuntime::run_due_tasks`] next, if no event comes earlier.
     pub fn next_wakeup(&self) -> Option<Duration> {
         earliest([
             self.planner_link.next_wakeup(self.is_stopping),
@@ -184,7 +189,7 @@
         checked_at.map(|at| at + CERTIFICATE_CHECK_INTERVAL).unwrap_or_default()
     }
 
-    /// Certificates that changed are read now instead of at the next check.
+    /// Makes the certificate check due now.
     fn reload_certificates(&mut self) {
         let name = &self.settings.name;
         tracing::info!(forwarder = %name, "SIGHUP: certificates are read again; settings apply from the next start");
@@ -218,7 +223,7 @@
         } else if self.upstreams.contains(connection) {
             self.read_upstream(event_loop, connection, bytes);
         } else if self.planner_link.has_session_on(connection) {
-            self.planner_bytes(event_loop, bytes);
+            self.planner_bytes_received(event_loop, bytes);
         }
     }
 
@@ -239,11 +244,11 @@
         }
     }
 
-    /// Does what is due by time; to be called after the events of each poll.
+    /// Runs timeouts and periodic tasks that are due. Call it after the events of each iteration.
     pub fn run_due_tasks(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.now();
         self.expire_requests(event_loop, now);
-        self.expire_connects(event_loop, now);
+        self.close_stalled_upstreams(event_loop, now);
         if now >= self.certificate_check_due_at() {
             self.certificates_checked_at = Some(now);
             self.check_certificates(event_loop);
@@ -264,8 +269,7 @@
     Proxy::new(config, settings.classes.clone(), &settings.static_servers, seed)
 }
 
-/// The TLS role towards planners. A NETCONF server that calls home (RFC 8071) dials, and is the TLS server all the
-/// same.
+/// The TLS role towards planners. A NETCONF server that calls home is the TLS server, although it dials (RFC 8071).
 fn planner_security(settings: &ProxySettings, tls: &TlsPolicy) -> Security {
     match settings.table_delivery {
         TableDelivery::Edits => Security::TlsServer(tls.server_config.clone()),
--- a/crates/daemon/src/proxy_runtime/client_connections.rs
+++ b/crates/daemon/src/proxy_runtime/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: requests are read, one at a time a connection, and responses written.
+//! Connections of clients: reads requests, one at a time per connection, and writes responses.
 
 use super::requests::RequestInFlight;
 use super::ProxyRuntime;
@@ -7,7 +7,7 @@
 use runloom_proxy::{RejectionReason, RequestAction, RequestId};
 use std::time::Duration;
 
-/// Bytes of further requests that a client may send while one is in flight; past them its connection is not read.
+/// Bytes of further requests to buffer while one is in flight; beyond this, reading from the connection is paused.
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
 
 const STATUS_BAD_REQUEST: u16 = 400;
@@ -28,7 +28,7 @@
         ClientConnection { reader: MessageReader::requests(), request: None, close_after_response: false }
     }
 
-    /// The request in flight, if there is one.
+    /// The request in flight on this connection, if there is one.
     pub(super) fn request(&self) -> Option<RequestId> {
         self.request
     }
@@ -39,7 +39,7 @@
 }
 
 impl ProxyRuntime {
-    /// Starts on the next request of a client, unless one is in flight.
+    /// Handles the next complete request of a client, unless one is in flight.
     pub(super) fn read_client(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         let Some(client) = self.clients.get_mut(&connection) else { return };
         if client.request.is_some() {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Decides on a request, whose class is the first segment of its path.
+    /// Sends or rejects a request. Its traffic class is the first segment of its path.
     fn request_received(
         &mut self,
         event_loop: &mut EventLoop,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Rejects a client's request, and says when to come back if that is known.
+    /// Rejects a client's request with the reason and, if it is known, the time after which to retry.
     pub(super) fn reject(
         &mut self,
         event_loop: &mut EventLoop,
@@ -116,7 +116,7 @@
         self.respond(event_loop, connection, &serialize_response(status, &headers, b""));
     }
 
-    /// Writes a response, and goes on with what the client has sent meanwhile.
+    /// Writes a response, and handles the next request if the client has sent one meanwhile.
     pub(super) fn respond(&mut self, event_loop: &mut EventLoop, connection: ConnectionId, response: &[u8]) {
         let Some(client) = self.clients.get_mut(&connection) else { return };
         event_loop.write(connection, response);
--- a/crates/daemon/src/proxy_runtime/datastore.rs
+++ b/crates/daemon/src/proxy_runtime/datastore.rs
@@ -1,4 +1,4 @@
-//! The proxy's NETCONF datastore, which a planner edits: every edit is validated and applied as a whole.
+//! The proxy's NETCONF datastore, which a planner edits. Each edit is validated and applied as a whole.
 
 use runloom_model::YANG;
 use runloom_netconf::error::{RpcError, Tag};
@@ -10,7 +10,7 @@
 /// The running datastore, and the operational state that `<get>` returns.
 pub(super) struct Datastore {
     running: Arc<Element>,
-    /// Tables of an accepted edit that are not in force yet.
+    /// Tables of an accepted edit that the proxy does not use yet.
     accepted: Option<RouteTables>,
     state: Element,
 }
@@ -24,7 +24,7 @@
         self.state = state;
     }
 
-    /// Takes the tables of an edit that was accepted since the last call.
+    /// Takes the tables of the last edit that was accepted since the last call; `None` if there was none.
     pub(super) fn take_accepted(&mut self) -> Option<RouteTables> {
         self.accepted.take()
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Table entries, admission limits, assignments and ejections in `<tables>`.
+/// Counts the table entries, admission limits, assignments and ejections in `<tables>`.
 pub(super) fn count_entries(tables: &Element) -> usize {
     let in_table = |table: &Arc<Element>| table.children.iter().filter(|child| child.name != "id").count();
     let outside_tables = tables.children.iter().filter(|child| child.name != "table").count();
--- a/crates/daemon/src/proxy_runtime/error.rs
+++ b/crates/daemon/src/proxy_runtime/error.rs
@@ -1,4 +1,4 @@
-//! Why a proxy cannot start.
+//! Errors at the start of a proxy.
 
 use crate::tls_credentials::TlsError;
 use std::io;
@@ -9,10 +9,10 @@
     /// The listener cannot be opened.
     #[error("the listener cannot be opened: {0}")]
     Listen(#[from] io::Error),
-    /// Its certificate, key or trust anchors cannot be used.
+    /// The proxy's certificate, key or trust bundle cannot be used.
     #[error(transparent)]
     Credentials(#[from] TlsError),
-    /// The schema of its datastore cannot be derived.
+    /// The schema of the proxy's datastore cannot be derived from the XSD.
     #[error("the datastore's schema cannot be derived: {0}")]
     Schema(String),
 }
--- a/crates/daemon/src/proxy_runtime/planner_link.rs
+++ b/crates/daemon/src/proxy_runtime/planner_link.rs
@@ -1,4 +1,4 @@
-//! The proxy's link to its planners: the current session, the next dial, and what was delivered.
+//! State of the proxy's link to its planners: the current session, the next dial, and the delivered tables.
 
 use super::datastore::Datastore;
 use super::wall_seconds;
@@ -13,19 +13,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bounds of the wait before a planner is dialed again, drawn at random so that a fleet does not dial in step.
+/// Shortest delay before a planner is dialed again. The delay is random, so that a fleet's proxies do not dial at once.
 const MIN_REDIAL_DELAY: Duration = Duration::from_millis(100);
+/// Longest delay before a planner is dialed again.
 pub(super) const MAX_REDIAL_DELAY: Duration = Duration::from_secs(2);
 
-/// How the planner delivers tables.
+/// The protocol by which a planner delivers tables, with its state.
 pub(super) enum PlannerProtocol {
-    /// It edits the proxy's datastore by NETCONF.
+    /// The planner edits the proxy's datastore over NETCONF.
     Netconf {
         session: Box<Session>,
-        /// The session's number at the service.
+        /// The session's id at the NETCONF service.
         id: u32,
     },
-    /// It publishes them by MQTT.
+    /// The planner publishes tables over MQTT.
     Mqtt(Box<Client>),
 }
 
@@ -36,7 +37,7 @@
     pub(super) protocol: PlannerProtocol,
     pub(super) holder: CertificateHolder,
     pub(super) certificate: Vec<u8>,
-    /// When a new session is to take its place, before a certificate of either side ends; seconds since 1970.
+    /// When to replace the session, in seconds since 1970, before a certificate of either side expires; `None`: never.
     pub(super) renew_at: Option<i64>,
 }
 
@@ -49,22 +50,23 @@
     }
 }
 
-/// The planner's side of the proxy: the session, the next dial, and what the planner delivered.
+/// The link to the planners: the current session, the next dial, and the delivered tables.
 pub(super) struct PlannerLink {
     pub(super) service: Service,
     pub(super) datastore: Datastore,
     pub(super) security: Security,
     rng: WyRand,
     pub(super) session: Option<PlannerSession>,
-    /// A connection that is being established.
+    /// A connection to a planner that is being established.
     pub(super) dialing: Option<ConnectionId>,
     pub(super) dial_at: Duration,
-    /// Position in the list of planners, counted on with every one that fails.
+    /// Position of the planner to dial in the list of planners, modulo its length; incremented after each failure.
     pub(super) next_planner: usize,
-    /// What was published to the proxy, and by the planner of which name.
+    /// The tables that were published to the proxy.
     pub(super) published: UpdateReader,
+    /// Name of the planner that published them.
     published_by: String,
-    /// Whether nothing that the planner sends is read; what was read before that waits.
+    /// Whether received bytes are kept in `unread` instead of being handled, as a fault for tests.
     pub(super) is_unresponsive: bool,
     pub(super) unread: Vec<u8>,
 }
@@ -117,7 +119,7 @@
         }
     }
 
-    /// When the next dial or the session's next timer is due.
+    /// When the next dial or the session's next timer is due; `None` if there is neither.
     pub(super) fn next_wakeup(&self, is_stopping: bool) -> Option<Duration> {
         let is_idle = self.session.is_none() && self.dialing.is_none() && !is_stopping;
         let dial = is_idle.then_some(self.dial_at);
@@ -125,7 +127,7 @@
         crate::earliest([dial, client])
     }
 
-    /// Whether a planner is to be dialed: there is no session, or it is time to replace it.
+    /// Whether to dial a planner now: there is no session, or it is time to replace it.
     pub(super) fn needs_dial(&self, now: Duration) -> bool {
         let renew_at = self.session.as_ref().map(|session| session.renew_at);
         let needs_session =
@@ -133,7 +135,7 @@
         needs_session && self.dialing.is_none() && now >= self.dial_at
     }
 
-    /// Goes on to the next planner of the list, after a random delay.
+    /// Schedules a dial of the next planner in the list, after a random delay.
     pub(super) fn schedule_redial(&mut self, now: Duration) {
         let min_ms = MIN_REDIAL_DELAY.as_millis() as u64;
         let max_ms = MAX_REDIAL_DELAY.as_millis() as u64;
@@ -141,21 +143,21 @@
         self.dial_at = now + Duration::from_millis(self.rng.generate_range(min_ms..=max_ms));
     }
 
-    /// Ends the service's side of a session.
-    pub(super) fn leave_service(&mut self, session: &PlannerSession) {
+    /// Closes a session at the NETCONF service.
+    pub(super) fn close_service_session(&mut self, session: &PlannerSession) {
         if let PlannerProtocol::Netconf { id, .. } = session.protocol {
             self.service.close_session(id, &mut self.datastore);
         }
     }
 
     pub(super) fn session_lost(&mut self, now: Duration, session: &PlannerSession) {
-        self.leave_service(session);
+        self.close_service_session(session);
         self.published.end_session();
         self.schedule_redial(now);
     }
 
-    /// Topics held of this planner, with epoch and version, so that it can go on from there. Another planner's epochs
-    /// and versions say nothing to it.
+    /// Starts a session with this planner, and returns the epoch and version of each topic held from it, from which it
+    /// resumes. Epochs and versions of another planner mean nothing to it, so they are left out.
     pub(super) fn resume_positions(&mut self, planner: &str) -> Vec<(Topic, HeldVersion)> {
         self.published.end_session();
         let is_same_planner = self.published_by == planner;
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -1,5 +1,5 @@
-//! Sessions with a planner: the proxy dials one of its planners, checks its certificate, and replaces a session before
-//! a certificate ends. When a session ends, the tables stay in force.
+//! Sessions with a planner: the proxy dials one of its planners, checks its certificate, and replaces the session
+//! before a certificate expires. When a session ends, the tables stay in force.
 
 use super::planner_link::{PlannerProtocol, PlannerSession, MAX_REDIAL_DELAY};
 use super::{wall_seconds, ProxyRuntime};
@@ -13,24 +13,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A session is replaced after this many thirds of the time that is left to its certificates: the issuer has renewed
-/// them by then.
+/// A session is replaced after this many thirds of the time until one of its certificates expires: the issuer has
+/// renewed them by then.
 const RENEW_AFTER_THIRDS: i64 = 2;
-/// A session is kept for at least this many seconds, whatever its certificates say.
+/// Shortest time, in seconds, until a session is replaced, however soon a certificate expires.
 const MIN_SESSION_SECONDS: i64 = 1;
 
 impl ProxyRuntime {
-    /// Whether a planner's session is open.
+    /// Whether a session with a planner is open.
     pub fn is_connected(&self) -> bool {
         self.planner_link.connected_session().is_some()
     }
 
-    /// Address of the planner whose session is open.
+    /// Address of the planner with which a session is open.
     pub fn connected_planner(&self) -> Option<SocketAddr> {
         self.planner_link.connected_session().map(|session| session.planner)
     }
 
-    /// Stops reading what the planner sends, or goes on: a fault for tests.
+    /// Stops or resumes handling what the planner sends, as a fault for tests. What arrived meanwhile is handled on
+    /// resuming.
     pub fn set_unresponsive(&mut self, event_loop: &mut EventLoop, is_unresponsive: bool) {
         self.planner_link.is_unresponsive = is_unresponsive;
         if is_unresponsive {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Cuts the session with the planner.
+    /// Aborts the session with the planner; the next planner is dialed after a delay.
     pub fn abort_planner_session(&mut self, event_loop: &mut EventLoop) {
         if let Some(session) = self.planner_link.session.take() {
             event_loop.abort(session.connection);
@@ -73,7 +74,7 @@
         planners.get(position).copied()
     }
 
-    /// A dialed planner answered: opens a session if its certificate is a planner's.
+    /// Opens a session on a dialed connection that was established, if the peer's certificate is that of a planner.
     pub(super) fn planner_connected(
         &mut self,
         event_loop: &mut EventLoop,
@@ -83,7 +84,10 @@
         self.planner_link.dialing = None;
         let holder = self.tls.identify(&certificate).ok().filter(|holder| holder.is_planner);
         if holder.is_none() {
-            tracing::warn!(forwarder = %self.settings.name, "the peer's certificate is no planner's");
+            tracing::warn!(
+                forwarder = %self.settings.name,
+                "connection rejected: the peer's certificate is not a planner's"
+            );
         }
         let session = holder.and_then(|holder| {
             Some(PlannerSession {
@@ -102,27 +106,29 @@
         self.start_session(event_loop, session);
     }
 
-    /// Puts a session in place of the former one, if there is one.
+    /// Starts a session, and ends the previous one if there is one.
     fn start_session(&mut self, event_loop: &mut EventLoop, session: PlannerSession) {
         self.planner_link.unread.clear();
-        if let Some(former) = self.planner_link.session.replace(session) {
-            event_loop.abort(former.connection);
-            self.planner_link.leave_service(&former);
+        if let Some(previous) = self.planner_link.session.replace(session) {
+            event_loop.abort(previous.connection);
+            self.planner_link.close_service_session(&previous);
         }
         self.session_count += 1;
-        self.reporter.discard(&mut self.proxy, event_loop.now());
+        self.reporter.discard_counts(&mut self.proxy, event_loop.now());
         self.write_planner(event_loop);
     }
 
-    /// When a session is to be replaced, in seconds since 1970; `None` without identities that end.
+    /// When to replace a session, in seconds since 1970; `None` if the proxy has no identity, which would expire.
     fn session_renewal_time(&self, planner: &CertificateHolder) -> Option<i64> {
-        let own_end = self.tls.own_identity()?.not_after;
-        let end = planner.identity.as_ref().map_or(own_end, |identity| own_end.min(identity.expires_at));
+        let own_expiry = self.tls.own_identity()?.not_after;
+        let expiry =
+            planner.identity.as_ref().map_or(own_expiry, |identity| own_expiry.min(identity.expires_at));
         let now = wall_seconds();
-        Some(now + ((end - now) * RENEW_AFTER_THIRDS / 3).max(MIN_SESSION_SECONDS))
+        Some(now + ((expiry - now) * RENEW_AFTER_THIRDS / 3).max(MIN_SESSION_SECONDS))
     }
 
-    /// Opens the protocol's side of a session; `planner` is the name of its certificate.
+    /// Creates the protocol state of a session; `planner` is the name in the planner's certificate. `None` if the
+    /// NETCONF service accepts no further session.
     fn open_protocol(&mut self, now: Duration, planner: &str) -> Option<PlannerProtocol> {
         let format = match self.settings.table_delivery {
             TableDelivery::Edits => {
@@ -152,21 +158,25 @@
         event_loop.write(session.connection, &bytes);
     }
 
-    /// Loads certificates that changed, and ends a session that is no longer trusted.
+    /// Reloads certificates that changed, and ends a session whose planner is no longer trusted.
     pub(super) fn check_certificates(&mut self, event_loop: &mut EventLoop) {
-        let were_renewed = self.tls.reload().unwrap_or_else(|error| {
-            tracing::error!(forwarder = %self.settings.name, why = %error, "new certificates cannot be used");
+        let were_reloaded = self.tls.reload().unwrap_or_else(|error| {
+            tracing::error!(
+                forwarder = %self.settings.name,
+                why = %error,
+                "new certificates cannot be used: the previous ones stay in force"
+            );
             false
         });
-        self.end_untrusted_session(event_loop, were_renewed);
+        self.end_untrusted_session(event_loop, were_reloaded);
     }
 
-    /// Ends the session if its planner's identity has ended, or, after a renewal, if its certificate is no longer
-    /// trusted: nothing that comes from then on is applied.
-    pub(super) fn end_untrusted_session(&mut self, event_loop: &mut EventLoop, were_renewed: bool) -> bool {
+    /// Ends the session if its planner's identity has expired or, after a reload, its certificate is no longer trusted:
+    /// nothing that arrives from then on is applied. Returns whether it ended the session.
+    pub(super) fn end_untrusted_session(&mut self, event_loop: &mut EventLoop, were_reloaded: bool) -> bool {
         let Some(session) = &self.planner_link.session else { return false };
-        let has_ended = session.holder.has_expired(wall_seconds());
-        let is_untrusted = has_ended || (were_renewed && !self.tls.still_trusts(&session.certificate));
+        let has_expired = session.holder.has_expired(wall_seconds());
+        let is_untrusted = has_expired || (were_reloaded && !self.tls.still_trusts(&session.certificate));
         if is_untrusted {
             let name = &self.settings.name;
             tracing::warn!(forwarder = %name, "the planner's identity has ended, or is no longer trusted");
@@ -175,7 +185,7 @@
         is_untrusted
     }
 
-    /// A connection to a planner closed, if this was one.
+    /// Handles the close of a connection, if it was one to a planner.
     pub(super) fn planner_closed(&mut self, now: Duration, connection: ConnectionId, reason: CloseReason) {
         let name = &self.settings.name;
         let link = &mut self.planner_link;
--- a/crates/daemon/src/proxy_runtime/reports.rs
+++ b/crates/daemon/src/proxy_runtime/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the planner: attempts and arrivals since the last report.
+//! Reports to the planner about attempts and arrivals since the last report.
 
 use super::planner_link::PlannerProtocol;
 use super::ProxyRuntime;
@@ -9,17 +9,17 @@
 use runloom_proxy::Proxy;
 use std::time::Duration;
 
-/// Shortest window of a report.
+/// Shortest time that a report covers: rates are computed by dividing by it.
 const MIN_REPORT_WINDOW: Duration = Duration::from_millis(1);
-/// The arrival rate is averaged over about this many seconds.
+/// Time constant of the arrival rate's moving average, in seconds.
 const ARRIVAL_RATE_SECONDS: f64 = 10.0;
 
-/// When the next report is due, and the arrival rate.
+/// Schedules reports, and averages the arrival rate.
 pub(super) struct Reporter {
     interval: Duration,
     due_at: Duration,
     last_report_at: Duration,
-    /// Requests a second.
+    /// Requests per second, averaged; 0 before the first report.
     arrival_rate: f64,
 }
 
@@ -32,13 +32,13 @@
         self.due_at
     }
 
-    /// Requests a second, averaged.
+    /// Requests per second, averaged; 0 before the first report.
     pub(super) fn arrival_rate(&self) -> f64 {
         self.arrival_rate
     }
 
-    /// Drops what was counted while no planner was connected: it is out of date.
-    pub(super) fn discard(&mut self, proxy: &mut Proxy, now: Duration) {
+    /// Discards the counts from the time without a planner: they are out of date.
+    pub(super) fn discard_counts(&mut self, proxy: &mut Proxy, now: Duration) {
         proxy.take_report(Duration::ZERO);
         self.last_report_at = now;
     }
@@ -61,8 +61,8 @@
 }
 
 impl ProxyRuntime {
-    /// Reports to the planner, if a report is due. Where the planner has not confirmed the last ones yet, the counts
-    /// stay for the next report.
+    /// Sends a report to the planner, if one is due. If the planner has not acknowledged earlier ones yet, the counts
+    /// are kept for the next report.
     pub(super) fn send_due_report(&mut self, event_loop: &mut EventLoop, now: Duration) {
         if now < self.reporter.due_at {
             return;
--- a/crates/daemon/src/proxy_runtime/requests.rs
+++ b/crates/daemon/src/proxy_runtime/requests.rs
@@ -1,14 +1,14 @@
-//! Requests in flight: the client that waits for each, the connection that serves it, and its deadline.
+//! Requests in flight: for each, the client's connection, the connection of the current attempt, and the deadline.
 
 use runloom_event_loop::ConnectionId;
 use runloom_proxy::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A request that was sent and not answered yet.
+/// A request that was admitted and not answered yet.
 pub(super) struct RequestInFlight {
     pub(super) client: ConnectionId,
-    /// The request as it is written to an endpoint, kept for retries.
+    /// The serialized request, kept for retries.
     pub(super) message: Vec<u8>,
     /// The connection of the current attempt.
     pub(super) upstream: Option<ConnectionId>,
@@ -58,7 +58,7 @@
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Returns a request whose deadline has passed; it stays in flight until it is removed.
+    /// Returns a request whose deadline has passed, once. It stays in flight until it is removed.
     pub(super) fn pop_expired(&mut self, now: Duration) -> Option<RequestId> {
         let &(deadline, id) = self.deadlines.first()?;
         if deadline > now {
--- a/crates/daemon/src/proxy_runtime/table_delivery.rs
+++ b/crates/daemon/src/proxy_runtime/table_delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of route tables on a planner's session: by NETCONF edits, or by MQTT subscription.
+//! Receives route tables on a planner's session, as NETCONF edits or over an MQTT subscription.
 
 use super::datastore::count_entries;
 use super::planner_link::{PlannerLink, PlannerProtocol};
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 impl ProxyRuntime {
-    /// Bytes came on the planner's session.
-    pub(super) fn planner_bytes(&mut self, event_loop: &mut EventLoop, bytes: &[u8]) {
+    /// Handles bytes received on the planner's session, or keeps them while a test makes the proxy unresponsive.
+    pub(super) fn planner_bytes_received(&mut self, event_loop: &mut EventLoop, bytes: &[u8]) {
         if !self.planner_link.is_unresponsive {
             return self.read_planner(event_loop, bytes);
         }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// What `<get>` returns.
+    /// The operational state that `<get>` returns.
     fn operational_state(&self) -> Element {
         Element::new(PROXY, "proxy")
             .with_leaf("name", &self.settings.name)
@@ -105,7 +105,7 @@
         self.write_mqtt(event_loop);
     }
 
-    /// Applies a part of a published update. False: it cannot be used, and the planner is to send a snapshot.
+    /// Applies a part of a published update. Returns false if it cannot be used and the planner has to send a snapshot.
     fn apply_part(&mut self, part: &UpdatePart) -> bool {
         let reader = &mut self.planner_link.published;
         let version = match reader.read(part) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Runs the MQTT session's timers that are due.
+    /// Handles the MQTT session's timers that are due.
     pub(super) fn run_session_timers(&mut self, event_loop: &mut EventLoop, now: Duration) {
         let Some(client) = self.planner_link.mqtt_client_mut() else { return };
         if client.next_wakeup().is_some_and(|at| now >= at) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Writes what the MQTT client has to send, and ends the session if the client ended it.
+    /// Writes the MQTT client's output, and aborts the session if the client has ended it.
     fn write_mqtt(&mut self, event_loop: &mut EventLoop) {
         self.write_planner(event_loop);
         let end = self.planner_link.mqtt_client().and_then(Client::end);
--- a/crates/daemon/src/proxy_runtime/upstream_connections.rs
+++ b/crates/daemon/src/proxy_runtime/upstream_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: attempts are sent, responses read, and connections kept for the next request.
+//! Connections to endpoints: sends attempts, reads responses, and keeps idle connections for later requests.
 
 use super::ProxyRuntime;
 use crate::http::{serialize_response, Message, MessageReader};
@@ -8,15 +8,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Idle connections kept open to one endpoint.
+/// Most idle connections to keep open to one endpoint.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// A connection that is not established within this time has failed.
+/// Time within which a connection has to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// An idle connection is closed after this time.
+/// A connection is closed after this time without receiving a byte.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Status of an endpoint that does not start on a request, if it says so in [`REJECTED_HEADER`].
+/// Status with which an endpoint rejects a request, if the response has [`REJECTED_HEADER`].
 const STATUS_UNAVAILABLE: u16 = 503;
-/// Response header of an endpoint that did not start on the request.
+/// Response header of an endpoint that rejected the request without starting to process it.
 const REJECTED_HEADER: &str = "runloom-turned-away";
 /// Response header with an endpoint's load report.
 const LOAD_HEADER: &str = "runloom-load";
@@ -25,6 +25,7 @@
 struct UpstreamConnection {
     address: SocketAddr,
     reader: MessageReader,
+    /// The request that it serves; `None` while it is idle.
     request: Option<RequestId>,
     is_established: bool,
     dialed_at: Duration,
@@ -42,13 +43,13 @@
         self.connections.contains_key(&connection)
     }
 
-    /// When the oldest connection attempt times out.
+    /// When the first of the connections that are not established yet times out.
     pub(super) fn next_connect_timeout(&self) -> Option<Duration> {
         let connecting = self.connections.values().filter(|upstream| !upstream.is_established);
         connecting.map(|upstream| upstream.dialed_at + CONNECT_TIMEOUT).min()
     }
 
-    /// Connections that were not established in time.
+    /// Connections that were not established within [`CONNECT_TIMEOUT`].
     fn stalled(&self, now: Duration) -> Vec<ConnectionId> {
         let is_stalled = |upstream: &UpstreamConnection| {
             !upstream.is_established && now >= upstream.dialed_at + CONNECT_TIMEOUT
@@ -76,7 +77,7 @@
         self.connections.get(&connection).and_then(|upstream| upstream.request)
     }
 
-    /// Keeps a connection for the next request. False: there are enough.
+    /// Keeps a connection for a later request. Returns false if there are enough idle connections.
     fn keep_idle(&mut self, connection: ConnectionId, address: SocketAddr) -> bool {
         let idle = self.idle.entry(address).or_default();
         let is_kept = idle.len() < MAX_IDLE_CONNECTIONS;
@@ -95,7 +96,7 @@
     }
 }
 
-/// What an endpoint's response says of the attempt.
+/// The outcome of an attempt that was answered with this response.
 fn response_outcome(response: &Message) -> AttemptOutcome {
     let load = response.numbers(LOAD_HEADER);
     match response.code {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Returns `None` if no socket can be opened; nothing was written then.
+    /// Dials an endpoint. `None`: no socket could be opened, and nothing was written.
     fn dial_upstream(&mut self, event_loop: &mut EventLoop, address: SocketAddr) -> Option<ConnectionId> {
         let limits = BufferLimits {
             idle_timeout: Some(IDLE_TIMEOUT),
@@ -158,7 +159,7 @@
     ) {
         let Some(upstream) = self.upstreams.connections.get_mut(&connection) else { return };
         let Some(id) = upstream.request else {
-            // Whatever comes without a request would be taken for the next request's response.
+            // Unsolicited bytes would be taken for the response to the next request.
             return self.close_upstream(event_loop, connection);
         };
         upstream.reader.push(bytes);
@@ -190,7 +191,8 @@
         self.attempt_ended(event_loop, id, response_outcome(response), Some(message));
     }
 
-    /// Goes on with a request whose attempt ended; `response` is the endpoint's, if it sent one.
+    /// Handles the end of an attempt: retries the request, responds to it or rejects it. `response` is the endpoint's,
+    /// if it sent one.
     fn attempt_ended(
         &mut self,
         event_loop: &mut EventLoop,
@@ -217,11 +219,11 @@
         }
     }
 
-    /// A connection to an endpoint closed.
+    /// Handles the close of a connection to an endpoint, which ends the attempt on it.
     pub(super) fn upstream_closed(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         let Some(upstream) = self.upstreams.remove(connection) else { return };
         let Some(id) = upstream.request else { return };
-        // A connection that was never established carried nothing; an established one may have carried all of it.
+        // Without an established connection nothing was sent; on an established one the whole request may have been.
         let outcome = match upstream.is_established {
             true => AttemptOutcome::ClosedAfterWrite,
             false => AttemptOutcome::ConnectionFailed,
@@ -229,7 +231,7 @@
         self.attempt_ended(event_loop, id, outcome, None);
     }
 
-    /// Gives up a request whose client went away or whose deadline passed. Returns the client's connection.
+    /// Cancels a request whose client disconnected or whose deadline passed. Returns the client's connection.
     pub(super) fn cancel_request(
         &mut self,
         event_loop: &mut EventLoop,
@@ -240,7 +242,7 @@
         let request = request?;
         let serving = request.upstream.filter(|connection| self.upstreams.request(*connection) == Some(id));
         if let Some(connection) = serving {
-            // Its response would be taken for the next request's.
+            // Its response would be taken for the response to the next request.
             self.close_upstream(event_loop, connection);
         }
         Some(request.client)
@@ -256,7 +258,7 @@
     }
 
     /// Closes connections to endpoints that were not established in time.
-    pub(super) fn expire_connects(&mut self, event_loop: &mut EventLoop, now: Duration) {
+    pub(super) fn close_stalled_upstreams(&mut self, event_loop: &mut EventLoop, now: Duration) {
         for connection in self.upstreams.stalled(now) {
             event_loop.abort(connection);
             self.connection_closed(event_loop, connection, CloseReason::Slow);
