--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -90,7 +90,11 @@
         let description = reply.child("data").and_then(|data| data.child("proxy")).unwrap_or(&empty);
         let name = description.text_of("name").unwrap_or_default();
         if name != self.holder.name {
-            tracing::warn!(holder = %self.holder.name, name, "connection rejected: the proxy's name is not that of its certificate");
+            tracing::warn!(
+                holder = %self.holder.name,
+                name,
+                "connection rejected: the proxy's name is not that of its certificate"
+            );
             return ProxyEvent::Disconnect(CloseReason::Untrusted);
         }
         let rate = description.text_of("rate").and_then(|rate| rate.parse().ok());
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -71,7 +71,7 @@
             record_delivery(core);
             record_edits(core);
             record_times(core, event_loop);
-            record_decisions(core);
+            record_rejections_and_servers(core);
         });
         self.handle.render()
     }
@@ -122,7 +122,7 @@
     gauge("runloom_turn_seconds_max", event_loop.iteration_micros.max() as f64 / MICROS_PER_SECOND);
 }
 
-fn record_decisions(core: &PlannerCore) {
+fn record_rejections_and_servers(core: &PlannerCore) {
     for (reason, count) in core.control.guard().rejection_counts() {
         metrics::counter!("runloom_refused_total", "reason" => *reason).absolute(*count);
     }
--- a/crates/daemon/src/planner_runtime/proxy_session.rs
+++ b/crates/daemon/src/planner_runtime/proxy_session.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether a further message may be sent now. Otherwise the next one is sent after the proxy's next acknowledgement.
+    /// Whether a further message may be sent now. Otherwise it is sent after the proxy's next acknowledgement.
     pub(super) fn can_send(&self) -> bool {
         match self {
             ProxySession::CallHome(_) => true,
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Ends a connection whose proxy has opened another one; a subscriber is told so first.
+    /// Ends a connection whose proxy has opened another one. A subscriber is sent the reason first.
     fn take_over(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         if let Some(ProxySession::Subscriber(mut subscriber)) = self.sessions.remove(&connection) {
             tracing::warn!(proxy = %subscriber.holder.name, "another connection of this proxy took over");
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The configuration as it was last passed to the controller.
+/// The servers as last passed to the controller, and what it takes to restart it with another configuration.
 pub(super) struct Reconfiguration {
     inventory: Inventory,
     files: StateFile,
--- a/crates/daemon/src/proxy_runtime/planner_link.rs
+++ b/crates/daemon/src/proxy_runtime/planner_link.rs
@@ -150,6 +150,7 @@
         }
     }
 
+    /// Ends the state of a session whose connection is gone, and schedules a dial of the next planner.
     pub(super) fn session_lost(&mut self, now: Duration, session: &PlannerSession) {
         self.close_service_session(session);
         self.published.end_session();
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -149,6 +149,7 @@
         Some(PlannerProtocol::Mqtt(Box::new(client)))
     }
 
+    /// Writes the output of the current session, if there is one.
     pub(super) fn write_planner(&mut self, event_loop: &mut EventLoop) {
         let Some(session) = &mut self.planner_link.session else { return };
         let bytes = match &mut session.protocol {
