--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -8,31 +8,32 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Operators' sessions that send nothing for this long are closed.
+/// An operator's session that sends nothing for this long is closed.
 const OPERATOR_IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
 const MAX_OPERATOR_CONNECTIONS: usize = 64;
-/// A proxy that called home and is silent for this many report periods is gone, and at least this time.
+/// A proxy that called home is disconnected after this many report periods without a byte.
 const SILENT_REPORT_PERIODS: u32 = 4;
+/// Shortest idle timeout of a proxy that called home, however short its report period is.
 const MIN_PROXY_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes that may wait to be read by a subscriber: its window of update parts.
+/// Unsent bytes that a subscriber's connection may buffer: its window of update parts.
 const SUBSCRIBER_BUFFER_BYTES: usize = 4 << 20;
 const METRICS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_METRICS_CONNECTIONS: usize = 16;
 
-/// Where a planner can be reached; a port that the settings give as 0 is the one that the system chose.
+/// The addresses at which a planner listens. For port 0 in the settings they have the port that the system chose.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenAddresses {
     /// NETCONF sessions of operators.
-    pub edits: SocketAddr,
+    pub operators: SocketAddr,
     /// Proxies that call home.
-    pub home: SocketAddr,
-    /// Proxies that subscribe.
-    pub pubsub: Option<SocketAddr>,
-    /// Metrics over HTTP.
+    pub call_home: SocketAddr,
+    /// Proxies that subscribe; `None` if the settings name no address.
+    pub subscribers: Option<SocketAddr>,
+    /// Metrics over HTTP; `None` if the settings name no address.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Which service a connection belongs to, by the listener that accepted it.
+/// The service of a listener and of the connections that it accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListenerKind {
     Operators,
@@ -52,7 +53,7 @@
 }
 
 impl Listeners {
-    /// Opens all listeners that the settings name.
+    /// Opens the listeners of all addresses in the settings.
     pub(super) fn open(
         event_loop: &mut EventLoop,
         settings: &PlannerSettings,
@@ -62,27 +63,32 @@
         let server_tls = Security::TlsServer(tls.server_config.clone());
         // RFC 8071: the side that calls home is the NETCONF server, and this side starts TLS.
         let client_tls = Security::TlsClient(tls.client_config.clone(), server_name(PROXY));
-        let (operators, edits) =
+        let (operators, operators_address) =
             event_loop.listen(settings.operator_address, server_tls.clone(), operator_limits())?;
-        let (call_home, home) =
+        let (call_home, call_home_address) =
             event_loop.listen(settings.call_home_address, client_tls, call_home_limits(fleet))?;
         let mut listen_if_set = |address: Option<SocketAddr>, security: Security, limits: BufferLimits| {
             address.map(|address| event_loop.listen(address, security, limits)).transpose()
         };
         let subscribers = listen_if_set(settings.subscription_address, server_tls, subscriber_limits())?;
         let metrics = listen_if_set(settings.metrics_address, Security::Plain, metrics_limits())?;
-        let pubsub_address = subscribers.map(|(_, address)| address);
+        let subscribers_address = subscribers.map(|(_, address)| address);
         let metrics_address = metrics.map(|(_, address)| address);
         Ok(Listeners {
             operators,
             call_home,
             subscribers: subscribers.map(|(listener, _)| listener),
             metrics: metrics.map(|(listener, _)| listener),
-            addresses: ListenAddresses { edits, home, pubsub: pubsub_address, metrics: metrics_address },
+            addresses: ListenAddresses {
+                operators: operators_address,
+                call_home: call_home_address,
+                subscribers: subscribers_address,
+                metrics: metrics_address,
+            },
         })
     }
 
-    /// The service behind a listener.
+    /// The service of a listener; `None` if it is none of these.
     pub(super) fn kind(&self, listener: ConnectionId) -> Option<ListenerKind> {
         if Some(listener) == self.metrics {
             Some(ListenerKind::Metrics)
@@ -106,13 +112,13 @@
     }
 }
 
-/// A proxy that called home reports in each period.
+/// A proxy that called home sends a report in each period, so its silence shows that it is gone.
 fn call_home_limits(fleet: &Fleet) -> BufferLimits {
     let idle_timeout = (fleet.report_period * SILENT_REPORT_PERIODS).max(MIN_PROXY_IDLE_TIMEOUT);
     BufferLimits { idle_timeout: Some(idle_timeout), ..BufferLimits::default() }
 }
 
-/// MQTT has its own keep-alive.
+/// No idle timeout: MQTT has its own keep-alive.
 fn subscriber_limits() -> BufferLimits {
     BufferLimits { max_unsent_bytes: SUBSCRIBER_BUFFER_BYTES, ..BufferLimits::default() }
 }
--- a/crates/daemon/src/planner_runtime/metrics_endpoint.rs
+++ b/crates/daemon/src/planner_runtime/metrics_endpoint.rs
@@ -1,4 +1,4 @@
-//! The metrics in Prometheus' text format, over plain HTTP.
+//! Serves metrics in Prometheus' text format over plain HTTP.
 
 use super::core::PlannerCore;
 use crate::http::{serialize_response, MessageReader};
@@ -12,7 +12,7 @@
 const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Clients that read the metrics, and the recorder that renders them.
+/// Connections of clients that read the metrics, and the recorder that renders them.
 pub(super) struct MetricsEndpoint {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
@@ -42,7 +42,7 @@
         self.clients.remove(&connection);
     }
 
-    /// Answers one request, and closes the connection.
+    /// Responds to one request, and closes the connection.
     pub(super) fn handle_bytes(
         &mut self,
         core: &PlannerCore,
@@ -71,7 +71,7 @@
             record_delivery(core);
             record_edits(core);
             record_times(core, event_loop);
-            record_decisions(core);
+            record_rejections_and_servers(core);
         });
         self.handle.render()
     }
@@ -122,7 +122,7 @@
     gauge("runloom_turn_seconds_max", event_loop.iteration_micros.max() as f64 / MICROS_PER_SECOND);
 }
 
-fn record_decisions(core: &PlannerCore) {
+fn record_rejections_and_servers(core: &PlannerCore) {
     for (reason, count) in core.control.guard().rejection_counts() {
         metrics::counter!("runloom_refused_total", "reason" => *reason).absolute(*count);
     }
