--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,6 +1,6 @@
 //! A NETCONF client: one session with a planner, operations one after the other, replies waited for.
 
-use crate::tls_credentials::{server_name, TlsPolicy, PLANNER};
+use crate::tls_credentials::{server_name, TlsPolicy, PLANNER_DNS_NAME};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
@@ -43,7 +43,7 @@
     /// Connects to a planner, and waits until the session is open.
     pub fn open(address: SocketAddr, tls: &TlsPolicy, timeout: Duration) -> Result<Client, ClientError> {
         let mut event_loop = EventLoop::new()?;
-        let security = Security::TlsClient(tls.client_config.clone(), server_name(PLANNER));
+        let security = Security::TlsClient(tls.client_config.clone(), server_name(PLANNER_DNS_NAME));
         let connection = event_loop.dial(address, &security, BufferLimits::default())?;
         let mut client = Client {
             event_loop,
@@ -118,7 +118,7 @@
     }
 
     /// Waits for the reply to a message; an `<rpc-error>` is an error.
-    pub fn reply(&mut self, id: &str) -> Result<Element, ClientError> {
+    pub fn wait_for_reply(&mut self, id: &str) -> Result<Element, ClientError> {
         let reply = self.wait_for(|event| match event {
             SessionEvent::Reply { message_id, reply } if message_id == id => Some(reply.clone()),
             _ => None,
@@ -130,24 +130,27 @@
     }
 
     /// Sends an operation, and waits for its reply.
-    pub fn ask(&mut self, operation: Element, edit_id: Option<&str>) -> Result<Element, ClientError> {
+    pub fn call(&mut self, operation: Element, edit_id: Option<&str>) -> Result<Element, ClientError> {
         let message_id = self.send(operation, edit_id);
-        self.reply(&message_id)
+        self.wait_for_reply(&message_id)
     }
 
     /// `<edit-config>` on the running datastore.
     pub fn edit(&mut self, config: Element, edit_id: Option<&str>) -> Result<Element, ClientError> {
-        self.ask(edit_config("running", config), edit_id)
+        self.call(edit_config("running", config), edit_id)
     }
 
     /// `<get>` with a subtree filter.
     pub fn get(&mut self, filter: Element) -> Result<Element, ClientError> {
         let filter = Element::new(BASE, "filter").with(filter);
-        self.ask(Element::new(BASE, "get").with(filter), None)
+        self.call(Element::new(BASE, "get").with(filter), None)
     }
 
     /// Waits for a notification that `is_wanted` accepts.
-    pub fn notice(&mut self, is_wanted: impl Fn(&Element) -> bool) -> Result<Element, ClientError> {
+    pub fn wait_for_notification(
+        &mut self,
+        is_wanted: impl Fn(&Element) -> bool,
+    ) -> Result<Element, ClientError> {
         if let Some(index) = self.notifications.iter().position(&is_wanted) {
             return Ok(self.notifications.remove(index).unwrap_or_default());
         }
@@ -166,7 +169,7 @@
 
     /// Closes the session in order.
     pub fn close(mut self) -> Result<(), ClientError> {
-        self.ask(Element::new(BASE, "close-session"), None).map(|_| ())
+        self.call(Element::new(BASE, "close-session"), None).map(|_| ())
     }
 }
 
--- a/crates/daemon/src/commands/edit.rs
+++ b/crates/daemon/src/commands/edit.rs
@@ -83,11 +83,11 @@
     let config = change.config()?;
     let mut client = connection.open()?;
     if is_waiting {
-        client.ask(Element::new(NOTIFY, "create-subscription"), None)?;
+        client.call(Element::new(NOTIFY, "create-subscription"), None)?;
     }
     let id = id.or_else(|| is_waiting.then(|| format!("{}-{}", std::process::id(), wall_ms())));
     let id = id.as_deref();
-    client.ask(edit_config("running", config), id).map_err(|error| edit_error(error, id))?;
+    client.call(edit_config("running", config), id).map_err(|error| edit_error(error, id))?;
     println!("accepted{}", id.map(|id| format!(" {id}")).unwrap_or_default());
     if is_waiting {
         let event = wait_until_in_force(&mut client, id)?;
@@ -107,7 +107,7 @@
 
 fn wait_until_in_force(client: &mut Client, id: Option<&str>) -> Result<Element, ClientError> {
     let is_edit = |event: &Element| event.name == "edit-in-force" && event.text_of("id") == id;
-    client.notice(is_edit).or_else(|error| find_in_force(client, id).ok_or(error))
+    client.wait_for_notification(is_edit).or_else(|error| find_in_force(client, id).ok_or(error))
 }
 
 /// The edit in the planner's state, if it is in force there: an edit sent twice is notified only once.
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -12,7 +12,7 @@
 
 /// What a replay changes of the recorded settings.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Alternative {
+pub struct ReplayOverrides {
     /// A file with another `<fleet>`.
     pub fleet: Option<PathBuf>,
     /// Another seed of the random choices.
@@ -31,7 +31,7 @@
     /// Which start of the planner: 0 for the last, 1 for the one before.
     pub starts_back: usize,
     /// What is changed.
-    pub alternative: Alternative,
+    pub overrides: ReplayOverrides,
     /// A file for a page with plots of the comparison.
     pub page: Option<PathBuf>,
     /// Prints JSON.
@@ -52,7 +52,7 @@
 
 /// Replays a recorded day: with its own settings its commands have to be the same, with others they are compared.
 pub fn replay(options: &ReplayOptions) -> Result<(), CommandError> {
-    if options.alternative == Alternative::default() && options.page.is_none() {
+    if options.overrides == ReplayOverrides::default() && options.page.is_none() {
         verify(options)
     } else {
         compare_alternative(options)
@@ -107,7 +107,7 @@
 /// Replays with other settings, and prints how commands and service would have differed.
 fn compare_alternative(options: &ReplayOptions) -> Result<(), CommandError> {
     let entries = read_run(&options.folder, options.starts_back)?;
-    let setting = read_setting(&options.alternative)?;
+    let setting = read_setting(&options.overrides)?;
     let compared = compare(&entries, &setting)?;
     if let Some(file) = &options.page {
         let title = format!("{}, start {}", options.folder.display(), options.starts_back);
@@ -124,8 +124,8 @@
     Ok(())
 }
 
-fn read_setting(alternative: &Alternative) -> Result<WhatIfSettings, CommandError> {
-    let fleet = match &alternative.fleet {
+fn read_setting(overrides: &ReplayOverrides) -> Result<WhatIfSettings, CommandError> {
+    let fleet = match &overrides.fleet {
         Some(file) => {
             let text = std::fs::read_to_string(file).map_err(file_error(file))?;
             Some(runloom_replay::parse_fleet(&text)?)
@@ -134,9 +134,9 @@
     };
     Ok(WhatIfSettings {
         fleet,
-        seed: alternative.seed,
-        is_unguarded: alternative.skip_guard,
-        until: alternative.until,
+        seed: overrides.seed,
+        is_unguarded: overrides.skip_guard,
+        until: overrides.until,
     })
 }
 
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -75,7 +75,7 @@
     unsaved_edit_ids: Vec<String>,
     is_unsaved: bool,
     /// The fleet or the endpoint list has changed since the decisions were told.
-    pub is_list_changed: bool,
+    pub has_unapplied_changes: bool,
     /// The operational state that the next `<get>` returns.
     pub state_reply: Vec<Element>,
     /// Time since the start of the planner.
@@ -123,7 +123,7 @@
             in_flight: None,
             unsaved_edit_ids: vec![],
             is_unsaved: false,
-            is_list_changed: true,
+            has_unapplied_changes: true,
             state_reply: vec![],
             now: Duration::ZERO,
             wall_ms: 0,
@@ -262,7 +262,7 @@
     /// The patch in flight is on disk.
     pub fn patch_written(&mut self) {
         if let Some(InFlightPatch { revision, edit_ids }) = self.in_flight.take() {
-            self.is_list_changed |= revision.fleet != self.persisted.fleet || !edit_ids.is_empty();
+            self.has_unapplied_changes |= revision.fleet != self.persisted.fleet || !edit_ids.is_empty();
             self.edit_history.record_stored(&edit_ids, self.now);
             self.persisted = revision;
         }
@@ -282,7 +282,7 @@
         }
         self.edit_history.remove(&std::mem::take(&mut self.unsaved_edit_ids));
         self.is_unsaved = false;
-        self.is_list_changed = true;
+        self.has_unapplied_changes = true;
         self.unavailable_reason = Some(why);
     }
 
@@ -392,7 +392,7 @@
         if is_durable {
             self.check_available(change)?;
         }
-        self.is_list_changed |= self.endpoints.apply(endpoints);
+        self.has_unapplied_changes |= self.endpoints.apply(endpoints);
         if let Some(fleet) = fleet {
             // The decisions are told once it is on disk.
             self.accepted.fleet = fleet;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -23,7 +23,7 @@
 }
 
 /// The time now in RFC 3339's form.
-pub fn wall_text() -> String {
+pub fn wall_rfc3339() -> String {
     humantime::format_rfc3339_millis(SystemTime::now()).to_string()
 }
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -4,7 +4,7 @@
 use runloom_daemon::commands::connection::ConnectionOptions;
 use runloom_daemon::commands::edit::{self, FleetChange};
 use runloom_daemon::commands::record::{self, RecordView};
-use runloom_daemon::commands::replay::{self, Alternative, ReplayOptions};
+use runloom_daemon::commands::replay::{self, ReplayOptions, ReplayOverrides};
 use runloom_daemon::commands::{check, guard, show, state, CommandError};
 use runloom_daemon::planner_runtime::TestHooks;
 use runloom_daemon::{platform_runtime, run};
@@ -225,7 +225,7 @@
         ReplayOptions {
             folder: arguments.folder,
             starts_back: arguments.starts_back,
-            alternative: Alternative {
+            overrides: ReplayOverrides {
                 fleet: arguments.fleet,
                 seed: arguments.seed,
                 skip_guard: arguments.unguarded,
--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -1,6 +1,6 @@
 //! The addresses at which a planner listens.
 
-use crate::tls_credentials::{server_name, TlsPolicy, PROXY};
+use crate::tls_credentials::{server_name, TlsPolicy, PROXY_DNS_NAME};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
 use runloom_model::fleet::Fleet;
 use runloom_model::planner_settings::PlannerSettings;
@@ -61,7 +61,7 @@
     ) -> io::Result<Listeners> {
         let server_tls = Security::TlsServer(tls.server_config.clone());
         // RFC 8071: the side that calls home is the NETCONF server, and this side starts TLS.
-        let client_tls = Security::TlsClient(tls.client_config.clone(), server_name(PROXY));
+        let client_tls = Security::TlsClient(tls.client_config.clone(), server_name(PROXY_DNS_NAME));
         let (operators, edits) =
             event_loop.listen(settings.operator_address, server_tls.clone(), operator_limits())?;
         let (call_home, home) =
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -4,7 +4,7 @@
 use super::netconf_sessions::NetconfSessions;
 use super::state_report::state_report;
 use crate::tls_credentials::CertificateHolder;
-use crate::wall_text;
+use crate::wall_rfc3339;
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_model::{Schema, YANG};
 use runloom_netconf::service::{Limits, Service, CAPABILITIES};
@@ -129,7 +129,7 @@
     pub(super) fn notify(&mut self, event: &Element) {
         let subscribers = self.service.subscribers(event);
         for operator in self.sessions.values_mut().filter(|operator| subscribers.contains(&operator.id)) {
-            operator.session.notify(&wall_text(), event.clone());
+            operator.session.notify(&wall_rfc3339(), event.clone());
         }
     }
 
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -4,7 +4,7 @@
 use super::durability::Durability;
 use super::event_recording::note_event;
 use super::restore::write_epoch;
-use crate::state_file::StateFile;
+use crate::state_file::StateFiles;
 use runloom_controller::EndpointUpdate;
 use runloom_event_log::RecordedEvent;
 use runloom_inventory::{Change, Inventory};
@@ -15,13 +15,13 @@
 /// What the decisions were told of the configuration.
 pub(super) struct Reconfiguration {
     inventory: Inventory,
-    files: StateFile,
+    files: StateFiles,
     /// Seed of the decisions' random choices; another one after each change.
     seed: u64,
 }
 
 impl Reconfiguration {
-    pub(super) fn new(inventory: Inventory, files: StateFile, seed: u64) -> Reconfiguration {
+    pub(super) fn new(inventory: Inventory, files: StateFiles, seed: u64) -> Reconfiguration {
         Reconfiguration { inventory, files, seed }
     }
 
@@ -32,7 +32,7 @@
 
     /// Tells the decisions of what has changed and is on disk.
     pub(super) fn apply(&mut self, core: &mut PlannerCore, durability: &mut Durability, now: Duration) {
-        if !std::mem::take(&mut core.config.is_list_changed) {
+        if !std::mem::take(&mut core.config.has_unapplied_changes) {
             // An edit that changes nothing is complete without a decision.
             core.config.edit_history.record_decided(now, &BTreeSet::new());
             return;
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -3,7 +3,7 @@
 use crate::config_service::ConfigService;
 use crate::error::StartError;
 use crate::persistence::RestoredState;
-use crate::state_file::StateFile;
+use crate::state_file::StateFiles;
 use crate::wall_ms;
 use runloom_control_session::ServerHint;
 use runloom_inventory::edit_history::{EditHistory, StoredEdit};
@@ -22,7 +22,7 @@
 const LEGACY_ROSTER_FILE: &str = "roster.xml";
 
 /// A number that rises with each start, whatever the clock says. It distinguishes what several starts publish.
-pub(super) fn next_epoch(files: &StateFile) -> io::Result<u64> {
+pub(super) fn next_epoch(files: &StateFiles) -> io::Result<u64> {
     let last = files.read(EPOCH_FILE)?.and_then(|epoch| epoch.text.parse::<u64>().ok()).unwrap_or(0);
     let epoch = wall_ms().max(last + 1);
     write_epoch(files, epoch)?;
@@ -30,12 +30,12 @@
 }
 
 /// Stores the epoch.
-pub(super) fn write_epoch(files: &StateFile, epoch: u64) -> io::Result<()> {
+pub(super) fn write_epoch(files: &StateFiles, epoch: u64) -> io::Result<()> {
     files.write(EPOCH_FILE, &Element::leaf("", "epoch", epoch))
 }
 
 /// Renames files of the first layout, once the present layout holds what they held.
-pub(super) fn set_legacy_files_aside(files: &StateFile) -> io::Result<()> {
+pub(super) fn set_legacy_files_aside(files: &StateFiles) -> io::Result<()> {
     files.set_aside(LEGACY_ACCEPTED_FILE)?;
     files.set_aside(LEGACY_ROSTER_FILE)
 }
@@ -43,7 +43,7 @@
 /// The configuration as it was accepted before this start; without one, that of the settings. Folders of the first
 /// layout are taken over.
 pub(super) fn restore_config(
-    files: &StateFile,
+    files: &StateFiles,
     settings: &PlannerSettings,
     restored: &mut RestoredState,
 ) -> Result<ConfigService, StartError> {
--- a/crates/daemon/src/planner_runtime/startup.rs
+++ b/crates/daemon/src/planner_runtime/startup.rs
@@ -10,7 +10,7 @@
 use crate::config_service::ConfigService;
 use crate::error::StartError;
 use crate::persistence::{PersistenceWorker, RestoredState};
-use crate::state_file::StateFile;
+use crate::state_file::StateFiles;
 use crate::tls_credentials::TlsPolicy;
 use crate::wall_ms;
 use runloom_control_session::ControlSession;
@@ -32,7 +32,7 @@
 
 /// The state folder, opened.
 struct OpenedState {
-    files: StateFile,
+    files: StateFiles,
     worker: PersistenceWorker,
     restored: RestoredState,
     config: ConfigService,
@@ -44,7 +44,7 @@
     settings: &PlannerSettings,
     seed: u64,
 ) -> Result<StartedParts, StartError> {
-    let files = StateFile::open(&settings.state_folder)?;
+    let files = StateFiles::open(&settings.state_folder)?;
     let tls = TlsPolicy::load(&settings.tls)?;
     let OpenedState { files, worker, restored, config } = open_state(event_loop, files, settings)?;
     let listeners = Listeners::open(event_loop, settings, config.fleet(), &tls)?;
@@ -81,7 +81,7 @@
 /// Opens the state folder, and the configuration that it holds.
 fn open_state(
     event_loop: &EventLoop,
-    files: StateFile,
+    files: StateFiles,
     settings: &PlannerSettings,
 ) -> Result<OpenedState, StartError> {
     let (opened, mut restored) = PersistenceWorker::open(&settings.state_folder)?;
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -15,7 +15,7 @@
 
 pub use error::ProxyStartError;
 
-use crate::tls_credentials::{server_name, TlsPolicy, PLANNER};
+use crate::tls_credentials::{server_name, TlsPolicy, PLANNER_DNS_NAME};
 use crate::{earliest, wall_ms};
 use client_connections::ClientConnection;
 use planner_link::PlannerLink;
@@ -270,7 +270,7 @@
     match settings.table_delivery {
         TableDelivery::Edits => Security::TlsServer(tls.server_config.clone()),
         TableDelivery::Weights | TableDelivery::Subsets => {
-            Security::TlsClient(tls.client_config.clone(), server_name(PLANNER))
+            Security::TlsClient(tls.client_config.clone(), server_name(PLANNER_DNS_NAME))
         }
     }
 }
--- a/crates/daemon/src/proxy_runtime/reports.rs
+++ b/crates/daemon/src/proxy_runtime/reports.rs
@@ -2,7 +2,7 @@
 
 use super::planner_link::PlannerProtocol;
 use super::ProxyRuntime;
-use crate::wall_text;
+use crate::wall_rfc3339;
 use runloom_event_loop::EventLoop;
 use runloom_model::report::Report;
 use runloom_mqtt::report;
@@ -86,7 +86,7 @@
                     return;
                 }
                 if let Some(PlannerProtocol::Netconf { session, .. }) = self.planner_link.protocol_mut() {
-                    session.notify(&wall_text(), event);
+                    session.notify(&wall_rfc3339(), event);
                 }
             }
             Some(PlannerProtocol::Mqtt(client)) if client.is_connected() => {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -22,7 +22,7 @@
     /// A proxy's.
     Proxy(Box<ProxySettings>),
     /// A part on its own: valid, but nothing can be started with it. The name of its element.
-    Part(String),
+    Fragment(String),
 }
 
 /// One fault of a settings file.
@@ -88,7 +88,7 @@
     let settings = match root.name.as_str() {
         "planner" => PlannerSettings::read(&root).map(|settings| Settings::Planner(Box::new(settings))),
         "forwarder" => ProxySettings::read(&root).map(|settings| Settings::Proxy(Box::new(settings))),
-        part => Ok(Settings::Part(part.to_string())),
+        part => Ok(Settings::Fragment(part.to_string())),
     };
     settings.map_err(|invalid| vec![locate(&text, invalid)])
 }
--- a/crates/daemon/src/state_file.rs
+++ b/crates/daemon/src/state_file.rs
@@ -7,15 +7,15 @@
 use std::path::{Path, PathBuf};
 
 /// A folder of small XML files.
-pub struct StateFile {
+pub struct StateFiles {
     folder: PathBuf,
 }
 
-impl StateFile {
+impl StateFiles {
     /// Opens the folder, which is created if it does not exist.
-    pub fn open(folder: &Path) -> io::Result<StateFile> {
+    pub fn open(folder: &Path) -> io::Result<StateFiles> {
         fs::create_dir_all(folder)?;
-        Ok(StateFile { folder: folder.to_path_buf() })
+        Ok(StateFiles { folder: folder.to_path_buf() })
     }
 
     /// Writes a file. Once this returns, the content survives a power failure.
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -25,9 +25,9 @@
 use x509_parser::extensions::GeneralName;
 
 /// DNS name of the role of planners.
-pub const PLANNER: &str = "planner.runloom";
+pub const PLANNER_DNS_NAME: &str = "planner.runloom";
 /// DNS name of the role of proxies.
-pub const PROXY: &str = "proxy.runloom";
+pub const PROXY_DNS_NAME: &str = "proxy.runloom";
 
 /// Configurations for both ends of mutual TLS 1.3, with credentials that follow their files.
 #[derive(Clone)]
@@ -170,8 +170,8 @@
         let mut holder = CertificateHolder::default();
         for name in &names.value.general_names {
             match name {
-                GeneralName::DNSName(PLANNER) => holder.is_planner = true,
-                GeneralName::DNSName(PROXY) => holder.is_proxy = true,
+                GeneralName::DNSName(PLANNER_DNS_NAME) => holder.is_planner = true,
+                GeneralName::DNSName(PROXY_DNS_NAME) => holder.is_proxy = true,
                 GeneralName::DNSName(name) if holder.name.is_empty() => holder.name = name.to_string(),
                 _ => {}
             }
--- a/crates/testbed/src/benchmarks/proxy_overhead.rs
+++ b/crates/testbed/src/benchmarks/proxy_overhead.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use runloom_daemon::proxy_runtime::ProxyRuntime;
-use runloom_daemon::tls_credentials::PROXY;
+use runloom_daemon::tls_credentials::PROXY_DNS_NAME;
 use runloom_event_loop::{EventLoop, IoEvent};
 use runloom_model::proxy_settings::ProxySettings;
 use runloom_model::tls_files::TlsFiles;
@@ -30,7 +30,7 @@
 
 /// Median and 99th percentile without and with the proxy, and their differences.
 pub(super) fn measure(folder: &Path) -> BenchmarkResult {
-    let credentials = Issuer::new(folder)?.issue("f0", Some(PROXY))?;
+    let credentials = Issuer::new(folder)?.issue("f0", Some(PROXY_DNS_NAME))?;
     let mut event_loop = EventLoop::new().map_err(|e| e.to_string())?;
     let mut servers = FakeServers::new(CAPACITY);
     for _ in 0..SERVER_COUNT {
--- a/crates/testbed/src/management_clients.rs
+++ b/crates/testbed/src/management_clients.rs
@@ -308,7 +308,7 @@
         client.send(operation, Some(&edit.id));
         return Err(ClientError::Ended("dropped on purpose".into()));
     }
-    client.ask(operation, Some(&edit.id))?;
+    client.call(operation, Some(&edit.id))?;
     let at = planner.epoch.elapsed();
     outcome.accepted = Some(at);
     if let Some((server, is_draining)) = &edit.drain {
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -186,7 +186,7 @@
 
     /// Writes a line between those of the process, so that a failure can be followed.
     fn note(&self, text: &str) {
-        let line = format!("{} SOAK {text}\n", runloom_daemon::wall_text());
+        let line = format!("{} SOAK {text}\n", runloom_daemon::wall_rfc3339());
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log);
         let _ = log.and_then(|mut log| log.write_all(line.as_bytes()));
     }
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -13,7 +13,7 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use runloom_daemon::proxy_runtime::ProxyRuntime;
-use runloom_daemon::tls_credentials::{PLANNER, PROXY};
+use runloom_daemon::tls_credentials::{PLANNER_DNS_NAME, PROXY_DNS_NAME};
 use runloom_event_loop::EventLoop;
 use runloom_identity::access::{AccessRule, Permission, Principal};
 use runloom_model::proxy_settings::{ProxySettings, TableDelivery};
@@ -190,7 +190,7 @@
 
     fn start_planners(&mut self) -> Result<(), String> {
         for planner in 0..self.scenario.planner_count {
-            let credentials = self.component_credentials(&planner_name(planner), PLANNER)?;
+            let credentials = self.component_credentials(&planner_name(planner), PLANNER_DNS_NAME)?;
             // Set here, so that a restarted planner listens where it did before.
             let addresses = PlannerAddresses::reserve().map_err(|e| e.to_string())?;
             let settings = self.planner_settings_xml(planner, &credentials, &addresses);
@@ -234,7 +234,7 @@
         let local_servers = self.servers.all.iter().filter(|server| server.zone == zone);
         let bootstrap_servers = local_servers.take(BOOTSTRAP_SERVER_COUNT);
         Ok(ProxySettings {
-            tls: self.component_credentials(&name, PROXY)?,
+            tls: self.component_credentials(&name, PROXY_DNS_NAME)?,
             name,
             static_servers: bootstrap_servers.map(|server| (server.name.clone(), server.address)).collect(),
             zone,
--- a/crates/testbed/tests/access_control.rs
+++ b/crates/testbed/tests/access_control.rs
@@ -9,7 +9,7 @@
 use help::PlannerWithOperator;
 use rcgen::CertificateParams;
 use runloom_daemon::client::{edit_config, Client};
-use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
+use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER_DNS_NAME, PROXY_DNS_NAME};
 use runloom_event_loop::{BufferLimits, EventLoop, IoEvent, Security};
 use runloom_model::tls_files::TlsFiles;
 use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
@@ -31,7 +31,7 @@
 fn may_connect(planner: &PlannerWithOperator, credentials: &TlsFiles, name: &str) -> bool {
     let Ok(policy) = TlsPolicy::load(credentials) else { return false };
     let mut event_loop = EventLoop::new().unwrap();
-    let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER));
+    let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER_DNS_NAME));
     let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
     let info = ProxyInfo { zone: "a".into(), request_rate: 1.0, has_no_table: true };
     let mut client = Subscription::new(event_loop.now(), "p", name, &info, TableFormat::Weights, vec![]);
@@ -92,7 +92,7 @@
         let policy = TlsPolicy::load(&trusting).or_else(|_| TlsPolicy::load(credentials)).unwrap();
         let ask = |operation: Element| {
             let client = Client::open(planner.addresses.edits, &policy, REQUEST_TIMEOUT);
-            client.and_then(|mut client| client.ask(operation, None)).map_err(|error| error.to_string())
+            client.and_then(|mut client| client.call(operation, None)).map_err(|error| error.to_string())
         };
         let unknown_session = Element::leaf(BASE, "session-id", 999_999);
         let kill_session = Element::new(BASE, "kill-session").with(unknown_session);
@@ -161,7 +161,7 @@
         case("lead", changed("c-ended", -10, &|_| {})),
         case("lead", changed("c-later", HOUR, &not_yet_valid)),
         case("lead", changed("c-authority", HOUR, &authority)),
-        case("f1", issuer.issue("c-dns", Some(PROXY)).unwrap()),
+        case("f1", issuer.issue("c-dns", Some(PROXY_DNS_NAME)).unwrap()),
         case("lead", issue(&other_authority, "c-stranger", OPERATOR_ID, HOUR)),
     ]
 }
--- a/crates/testbed/tests/durability.rs
+++ b/crates/testbed/tests/durability.rs
@@ -52,7 +52,7 @@
 fn edit_until_killed(client: &mut Client, acknowledged: &mut Vec<String>) {
     loop {
         let name = format!("e{}", acknowledged.len());
-        if client.ask(edit_config("running", create_weighted_server(&name)), Some(&name)).is_err() {
+        if client.call(edit_config("running", create_weighted_server(&name)), Some(&name)).is_err() {
             return;
         }
         acknowledged.push(name);
@@ -111,7 +111,7 @@
     let mut planner = PlannerWithOperator::new("older");
     let folder = planner.folder.0.join("state");
     let mut client = planner.client();
-    client.ask(edit_config("running", create_weighted_server("s1")), Some("first")).unwrap();
+    client.call(edit_config("running", create_weighted_server("s1")), Some("first")).unwrap();
     let fleet = read_config(&mut client, "fleet");
     planner.process.kill();
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/testbed/tests/help/requests.rs
+++ b/crates/testbed/tests/help/requests.rs
@@ -59,7 +59,7 @@
 
 /// A part of the running configuration: `fleet` or `roster`.
 pub fn read_config(client: &mut Client, part: &str) -> Element {
-    let reply = client.ask(get_config(), None).unwrap();
+    let reply = client.call(get_config(), None).unwrap();
     reply.child("data").unwrap().child(part).cloned().unwrap()
 }
 
--- a/crates/testbed/tests/operator_edits.rs
+++ b/crates/testbed/tests/operator_edits.rs
@@ -30,7 +30,7 @@
         let mut planner = PlannerWithOperator::with_crash_point(crash_point, Some(crash_point));
         let mut client = planner.client();
         let edit = edit_config("running", create_drained_server("s1"));
-        let first = client.ask(edit.clone(), Some("once"));
+        let first = client.call(edit.clone(), Some("once"));
         if crash_point != "replied" {
             assert!(first.is_err(), "{crash_point}");
         }
@@ -41,13 +41,13 @@
         assert_eq!(edit_ids(&mut client).len(), usize::from(is_stored), "{crash_point}");
 
         // When
-        client.ask(edit, Some("once")).unwrap();
+        client.call(edit, Some("once")).unwrap();
 
         // Then
         let found = (fleet_size(&mut client), edit_ids(&mut client));
         assert_eq!(found, (1, vec!["once".to_string()]), "{crash_point}");
         let other_edit = edit_config("running", create_drained_server("s2"));
-        let rejection = client.ask(other_edit, Some("once")).unwrap_err();
+        let rejection = client.call(other_edit, Some("once")).unwrap_err();
         assert!(rejection.to_string().contains("edit-id-reused"), "{rejection}");
     }
 }
@@ -63,7 +63,7 @@
 
     // When
     let mut client = planner.client();
-    client.ask(edit, Some("d1")).unwrap();
+    client.call(edit, Some("d1")).unwrap();
 
     // Then
     assert_eq!((fleet_size(&mut client), edit_ids(&mut client).len()), (1, 1));
@@ -76,8 +76,8 @@
     let mut planner = PlannerWithOperator::new("confirmed");
     let edit = edit_config("candidate", create_drained_server("s1"));
     let mut client = planner.client();
-    client.ask(edit.clone(), None).unwrap();
-    client.ask(operation("commit", &["confirmed"]), None).unwrap();
+    client.call(edit.clone(), None).unwrap();
+    client.call(operation("commit", &["confirmed"]), None).unwrap();
     assert_eq!(fleet_size(&mut client), 1);
 
     // When
@@ -90,9 +90,9 @@
     assert_eq!(fleet_size(&mut client), 0);
 
     // Given
-    client.ask(edit, None).unwrap();
+    client.call(edit, None).unwrap();
     let persistent = operation("commit", &["confirmed"]).with(Element::leaf(BASE, "persist", "x"));
-    client.ask(persistent, None).unwrap();
+    client.call(persistent, None).unwrap();
     assert_eq!(fleet_size(&mut client), 1);
 
     // When
@@ -110,10 +110,10 @@
     let lock = || Element::new(BASE, "lock").with(operation("target", &["running"]));
 
     // When
-    holder.ask(lock(), None).unwrap();
+    holder.call(lock(), None).unwrap();
 
     // Then
-    assert!(other.ask(lock(), None).unwrap_err().to_string().contains("lock-denied"));
+    assert!(other.call(lock(), None).unwrap_err().to_string().contains("lock-denied"));
     let rejection = other.edit(create_drained_server("s1"), None).unwrap_err();
     assert!(rejection.to_string().contains("in-use"));
     holder.edit(create_drained_server("s2"), None).unwrap();
@@ -151,7 +151,7 @@
     // Then
     assert_eq!(fleet_size(&mut client), 1);
     assert!(
-        endless_message.ask(operation("get", &[]), None).is_err(),
+        endless_message.call(operation("get", &[]), None).is_err(),
         "a message over the size limit ends its session"
     );
 }
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -6,7 +6,7 @@
 use help::requests::{drain_server, edit_state, list_servers};
 use help::PlannerWithOperator;
 use runloom_daemon::client::edit_config;
-use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
+use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER_DNS_NAME, PROXY_DNS_NAME};
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_model::report::{ClassArrivals, Report, ServerOutcomes};
 use runloom_model::FLEET;
@@ -44,7 +44,7 @@
         reader: UpdateReader,
     ) -> Subscriber {
         let mut event_loop = EventLoop::new().unwrap();
-        let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER));
+        let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER_DNS_NAME));
         let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
         let has_no_table = reader.topics().next().is_none();
         let info = ProxyInfo { zone: "a".into(), request_rate: 5.0, has_no_table };
@@ -155,11 +155,11 @@
 }
 
 fn proxy_policy(planner: &PlannerWithOperator, proxy: &str) -> TlsPolicy {
-    TlsPolicy::load(&planner.issuer.issue(proxy, Some(PROXY)).unwrap()).unwrap()
+    TlsPolicy::load(&planner.issuer.issue(proxy, Some(PROXY_DNS_NAME)).unwrap()).unwrap()
 }
 
 fn drain(planner: &PlannerWithOperator, server: &str, id: &str) {
-    planner.client().ask(edit_config("running", drain_server(server)), Some(id)).unwrap();
+    planner.client().call(edit_config("running", drain_server(server)), Some(id)).unwrap();
 }
 
 /// Waits until an edit is in force, while a subscriber goes on.
