--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The drivers of the program: sockets, files and clocks around the state machines of the other packages, which do no
-//! I/O. No decision about servers is made here.
+//! Event loops, sockets, files and clocks that drive the state machines of the other packages, which do no I/O.
+//! Decisions about servers are made in those packages only.
 
 pub mod client;
 pub mod commands;
@@ -17,17 +17,17 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since 1970.
+/// The wall-clock time in milliseconds since 1970; 0 if the clock is set to an earlier time.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The time now in RFC 3339's form.
+/// The wall-clock time in RFC 3339 format, with milliseconds.
 pub fn wall_rfc3339() -> String {
     humantime::format_rfc3339_millis(SystemTime::now()).to_string()
 }
 
-/// The earliest of some times.
+/// The earliest of the times that are present; `None` if there is none.
 pub fn earliest(times: impl IntoIterator<Item = Option<Duration>>) -> Option<Duration> {
     times.into_iter().flatten().min()
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, and which command they run.
+//! The command line: parses the arguments and runs the command.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use runloom_daemon::commands::connection::ConnectionOptions;
@@ -17,10 +17,10 @@
 #[derive(Parser)]
 #[command(name = "runloom", version, about = "A control plane for a service's proxies")]
 struct Arguments {
-    /// Format of the log.
+    /// Format of the log on standard error.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log: LogFormat,
-    /// What is logged: error, warn, info, debug or trace.
+    /// Log level: error, warn, info, debug or trace.
     #[arg(long, global = true, default_value = "info")]
     log_level: String,
     #[command(subcommand)]
@@ -39,7 +39,7 @@
     Planner {
         #[arg(long)]
         settings: PathBuf,
-        /// Seed of the decisions' random choices; by default the time of the start.
+        /// Seed of the controller's random choices; by default the start time.
         #[arg(long)]
         seed: Option<u64>,
     },
@@ -50,15 +50,15 @@
     Proxy {
         #[arg(long)]
         settings: PathBuf,
-        /// Seed of the random choices; by default the time of the start.
+        /// Seed of the random choices; by default the start time.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Validates settings files: prints a line for each fault, and exits with 1 if there is any.
+    /// Validates settings files: prints each fault on a line, and exits with 1 if there is any.
     Check { files: Vec<PathBuf> },
-    /// Edits a planner's fleet: `--file` holds what `<config>` holds, or one of the short forms.
+    /// Edits a planner's fleet, with a file or with one of the short forms.
     Edit(EditArguments),
-    /// Explains what the guard rejected.
+    /// Explains rejections of the guard.
     Guard {
         #[command(subcommand)]
         command: GuardCommand,
@@ -73,7 +73,7 @@
         #[command(subcommand)]
         command: StateCommand,
     },
-    /// Replays a recorded day: the same commands, or those under other settings.
+    /// Replays an event log: verifies its commands, or compares them with those under other settings.
     Replay(ReplayArguments),
     /// Shows a planner's `state`, `fleet` or `roster`, or one edit.
     Show {
@@ -91,22 +91,22 @@
 struct EditArguments {
     #[command(flatten)]
     connection: ConnectionArguments,
-    /// Id of the edit: sent again under the same id, it takes effect once.
+    /// Id of the edit; an edit sent again under the same id takes effect once.
     #[arg(long)]
     id: Option<String>,
-    /// A `<fleet>` with what to change; `nc:operation` attributes are supported.
+    /// File with the content of `<config>`: a `<fleet>` with the changes; `nc:operation` attributes are supported.
     #[arg(long)]
     file: Option<PathBuf>,
-    /// A server to drain.
+    /// Server to drain.
     #[arg(long)]
     drain: Option<String>,
-    /// A server whose drain ends.
+    /// Server whose drain to end.
     #[arg(long)]
     undrain: Option<String>,
-    /// A zone and its share, as `zone=0.5`.
+    /// Share of a zone, as `zone=0.5`.
     #[arg(long)]
     share: Option<String>,
-    /// Waits until the edit is in force.
+    /// Waits until the edit is in force at the proxies.
     #[arg(long)]
     wait: bool,
 }
@@ -116,41 +116,42 @@
     /// Folder of the event log.
     #[arg(long)]
     folder: PathBuf,
-    /// Which start of the planner: 0 for the last, 1 for the one before.
+    /// Start of the planner to replay: 0 for the latest, 1 for the one before.
     #[arg(long = "back", value_name = "BACK", default_value_t = 0)]
     starts_back: usize,
     /// File with another `<fleet>`, in place of the recorded one.
     #[arg(long)]
     fleet: Option<PathBuf>,
-    /// Another seed of the random choices.
+    /// Seed of the random choices, in place of the recorded one.
     #[arg(long)]
     seed: Option<u64>,
-    /// Without the guard.
+    /// Does not check commands with the guard.
     #[arg(long)]
     unguarded: bool,
-    /// Prints JSON.
+    /// Prints the result as JSON.
     #[arg(long)]
     json: bool,
-    /// Writes the comparison as a page with plots.
+    /// HTML page to write the comparison to, with plots.
     #[arg(long)]
     page: Option<PathBuf>,
-    /// Ends at this second of the record.
+    /// Second of the event log at which the replay ends.
     #[arg(long = "until", value_name = "UNTIL")]
     until_seconds: Option<f64>,
-    /// Writes the event log as a scenario of runloom-testbed: sizes, traffic, edits, and the faults that it shows.
+    /// Scenario file for runloom-testbed to write in place of a replay, with the sizes, traffic, edits and faults that
+    /// the event log shows.
     #[arg(long = "day", value_name = "DAY")]
     scenario: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum StateCommand {
-    /// Lists the files: version, generation, entries, and bytes that cannot be read.
+    /// Lists the files with version, generation, entries, and bytes at the end that are no complete entry.
     Ls { folder: PathBuf },
-    /// Shows the stored fleet and edits, and what was learned, with how much of it counts now.
+    /// Shows the stored fleet and edits, and the learned state of servers with the hints that it gives now.
     Show { folder: PathBuf },
-    /// Exits with 1 if something cannot be read back.
+    /// Reads all files, and exits with 1 if anything is corrupt.
     Verify { folder: PathBuf },
-    /// Removes all but the newest generations. Not while a planner uses the folder.
+    /// Removes all but the newest generations. Fails while a planner uses the folder.
     Prune { folder: PathBuf },
 }
 
@@ -158,25 +159,25 @@
 enum RecordCommand {
     /// Lists the segments.
     Ls { folder: PathBuf },
-    /// Prints the entries, a line each.
+    /// Prints the entries, one per line.
     Show {
         folder: PathBuf,
-        /// Only of this kind: start, listed, refit, joined, left, applied, report, probed, edit, turn, lost.
+        /// Only entries of this kind: start, listed, refit, joined, left, applied, report, probed, edit, turn, lost.
         #[arg(long)]
         kind: Option<String>,
-        /// Only about this proxy, server or edit.
+        /// Only entries about this proxy, server or edit.
         #[arg(long)]
         name: Option<String>,
     },
-    /// Prints all entries as JSON, a line each.
+    /// Prints all entries as JSON, one per line.
     Export { folder: PathBuf },
-    /// Reads all of it, and exits with 1 if anything cannot be read.
+    /// Reads all segments, and exits with 1 if any is corrupt or cannot be read.
     Verify { folder: PathBuf },
 }
 
 #[derive(Subcommand)]
 enum GuardCommand {
-    /// Checks a rejection of a log again, step by step.
+    /// Checks a logged rejection again, and prints what it was based on.
     Explain {
         /// A planner's log, text or JSON; `-` for standard input.
         #[arg(long)]
@@ -189,7 +190,7 @@
 
 #[derive(Args)]
 struct ConnectionArguments {
-    /// The planner's address for edits.
+    /// The planner's NETCONF address for edits.
     #[arg(long)]
     planner: SocketAddr,
     #[arg(long)]
@@ -198,10 +199,10 @@
     key: PathBuf,
     #[arg(long)]
     trust: PathBuf,
-    /// The planner's SPIFFE identity; without it certificates name their holders by DNS names.
+    /// The planner's SPIFFE identity; without it, certificates identify their holders by DNS names.
     #[arg(long)]
     planner_id: Option<String>,
-    /// Seconds to wait for an answer.
+    /// Seconds to wait for each reply.
     #[arg(long = "patience", value_name = "PATIENCE", default_value_t = 10)]
     timeout_seconds: u64,
 }
@@ -258,7 +259,7 @@
     }
 }
 
-/// Code 0, or 1 for a check that found faults.
+/// 0, or 1 for a check that found faults.
 fn exit_code(is_valid: bool) -> ExitCode {
     if is_valid {
         ExitCode::SUCCESS
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -11,19 +11,19 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Why a planner or a proxy could not be started, or ended otherwise than by a signal.
+/// Why a planner or a proxy could not start, or ended without a signal.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The settings are not valid.
     #[error(transparent)]
     Settings(#[from] InvalidFile),
-    /// The settings are for something else.
-    #[error("{path}: <{wanted}> is wanted here", path = path.display())]
+    /// The file holds settings of another component.
+    #[error("{path}: the root element is not <{expected}>", path = path.display())]
     WrongSettings {
         /// The file.
         path: PathBuf,
-        /// The element that it should hold.
-        wanted: &'static str,
+        /// The name of the expected root element.
+        expected: &'static str,
     },
     /// The event loop failed.
     #[error(transparent)]
@@ -36,23 +36,23 @@
     ProxyStart(#[from] proxy_runtime::ProxyStartError),
 }
 
-/// An event loop that SIGTERM and SIGINT end, and on SIGHUP reads certificates again. Without a handler SIGHUP would end
-/// the process.
+/// An event loop that reports SIGHUP, on which certificates are read again, and SIGTERM and SIGINT, which end the process
+/// in order. Without a handler SIGHUP would end the process, too.
 fn event_loop() -> io::Result<EventLoop> {
     let mut event_loop = EventLoop::new()?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
         event_loop.signal(signal)?;
     }
-    // A write beyond a limit on file size becomes an error of that write. The flag is not read.
+    // With a handler, a write beyond the file size limit fails instead of ending the process. The flag is not read.
     signal_hook::flag::register(SIGXFSZ, Arc::default())?;
     Ok(event_loop)
 }
 
-/// Runs a planner, and prints its addresses, a line each. Without a seed, the time of the start is one.
+/// Runs a planner, and prints its addresses, one per line. The seed defaults to the start time.
 pub fn planner(settings: &Path, seed: Option<u64>, hooks: TestHooks) -> Result<(), RunError> {
     let mut event_loop = event_loop()?;
     let Settings::Planner(planner_settings) = settings::read(settings)? else {
-        return Err(RunError::WrongSettings { path: settings.to_path_buf(), wanted: "planner" });
+        return Err(RunError::WrongSettings { path: settings.to_path_buf(), expected: "planner" });
     };
     let seed = seed.unwrap_or_else(wall_ms);
     let (mut planner, addresses) = PlannerRuntime::start(&mut event_loop, &planner_settings, seed)?;
@@ -68,11 +68,11 @@
     Ok(planner.run(&mut event_loop)?)
 }
 
-/// Runs a proxy, and prints its address. Without a seed, the time of the start is one.
+/// Runs a proxy, and prints its address. The seed defaults to the start time.
 pub fn proxy(settings: &Path, seed: Option<u64>) -> Result<(), RunError> {
     let mut event_loop = event_loop()?;
     let Settings::Proxy(proxy_settings) = settings::read(settings)? else {
-        return Err(RunError::WrongSettings { path: settings.to_path_buf(), wanted: "forwarder" });
+        return Err(RunError::WrongSettings { path: settings.to_path_buf(), expected: "forwarder" });
     };
     let seed = seed.unwrap_or_else(wall_ms);
     let (mut proxy, address) = ProxyRuntime::start(&mut event_loop, *proxy_settings, seed)?;
