--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -8,7 +8,7 @@
 /// Why a planner could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A socket, a file or a thread could not be opened.
+    /// A socket or a file could not be opened, or a thread could not be started.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// Certificates, keys or bundles cannot be used.
@@ -17,7 +17,7 @@
     /// The state folder cannot be opened.
     #[error(transparent)]
     State(#[from] OpenError),
-    /// The stored fleet is no XML.
+    /// The stored fleet is not well-formed XML.
     #[error("the stored fleet is malformed: {0}")]
     StoredFleet(String),
     /// The configuration to start from is not valid.
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files, validated against the schema. Faults name file, line, element and reason.
+//! Reads settings files and validates them against the schema. Faults name file, line, element and reason.
 
 use runloom_model::planner_settings::PlannerSettings;
 use runloom_model::proxy_settings::ProxySettings;
@@ -9,19 +9,19 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Larger files are not read, in bytes.
+/// Size limit of a settings file, in bytes; larger files are rejected unread.
 const MAX_FILE_BYTES: u64 = 16 << 20;
-/// The element of a fault that concerns no particular element.
+/// Stands for the element of a fault that concerns no particular element.
 const UNKNOWN_ELEMENT: &str = "?";
 
-/// Valid settings, by what they are for.
+/// Valid settings, by the component that they configure.
 #[derive(Debug, Clone)]
 pub enum Settings {
-    /// A planner's.
+    /// Settings of a planner.
     Planner(Box<PlannerSettings>),
-    /// A proxy's.
+    /// Settings of a proxy.
     Proxy(Box<ProxySettings>),
-    /// A part on its own: valid, but nothing can be started with it. The name of its element.
+    /// Another element of the schema, by its name: valid, but no component starts from it.
     Fragment(String),
 }
 
@@ -32,9 +32,9 @@
     pub line: usize,
     /// Column from 1; 0 if it is not known.
     pub column: usize,
-    /// The name of the element.
+    /// The name of the element; `?` if the fault concerns no particular one.
     pub element: String,
-    /// What is wrong with it.
+    /// What is wrong there.
     pub reason: String,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// All faults of a settings file; displayed one on a line, as `file:line:column: <element>: reason`.
+/// All faults of a settings file; displayed one per line, as `file:line:column: <element>: reason`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidFile {
     /// The file.
     pub path: PathBuf,
-    /// At least one.
+    /// The faults; at least one.
     pub faults: Vec<SettingsFault>,
 }
 
@@ -88,7 +88,7 @@
     let settings = match root.name.as_str() {
         "planner" => PlannerSettings::read(&root).map(|settings| Settings::Planner(Box::new(settings))),
         "forwarder" => ProxySettings::read(&root).map(|settings| Settings::Proxy(Box::new(settings))),
-        part => Ok(Settings::Fragment(part.to_string())),
+        name => Ok(Settings::Fragment(name.to_string())),
     };
     settings.map_err(|invalid| vec![locate(&text, invalid)])
 }
@@ -118,7 +118,7 @@
     Err(faults.collect())
 }
 
-/// Places in the text are no longer known here: takes the first line that holds the name of the entry.
+/// Parsed settings hold no positions, so the fault is placed at the first line with the name of the entry or element.
 fn locate(text: &str, invalid: InvalidSettings) -> SettingsFault {
     let element = invalid.path.rsplit('/').next().unwrap_or_default().to_string();
     let entry = invalid.path.split('\'').nth(1).unwrap_or(&element);
--- a/crates/daemon/src/state_file.rs
+++ b/crates/daemon/src/state_file.rs
@@ -1,5 +1,5 @@
-//! Small files of the state folder: the epoch, and files of the folder's first layout. A file is written under another
-//! name, synced and renamed, so that after a crash it holds the old or the new content.
+//! Small files of the state folder: the epoch, and files of the folder's first layout. A file is written under a
+//! temporary name, synced and renamed, so that after a crash it has either the old or the new content.
 
 use runloom_netconf::tree::Element;
 use std::fs::{self, File};
@@ -12,7 +12,7 @@
 }
 
 impl StateFiles {
-    /// Opens the folder, which is created if it does not exist.
+    /// Opens the folder, and creates it if it does not exist.
     pub fn open(folder: &Path) -> io::Result<StateFiles> {
         fs::create_dir_all(folder)?;
         Ok(StateFiles { folder: folder.to_path_buf() })
@@ -28,7 +28,7 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    /// Renames a file of the first layout, if there is one.
+    /// Renames a file to `NAME.old`, if it exists.
     pub fn set_aside(&self, name: &str) -> io::Result<()> {
         match fs::rename(self.folder.join(name), self.folder.join(format!("{name}.old"))) {
             Err(error) if error.kind() != ErrorKind::NotFound => Err(error),
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Reads a file, if there is one. A malformed file is renamed and logged.
+    /// Reads a file; `None` if it does not exist. A malformed file is renamed to `NAME.broken`, logged, and taken as
+    /// missing.
     pub fn read(&self, name: &str) -> io::Result<Option<Element>> {
         let path = self.folder.join(name);
         let text = match fs::read_to_string(&path) {
