--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,4 +1,4 @@
-//! A NETCONF client: one session with a planner, operations one after the other, replies waited for.
+//! A blocking NETCONF client: one session with a planner, whose calls wait for their replies.
 
 use crate::tls_credentials::{server_name, TlsPolicy, PLANNER_DNS_NAME};
 use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
@@ -16,7 +16,7 @@
     /// The event loop or the connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The session ended. Whether the last edit was accepted is not known: it may be sent again under its id.
+    /// The session ended. The outcome of an edit without a reply is unknown; it may be sent again under its id.
     #[error("the session ended: {0}")]
     Ended(String),
     /// No reply came in time.
@@ -34,7 +34,7 @@
     session: Session,
     /// Time to wait for each reply.
     timeout: Duration,
-    /// Notifications that were not waited for yet.
+    /// Received notifications that no call has returned yet.
     notifications: VecDeque<Element>,
     tls: TlsPolicy,
 }
@@ -63,7 +63,7 @@
         self.event_loop.write(self.connection, &bytes);
     }
 
-    /// Waits for the first event from which `select` takes something.
+    /// Waits for the first session event for which `select` returns a value.
     fn wait_for<T>(&mut self, mut select: impl FnMut(&SessionEvent) -> Option<T>) -> Result<T, ClientError> {
         let deadline = self.event_loop.now() + self.timeout;
         while self.event_loop.now() < deadline {
@@ -91,13 +91,14 @@
         Err(ClientError::Timeout(self.timeout))
     }
 
-    /// Edits go to a planner only, not to any holder of a certificate of the same authority.
+    /// Ends the connection unless the peer's certificate is a planner's: edits must not go to other holders of
+    /// certificates of the same authority.
     fn check_planner(&mut self, certificate: &[u8]) -> Result<(), ClientError> {
         if self.tls.identify(certificate).is_ok_and(|holder| holder.is_planner) {
             return Ok(());
         }
         self.event_loop.abort(self.connection);
-        Err(ClientError::Ended("who answered is not that planner".into()))
+        Err(ClientError::Ended("the peer's certificate is not that of the expected planner".into()))
     }
 
     fn receive(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, ClientError> {
@@ -117,7 +118,7 @@
         message_id
     }
 
-    /// Waits for the reply to a message; an `<rpc-error>` is an error.
+    /// Waits for the reply to a message; an `<rpc-error>` is returned as an error.
     pub fn wait_for_reply(&mut self, id: &str) -> Result<Element, ClientError> {
         let reply = self.wait_for(|event| match event {
             SessionEvent::Reply { message_id, reply } if message_id == id => Some(reply.clone()),
@@ -135,39 +136,40 @@
         self.wait_for_reply(&message_id)
     }
 
-    /// `<edit-config>` on the running datastore.
+    /// Sends `<edit-config>` for the running datastore, and waits for its reply.
     pub fn edit(&mut self, config: Element, edit_id: Option<&str>) -> Result<Element, ClientError> {
         self.call(edit_config("running", config), edit_id)
     }
 
-    /// `<get>` with a subtree filter.
+    /// Sends `<get>` with a subtree filter, and waits for its reply.
     pub fn get(&mut self, filter: Element) -> Result<Element, ClientError> {
         let filter = Element::new(BASE, "filter").with(filter);
         self.call(Element::new(BASE, "get").with(filter), None)
     }
 
-    /// Waits for a notification that `is_wanted` accepts.
+    /// Returns the first notification that `matches` accepts. If none has been received yet, waits for one and drops all
+    /// others received by then.
     pub fn wait_for_notification(
         &mut self,
-        is_wanted: impl Fn(&Element) -> bool,
+        matches: impl Fn(&Element) -> bool,
     ) -> Result<Element, ClientError> {
-        if let Some(index) = self.notifications.iter().position(&is_wanted) {
+        if let Some(index) = self.notifications.iter().position(&matches) {
             return Ok(self.notifications.remove(index).unwrap_or_default());
         }
         let notification = self.wait_for(|event| match event {
-            SessionEvent::Notified(notification) if is_wanted(notification) => Some(notification.clone()),
+            SessionEvent::Notified(notification) if matches(notification) => Some(notification.clone()),
             _ => None,
         })?;
         self.notifications.clear();
         Ok(notification)
     }
 
-    /// Sends bytes as they are, well-formed or not.
+    /// Sends raw bytes, without the session's framing.
     pub fn send_raw(&mut self, bytes: &[u8]) {
         self.event_loop.write(self.connection, bytes);
     }
 
-    /// Closes the session in order.
+    /// Closes the session with `<close-session>`.
     pub fn close(mut self) -> Result<(), ClientError> {
         self.call(Element::new(BASE, "close-session"), None).map(|_| ())
     }
@@ -182,7 +184,7 @@
     format!("{tag} ({app_tag}) at {path}: {message}")
 }
 
-/// `<edit-config>` on a datastore, with one top-level element.
+/// An `<edit-config>` operation for the datastore `target`, with one top-level element.
 pub fn edit_config(target: &str, content: Element) -> Element {
     let config = Element::new(BASE, "config").with(content);
     let target = Element::new(BASE, "target").with(Element::new(BASE, target));
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,15 +1,16 @@
-//! HTTP/1.1 messages with a `content-length` (RFC 9112), free of I/O: what a proxy, a health check and the metrics need.
+//! HTTP/1.1 messages with a `content-length` (RFC 9112), without I/O, as far as proxies, health checks and the metrics
+//! endpoint need them.
 
-/// Longest head that is accepted, in bytes.
+/// Longest accepted head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Longest body that is accepted, in bytes.
+/// Longest accepted body, in bytes.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
-/// Most headers that are accepted.
+/// Most headers of an accepted message.
 const MAX_HEADERS: usize = 48;
-/// Most numbers that are read from one header.
+/// Most numbers read from one header; further ones are ignored.
 const MAX_HEADER_NUMBERS: usize = 4;
-/// Headers of one connection only, which are not passed on (RFC 9110, section 7.6.1), and the length, which is written
-/// anew.
+/// Headers that apply to one connection and are not forwarded (RFC 9110, section 7.6.1), and the content length, which
+/// is computed from the body.
 const HOP_BY_HOP_HEADERS: [&str; 4] = ["connection", "content-length", "keep-alive", "transfer-encoding"];
 
 /// A header: its name in lower case, and its value.
@@ -28,14 +29,14 @@
     pub headers: Vec<Header>,
     /// Its body.
     pub body: Vec<u8>,
-    /// The connection is to be closed after it.
+    /// Whether the sender closes the connection after it.
     pub close: bool,
 }
 
 /// Why a message is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// It is no HTTP/1.1.
+    /// It is not valid HTTP/1.1.
     #[error("the message is malformed")]
     Malformed,
     /// Its head or its body is too long.
@@ -52,14 +53,14 @@
         self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// The numbers in a header, separated by commas; NaN for what is no number.
+    /// The comma-separated numbers in a header; NaN for a value that is not a number.
     pub fn numbers(&self, name: &str) -> Vec<f64> {
         let values = self.header(name).unwrap_or_default().split(',').filter(|value| !value.is_empty());
         let number = |value: &str| value.trim().parse().unwrap_or(f64::NAN);
         values.take(MAX_HEADER_NUMBERS).map(number).collect()
     }
 
-    /// The length of the body. Lengths that differ are rejected: they would smuggle a request past a proxy (RFC 9112,
+    /// The length of the body. Differing content lengths are rejected, since they allow request smuggling (RFC 9112,
     /// section 11.2).
     fn body_length(&self) -> Result<usize, HttpError> {
         if self.header("transfer-encoding").is_some() {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Which kind of message a reader reads.
+/// The kind of message that a reader reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MessageKind {
     Request,
@@ -111,12 +112,12 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Received bytes that belong to no message yet.
+    /// Number of received bytes that no returned message includes.
     pub fn buffered_bytes(&self) -> usize {
         self.input.len()
     }
 
-    /// The next complete message, if there is one. After an error the stream cannot be read on.
+    /// The next complete message, if there is one. After an error the stream cannot be read any further.
     pub fn next_message(&mut self) -> Result<Option<Message>, HttpError> {
         let Some(Head { mut message, length: head_length }) = self.parse_head()? else {
             return if self.input.len() > MAX_HEAD_BYTES { Err(HttpError::TooLarge) } else { Ok(None) };
@@ -170,7 +171,7 @@
     headers.iter().map(owned).collect()
 }
 
-/// Writes headers and body after the first line.
+/// Writes headers and body without the hop-by-hop headers.
 fn write_headers_and_body(headers: &[Header], body: &[u8], out: &mut Vec<u8>) {
     for (name, value) in headers.iter().filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str())) {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
@@ -179,14 +180,14 @@
     out.extend_from_slice(body);
 }
 
-/// A request as it is passed on to another connection.
+/// Serializes a request for forwarding: hop-by-hop headers are left out.
 pub fn serialize_request(request: &Message) -> Vec<u8> {
     let mut out = format!("{} {} HTTP/1.1\r\n", request.method, request.path).into_bytes();
     write_headers_and_body(&request.headers, &request.body, &mut out);
     out
 }
 
-/// A response.
+/// Serializes a response, without hop-by-hop headers.
 pub fn serialize_response(code: u16, headers: &[Header], body: &[u8]) -> Vec<u8> {
     let reason = match code {
         200 => "OK",
