--- a/crates/daemon/src/persistence.rs
+++ b/crates/daemon/src/persistence.rs
@@ -12,29 +12,29 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Bytes of patches after which a snapshot is written.
+/// Size of the journal of patches beyond which a snapshot is written, in bytes.
 const MAX_JOURNAL_BYTES: usize = 1 << 20;
-/// Accepted edits: a snapshot, and a journal of patches.
+/// Files of the accepted edits: snapshots, and journals of patches.
 pub const EDITS: Layout =
     Layout { name: "edits", version: 1, upgrades: &[], max_journal_bytes: MAX_JOURNAL_BYTES };
-/// The endpoint list, as snapshots.
+/// Files of the endpoint list: snapshots only.
 pub const ENDPOINT_LIST: Layout = Layout { name: "roster", version: 1, upgrades: &[], max_journal_bytes: 0 };
-/// What was learned of servers, as snapshots.
+/// Files of the learned state of servers: snapshots only.
 pub const LEARNED: Layout = Layout { name: "learned", version: 1, upgrades: &[], max_journal_bytes: 0 };
-/// Tasks that may wait for the thread: a batch of edits, a list, what was learned, and one more.
+/// Capacity of the task queue: a batch of edits, an endpoint list, learned state, and one more.
 const MAX_QUEUED_TASKS: usize = 4;
-/// Time between two looks at a thread that is finishing.
+/// Interval at which the shutdown checks whether the thread has ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 enum Task {
     WriteEdits(Box<StatePatch>),
     WriteEndpointList(String),
     WriteLearned(LearnedServers),
-    /// Checks whether edits can be written again.
+    /// Checks whether edits can be written again after a failed write.
     Probe,
 }
 
-/// Why something stored cannot be read back.
+/// Why stored state cannot be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
     /// A snapshot or a patch cannot be decoded.
@@ -48,10 +48,10 @@
 /// Why a state folder cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The folder cannot be read or locked, or the thread cannot be started.
+    /// The folder cannot be read or locked, or the writer thread cannot be started.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A file cannot be opened or written.
+    /// A file of the folder cannot be opened or written.
     #[error("{folder}: {source}", folder = folder.display())]
     Store {
         /// The state folder.
@@ -59,7 +59,7 @@
         /// What is wrong with the file.
         source: StoreError,
     },
-    /// Stored edits cannot be read back.
+    /// The stored edits cannot be restored.
     #[error("{folder}: the stored edits are corrupt: {source}", folder = folder.display())]
     StoredEdits {
         /// The state folder.
@@ -69,25 +69,25 @@
     },
 }
 
-/// Why something could not be written.
+/// Why a batch of edits could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The disk, or a file on it.
+    /// The journal or a snapshot cannot be written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A patch does not apply to the state that was written last.
+    /// The patch does not apply to the state that was written last.
     #[error(transparent)]
     Patch(#[from] PatchError),
 }
 
-/// Result of a task.
+/// Result of a task of the writer thread.
 #[derive(Debug)]
 pub enum PersistenceResult {
-    /// A batch of edits was written, in this time; or why it was not.
+    /// A batch of edits was written, with the time that this took, or could not be written.
     EditsWritten(Result<Duration, WriteError>),
     /// Whether edits can be written again.
     Probed(Result<(), StoreError>),
-    /// The endpoint list, or what was learned, could not be written.
+    /// The endpoint list or the learned state could not be written.
     WriteFailed {
         /// Which of the two.
         what: &'static str,
@@ -96,27 +96,27 @@
     },
 }
 
-/// The thread that writes, and the exclusive right to the state folder.
+/// Handle of the writer thread. Holds the lock of the state folder.
 pub struct PersistenceWorker {
-    /// `None` once the thread is to end.
+    /// `None` once the thread has to end: it ends when the channel is closed.
     tasks: Option<SyncSender<Task>>,
     results: Receiver<PersistenceResult>,
     thread: Option<JoinHandle<()>>,
     _lock: FolderLock,
 }
 
-/// What an earlier start stored.
+/// State that an earlier start of the planner stored; `None` for what is missing.
 #[derive(Debug, Default)]
 pub struct RestoredState {
     /// Accepted edits.
     pub accepted: Option<AcceptedState>,
     /// The endpoint list, as XML.
     pub endpoint_list: Option<String>,
-    /// What was learned of servers.
+    /// Learned state of servers.
     pub learned: Option<LearnedServers>,
 }
 
-/// An opened state folder, before the thread is started.
+/// An opened state folder, before the writer thread is started.
 pub struct OpenedFolder {
     path: PathBuf,
     lock: FolderLock,
@@ -127,18 +127,18 @@
 
 fn open_store(folder: &Path, layout: Layout) -> Result<(Store<Folder>, OpenedState), OpenError> {
     let (store, opened) =
-        Store::open(Folder::open(folder)?, layout).map_err(|error| in_folder(folder, error))?;
+        Store::open(Folder::open(folder)?, layout).map_err(|error| store_error(folder, error))?;
     for note in &opened.notes {
-        tracing::warn!(folder = %folder.display(), note, "read back");
+        tracing::warn!(folder = %folder.display(), note, "the stored state was damaged or incomplete");
     }
     Ok((store, opened))
 }
 
-fn in_folder(folder: &Path, source: StoreError) -> OpenError {
+fn store_error(folder: &Path, source: StoreError) -> OpenError {
     OpenError::Store { folder: folder.to_path_buf(), source }
 }
 
-/// The accepted state: a snapshot with the patches since then applied.
+/// The accepted state: the snapshot with the patches of the journal applied; `None` if there is neither.
 pub fn restore_accepted(opened: &OpenedState) -> Result<Option<AcceptedState>, RestoreError> {
     let mut accepted = opened.state.as_deref().map(AcceptedState::decode).transpose()?;
     for entry in &opened.entries {
@@ -148,7 +148,7 @@
 }
 
 impl PersistenceWorker {
-    /// Locks the state folder for this process, and reads what an earlier start stored.
+    /// Locks the state folder for this process, and reads the state that an earlier start stored.
     pub fn open(folder: &Path) -> Result<(OpenedFolder, RestoredState), OpenError> {
         let lock = FolderLock::acquire(folder)?;
         let (edits, opened_edits) = open_store(folder, EDITS)?;
@@ -159,7 +159,7 @@
         let restored = RestoredState {
             accepted,
             endpoint_list: opened_list.state.and_then(|text| String::from_utf8(text).ok()),
-            // What was learned only serves as hints: without it the planner learns again.
+            // Learned state only serves as hints: if it cannot be decoded, the planner learns again.
             learned: opened_learned.state.and_then(|bytes| LearnedServers::decode(&bytes).ok()),
         };
         Ok((OpenedFolder { path: folder.to_path_buf(), lock, edits, endpoint_list, learned }, restored))
@@ -169,30 +169,30 @@
         self.tasks.as_ref().is_some_and(|tasks| tasks.try_send(task).is_ok())
     }
 
-    /// Writes a batch of edits; [`PersistenceWorker::poll_result`] returns its result. False if the queue is full.
+    /// Queues a batch of edits; [`PersistenceWorker::poll_result`] returns its result. False if the queue is full.
     #[must_use]
     pub fn write_edits(&self, patch: StatePatch) -> bool {
         self.send(Task::WriteEdits(Box::new(patch)))
     }
 
-    /// Writes the endpoint list. False if the queue is full.
+    /// Queues the endpoint list, as XML. False if the queue is full.
     #[must_use]
     pub fn write_endpoint_list(&self, text: String) -> bool {
         self.send(Task::WriteEndpointList(text))
     }
 
-    /// Writes what was learned. False if the queue is full.
+    /// Queues the learned state. False if the queue is full.
     #[must_use]
     pub fn write_learned(&self, learned: LearnedServers) -> bool {
         self.send(Task::WriteLearned(learned))
     }
 
-    /// Checks whether edits can be written again. Does nothing if the queue is full.
+    /// Queues a check whether edits can be written again. Does nothing if the queue is full.
     pub fn probe(&self) {
         self.send(Task::Probe);
     }
 
-    /// The next result, if there is one.
+    /// The next available result. Does not block.
     pub fn poll_result(&self) -> Option<PersistenceResult> {
         self.results.try_recv().ok()
     }
@@ -202,7 +202,7 @@
     /// Waits until all queued tasks are done.
     fn drop(&mut self) {
         self.tasks = None;
-        // The thread may wait for its results to be taken.
+        // The thread may be blocked until its results are received.
         while self.thread.as_ref().is_some_and(|thread| !thread.is_finished()) {
             let _ = self.results.recv_timeout(SHUTDOWN_POLL_INTERVAL);
         }
@@ -213,32 +213,33 @@
 }
 
 impl OpenedFolder {
-    /// Writes a snapshot of the state that the planner starts from, and starts the thread. `waker` ends the event
-    /// loop's wait when a task is done.
+    /// Writes a snapshot of the state that the planner starts from, and starts the writer thread. `waker` wakes
+    /// the event loop after each task.
     pub fn start(self, accepted: AcceptedState, waker: Waker) -> Result<PersistenceWorker, OpenError> {
         let OpenedFolder { path, lock, edits, endpoint_list, learned } = self;
         let mut stores = Stores { edits, accepted, endpoint_list, learned };
-        stores.write_snapshot().map_err(|error| in_folder(&path, error))?;
+        stores.write_snapshot().map_err(|error| store_error(&path, error))?;
         let (tasks, queued_tasks) = sync_channel(MAX_QUEUED_TASKS);
-        let (done, results) = sync_channel(MAX_QUEUED_TASKS);
-        let work = move || {
+        let (result_sender, results) = sync_channel(MAX_QUEUED_TASKS);
+        let perform_tasks = move || {
             while let Ok(task) = queued_tasks.recv() {
-                let is_received = stores.perform(task).is_none_or(|result| done.send(result).is_ok());
+                let is_received =
+                    stores.perform(task).is_none_or(|result| result_sender.send(result).is_ok());
                 waker.wake();
                 if !is_received {
                     return;
                 }
             }
         };
-        let thread = std::thread::Builder::new().name("persistence".into()).spawn(work)?;
+        let thread = std::thread::Builder::new().name("persistence".into()).spawn(perform_tasks)?;
         Ok(PersistenceWorker { tasks: Some(tasks), results, thread: Some(thread), _lock: lock })
     }
 }
 
-/// What the thread writes to.
+/// The files that the writer thread writes.
 struct Stores {
     edits: Store<Folder>,
-    /// The state that the edits' snapshot and journal amount to.
+    /// The state that the snapshot and the journal of edits hold.
     accepted: AcceptedState,
     endpoint_list: Store<Folder>,
     learned: Store<Folder>,
@@ -254,10 +255,10 @@
             }
             Task::Probe => Some(PersistenceResult::Probed(self.write_snapshot_if_needed())),
             Task::WriteEndpointList(text) => {
-                failure("the list", self.endpoint_list.snapshot(text.as_bytes()))
+                write_failure("the endpoint list", self.endpoint_list.snapshot(text.as_bytes()))
             }
             Task::WriteLearned(learned) => {
-                failure("what was learned", self.learned.snapshot(&learned.encode()))
+                write_failure("the learned state", self.learned.snapshot(&learned.encode()))
             }
         }
     }
@@ -282,6 +283,6 @@
     }
 }
 
-fn failure(what: &'static str, written: Result<(), StoreError>) -> Option<PersistenceResult> {
+fn write_failure(what: &'static str, written: Result<(), StoreError>) -> Option<PersistenceResult> {
     written.err().map(|error| PersistenceResult::WriteFailed { what, error })
 }
