--- a/crates/daemon/src/commands/guard.rs
+++ b/crates/daemon/src/commands/guard.rs
@@ -1,4 +1,4 @@
-//! `runloom guard explain`: checks a rejection of a planner's log again, step by step.
+//! `runloom guard explain`: checks a rejection from a planner's log again, and prints what it was based on.
 
 use super::error::{file_error, CommandError};
 use runloom_guard::{replay_case, RejectionCase, RejectionCaseEntry};
@@ -7,12 +7,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Where a case begins in the log.
+/// Start of a rejection case in a line of the log.
 const CASE_START: &str = "{\"reason\"";
 /// The path that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// The rejection cases in a log. They are JSON; in a JSON log, JSON within a string.
+/// The rejection cases in a log: plain JSON in a text log, JSON escaped within a string in a JSON log.
 fn rejection_cases(log: &str) -> Vec<RejectionCase> {
     log.lines().filter_map(rejection_case).collect()
 }
@@ -33,15 +33,15 @@
     text.map_err(file_error(log))
 }
 
-/// Prints one rejection of a log: by its number from 1, or the last.
+/// Prints one rejection of a log: the one with the number, from 1, or the last.
 pub fn explain(log: &Path, number: Option<usize>) -> Result<(), CommandError> {
     let cases = rejection_cases(&read_log(log)?);
     let index = number.unwrap_or(cases.len()).checked_sub(1);
     let case = index.and_then(|index| cases.get(index));
     let case = case.ok_or(CommandError::NoSuchRejection { count: cases.len() })?;
-    println!("refused: {} ({})", case.command, case.reason);
+    println!("rejected: {} ({})", case.command, case.reason);
     println!(
-        "table {}, {:.1} queries/s on it; a unit of weight is known to take {:.2}",
+        "table {}: {:.1} queries/s; known capacity per unit of weight: {:.2} queries/s",
         case.table, case.request_rate, case.capacity_per_weight
     );
     case.entries.iter().for_each(print_entry);
@@ -58,17 +58,17 @@
     );
 }
 
-/// Checks the case again, and prints the result.
+/// Checks the case again, and prints the rejection that results.
 fn print_verdict(case: &RejectionCase) {
     let server = |server: usize| format!("server {server}");
     let proxy = |proxy: usize| format!("proxy {proxy}");
     match replay_case(case) {
         Some(rejection) => {
-            println!("judged anew: {}", rejection.describe(&server, &proxy));
-            println!("safe: {}", rejection.suggest_safe_change(&server));
+            println!("checked again: {}", rejection.describe(&server, &proxy));
+            println!("safe change: {}", rejection.suggest_safe_change(&server));
         }
         None => println!(
-            "judged anew on this table alone it would pass: other tables or orders of the batch weighed in"
+            "checked again: accepted on this table alone; other tables or commands of the batch caused the rejection"
         ),
     }
 }
--- a/crates/daemon/src/commands/guard/tests.rs
+++ b/crates/daemon/src/commands/guard/tests.rs
@@ -27,7 +27,7 @@
     guard
 }
 
-/// A text log holds a case as it is, a JSON log within a string.
+/// A text log holds a case as plain JSON, a JSON log as JSON escaped within a string.
 #[test]
 fn rejections_are_found_in_text_and_json_logs_and_checked_again() {
     // Given a text log and a JSON log with the same rejection
@@ -37,10 +37,10 @@
     let escaped_case = serde_json::to_string(&case).unwrap();
     let json = format!("{{\"level\":\"WARN\",\"fields\":{{\"case\":{escaped_case}}}}}");
 
-    // When the cases are read
+    // When the rejection cases are read
     let found = rejection_cases(&format!("another line\n{text}\n{json}\n"));
 
-    // Then both are found, and the check gives the same reason again
+    // Then both are found, and checking one again gives the same reason
     assert_eq!(found.len(), 2);
     assert_eq!(found[0], found[1]);
     assert_eq!(replay_case(&found[0]).map(|rejection| rejection.reason.tag()), Some("empties-table"));
--- a/crates/daemon/src/commands/record.rs
+++ b/crates/daemon/src/commands/record.rs
@@ -8,26 +8,26 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What is printed of an event log.
+/// What to print of an event log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordView {
-    /// The segments, a line each.
+    /// The segments, one per line.
     Segments,
-    /// The entries, a line each.
+    /// The entries, one per line.
     Entries {
-        /// Only of this kind.
+        /// Only entries of this kind.
         kind: Option<String>,
-        /// Only about this proxy, server or edit.
+        /// Only entries about this proxy, server or edit.
         name: Option<String>,
     },
-    /// The entries as JSON, a line each.
+    /// The entries as JSON, one per line.
     Json,
 }
 
-/// Prints an event log. Fails if any segment is corrupt, once all others are printed.
+/// Prints an event log. If any segment is corrupt, fails after all others are printed.
 pub fn record(folder: &Path, view: &RecordView) -> Result<(), CommandError> {
     match write_record(folder, view, &mut io::stdout().lock()) {
-        // The reader of the output has seen enough.
+        // The reader of a pipe has closed it, as `head` does.
         Err(CommandError::Io(error)) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
         result => result,
     }
@@ -91,11 +91,11 @@
     let to = entries.last().map_or(0.0, |entry| seconds(entry.at_us));
     let tail = match content.torn_bytes {
         0 => String::new(),
-        bytes => format!(", a torn tail of {bytes} bytes left out"),
+        bytes => format!(", torn tail of {bytes} bytes ignored"),
     };
     let damage = match content.damaged_bytes {
         0 => String::new(),
-        bytes => format!(", {bytes} damaged bytes passed over"),
+        bytes => format!(", {bytes} damaged bytes skipped"),
     };
     let integrity = match content.integrity {
         Integrity::Verified => "",
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -1,5 +1,5 @@
-//! `runloom replay`: replays a recorded day with its own settings or with others, or turns it into a scenario of the
-//! testbed.
+//! `runloom replay`: replays an event log with its recorded settings or with others, or infers a scenario of the testbed
+//! from it.
 
 use super::error::{file_error, CommandError};
 use crate::planner_runtime::BUILD;
@@ -10,47 +10,47 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What a replay changes of the recorded settings.
+/// Settings of a replay that differ from the recorded ones.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReplayOverrides {
-    /// A file with another `<fleet>`.
+    /// A file with a `<fleet>` in place of the recorded one.
     pub fleet: Option<PathBuf>,
-    /// Another seed of the random choices.
+    /// A seed of the random choices in place of the recorded one.
     pub seed: Option<u64>,
-    /// Commands are not checked by the guard.
+    /// Whether commands are not checked by the guard.
     pub skip_guard: bool,
-    /// The replay ends at this time of the record.
+    /// The time since the planner's start at which the replay ends; `None` for the end of the log.
     pub until: Option<Duration>,
 }
 
 /// Options of a replay.
 #[derive(Debug, Clone)]
 pub struct ReplayOptions {
-    /// The event log.
+    /// The folder of the event log.
     pub folder: PathBuf,
-    /// Which start of the planner: 0 for the last, 1 for the one before.
+    /// The start of the planner to replay: 0 for the latest, 1 for the one before.
     pub starts_back: usize,
-    /// What is changed.
+    /// Settings in place of the recorded ones.
     pub overrides: ReplayOverrides,
-    /// A file for a page with plots of the comparison.
+    /// The file for an HTML page with plots of the comparison.
     pub page: Option<PathBuf>,
-    /// Prints JSON.
+    /// Whether the result is printed as JSON.
     pub json: bool,
 }
 
-/// Writes an event log as a scenario of the testbed.
+/// Writes a scenario of the testbed that is inferred from all starts in an event log.
 pub fn infer_scenario(folder: &Path, file: &Path) -> Result<(), CommandError> {
-    let days = read_runs(folder)?;
-    let scenario = runloom_replay::scenario_inference::infer(&days)?;
+    let runs = read_runs(folder)?;
+    let scenario = runloom_replay::scenario_inference::infer(&runs)?;
     std::fs::write(file, scenario.to_xml()).map_err(file_error(file))?;
-    println!("{}: {} troubles, {} edits", file.display(), scenario.faults.len(), scenario.edits.len());
+    println!("{}: {} faults, {} edits", file.display(), scenario.faults.len(), scenario.edits.len());
     for omission in &scenario.omissions {
         println!("left out: {omission}");
     }
     Ok(())
 }
 
-/// Replays a recorded day: with its own settings its commands have to be the same, with others they are compared.
+/// Replays an event log. With the recorded settings the commands have to be the same; with others they are compared.
 pub fn replay(options: &ReplayOptions) -> Result<(), CommandError> {
     if options.overrides == ReplayOverrides::default() && options.page.is_none() {
         verify(options)
@@ -59,31 +59,31 @@
     }
 }
 
-/// Replays with the recorded settings, and fails if a command differs.
+/// Replays with the recorded settings, and fails if any command differs.
 fn verify(options: &ReplayOptions) -> Result<(), CommandError> {
-    let same = replay_exactly(&options.folder, options.starts_back)?;
+    let summary = replay_exactly(&options.folder, options.starts_back)?;
     if options.json {
-        println!("{}", serde_json::to_value(&same)?);
-    } else if let Some(difference) = &same.first_difference {
+        println!("{}", serde_json::to_value(&summary)?);
+    } else if let Some(difference) = &summary.first_difference {
         println!(
-            "other from {:.3} s on, after {} turns: {} ({})",
+            "differs from {:.3} s on, after {} equal turns: {} ({})",
             difference.at_seconds, difference.equal_steps, difference.description, difference.cause
         );
     } else {
-        println!("the same: {} turns, {} messages, byte for byte", same.steps, same.messages);
-        println!("sha-256 {}", same.digest);
+        println!("the same: {} turns, {} messages, byte for byte", summary.steps, summary.messages);
+        println!("sha-256 {}", summary.digest);
     }
-    match same.first_difference {
+    match summary.first_difference {
         None => Ok(()),
         Some(difference) => Err(CommandError::Diverged(difference.description)),
     }
 }
 
-/// Replays with one segment in memory at a time.
+/// Replays one start of the planner, with one segment in memory at a time.
 fn replay_exactly(folder: &Path, starts_back: usize) -> Result<ReplaySummary, CommandError> {
     let mut replay: Option<Replay> = None;
     let mut failure = None;
-    let mut take_entry = |entry: Entry| {
+    let mut replay_entry = |entry: Entry| {
         let result = match &mut replay {
             Some(replay) => replay.replay_entry(&entry),
             None => Replay::new(&entry, BUILD).map(|started| {
@@ -96,7 +96,7 @@
             false
         })
     };
-    for_each_entry(folder, starts_back, &mut take_entry)?;
+    for_each_entry(folder, starts_back, &mut replay_entry)?;
     match (failure, replay) {
         (Some(error), _) => Err(error.into()),
         (None, Some(replay)) => Ok(replay.finish()),
@@ -104,27 +104,27 @@
     }
 }
 
-/// Replays with other settings, and prints how commands and service would have differed.
+/// Replays with other settings, and prints how commands and service quality would have differed.
 fn compare_alternative(options: &ReplayOptions) -> Result<(), CommandError> {
     let entries = read_run(&options.folder, options.starts_back)?;
-    let setting = read_setting(&options.overrides)?;
-    let compared = compare(&entries, &setting)?;
+    let settings = what_if_settings(&options.overrides)?;
+    let comparison = compare(&entries, &settings)?;
     if let Some(file) = &options.page {
         let title = format!("{}, start {}", options.folder.display(), options.starts_back);
-        let page = html_report::render(&title, &compared).map_err(CommandError::Page)?;
+        let page = html_report::render(&title, &comparison).map_err(CommandError::Page)?;
         std::fs::write(file, page).map_err(file_error(file))?;
     }
     if options.json {
-        println!("{}", serde_json::to_value(&compared)?);
+        println!("{}", serde_json::to_value(&comparison)?);
     } else {
-        print_commands("as it was", &compared.recorded);
-        print_commands("as it would be", &compared.changed);
-        print_service(&compared);
+        print_commands("as it was", &comparison.recorded);
+        print_commands("as it would be", &comparison.changed);
+        print_service(&comparison);
     }
     Ok(())
 }
 
-fn read_setting(overrides: &ReplayOverrides) -> Result<WhatIfSettings, CommandError> {
+fn what_if_settings(overrides: &ReplayOverrides) -> Result<WhatIfSettings, CommandError> {
     let fleet = match &overrides.fleet {
         Some(file) => {
             let text = std::fs::read_to_string(file).map_err(file_error(file))?;
@@ -142,25 +142,28 @@
 
 fn print_commands(name: &str, side: &SideSummary) {
     println!(
-        "{name}: {} messages, {} lines, {} waiting at the most, {} refused",
+        "{name}: {} messages, {} entries, at most {} queued, {} commands rejected",
         side.messages, side.entries, side.max_queued_entries, side.rejected
     );
     if side.violations.is_empty() {
-        println!("  rules kept");
+        println!("  no rule violated");
     } else {
         println!("  {}", side.violations.join("; "));
     }
 }
 
-fn print_service(compared: &Comparison) {
-    let service = &compared.service;
-    println!("service, queries answered within their soft limit, by payoff: was {:.4}", service.recorded);
+fn print_service(comparison: &Comparison) {
+    let service = &comparison.service;
+    println!(
+        "service, share of queries answered within their soft limit, weighted by payoff: was {:.4}",
+        service.recorded
+    );
     match service.changed {
         Some(estimate) => {
             let (value, low, high) = estimate.into();
-            println!("  would be {value:.4}, 95% of such days from {low:.4} to {high:.4}");
+            println!("  would be {value:.4}, 95% prediction interval {low:.4} to {high:.4}");
         }
-        None => println!("  would be unknown: the record does not say"),
+        None => println!("  would be unknown: the event log holds too few outcomes for an estimate"),
     }
     for class in &service.classes {
         let would = class.changed.map_or("unknown".into(), |would| format!("{would:.4}"));
@@ -170,7 +173,7 @@
         );
     }
     println!(
-        "  support {:.3}; the estimate carries {:.0} of {:.0} s",
-        service.support, service.valid_seconds, compared.seconds
+        "  support {:.3}; the estimate is valid for {:.0} of {:.0} s",
+        service.support, service.valid_seconds, comparison.seconds
     );
 }
--- a/crates/daemon/src/commands/show.rs
+++ b/crates/daemon/src/commands/show.rs
@@ -6,7 +6,7 @@
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 
-/// Prints `state`, `fleet` or `roster`, or of it the edit with an id.
+/// Prints a planner's `state`, `fleet` or `roster`, or with an id only that edit of it.
 pub fn show(
     connection: &ConnectionOptions,
     subject: &str,
