--- a/crates/daemon/src/commands/connection.rs
+++ b/crates/daemon/src/commands/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of an operator's command to a planner.
+//! The connection of a command to a planner.
 
 use super::error::CommandError;
 use crate::client::Client;
@@ -21,14 +21,14 @@
     pub key: PathBuf,
     /// Certificates of trusted authorities, PEM.
     pub trust: PathBuf,
-    /// The planner's SPIFFE identity; without it certificates name their holders by DNS names.
+    /// The planner's SPIFFE identity; without it, certificates identify their holders by DNS names.
     pub planner_id: Option<String>,
-    /// Time to wait for each answer.
+    /// Time to wait for each reply.
     pub timeout: Duration,
 }
 
 impl ConnectionOptions {
-    /// Connects, and opens a NETCONF session.
+    /// Connects to the planner, and opens a NETCONF session.
     pub fn open(&self) -> Result<Client, CommandError> {
         let mut rules = vec![];
         if let Some(planner_id) = &self.planner_id {
--- a/crates/daemon/src/commands/edit.rs
+++ b/crates/daemon/src/commands/edit.rs
@@ -24,7 +24,7 @@
 }
 
 impl FleetChange {
-    /// The change out of options, of which exactly one has to be given.
+    /// The change that the command's options give; exactly one of them must be present.
     pub fn from_options(
         file: Option<PathBuf>,
         drain: Option<String>,
@@ -72,24 +72,24 @@
     Ok(Element::new(FLEET, "fleet").with(zone))
 }
 
-/// Sends an edit under an id, if one is given, and waits until it is in force if that is wanted. An edit that is
-/// waited for needs an id, and gets one.
+/// Sends an edit, and waits until it is in force if `wait` is set. An edit to wait for needs an id, and gets a generated
+/// one if none is given.
 pub fn edit(
     connection: &ConnectionOptions,
     id: Option<String>,
     change: &FleetChange,
-    is_waiting: bool,
+    wait: bool,
 ) -> Result<(), CommandError> {
     let config = change.config()?;
     let mut client = connection.open()?;
-    if is_waiting {
+    if wait {
         client.call(Element::new(NOTIFY, "create-subscription"), None)?;
     }
-    let id = id.or_else(|| is_waiting.then(|| format!("{}-{}", std::process::id(), wall_ms())));
+    let id = id.or_else(|| wait.then(|| format!("{}-{}", std::process::id(), wall_ms())));
     let id = id.as_deref();
     client.call(edit_config("running", config), id).map_err(|error| edit_error(error, id))?;
     println!("accepted{}", id.map(|id| format!(" {id}")).unwrap_or_default());
-    if is_waiting {
+    if wait {
         let event = wait_until_in_force(&mut client, id)?;
         let field = |name| event.text_of(name).unwrap_or("?").to_string();
         println!("in force at {} of {} proxies", field("at"), field("of"));
@@ -97,7 +97,7 @@
     Ok(client.close()?)
 }
 
-/// Unless the planner rejected the edit, whether it was accepted is not known.
+/// The outcome of an edit is unknown unless the planner rejected it.
 fn edit_error(error: ClientError, id: Option<&str>) -> CommandError {
     match (error, id) {
         (error @ ClientError::Rejected(_), _) | (error, None) => CommandError::Client(error),
@@ -110,7 +110,7 @@
     client.wait_for_notification(is_edit).or_else(|error| find_in_force(client, id).ok_or(error))
 }
 
-/// The edit in the planner's state, if it is in force there: an edit sent twice is notified only once.
+/// The edit in the planner's state, if it is in force there: a repeated edit is notified only once.
 fn find_in_force(client: &mut Client, id: Option<&str>) -> Option<Element> {
     let reply = client.get(Element::new(STATE, "state")).ok()?;
     let state = reply.child("data")?.child("state")?;
--- a/crates/daemon/src/commands/error.rs
+++ b/crates/daemon/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! Errors of commands.
 
 use crate::client::ClientError;
 use crate::persistence::RestoreError;
@@ -15,10 +15,10 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A file is no XML.
+    /// A file is not well-formed XML.
     #[error("{path}:{line}:{column}: {reason}", path = path.display())]
     MalformedXml {
         /// The file.
@@ -30,48 +30,48 @@
         /// What is wrong there.
         reason: String,
     },
-    /// Standard output, or the state folder.
+    /// Standard output cannot be written, or the state folder cannot be read or locked.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A result cannot be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Certificates and keys of the client cannot be used.
+    /// The client's certificate, its key or the trusted authorities cannot be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// The identity of the planner is no SPIFFE id.
+    /// The identity of the planner is not a valid SPIFFE id.
     #[error(transparent)]
     PlannerId(#[from] runloom_identity::id::InvalidId),
     /// The planner cannot be reached, or rejected an operation.
     #[error(transparent)]
     Client(#[from] ClientError),
     /// The connection failed before the planner answered an edit.
-    #[error("{source}; whether it took is not known: send it again with --id {id}")]
+    #[error("{source}; the outcome of the edit is unknown: send it again with --id {id}")]
     UnknownOutcome {
         /// The edit's id.
         id: String,
         /// How the connection failed.
         source: ClientError,
     },
-    /// The options of `edit` do not say what to change.
-    #[error("one of --file, --drain, --undrain and --share is wanted")]
+    /// None or several of the options of `edit` say what to change.
+    #[error("exactly one of --file, --drain, --undrain and --share is required")]
     AmbiguousEdit,
-    /// The value of `--share` has another form.
-    #[error("a share is told as zone=0.5")]
+    /// The value of `--share` has no `=`.
+    #[error("the value of --share must have the form zone=0.5")]
     MalformedShare,
-    /// `show` was asked for something else than `state`, `fleet` or `roster`.
+    /// The subject of `show` is not `state`, `fleet` or `roster`.
     #[error("there is no {0} to show")]
     UnknownSubject(String),
     /// The planner knows no such edit.
     #[error("no edit {0} is known")]
     UnknownEdit(String),
     /// The log has no rejection of that number.
-    #[error("{count} refusals are in it")]
+    #[error("the log has {count} rejections")]
     NoSuchRejection {
-        /// Rejections in the log.
+        /// Number of rejections in the log.
         count: usize,
     },
-    /// Segments of an event log are corrupt.
+    /// Segments of an event log are corrupt or cannot be read.
     #[error("{count} segments are damaged or cannot be read")]
     CorruptSegments {
         /// Their number.
@@ -80,22 +80,22 @@
     /// An event log cannot be read.
     #[error(transparent)]
     EventLog(#[from] runloom_event_log::ReadError),
-    /// A recorded day cannot be replayed.
+    /// An event log cannot be replayed.
     #[error(transparent)]
     Replay(#[from] runloom_replay::ReplayError),
-    /// The page of a comparison cannot be drawn.
+    /// The HTML page of a comparison cannot be rendered.
     #[error("{0}")]
     Page(String),
-    /// The event log holds fewer starts.
-    #[error("there is no such start in the record")]
+    /// The event log holds fewer starts of the planner than `--back` asks for.
+    #[error("the event log has no such start")]
     NoSuchStart,
-    /// A replay with the recorded settings gives other commands.
-    #[error("it differs: {0}")]
+    /// A replay with the recorded settings issues other commands than the record holds.
+    #[error("the replay differs from the event log: {0}")]
     Diverged(String),
     /// The state folder cannot be read.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// Something stored cannot be read back.
+    /// Stored state cannot be restored.
     #[error(transparent)]
     StoredState(#[from] RestoreError),
 }
--- a/crates/daemon/src/commands/state.rs
+++ b/crates/daemon/src/commands/state.rs
@@ -1,4 +1,5 @@
-//! `runloom state`: a planner's state folder. Only [`prune`] writes, and only where no planner runs.
+//! `runloom state`: inspects and prunes a planner's state folder. Only [`prune`] writes, and only while no planner uses
+//! the folder.
 
 use super::error::CommandError;
 use crate::persistence::{restore_accepted, RestoreError, EDITS, ENDPOINT_LIST, LEARNED};
@@ -16,7 +17,7 @@
     Ok(opened)
 }
 
-/// Prints the files, a line each.
+/// Prints the files, one per line.
 pub fn list(folder: &Path) -> Result<(), CommandError> {
     for file in describe(&Folder::open_read_only(folder)?)? {
         let head = match file.summary {
@@ -30,7 +31,7 @@
     Ok(())
 }
 
-/// Prints the stored fleet, the edits, and what was learned of servers.
+/// Prints the stored fleet, the edits, and the learned state of servers.
 pub fn show(folder: &Path) -> Result<(), CommandError> {
     let edits = open(folder, EDITS)?;
     for note in &edits.notes {
@@ -49,7 +50,7 @@
 fn print_accepted(accepted: &AcceptedState, journal_entries: usize) {
     println!("fleet: {} entries, {journal_entries} changes since the last snapshot", accepted.entries.len());
     if accepted.rollback_entries.is_some() {
-        println!("a confirmed commit waits for its confirmation: a restart goes back to what stood before");
+        println!("a confirmed commit waits for its confirmation: a restart rolls it back");
     }
     for entry in &accepted.entries {
         println!("  {entry}");
@@ -71,7 +72,7 @@
     let hint = learned.hint(now_ms, &server.name, &server.address, server.started_ms);
     let counts = match hint {
         Some(hint) => format!("counts now: swiftness {:.2}, doubt {:.2}", hint.speed_factor, hint.suspicion),
-        None => "counts no more".to_string(),
+        None => "counts no longer".to_string(),
     };
     let failed = match server.last_ejected_ms {
         Some(at) => format!("{} s ago", seconds_between(at, now_ms)),
@@ -88,33 +89,33 @@
     to_ms.saturating_sub(from_ms) / 1000
 }
 
-/// What was read back of one layout.
+/// Result of reading the files of one layout.
 struct ReadBack {
     has_content: bool,
-    /// What had to be left out.
+    /// Descriptions of what was corrupt.
     notes: Vec<String>,
 }
 
-/// Reads everything back, and prints the result. Returns whether nothing is corrupt.
+/// Reads all files, and prints the result by layout. Returns whether nothing is corrupt.
 pub fn verify(folder: &Path) -> Result<bool, CommandError> {
-    let mut is_sound = true;
+    let mut is_intact = true;
     for layout in LAYOUTS {
         let name = layout.name;
         match read_back(folder, layout) {
             Ok(ReadBack { has_content, notes }) => {
                 println!("{name}: {}", if has_content { "reads back" } else { "nothing there" });
-                is_sound &= notes.is_empty();
+                is_intact &= notes.is_empty();
                 for note in notes {
                     println!("{name}: {note}");
                 }
             }
-            Err(why) => {
-                is_sound = false;
-                println!("{name}: {why}");
+            Err(error) => {
+                is_intact = false;
+                println!("{name}: {error}");
             }
         }
     }
-    Ok(is_sound)
+    Ok(is_intact)
 }
 
 fn read_back(folder: &Path, layout: Layout) -> Result<ReadBack, CommandError> {
