--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -147,8 +147,8 @@
         self.call(Element::new(BASE, "get").with(filter), None)
     }
 
-    /// Returns the first notification that `matches` accepts. If none has been received yet, waits for one and drops all
-    /// others received by then.
+    /// Returns the first notification that `matches` accepts. If none has been received yet, waits for one and drops
+    /// all others received by then.
     pub fn wait_for_notification(
         &mut self,
         matches: impl Fn(&Element) -> bool,
