--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -1,7 +1,7 @@
-//! Mutual TLS from files, and the holder of a certificate. With identity rules in the settings a certificate names its
-//! holder by a SPIFFE identity alone (X509-SVID). Without rules it names the holder and its role by DNS names:
-//! `planner.runloom`, `proxy.runloom`, or no role for operators, tools and feeds. Files that change are read again
-//! while the process runs, all of them or none.
+//! Mutual TLS with credentials from files, and the holder of a certificate. With identity rules in the settings a
+//! certificate identifies its holder by a SPIFFE identity alone (X509-SVID). Without rules it identifies the holder and
+//! its role by DNS names: `planner.runloom`, `proxy.runloom`, or no role for operators, tools and feeds. Changed files
+//! are read again while the process runs; new credentials come into force only if all files can be used.
 
 mod error;
 mod files;
@@ -21,34 +21,34 @@
 use rustls::server::NoServerSessionStorage;
 use rustls::{ClientConfig, ServerConfig};
 use std::sync::Arc;
-use verifier::LiveCredentials;
+use verifier::ReloadableCredentials;
 use x509_parser::extensions::GeneralName;
 
-/// DNS name of the role of planners.
+/// DNS name in certificates of planners.
 pub const PLANNER_DNS_NAME: &str = "planner.runloom";
-/// DNS name of the role of proxies.
+/// DNS name in certificates of proxies.
 pub const PROXY_DNS_NAME: &str = "proxy.runloom";
 
-/// Configurations for both ends of mutual TLS 1.3, with credentials that follow their files.
+/// Client and server configurations of mutual TLS 1.3, with credentials that can be reloaded from their files.
 #[derive(Clone)]
 pub struct TlsPolicy {
-    /// For the side that accepts TLS.
+    /// For the TLS server side of a connection.
     pub server_config: Arc<ServerConfig>,
-    /// For the side that starts TLS.
+    /// For the TLS client side of a connection.
     pub client_config: Arc<ClientConfig>,
-    credentials: Arc<LiveCredentials>,
-    /// The files as they were last read.
+    credentials: Arc<ReloadableCredentials>,
+    /// Stamps of the files when they were last read.
     stamps: Vec<FileStamp>,
 }
 
 impl TlsPolicy {
-    /// Reads all files.
+    /// Reads the certificate chain, the key and the trusted authorities from their files.
     pub fn load(files: &TlsFiles) -> Result<TlsPolicy, TlsError> {
         let provider = Arc::new(ring::default_provider());
         let stamps = file_stamps(files);
         let mut trust = TrustStore::default();
         let credentials = read_credentials(files, &provider, &mut trust)?;
-        let credentials = Arc::new(LiveCredentials::new(files.clone(), provider, credentials, trust));
+        let credentials = Arc::new(ReloadableCredentials::new(files.clone(), provider, credentials, trust));
         Ok(TlsPolicy {
             server_config: Arc::new(build_server_config(&credentials)?),
             client_config: Arc::new(build_client_config(&credentials)?),
@@ -57,8 +57,8 @@
         })
     }
 
-    /// Reads the files again if one has changed. If they cannot be used, the credentials before stay in force.
-    /// Returns whether others are in force, for new connections.
+    /// Reads the files again if one has changed. If they cannot be used, the previous credentials stay in force.
+    /// Returns whether new credentials are in force, for new connections.
     pub fn reload(&mut self) -> Result<bool, TlsError> {
         let stamps = file_stamps(&self.credentials.files);
         if stamps == self.stamps {
@@ -66,13 +66,13 @@
         }
         let mut trust = self.credentials.trust();
         let read = read_credentials(&self.credentials.files, &self.credentials.provider, &mut trust);
-        // A file that is only half written is read again once it changes, not at each call.
+        // Also set if reading failed: a half-written file is read again once it changes, not at each call.
         self.stamps = stamps;
         self.credentials.replace(read?, trust);
         Ok(true)
     }
 
-    /// Whether a certificate would still be accepted: its authority may have been removed.
+    /// Whether a certificate would still be accepted; its authority may have been removed by a reload.
     pub fn still_trusts(&self, certificate: &[u8]) -> bool {
         let certificate = CertificateDer::from(certificate);
         let Ok(authorities) = self.credentials.authorities_for(&certificate) else { return false };
@@ -96,15 +96,15 @@
     }
 }
 
-fn unusable(error: rustls::Error) -> TlsError {
+fn unusable_error(error: rustls::Error) -> TlsError {
     TlsError::Unusable(error.to_string())
 }
 
-/// Sessions are not resumed: a resumed session is not verified again, and would outlive its identity.
-fn build_server_config(credentials: &Arc<LiveCredentials>) -> Result<ServerConfig, TlsError> {
+/// Disables session resumption: a resumed session is not verified again, and would outlive its identity.
+fn build_server_config(credentials: &Arc<ReloadableCredentials>) -> Result<ServerConfig, TlsError> {
     let mut config = ServerConfig::builder_with_provider(credentials.provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(unusable)?
+        .map_err(unusable_error)?
         .with_client_cert_verifier(credentials.clone())
         .with_cert_resolver(credentials.clone());
     config.session_storage = Arc::new(NoServerSessionStorage {});
@@ -112,11 +112,11 @@
     Ok(config)
 }
 
-/// Sessions are not resumed here either.
-fn build_client_config(credentials: &Arc<LiveCredentials>) -> Result<ClientConfig, TlsError> {
+/// Disables session resumption, for the same reason as on the server side.
+fn build_client_config(credentials: &Arc<ReloadableCredentials>) -> Result<ClientConfig, TlsError> {
     let mut config = ClientConfig::builder_with_provider(credentials.provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(unusable)?
+        .map_err(unusable_error)?
         .dangerous()
         .with_custom_certificate_verifier(credentials.clone())
         .with_client_cert_resolver(credentials.clone());
@@ -124,35 +124,36 @@
     Ok(config)
 }
 
-/// A role's DNS name as TLS takes it.
+/// The server name that a TLS client expects of a peer with a role.
 pub fn server_name(role: &'static str) -> ServerName<'static> {
     ServerName::try_from(role).expect("a role is a DNS name")
 }
 
-/// A SPIFFE identity that expires.
+/// A SPIFFE identity, and when it expires.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderIdentity {
     /// The SPIFFE id.
     pub id: SpiffeId,
-    /// Seconds since 1970.
+    /// End of its validity, in seconds since 1970.
     pub expires_at: i64,
 }
 
 /// The holder of a certificate.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CertificateHolder {
-    /// Its name.
+    /// The name under which edits and logs refer to it.
     pub name: String,
-    /// It may command proxies.
+    /// Whether it may command proxies.
     pub is_planner: bool,
-    /// It may connect to a planner as a proxy.
+    /// Whether it may connect to a planner as a proxy.
     pub is_proxy: bool,
     /// Its identity, if certificates hold SPIFFE identities.
     pub identity: Option<HolderIdentity>,
 }
 
 impl CertificateHolder {
-    /// Planners and proxies are named by the last segment of their identity's path, others by the complete identity.
+    /// The name of a planner or proxy is the last segment of its identity's path; that of others is the complete
+    /// identity.
     fn by_identity(svid: Svid, rules: &[AccessRule]) -> CertificateHolder {
         let Svid { id, not_after, .. } = svid;
         let last_segment = id.name().unwrap_or_default().to_string();
@@ -163,7 +164,7 @@
         CertificateHolder { name, is_planner, is_proxy, identity }
     }
 
-    /// DNS names of roles give the role, and the first other one is the holder's name.
+    /// The DNS names of roles set the role, and the first other DNS name is the holder's name; `None` without one.
     fn by_dns_names(certificate: &[u8]) -> Option<CertificateHolder> {
         let (_, parsed) = x509_parser::parse_x509_certificate(certificate).ok()?;
         let names = parsed.subject_alternative_name().ok()??;
--- a/crates/daemon/src/tls_credentials/error.rs
+++ b/crates/daemon/src/tls_credentials/error.rs
@@ -1,4 +1,4 @@
-//! Why certificates cannot be used, or have no holder.
+//! Errors of credentials and of the identification of certificates.
 
 use runloom_identity::svid;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 /// Why certificates, keys or trust bundles cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// A file cannot be read, or does not hold what it should.
+    /// A file cannot be read, or its content is not valid.
     #[error("{path}: {reason}", path = path.display())]
     File {
         /// The file.
@@ -14,18 +14,18 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// Certificate and key do not belong together, or do not suit TLS 1.3.
-    #[error("certificate and key do not fit TLS: {0}")]
+    /// Certificate and key do not belong together, or cannot be used for TLS 1.3.
+    #[error("certificate and key cannot be used for TLS: {0}")]
     Unusable(String),
 }
 
-/// Why a certificate has no holder.
+/// Why the holder of a certificate cannot be identified.
 #[derive(Debug, thiserror::Error)]
 pub enum HolderError {
-    /// It has no DNS name of a holder.
-    #[error("it names nobody")]
+    /// It has no DNS name besides those of roles.
+    #[error("it has no DNS name of a holder")]
     NoName,
-    /// It is no X509-SVID.
+    /// It is not a valid X509-SVID.
     #[error(transparent)]
     Svid(#[from] svid::InvalidSvid),
 }
--- a/crates/daemon/src/tls_credentials/files.rs
+++ b/crates/daemon/src/tls_credentials/files.rs
@@ -1,4 +1,4 @@
-//! Certificates, keys and trust bundles as their files hold them.
+//! Reads certificates, keys and trust bundles from their files.
 
 use super::error::TlsError;
 use runloom_identity::bundle::{Bundle, TrustStore};
@@ -18,33 +18,33 @@
 use std::sync::Arc;
 use std::time::SystemTime;
 
-/// Permissions of a key's file that let others than its owner use it.
+/// Permission bits that give the group or others access to a key's file.
 const OTHERS_MODE_MASK: u32 = 0o077;
-/// The permission bits of a file's mode.
+/// The permission bits in the mode of a file.
 const PERMISSIONS_MASK: u32 = 0o777;
 
-/// The authorities of one trust domain, for both ends of TLS.
+/// The authorities of one trust domain, for both sides of TLS.
 #[derive(Debug, Clone)]
 pub(super) struct Authorities {
     pub roots: Arc<RootCertStore>,
     pub client_verifier: Arc<dyn ClientCertVerifier>,
 }
 
-/// What the files hold.
+/// Credentials that were read from files.
 #[derive(Debug, Clone)]
 pub(super) struct Credentials {
     pub key: Arc<CertifiedKey>,
-    /// By trust domain; by `None` where certificates name their holders by DNS names.
+    /// By trust domain; under `None` if certificates identify their holders by DNS names.
     pub authorities: BTreeMap<Option<TrustDomain>, Authorities>,
     /// The process's own identity, if certificates hold SPIFFE identities.
     pub own_identity: Option<Svid>,
 }
 
-/// When a file was written, and its length; `None` if there is no such file.
+/// Modification time and length of a file, by which changes are detected; `None` if the file cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct FileStamp(Option<(SystemTime, u64)>);
 
-/// The stamps of all files, which show that one has changed.
+/// The stamps of all files.
 pub(super) fn file_stamps(files: &TlsFiles) -> Vec<FileStamp> {
     let paths = [&files.certificate, &files.key, &files.trust];
     let paths = paths.into_iter().chain(files.federated.iter().map(|(_, path)| path));
@@ -59,7 +59,7 @@
     TlsError::File { path: path.to_path_buf(), reason: reason.to_string() }
 }
 
-/// Reads all files. `trust` holds the bundles read so far, and is changed only if all files can be used.
+/// Reads all files. `trust` holds the bundles that were read before, and is changed only if all files can be used.
 pub(super) fn read_credentials(
     files: &TlsFiles,
     provider: &Arc<CryptoProvider>,
@@ -68,7 +68,7 @@
     let chain = read_certificates(&files.certificate)?;
     let key = read_key(files)?;
     let own_identity = read_own_identity(files, &chain)?;
-    // This also checks that key and certificate belong together.
+    // Also checks that key and certificate belong together.
     let key = CertifiedKey::from_der(chain, key, provider);
     let key = key.map_err(|error| TlsError::Unusable(error.to_string()))?;
     let own_authorities = read_own_authorities(files)?;
@@ -85,7 +85,7 @@
     certificates.collect::<Result<_, _>>().map_err(unreadable)
 }
 
-/// Reads the key. With identities, a key that others may read is rejected.
+/// Reads the key. With identities, a key file to which the group or others have access is rejected.
 fn read_key(files: &TlsFiles) -> Result<PrivateKeyDer<'static>, TlsError> {
     let path = &files.key;
     if files.uses_identities() {
@@ -147,8 +147,8 @@
     let mut new_trust = trust.clone();
     let mut authorities = BTreeMap::new();
     for DomainBundle { domain, bundle, path } in bundles {
-        let of_domain = build_authorities(&bundle.authorities, path, provider)?;
-        authorities.insert(Some(domain.clone()), of_domain);
+        let domain_authorities = build_authorities(&bundle.authorities, path, provider)?;
+        authorities.insert(Some(domain.clone()), domain_authorities);
         new_trust.insert(domain, bundle).map_err(|error| file_error(path, error))?;
     }
     *trust = new_trust;
--- a/crates/daemon/src/tls_credentials/verifier.rs
+++ b/crates/daemon/src/tls_credentials/verifier.rs
@@ -1,4 +1,4 @@
-//! Credentials that can be replaced while TLS configurations use them.
+//! Credentials that can be replaced while TLS configurations use them, and the verification of peers with them.
 
 use super::files::{Authorities, Credentials};
 use runloom_identity::bundle::TrustStore;
@@ -14,30 +14,30 @@
 use rustls::{DigitallySignedStruct, DistinguishedName, SignatureScheme};
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// The credentials in force, and the bundles that they were made from.
+/// The credentials in force, and the bundles from which their authorities were read.
 #[derive(Debug)]
-struct InForce {
+struct CredentialsInForce {
     credentials: Arc<Credentials>,
     trust: TrustStore,
 }
 
 /// The credentials that new connections use: certificate, key and authorities.
 #[derive(Debug)]
-pub(super) struct LiveCredentials {
+pub(super) struct ReloadableCredentials {
     pub files: TlsFiles,
     pub provider: Arc<CryptoProvider>,
-    in_force: RwLock<InForce>,
+    in_force: RwLock<CredentialsInForce>,
 }
 
-impl LiveCredentials {
+impl ReloadableCredentials {
     pub(super) fn new(
         files: TlsFiles,
         provider: Arc<CryptoProvider>,
         credentials: Credentials,
         trust: TrustStore,
-    ) -> LiveCredentials {
-        let in_force = InForce { credentials: Arc::new(credentials), trust };
-        LiveCredentials { files, provider, in_force: RwLock::new(in_force) }
+    ) -> ReloadableCredentials {
+        let in_force = CredentialsInForce { credentials: Arc::new(credentials), trust };
+        ReloadableCredentials { files, provider, in_force: RwLock::new(in_force) }
     }
 
     /// The credentials in force.
@@ -52,11 +52,11 @@
 
     /// Puts other credentials in force, for new connections.
     pub(super) fn replace(&self, credentials: Credentials, trust: TrustStore) {
-        let in_force = InForce { credentials: Arc::new(credentials), trust };
+        let in_force = CredentialsInForce { credentials: Arc::new(credentials), trust };
         *self.in_force.write().unwrap_or_else(PoisonError::into_inner) = in_force;
     }
 
-    /// The authorities that may issue a certificate: those of its identity's trust domain, or with DNS names all.
+    /// The authorities that may have issued a certificate: those of its identity's trust domain; with DNS names, all.
     pub(super) fn authorities_for(&self, certificate: &[u8]) -> Result<Authorities, rustls::Error> {
         let domain = if self.files.uses_identities() {
             let svid = svid::parse(certificate).map_err(|error| rustls::Error::General(error.to_string()))?;
@@ -65,7 +65,9 @@
             None
         };
         let authorities = self.credentials().authorities.get(&domain).cloned();
-        authorities.ok_or_else(|| rustls::Error::General("its trust domain is not known here".into()))
+        authorities.ok_or_else(|| {
+            rustls::Error::General("no bundle is configured for the certificate's trust domain".into())
+        })
     }
 
     fn schemes(&self) -> Vec<SignatureScheme> {
@@ -87,13 +89,13 @@
     rustls::Error::General("TLS 1.2 is not supported".into())
 }
 
-impl ResolvesServerCert for LiveCredentials {
+impl ResolvesServerCert for ReloadableCredentials {
     fn resolve(&self, _: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         Some(self.credentials().key.clone())
     }
 }
 
-impl ResolvesClientCert for LiveCredentials {
+impl ResolvesClientCert for ReloadableCredentials {
     fn resolve(&self, _: &[&[u8]], _: &[SignatureScheme]) -> Option<Arc<CertifiedKey>> {
         Some(self.credentials().key.clone())
     }
@@ -103,7 +105,7 @@
     }
 }
 
-impl ServerCertVerifier for LiveCredentials {
+impl ServerCertVerifier for ReloadableCredentials {
     fn verify_server_cert(
         &self,
         certificate: &CertificateDer<'_>,
@@ -121,7 +123,7 @@
             now,
             self.provider.signature_verification_algorithms.all,
         )?;
-        // A SPIFFE identity is the only name of its certificate; the rules decide whether it is the right one.
+        // A certificate with a SPIFFE identity has no other name; the access rules decide on the identity.
         if !self.files.uses_identities() {
             verify_server_name(&parsed, name)?;
         }
@@ -151,8 +153,8 @@
     }
 }
 
-impl ClientCertVerifier for LiveCredentials {
-    /// No hints: authorities change while the process runs.
+impl ClientCertVerifier for ReloadableCredentials {
+    /// Sends no hints, since authorities may change while the process runs.
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
