--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -1,6 +1,6 @@
-//! The configuration behind the planner's NETCONF server: `<fleet>`, which operators edit, and `<roster>`, the endpoint
-//! list that the inventory feed edits. Free of I/O: the planner writes what [`ConfigService::take_patch`] returns to
-//! disk before any reply leaves, and rolls it back if that fails.
+//! The configuration datastore of the planner's NETCONF server: `<fleet>`, which operators edit, and `<roster>`, the
+//! endpoint list that the inventory feed edits. Does no I/O: the planner writes the patch that
+//! [`ConfigService::take_patch`] returns to disk before it sends any reply, and rolls the patch back if that fails.
 
 mod access_control;
 mod data;
@@ -32,57 +32,59 @@
 use std::time::Duration;
 use validation::{invalid_value, SchemaCheck};
 
-/// The schema of what can be edited: `<fleet>` and `<roster>`.
+/// The schema of the data that can be edited: `<fleet>` and `<roster>`.
 pub fn schema() -> Result<Schema, ConfigError> {
     derive_schema(FLEET_XSD, &[FLEET_PART, ENDPOINT_LIST_PART]).map(Schema::root).map_err(ConfigError::Schema)
 }
 
-/// The configuration at one time.
+/// One version of the configuration.
 #[derive(Clone)]
 struct Revision {
     data: Arc<Element>,
     /// The parsed `<fleet>` of the data.
     fleet: Fleet,
-    /// The data that a confirmed commit returns to unless it is confirmed (RFC 6241, section 8.4).
-    before: Option<Arc<Element>>,
+    /// The data to roll back to unless a confirmed commit is confirmed (RFC 6241, section 8.4); `None` if no confirmed
+    /// commit is pending.
+    rollback_data: Option<Arc<Element>>,
 }
 
 impl Revision {
-    fn fleet_texts_before(&self) -> Option<Vec<String>> {
-        self.before.as_deref().map(fleet_entry_texts)
+    fn rollback_entries(&self) -> Option<Vec<String>> {
+        self.rollback_data.as_deref().map(fleet_entry_texts)
     }
 }
 
-/// A patch that is being written.
+/// A patch that is being written to disk.
 struct InFlightPatch {
-    /// The configuration once it is written.
+    /// The configuration that is on disk once the patch is written.
     revision: Revision,
-    /// The edits that it makes durable.
+    /// Ids of the edits in it.
     edit_ids: Vec<String>,
 }
 
-/// The configuration, and the edits that led to it.
+/// The configuration and its edit history: accepted edits, and the state that is on disk.
 pub struct ConfigService {
     schema: SchemaCheck,
+    /// The configuration with all accepted edits.
     accepted: Revision,
     endpoints: EndpointList,
-    /// The edits, and where they are in force.
+    /// Accepted edits, and at which proxies they are in force.
     pub edit_history: EditHistory,
     /// The configuration that is on disk.
     persisted: Revision,
     in_flight: Option<InFlightPatch>,
-    /// Ids of accepted edits that no patch holds yet.
+    /// Ids of accepted edits that are in no patch yet.
     unsaved_edit_ids: Vec<String>,
     is_unsaved: bool,
-    /// The fleet or the endpoint list has changed since the decisions were told.
+    /// Whether the fleet on disk or the endpoint list may have changed since the controller was last updated.
     pub has_unapplied_changes: bool,
     /// The operational state that the next `<get>` returns.
     pub state_reply: Vec<Element>,
-    /// Time since the start of the planner.
+    /// The time now, since the start of the planner.
     pub now: Duration,
-    /// Milliseconds since 1970.
+    /// The time now, in milliseconds since 1970.
     pub wall_ms: u64,
-    /// Why no edit can be accepted at present, if so.
+    /// Why edits cannot be written to disk; `None` while they can. No edit is accepted meanwhile.
     pub unavailable_reason: Option<String>,
     access: AccessControl,
 }
@@ -97,14 +99,14 @@
     }
 }
 
-/// Identifies the content of an edit: SHA-256 in hexadecimal.
+/// The SHA-256 of an edit's content in hexadecimal, by which a repeated edit is recognised.
 fn digest(content: &str) -> String {
     let hash = ring::digest::digest(&ring::digest::SHA256, content.as_bytes());
     hash.as_ref().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 impl ConfigService {
-    /// Starts from a configuration, which has to be valid.
+    /// Starts from a configuration; fails if it is not valid.
     pub fn new(data: Arc<Element>, edit_history: EditHistory) -> Result<ConfigService, ConfigError> {
         let schema = SchemaCheck::new()?;
         let fleet = part(&data, FLEET_PART).ok_or(ConfigError::MissingFleet)?;
@@ -113,7 +115,7 @@
         }
         let fleet = Fleet::read(fleet)
             .map_err(|invalid| ConfigError::InvalidValue { path: invalid.path, reason: invalid.reason })?;
-        let revision = Revision { data, fleet, before: None };
+        let revision = Revision { data, fleet, rollback_data: None };
         let mut config = ConfigService {
             schema,
             accepted: revision.clone(),
@@ -149,12 +151,12 @@
         Ok(())
     }
 
-    /// The fleet as it was accepted last.
+    /// The fleet with all accepted edits.
     pub fn fleet(&self) -> &Fleet {
         &self.accepted.fleet
     }
 
-    /// The fleet that is on disk. The decisions are told of no other.
+    /// The fleet that is on disk. The controller is only given this one.
     pub fn persisted_fleet(&self) -> &Fleet {
         &self.persisted.fleet
     }
@@ -164,85 +166,87 @@
         part(&self.persisted.data, FLEET_PART).map(|fleet| fleet.to_text()).unwrap_or_default()
     }
 
-    /// The endpoint list.
+    /// The listed servers by name.
     pub fn listed(&self) -> &BTreeMap<String, ListedServer> {
         &self.endpoints.servers
     }
 
-    /// The endpoint list as an element, for the file that a restart reads.
+    /// The endpoint list as an element, to be stored for a restart.
     pub fn endpoint_list_element(&self) -> Element {
         let roster = part(&self.accepted.data, ENDPOINT_LIST_PART);
         roster.map_or_else(|| Element::new(FLEET, ENDPOINT_LIST_PART), |roster| (**roster).clone())
     }
 
-    // Access.
+    // Access control.
 
-    /// Sets who may do what, by identity. Without rules the kind of certificate alone decides.
+    /// Sets the access rules for identities. Without rules, access depends only on the role in a certificate.
     pub fn set_rules(&mut self, rules: Vec<AccessRule>) {
         self.access.rules = rules;
     }
 
-    /// Remembers what a client's certificate says of it, when its session begins.
+    /// Stores a client's role and identity from its certificate, when its session begins.
     pub fn register_client(&mut self, holder: &CertificateHolder) {
         self.access.register_client(holder);
     }
 
-    /// Audits an access that the rules deny.
+    /// Records an access in the audit log if the rules deny it.
     pub fn audit_denial(&mut self, id: &SpiffeId, access: RequestedAccess) {
         self.access.audit_denial(self.now, id, access);
     }
 
-    /// Takes the entries of the audit that are to be logged.
+    /// Takes the entries of the audit log that have not been logged yet.
     pub fn take_audit_entries(&mut self) -> Vec<DenialEntry> {
-        std::mem::take(&mut self.access.entries)
+        std::mem::take(&mut self.access.unlogged_denials)
     }
 
-    /// Number of denied accesses.
+    /// Number of denied accesses since the start.
     pub fn denied_count(&self) -> u64 {
-        self.access.audit.denied
+        self.access.denials.denied
     }
 
     // Persistence.
 
-    /// Whether something was accepted that no patch holds yet.
+    /// Whether accepted changes are in no patch yet.
     pub fn has_unsaved_changes(&self) -> bool {
         self.is_unsaved
     }
 
-    /// Whether a patch is being written.
+    /// Whether a patch is being written to disk.
     pub fn has_write_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// All that has to be durable, as it stands.
+    /// The accepted state that has to be durable, for a snapshot.
     pub fn accepted_state(&self) -> AcceptedState {
         AcceptedState {
             entries: fleet_entry_texts(&self.accepted.data),
-            rollback_entries: self.accepted.fleet_texts_before(),
+            rollback_entries: self.accepted.rollback_entries(),
             edits: self.edit_history.edits().map(stored_edit).collect(),
         }
     }
 
-    /// What has to be on disk before any client learns that it was accepted. One patch is in flight at a time.
+    /// Takes the accepted changes, which have to be on disk before any client is told that they are accepted. `None` if
+    /// there are none, or while an earlier patch is in flight.
     pub fn take_patch(&mut self) -> Option<StatePatch> {
         if !self.is_unsaved || self.in_flight.is_some() {
             return None;
         }
         let edit_ids = std::mem::take(&mut self.unsaved_edit_ids);
-        let before = self.accepted.fleet_texts_before();
+        let rollback_entries = self.accepted.rollback_entries();
         let edits = self.edit_history.edits().filter(|edit| edit_ids.contains(&edit.stored.id));
         let patch = StatePatch {
             chunks: self.changed_chunks(),
             edits: edits.map(stored_edit).collect(),
-            rollback_entries: (before != self.persisted.fleet_texts_before()).then_some(before),
+            rollback_entries: (rollback_entries != self.persisted.rollback_entries())
+                .then_some(rollback_entries),
         };
         self.in_flight = Some(InFlightPatch { revision: self.accepted.clone(), edit_ids });
         self.is_unsaved = false;
         Some(patch)
     }
 
-    /// The entries of the fleet as references to those on disk, or as text where they are new; `None` if all are the
-    /// same.
+    /// The entries of the fleet: unchanged ones as references to those on disk, others as text. `None` if all are
+    /// unchanged.
     fn changed_chunks(&self) -> Option<Vec<ListChunk>> {
         let old = fleet_entries(&self.persisted.data);
         let new = fleet_entries(&self.accepted.data);
@@ -259,7 +263,7 @@
         Some(list_chunks(new.iter().map(source)))
     }
 
-    /// The patch in flight is on disk.
+    /// Notes that the patch in flight is on disk.
     pub fn patch_written(&mut self) {
         if let Some(InFlightPatch { revision, edit_ids }) = self.in_flight.take() {
             self.has_unapplied_changes |= revision.fleet != self.persisted.fleet || !edit_ids.is_empty();
@@ -269,9 +273,9 @@
         self.unavailable_reason = None;
     }
 
-    /// The patch in flight could not be written: returns to what is on disk, and drops what was accepted since. The
-    /// endpoint list needs no disk and stays.
-    pub fn roll_back(&mut self, why: String) {
+    /// Returns to the configuration on disk, since the patch in flight could not be written, and drops all edits accepted
+    /// since. The endpoint list is kept: it need not be durable.
+    pub fn roll_back(&mut self, reason: String) {
         let roster = part(&self.accepted.data, ENDPOINT_LIST_PART).cloned();
         let mut data = (*self.persisted.data).clone();
         data.children.retain(|child| child.name != ENDPOINT_LIST_PART);
@@ -283,12 +287,12 @@
         self.edit_history.remove(&std::mem::take(&mut self.unsaved_edit_ids));
         self.is_unsaved = false;
         self.has_unapplied_changes = true;
-        self.unavailable_reason = Some(why);
+        self.unavailable_reason = Some(reason);
     }
 
     // Validation.
 
-    /// Validates wanted data. Returns the fleet, if it changed, and the change of the endpoint list.
+    /// Validates new data. Returns the fleet, if it changed, and the change of the endpoint list.
     fn validate(&self, wanted: &Element) -> Result<(Option<Fleet>, EndpointListChange), Vec<RpcError>> {
         let Some(fleet_element) = part(wanted, FLEET_PART) else {
             let error = RpcError::application(Tag::DataMissing, "there must be a <fleet>");
@@ -311,7 +315,8 @@
         Ok((fleet, endpoints))
     }
 
-    /// The fleet without the `<server>` elements that were validated before: the rest is small.
+    /// The fleet without the `<server>` elements that were validated before, so that only a small part is validated
+    /// again.
     fn without_valid_servers(&self, fleet: &Element) -> Element {
         let valid = fleet_entries(&self.accepted.data).iter().filter(|entry| entry.name == "server");
         let valid: std::collections::BTreeSet<*const Element> = valid.map(Arc::as_ptr).collect();
@@ -321,7 +326,7 @@
         Element { children, ..Element::new(FLEET, FLEET_PART) }
     }
 
-    /// Checks that listed servers fit the fleet. With an unchanged fleet only changed entries can fail.
+    /// Checks that the fleet has the zones of listed servers. With an unchanged fleet only changed entries can fail.
     fn check_endpoints_fit(
         &self,
         changed_fleet: Option<&Fleet>,
@@ -337,15 +342,16 @@
         }
     }
 
-    /// Checks an edit of operators against the guard's rules. The inventory feed reports facts, which are not checked.
+    /// Checks an operator's edit of the fleet against the guard's rules. Edits of the endpoint list alone are not
+    /// checked: the inventory feed reports facts.
     fn check_guard(&self, fleet: &Fleet, endpoints: &EndpointListChange) -> Result<(), Vec<RpcError>> {
         guard_check::check_raised_limit(&self.accepted.fleet, fleet, self.wall_ms)?;
         let listed = self.endpoints.servers.iter();
-        let before = guard_check::servers_seen(&self.accepted.fleet, listed.clone(), self.wall_ms);
+        let before = guard_check::pool_servers(&self.accepted.fleet, listed.clone(), self.wall_ms);
         let changed = endpoints.changed.iter().map(|entry| (&entry.name, &entry.server));
         let after = changed.chain(listed.filter(|(name, _)| endpoints.keeps(name)));
-        let after = guard_check::servers_seen(fleet, after, self.wall_ms);
-        guard_check::check_servers_left(&before, &after)
+        let after = guard_check::pool_servers(fleet, after, self.wall_ms);
+        guard_check::check_servers_remain(&before, &after)
     }
 
     fn check_write_access(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
@@ -358,13 +364,14 @@
         Ok(())
     }
 
-    /// Checks that an edit can be made durable. A rollback to what was accepted before is on disk already.
+    /// Checks that an edit can be made durable. A rollback is never rejected: it returns to an accepted state, which is
+    /// on disk already.
     fn check_available(&self, change: &Change) -> Result<(), Vec<RpcError>> {
         let is_rollback = change.content.is_empty() && change.edit_id.is_none();
         match &self.unavailable_reason {
-            Some(why) if !is_rollback => {
-                let why = format!("edits cannot be written: {why}");
-                Err(vec![RpcError::application(Tag::ResourceDenied, why).app("not-durable")])
+            Some(reason) if !is_rollback => {
+                let message = format!("edits cannot be written: {reason}");
+                Err(vec![RpcError::application(Tag::ResourceDenied, message).app("not-durable")])
             }
             _ => Ok(()),
         }
@@ -387,18 +394,18 @@
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
         self.check_write_access(change)?;
         let (fleet, endpoints) = self.validate(change.wanted)?;
-        // The endpoint list needs no disk: a restarted planner uses the last list on disk until the feed connects.
+        // The endpoint list need not be durable: a restarted planner uses the last one on disk until the feed connects.
         let is_durable = fleet.is_some() || change.edit_id.is_some() || change.before.is_some();
         if is_durable {
             self.check_available(change)?;
         }
         self.has_unapplied_changes |= self.endpoints.apply(endpoints);
         if let Some(fleet) = fleet {
-            // The decisions are told once it is on disk.
+            // The controller gets it once it is on disk.
             self.accepted.fleet = fleet;
         }
         self.accepted.data = change.wanted.clone();
-        self.accepted.before = change.before.cloned();
+        self.accepted.rollback_data = change.before.cloned();
         if is_durable {
             let digest = digest(change.content);
             let id = self.edit_history.accept(change.edit_id, change.who, &digest, self.wall_ms);
@@ -409,7 +416,7 @@
     }
 
     fn confirmed_commit_ended(&mut self) {
-        self.is_unsaved |= self.accepted.before.take().is_some();
+        self.is_unsaved |= self.accepted.rollback_data.take().is_some();
     }
 
     fn lookup_edit(&self, edit_id: &str, content: &str) -> EditLookup {
--- a/crates/daemon/src/config_service/endpoint_list.rs
+++ b/crates/daemon/src/config_service/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, `<roster>`: only entries that changed are validated and parsed.
+//! The endpoint list, `<roster>`. After an edit only changed entries are validated and parsed.
 
 use super::data::{endpoint_entries, ENDPOINT_LIST_PART};
 use super::validation::{invalid_value, SchemaCheck};
@@ -24,7 +24,7 @@
 }
 
 impl EndpointListChange {
-    /// Whether an entry of the old list is unchanged in the new one.
+    /// Whether an entry of the old list is unchanged in the new list.
     pub(super) fn keeps(&self, name: &str) -> bool {
         !self.removed.iter().any(|removed| removed == name)
             && !self.changed.iter().any(|entry| entry.name == name)
@@ -40,7 +40,7 @@
 }
 
 impl EndpointList {
-    /// The difference to the list in `data`.
+    /// The change from this list to that in `data`, whose changed entries are validated.
     pub(super) fn difference(
         &self,
         data: &Element,
@@ -72,7 +72,7 @@
         self.elements.keys().filter(|name| !names.contains(name.as_str())).cloned().collect()
     }
 
-    /// Applies a difference. Returns whether any server is other than before.
+    /// Applies a change. Returns whether any server was added, changed or removed.
     pub(super) fn apply(&mut self, change: EndpointListChange) -> bool {
         let mut is_changed = !change.removed.is_empty();
         for name in change.removed {
--- a/crates/daemon/src/config_service/guard_check.rs
+++ b/crates/daemon/src/config_service/guard_check.rs
@@ -1,4 +1,4 @@
-//! The guard's view of an edit: whether it leaves servers in service, and for how long it raises a limit.
+//! The guard's checks of an edit: that servers stay in service, and that a limit is not raised for too long.
 
 use runloom_guard::edit_validation::{validate_edit, PoolServer};
 use runloom_inventory::merge_overrides;
@@ -6,10 +6,11 @@
 use runloom_model::listed_server::ListedServer;
 use runloom_netconf::error::{RpcError, Tag};
 
-/// Longest time for which an edit may raise a limit of the guard, in milliseconds: a mass restart is over by then.
+/// Longest time for which an edit may raise a limit of the guard, in milliseconds; a mass restart is over by then.
 const MAX_RAISE_MS: u64 = 3_600_000;
 
-/// Checks the end of a raised limit against the time now; both in milliseconds since 1970.
+/// Checks that a limit that the edit raises ends after `wall_ms`, the time now in milliseconds since 1970, and within
+/// [`MAX_RAISE_MS`].
 pub(super) fn check_raised_limit(before: &Fleet, after: &Fleet, wall_ms: u64) -> Result<(), Vec<RpcError>> {
     let is_changed = before.raised_multiple != after.raised_multiple;
     let Some(raised) = after.raised_multiple.filter(|_| is_changed) else { return Ok(()) };
@@ -21,29 +22,30 @@
 }
 
 /// Checks that an edit leaves at least one server in service.
-pub(super) fn check_servers_left(before: &[PoolServer], after: &[PoolServer]) -> Result<(), Vec<RpcError>> {
+pub(super) fn check_servers_remain(before: &[PoolServer], after: &[PoolServer]) -> Result<(), Vec<RpcError>> {
     validate_edit(before, after).map_err(|empties| {
         let first = empties.removed_servers.first().cloned().unwrap_or_default();
-        let why = format!(
+        let message = format!(
             "no open server would be left: one of {} has to stay",
             empties.removed_servers.join(", ")
         );
-        let error = RpcError::application(Tag::OperationFailed, why).app("empties-pool");
+        let error = RpcError::application(Tag::OperationFailed, message).app("empties-pool");
         vec![error.at(format!("/fleet/server[name='{first}']")).with("bad-element", "drain")]
     })
 }
 
-/// Servers as the guard sees them, at a time in milliseconds since 1970.
-pub(super) fn servers_seen<'a>(
+/// The listed servers with the fleet's overrides, as the guard checks them; `wall_ms` is the time now in milliseconds
+/// since 1970.
+pub(super) fn pool_servers<'a>(
     fleet: &Fleet,
     listed: impl Iterator<Item = (&'a String, &'a ListedServer)>,
     wall_ms: u64,
 ) -> Vec<PoolServer> {
     let warm_after_ms = fleet.warm_up.as_millis() as u64;
-    let seen = listed.map(|(name, listed)| {
+    let servers = listed.map(|(name, listed)| {
         let server = merge_overrides(name, listed, fleet);
         let is_warm = server.started_ms.is_none_or(|at| at + warm_after_ms <= wall_ms);
         PoolServer { name: name.clone(), is_draining: server.is_draining, is_warm, weight: server.weight }
     });
-    seen.collect()
+    servers.collect()
 }
