--- a/crates/daemon/src/config_service/access_control.rs
+++ b/crates/daemon/src/config_service/access_control.rs
@@ -1,4 +1,4 @@
-//! Who may read and edit the configuration.
+//! Access control: which clients may read and edit the configuration.
 
 use crate::tls_credentials::CertificateHolder;
 use runloom_identity::access::{check_access, AccessRule, RequestedAccess};
@@ -9,20 +9,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Parts of the data that rules are about.
+/// Parts of the data for which rules grant access.
 const PARTS: [&str; 3] = ["fleet", "roster", "state"];
 
-/// Authorization by rules on identities; without rules, by the kind of certificate alone.
+/// Authorizes clients by rules on their identities; without rules, only by the role in their certificates.
 #[derive(Default)]
 pub(super) struct AccessControl {
     pub rules: Vec<AccessRule>,
-    /// Whether a client, by its name, is a proxy.
+    /// Whether a client is a proxy, by its name.
     is_proxy: BTreeMap<String, bool>,
     /// Identities of clients, by name.
     identities: BTreeMap<String, SpiffeId>,
-    pub audit: DenialLog,
-    /// Entries of the audit that are not logged yet.
-    pub entries: Vec<DenialEntry>,
+    pub denials: DenialLog,
+    /// Denials that have to be logged.
+    pub unlogged_denials: Vec<DenialEntry>,
 }
 
 fn access_denied(reason: String) -> RpcError {
@@ -30,7 +30,7 @@
 }
 
 impl AccessControl {
-    /// Remembers what a client's certificate says of it.
+    /// Stores a client's role and identity from its certificate.
     pub(super) fn register_client(&mut self, holder: &CertificateHolder) {
         self.is_proxy.insert(holder.name.clone(), holder.is_proxy);
         if let Some(identity) = &holder.identity {
@@ -38,26 +38,26 @@
         }
     }
 
-    /// Audits an access that the rules deny.
+    /// Records an access in the audit log if the rules deny it.
     pub(super) fn audit_denial(&mut self, now: Duration, id: &SpiffeId, access: RequestedAccess) {
-        if let Err(why) = check_access(&self.rules, id, access) {
-            self.entries.extend(self.audit.record(now, id, access, why));
+        if let Err(reason) = check_access(&self.rules, id, access) {
+            self.unlogged_denials.extend(self.denials.record(now, id, access, reason));
         }
     }
 
-    /// Checks an operation (RFC 8341).
+    /// Checks whether a client may perform an operation (RFC 8341).
     pub(super) fn check(&mut self, now: Duration, client: &str, access: Access) -> Result<(), RpcError> {
         match access {
             Access::Read => {
                 self.check_any(now, client, &PARTS.map(|part| RequestedAccess::Read { part }))?;
             }
-            // Which part is edited only shows with the change itself.
+            // Which part is edited is known, and checked, only once the change is committed.
             Access::Edit => {
                 self.check_any(now, client, &PARTS.map(|part| RequestedAccess::Write { part }))?;
             }
             Access::Kill => self.check_any(now, client, &[RequestedAccess::KillSession])?,
         }
-        // A proxy does not edit a planner's configuration; the planner is its client.
+        // Proxies may not edit a planner's configuration: the planner is the NETCONF client of its proxies.
         let is_proxy = self.is_proxy.get(client).copied().unwrap_or(true);
         if access != Access::Read && is_proxy {
             return Err(access_denied(format!("{client} may not edit here")));
@@ -65,7 +65,7 @@
         Ok(())
     }
 
-    /// Checks that the rules allow at least one of some accesses.
+    /// Checks that the rules allow at least one of the accesses; if not, records the first as denied.
     pub(super) fn check_any(
         &mut self,
         now: Duration,
--- a/crates/daemon/src/config_service/validation.rs
+++ b/crates/daemon/src/config_service/validation.rs
@@ -1,4 +1,4 @@
-//! Validation against the schema, and errors as NETCONF returns them.
+//! Validation against the schema, with errors in NETCONF's form.
 
 use super::error::ConfigError;
 use runloom_model::schema::{SchemaValidator, SchemaViolation};
@@ -7,7 +7,7 @@
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::tree::Element;
 
-/// An invalid value, in RFC 6241's form.
+/// An `invalid-value` error (RFC 6241).
 pub(super) fn invalid_value(invalid: InvalidSettings) -> Vec<RpcError> {
     vec![RpcError::application(Tag::InvalidValue, invalid.reason).at(invalid.path)]
 }
@@ -20,12 +20,12 @@
         SchemaValidator::new(FLEET_XSD).map(SchemaCheck).map_err(ConfigError::Schema)
     }
 
-    /// The first violation, if there is one.
+    /// The first violation of the schema in a part of the data, if there is one.
     pub(super) fn first_violation(&self, part: &Element) -> Option<SchemaViolation> {
         self.0.validate(&part.to_text()).into_iter().next()
     }
 
-    /// Checks a part of the data; an error for each violation.
+    /// Checks a part of the data; returns an error for each violation.
     pub(super) fn check(&self, part: &Element) -> Result<(), Vec<RpcError>> {
         let violations = self.0.validate(&part.to_text());
         if violations.is_empty() {
