--- a/crates/daemon/src/commands/edit.rs
+++ b/crates/daemon/src/commands/edit.rs
@@ -72,8 +72,8 @@
     Ok(Element::new(FLEET, "fleet").with(zone))
 }
 
-/// Sends an edit, and waits until it is in force if `wait` is set. An edit to wait for needs an id, and gets a generated
-/// one if none is given.
+/// Sends an edit, and waits until it is in force if `wait` is set. An edit to wait for needs an id; without one it gets
+/// a generated id.
 pub fn edit(
     connection: &ConnectionOptions,
     id: Option<String>,
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -1,5 +1,5 @@
-//! `runloom replay`: replays an event log with its recorded settings or with others, or infers a scenario of the testbed
-//! from it.
+//! `runloom replay`: replays an event log with its recorded settings or with others, or infers a scenario of the
+//! testbed from it.
 
 use super::error::{file_error, CommandError};
 use crate::planner_runtime::BUILD;
