--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Fakes of what surrounds a planner on the platform, and the built program.
+//! Fakes of a planner's peers on the platform (discovery agent, server, proxies), and processes of the built program.
 
-// Each test file uses some of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use runloom_platform_protocol::framing::{write_frame, FrameReader, MAX_MESSAGE_BYTES};
@@ -12,15 +12,17 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
-/// Longer than anything here takes on any machine; no assertion depends on it.
-pub const LONG: Duration = Duration::from_secs(60);
+/// Limit of every wait, longer than any step takes on a slow machine. No assertion depends on its value.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// A listener on a free port of the loopback interface, and its address.
 pub fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
+/// Reads the head of an HTTP message, to the empty line or the end of the stream.
 pub fn read_head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -30,12 +32,12 @@
     String::from_utf8(head).unwrap()
 }
 
-/// A discovery agent that answers by itself.
+/// A discovery agent that accepts every watch by itself.
 pub struct Discovery {
     pub address: SocketAddr,
-    /// The path of each watch that it was asked for.
+    /// The path of each requested watch.
     pub paths: Receiver<String>,
-    /// Lines for the newest watch.
+    /// Lines to send on the latest watch.
     pub lines: Sender<Value>,
 }
 
@@ -59,7 +61,7 @@
     }
 }
 
-/// Writes lines to a watch, and empty ones meanwhile, until its connection ends; an error once the test has ended.
+/// Writes the lines to a watch, and empty lines in between, until its connection ends. Fails once the test has ended.
 fn serve_watch(stream: &mut TcpStream, lines: &Receiver<Value>) -> Result<(), RecvTimeoutError> {
     loop {
         let line = match lines.recv_timeout(Duration::from_millis(500)) {
@@ -67,7 +69,7 @@
             Err(RecvTimeoutError::Timeout) => "\n".into(),
             Err(disconnected) => return Err(disconnected),
         };
-        // In two segments, as on a bad network.
+        // In two writes, so that the planner has to join partial chunks.
         let chunk = format!("{:x}\r\n{line}\r\n", line.len());
         let (first, second) = chunk.split_at(chunk.len() / 2);
         if stream.write_all(first.as_bytes()).and_then(|()| stream.write_all(second.as_bytes())).is_err() {
@@ -76,9 +78,9 @@
     }
 }
 
-/// A server that answers every health check and reports its request head.
+/// A server that answers every health check, and the heads of the requests.
 pub fn server() -> (SocketAddr, Receiver<String>) {
-    let (listener, at) = listen();
+    let (listener, address) = listen();
     let (sender, health_checks) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -87,18 +89,21 @@
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":1}");
         }
     });
-    (at, health_checks)
+    (address, health_checks)
 }
 
-pub fn member(id: &str, at: SocketAddr, phase: &str) -> Value {
-    json!({"id": id, "host_port": at.to_string(), "locality": "a", "flavor": "m", "cell": 0, "phase": phase,
+/// A member of discovery's list: a server.
+pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
+    json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0, "phase": phase,
         "size": 1.0, "up_since_ms": 0})
 }
 
+/// A line of a watch: an incomplete list, which changes only these members.
 pub fn list(revision: u64, members: &[Value]) -> Value {
     json!({"revision": revision, "complete": false, "members": members})
 }
 
+/// A bootstrap file with three servers at one address, known up to revision 41.
 pub fn bootstrap(discovery: SocketAddr, server: SocketAddr) -> Value {
     let members: Vec<Value> = ["s-1", "s-2", "s-3"].iter().map(|id| member(id, server, "SERVING")).collect();
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "1f",
@@ -111,16 +116,19 @@
             "rules": {"drainGraceS": 2.0, "coldFrom": 0.5, "warmAfterS": 1.0}}})
 }
 
-/// Where a planner listens, by its first log line.
+/// The address on which a planner listens, from its log line `started`.
 pub fn logged_address(line: &str) -> SocketAddr {
-    let at = line.split("at=").nth(1).and_then(|rest| rest.split_whitespace().next());
-    at.and_then(|at| at.parse().ok()).expect(line)
+    let address = line.split("at=").nth(1).and_then(|rest| rest.split_whitespace().next());
+    address.and_then(|address| address.parse().ok()).expect(line)
 }
 
+/// A planner process on the platform; killed at the end of the test.
 pub struct Planner {
     pub child: Child,
-    pub at: SocketAddr,
-    pub file: PathBuf,
+    /// Its address for proxies; port 0 until it is known to listen.
+    pub address: SocketAddr,
+    pub bootstrap_file: PathBuf,
+    /// Lines of its log.
     log: Receiver<String>,
 }
 
@@ -133,14 +141,15 @@
     }
 
     /// Starts a planner while its address is in use; the listener is closed once the planner has logged that.
-    pub fn start_with_address_in_use(name: &str, bootstrap: &Value, held: TcpListener) -> Planner {
+    pub fn start_with_address_in_use(name: &str, bootstrap: &Value, listener: TcpListener) -> Planner {
         let mut planner = Planner::spawn(name, bootstrap);
         planner.wait_for_log("in use");
-        drop(held);
+        drop(listener);
         planner.wait_until_listening();
         planner
     }
 
+    /// Spawns a planner, and does not wait until it listens.
     pub fn spawn(name: &str, bootstrap: &Value) -> Planner {
         let mut planner = Planner::spawn_with_log(name, bootstrap, Stdio::piped());
         let stderr = planner.child.stderr.take().unwrap();
@@ -148,7 +157,7 @@
         planner
     }
 
-    /// Keeps reading the log, so that it never blocks the planner.
+    /// Reads the log in a thread, so that a full pipe never blocks the planner.
     pub fn read_log(&mut self, log: impl Read + Send + 'static) {
         let (sender, log_lines) = channel();
         let lines = BufReader::new(log).lines();
@@ -156,6 +165,7 @@
         self.log = log_lines;
     }
 
+    /// Spawns a planner that logs to `log`.
     pub fn spawn_with_log(name: &str, bootstrap: &Value, log: Stdio) -> Planner {
         let file = std::env::temp_dir().join(format!("runloom-platform-{name}-{}.json", std::process::id()));
         std::fs::write(&file, bootstrap.to_string()).unwrap();
@@ -165,18 +175,23 @@
             .stderr(log)
             .spawn()
             .unwrap();
-        Planner { child, at: SocketAddr::from(([127, 0, 0, 1], 0)), file, log: channel().1 }
+        Planner {
+            child,
+            address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            bootstrap_file: file,
+            log: channel().1,
+        }
     }
 
     fn wait_until_listening(&mut self) {
         let line = self.wait_for_log("started");
-        self.at = logged_address(&line);
+        self.address = logged_address(&line);
     }
 
-    /// Reads the log until a line contains this.
+    /// Reads the log until a line contains `part`, and returns that line.
     pub fn wait_for_log(&self, part: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(LONG).expect("the log goes on");
+            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("the planner logs another line");
             if line.contains(part) {
                 return line;
             }
@@ -194,13 +209,13 @@
         }
     }
 
-    /// The number of its open file descriptors.
-    pub fn descriptors(&self) -> usize {
+    /// Number of its open file descriptors.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Its peak memory, KiB.
-    pub fn peak_kib(&self) -> usize {
+    /// Its peak resident memory in KiB.
+    pub fn peak_memory_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let peak = status.lines().find(|line| line.starts_with("VmHWM:")).unwrap();
         peak.split_whitespace().nth(1).unwrap().parse().unwrap()
@@ -216,19 +231,21 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.bootstrap_file);
     }
 }
 
+/// A client of a planner's address for proxies: a proxy or a collector.
 pub struct Client {
     pub stream: TcpStream,
     pub reader: FrameReader,
 }
 
 impl Client {
+    /// Connects, and sends the first messages.
     pub fn open(planner: &Planner, first: &[Value]) -> Client {
-        let stream = TcpStream::connect(planner.at).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        let stream = TcpStream::connect(planner.address).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut client = Client { stream, reader: FrameReader::new(MAX_MESSAGE_BYTES) };
         client.send(first);
         client
@@ -240,8 +257,8 @@
         self.stream.write_all(&bytes).unwrap();
     }
 
-    /// The next message; `None`: the planner closed the connection.
-    pub fn next(&mut self) -> Option<Value> {
+    /// The next message; `None` if the planner closed the connection.
+    pub fn next_message(&mut self) -> Option<Value> {
         let mut buffer = [0; 4096];
         loop {
             if let Some(message) = self.reader.next_message().unwrap() {
@@ -251,16 +268,16 @@
                 Ok(0) => return None,
                 Ok(n) => self.reader.push(&buffer[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("nothing came: {e}"),
+                Err(e) => panic!("no message: {e}"),
             }
         }
     }
 
-    /// Reads and acknowledges updates until one sets this entry; returns them all.
+    /// Reads and acknowledges updates until one sets the entry `row`; returns all of them.
     pub fn read_until_entry(&mut self, id: u64, row: Value) -> Vec<Value> {
         let mut read = Vec::new();
         loop {
-            let update = self.next().expect("the stream goes on");
+            let update = self.next_message().expect("another update");
             if let Some(ack_token) = update["stamp"].as_u64() {
                 self.send(&[json!({"t": "ACK", "id": id, "seq": ack_token, "ms": 5.0})]);
             }
@@ -273,6 +290,7 @@
     }
 }
 
+/// The first message of proxy `id`; `new` if it holds no table yet.
 pub fn connect_message(id: u64, new: bool) -> Value {
     json!({"t": "SUBSCRIBE", "id": id, "site": "a", "rps": 3.0, "new": new})
 }
--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The built program on the loopback interface, with fakes of the platform: discovery, a server, a collector, proxies.
+//! Tests of `runloom platform` on the loopback interface, with a fake discovery agent, server, collector and proxies.
 
 mod common;
 
@@ -11,14 +11,14 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn a_proxy_is_served_through_a_drain_a_takeover_a_moved_discovery_and_the_shutdown() {
+fn a_proxy_gets_updates_through_a_drain_a_new_stream_moved_discovery_and_shutdown() {
     let (server, health_checks) = server();
     let discovery = Discovery::start();
     let mut planner = Planner::start("led", &bootstrap(discovery.address, server));
     let mut unidentified = Client::open(&planner, &[json!({"t": "PING"})]);
 
-    assert_eq!(unidentified.next(), Some(json!({"t": "PONG"})));
-    assert_eq!(discovery.paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=41");
+    assert_eq!(unidentified.next_message(), Some(json!({"t": "PONG"})));
+    assert_eq!(discovery.paths.recv_timeout(TEST_TIMEOUT).unwrap(), "/discovery/hosts?follow=1&since=41");
 
     let mut proxy = Client::open(&planner, &[connect_message(2, true)]);
     let updates = proxy.read_until_entry(2, json!(["s-2", 1.0]));
@@ -36,31 +36,34 @@
     discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
     proxy.read_until_entry(2, json!(["s-2", 0.0]));
 
-    // A new stream, while the old one is still open.
-    let mut again = Client::open(&planner, &[connect_message(2, false)]);
-    let updates = again.read_until_entry(2, json!(["s-3", 1.0]));
+    // The proxy opens a new stream while its old one is still open.
+    let mut reconnected = Client::open(&planner, &[connect_message(2, false)]);
+    let updates = reconnected.read_until_entry(2, json!(["s-3", 1.0]));
 
     assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
 
-    while proxy.next().is_some() {}
+    while proxy.next_message().is_some() {}
 
-    // Discovery moves and continues from the held revision; an invalid file before that changes nothing.
+    // The planner continues from its revision at the new discovery agent. An invalid file before that changes nothing.
     let moved_discovery = Discovery::start();
-    std::fs::write(&planner.file, "{").unwrap();
+    std::fs::write(&planner.bootstrap_file, "{").unwrap();
     planner.signal("HUP");
-    std::fs::write(&planner.file, bootstrap(moved_discovery.address, server).to_string()).unwrap();
+    std::fs::write(&planner.bootstrap_file, bootstrap(moved_discovery.address, server).to_string()).unwrap();
     planner.signal("HUP");
 
-    assert_eq!(moved_discovery.paths.recv_timeout(LONG).unwrap(), "/discovery/hosts?follow=1&since=42");
+    assert_eq!(
+        moved_discovery.paths.recv_timeout(TEST_TIMEOUT).unwrap(),
+        "/discovery/hosts?follow=1&since=42"
+    );
 
-    // The same file once more: nothing starts over, and the next update changes the table without replacing it.
+    // The same file again: the watch continues, and the next update changes the table without replacing it.
     planner.signal("HUP");
     moved_discovery.lines.send(list(43, &[member("s-3", server, "DRAINING")])).unwrap();
-    let updates = again.read_until_entry(2, json!(["s-3", 0.0]));
+    let updates = reconnected.read_until_entry(2, json!(["s-3", 0.0]));
 
     assert!(updates.iter().all(|update| update.get("replace").is_none()), "{updates:?}");
 
-    assert!(health_checks.recv_timeout(LONG).unwrap().starts_with("GET /metrics/load HTTP/1.1"));
+    assert!(health_checks.recv_timeout(TEST_TIMEOUT).unwrap().starts_with("GET /metrics/load HTTP/1.1"));
 
     planner.signal("TERM");
 
@@ -68,27 +71,27 @@
 }
 
 #[test]
-fn invalid_clients_are_rejected_and_keep_nobody_out() {
+fn invalid_clients_are_rejected_and_do_not_block_others() {
     let (server, _health_checks) = server();
     let discovery = Discovery::start();
     let planner = Planner::start("bad", &bootstrap(discovery.address, server));
-    let silent: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(planner.at).unwrap()).collect();
+    let silent: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(planner.address).unwrap()).collect();
     let mut proxy = Client::open(&planner, &[connect_message(1, true)]);
     proxy.read_until_entry(1, json!(["s-1", 1.0]));
 
-    // The listener is paused while descriptors are short: never more than the bootstrap file allows.
-    assert!(planner.descriptors() <= 256);
+    // The listener pauses while few descriptors are left, so there are never more than the bootstrap file allows.
+    assert!(planner.open_descriptors() <= 256);
 
     let bad = [b"GET / HTTP/1.1\r\n\r\n".to_vec(), vec![0xee; 64], b"\x04\0\0\0{:}}".to_vec()];
     for bytes in bad {
         let mut client = Client::open(&planner, &[]);
         client.stream.write_all(&bytes).unwrap();
-        // A reset may overtake the NACK where input was unread.
-        assert!(client.next().is_none_or(|m| m == json!({"t": "NACK"})));
-        assert_eq!(client.next(), None);
+        // If input was left unread, a reset may arrive in place of the NACK.
+        assert!(client.next_message().is_none_or(|m| m == json!({"t": "NACK"})));
+        assert_eq!(client.next_message(), None);
     }
     for mut stream in silent {
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut rest = Vec::new();
         let ended = stream.read_to_end(&mut rest);
         assert!(ended.is_ok() || ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
@@ -98,13 +101,13 @@
 }
 
 #[test]
-fn all_proxies_of_a_fleet_fit_one_planner_with_the_minimum_of_descriptors() {
+fn one_planner_serves_all_proxies_of_a_fleet_with_the_minimum_of_descriptors() {
     let (server, _health_checks) = server();
     let discovery = Discovery::start();
     let mut bootstrap = bootstrap(discovery.address, server);
     bootstrap["settings"]["familyInfo"]["proxies"] = json!(150);
     let planner = Planner::start("storm", &bootstrap);
-    // All connect first, as after a restart; then each reads its table.
+    // All connect before any reads its table, as after a restart.
     let mut proxies: Vec<Client> =
         (0..150).map(|id| Client::open(&planner, &[connect_message(id, true)])).collect();
     for (id, proxy) in proxies.iter_mut().enumerate() {
@@ -112,12 +115,12 @@
         assert_eq!(updates[0]["rows"].as_array().unwrap().len(), 3);
     }
 
-    assert!((150..=256).contains(&planner.descriptors()), "{}", planner.descriptors());
-    assert!(planner.peak_kib() < 32 << 10, "{} KiB", planner.peak_kib());
+    assert!((150..=256).contains(&planner.open_descriptors()), "{}", planner.open_descriptors());
+    assert!(planner.peak_memory_kib() < 32 << 10, "{} KiB", planner.peak_memory_kib());
 }
 
 #[test]
-fn a_proxy_that_does_not_read_is_disconnected_and_delays_nobody() {
+fn a_proxy_that_does_not_read_is_disconnected_and_does_not_delay_others() {
     let (server, _health_checks) = server();
     let discovery = Discovery::start();
     let planner = Planner::start("deaf", &bootstrap(discovery.address, server));
@@ -126,18 +129,18 @@
     let mut stalled = Client::open(&planner, &[connect_message(2, true)]);
     let mut pings = Vec::new();
     (0..4096).for_each(|_| write_frame(&mut pings, br#"{"t":"PING"}"#));
-    // The system buffers some megabytes of answers for a connection, never a hundred.
+    // The system buffers a few megabytes of replies per connection, far less than a hundred.
     let sent = (0..1600).take_while(|_| stalled.stream.write_all(&pings).is_ok()).count();
 
-    assert!(sent < 1600, "a hundred megabytes of answers were taken in");
+    assert!(sent < 1600, "all pings were accepted although no reply was read");
 
     discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
     other.read_until_entry(1, json!(["s-2", 0.0]));
-    let mut again = Client::open(&planner, &[connect_message(2, false)]);
-    let updates = again.read_until_entry(2, json!(["s-3", 1.0]));
+    let mut reconnected = Client::open(&planner, &[connect_message(2, false)]);
+    let updates = reconnected.read_until_entry(2, json!(["s-3", 1.0]));
 
     assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
-    assert!(planner.peak_kib() < 32 << 10, "{} KiB", planner.peak_kib());
+    assert!(planner.peak_memory_kib() < 32 << 10, "{} KiB", planner.peak_memory_kib());
 }
 
 #[test]
@@ -152,10 +155,10 @@
 
     assert_eq!(planner.child.wait().unwrap().code(), None);
 
-    while proxy.next().is_some() {}
+    while proxy.next_message().is_some() {}
     bootstrap["known"]["members"][1]["phase"] = json!("DRAINING");
     let planner = Planner::start("killed-again", &bootstrap);
-    // It connects with its earlier table.
+    // The proxy connects with its earlier table.
     let mut proxy = Client::open(&planner, &[connect_message(1, false)]);
     let updates = proxy.read_until_entry(1, json!(["s-3", 1.0]));
 
@@ -170,7 +173,7 @@
     let (listener, server) = listen();
     let (sender, health_checks) = channel();
     std::thread::spawn(move || {
-        // Accepts every connection and answers none.
+        // Accepts every connection and never replies.
         let mut kept = Vec::new();
         for stream in listener.incoming() {
             kept.push(stream.unwrap());
@@ -182,26 +185,26 @@
     let members: Vec<Value> = (0..120).map(|k| member(&format!("s-{k}"), server, "SERVING")).collect();
     bootstrap["known"]["members"] = json!(members);
     let planner = Planner::start("probes", &bootstrap);
-    let before = planner.descriptors();
-    // Every server once and most of them again; the watch may be dialed again meanwhile.
+    let before = planner.open_descriptors();
+    // Each server is checked once and most of them twice; the watch may be reconnected meanwhile.
     for _ in 0..200 {
-        health_checks.recv_timeout(LONG).unwrap();
-        let now = planner.descriptors();
+        health_checks.recv_timeout(TEST_TIMEOUT).unwrap();
+        let now = planner.open_descriptors();
         assert!(now <= before + 16 + 2, "{now} after {before}");
     }
 }
 
 #[test]
-fn a_silent_or_unreadable_watch_is_dialed_again() {
+fn a_silent_or_unreadable_watch_is_reconnected() {
     let (listener, at) = listen();
     let (server, _health_checks) = server();
     let _planner = Planner::start("silent", &bootstrap(at, server));
     let mut kept = Vec::new();
-    // Nothing at all; a head and then nothing; another protocol; and each time the planner dials again.
-    for answer in ["", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "SSH-2.0-x\r\n", ""] {
+    // No bytes at all; only a head; another protocol: the planner reconnects each time.
+    for reply in ["", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "SSH-2.0-x\r\n", ""] {
         let (mut stream, _) = listener.accept().unwrap();
         assert!(read_head(&mut stream).starts_with("GET /discovery/hosts?follow=1&since=41 "));
-        stream.write_all(answer.as_bytes()).unwrap();
+        stream.write_all(reply.as_bytes()).unwrap();
         kept.push(stream);
     }
 }
--- a/crates/daemon/tests/race_conditions.rs
+++ b/crates/daemon/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Race conditions in the built program: each test forces one unfavourable order of events, by suspending the planner,
-//! by what the fakes hold back, or by what they wait for.
+//! Race conditions in `runloom platform`. Each test forces one unfavourable order of events: it suspends the planner,
+//! or its fakes delay their output or wait for the planner's.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// A discovery agent that does nothing by itself: it hands out each watch with its path.
+/// A discovery agent that sends nothing by itself: the test gets the path and the stream of each watch.
 fn discovery_agent() -> (SocketAddr, Receiver<(String, TcpStream)>) {
     let (listener, at) = listen();
     let (sender, watches) = channel();
@@ -30,24 +30,27 @@
     (at, watches)
 }
 
-const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n\r\n\r\n";
+/// The head of the reply to a watch, and an empty line.
+const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n\r\n\r\n";
 
+/// A line of a watch as an HTTP chunk.
 fn chunk(line: &str) -> Vec<u8> {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1).into_bytes()
 }
 
+/// The path that the planner requests to follow changes after a revision.
 fn watch_path(revision: u64) -> String {
     format!("/discovery/hosts?follow=1&since={revision}")
 }
 
-/// A proxy that has its table.
+/// A connected proxy that has received its table.
 fn connected_proxy(planner: &Planner, id: u64) -> Client {
     let mut proxy = Client::open(planner, &[connect_message(id, true)]);
     proxy.read_until_entry(id, json!(["s-3", 1.0]));
     proxy
 }
 
-/// Fills the system's buffer of a planner's log, so that its next line blocks it.
+/// Fills the system's buffer of a planner's log, so that the planner blocks on the next line.
 fn fill_log(log: &mut UnixStream) {
     log.set_nonblocking(true).unwrap();
     while log.write(&[b'.'; 512]).is_ok() {}
@@ -56,23 +59,23 @@
 }
 
 #[test]
-fn input_that_arrived_while_the_planner_was_blocked_is_in_time() {
+fn input_that_arrived_while_the_planner_was_blocked_is_not_late() {
     let (server, _health_checks) = server();
     let (at, watches) = discovery_agent();
     let (near, mut far) = UnixStream::pair().unwrap();
     let log = Stdio::from(OwnedFd::from(far.try_clone().unwrap()));
     let mut planner = Planner::spawn_with_log("stood", &bootstrap(at, server), log);
     let mut log_lines = BufReader::new(near).lines().map(Result::unwrap);
-    planner.at = logged_address(&log_lines.find(|line| line.contains("started")).unwrap());
-    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    planner.address = logged_address(&log_lines.find(|line| line.contains("started")).unwrap());
+    let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     log_lines.find(|line| line.contains("watching")).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
     let mut unidentified = Client::open(&planner, &[json!({"t": "PING"})]);
 
-    assert_eq!(unidentified.next(), Some(json!({"t": "PONG"})));
+    assert_eq!(unidentified.next_message(), Some(json!({"t": "PONG"})));
 
-    // The log is not read, and the planner writes a line: it is blocked within an iteration.
+    // The log is not read, so the planner blocks within an iteration when it logs a line.
     fill_log(&mut far);
     planner.signal("HUP");
     std::thread::sleep(Duration::from_millis(500));
@@ -81,12 +84,12 @@
     // Longer than the timeouts of a watch and of an unidentified connection.
     std::thread::sleep(Duration::from_millis(2900));
     std::thread::spawn(move || log_lines.for_each(drop));
-    // Neither the watch nor the connection is closed with its input unread.
+    // Neither the watch nor the connection is closed while its input is unread.
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
     let updates = unidentified.read_until_entry(2, json!(["s-3", 1.0]));
 
     assert_eq!(updates[0]["rows"], json!([["s-1", 1.0], ["s-3", 1.0]]));
-    assert!(watches.try_recv().is_err(), "the watch was dialed again");
+    assert!(watches.try_recv().is_err(), "the watch was reconnected");
 }
 
 #[test]
@@ -95,24 +98,24 @@
     let (old, old_watches) = discovery_agent();
     let (new, new_watches) = discovery_agent();
     let planner = Planner::start("amid", &bootstrap(old, server));
-    let (_, mut watch) = old_watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = old_watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
     let line = chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string());
     let (half, rest) = line.split_at(line.len() / 2);
     watch.write_all(half).unwrap();
-    std::fs::write(&planner.file, bootstrap(new, server).to_string()).unwrap();
+    std::fs::write(&planner.bootstrap_file, bootstrap(new, server).to_string()).unwrap();
     planner.signal("HUP");
-    // The planner watches the new agent, which holds the list back; the old one completes its line.
-    let (path, mut moved) = new_watches.recv_timeout(LONG).unwrap();
+    // The planner watches the new agent, which has sent no list yet; the old one completes its line.
+    let (path, mut new_watch) = new_watches.recv_timeout(TEST_TIMEOUT).unwrap();
 
     assert_eq!(path, watch_path(41));
 
     watch.write_all(rest).unwrap();
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
     drop(watch);
-    moved.write_all(WATCH).unwrap();
-    moved.write_all(&chunk(&list(43, &[member("s-3", server, "DRAINING")]).to_string())).unwrap();
+    new_watch.write_all(WATCH_HEAD).unwrap();
+    new_watch.write_all(&chunk(&list(43, &[member("s-3", server, "DRAINING")]).to_string())).unwrap();
     proxy.read_until_entry(1, json!(["s-3", 0.0]));
 }
 
@@ -122,84 +125,84 @@
     let (old, old_watches) = discovery_agent();
     let (new, new_watches) = discovery_agent();
     let planner = Planner::start("half", &bootstrap(old, server));
-    let (_, mut watch) = old_watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = old_watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let text = bootstrap(new, server).to_string();
-    std::fs::write(&planner.file, &text[..text.len() / 2]).unwrap();
+    std::fs::write(&planner.bootstrap_file, &text[..text.len() / 2]).unwrap();
     planner.signal("HUP");
     planner.wait_for_log("kept as it is");
     // No second signal comes.
-    std::fs::write(&planner.file, &text).unwrap();
+    std::fs::write(&planner.bootstrap_file, &text).unwrap();
 
-    assert_eq!(new_watches.recv_timeout(LONG).unwrap().0, watch_path(41));
+    assert_eq!(new_watches.recv_timeout(TEST_TIMEOUT).unwrap().0, watch_path(41));
 }
 
 #[test]
-fn after_two_signals_at_once_the_last_file_holds() {
+fn after_two_signals_at_once_the_last_file_is_applied() {
     let (server, _health_checks) = server();
     let (old, old_watches) = discovery_agent();
     let (between, between_watches) = discovery_agent();
     let (new, new_watches) = discovery_agent();
     let planner = Planner::start("twice", &bootstrap(old, server));
-    let (_, mut watch) = old_watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = old_watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     planner.stop();
     for at in [between, new] {
-        std::fs::write(&planner.file, bootstrap(at, server).to_string()).unwrap();
+        std::fs::write(&planner.bootstrap_file, bootstrap(at, server).to_string()).unwrap();
         planner.signal("HUP");
     }
     planner.signal("CONT");
 
-    assert_eq!(new_watches.recv_timeout(LONG).unwrap().0, watch_path(41));
+    assert_eq!(new_watches.recv_timeout(TEST_TIMEOUT).unwrap().0, watch_path(41));
     assert!(between_watches.try_recv().is_err());
 }
 
 #[test]
-fn an_unreadable_list_line_is_asked_for_again() {
+fn an_unreadable_list_line_is_requested_again() {
     let (server, _health_checks) = server();
     let (at, watches) = discovery_agent();
     let planner = Planner::start("line", &bootstrap(at, server));
-    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
-    // The unreadable line held a drain; the line behind it on this watch would hide that.
+    // The unreadable line contains a drain. Without a new request, the readable line after it would hide that loss.
     let malformed = list(42, &[member("s-2", server, "DRAINING")]).to_string().replace("42", "4x");
     let behind = list(43, &[member("s-9", server, "SERVING")]).to_string();
     watch.write_all(&[chunk(&malformed), chunk(&behind)].concat()).unwrap();
-    let (path, mut again) = watches.recv_timeout(LONG).unwrap();
+    let (path, mut next_watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
 
     assert_eq!(path, watch_path(41));
 
     let drain = list(43, &[member("s-2", server, "DRAINING"), member("s-9", server, "SERVING")]);
-    again.write_all(WATCH).unwrap();
-    again.write_all(&chunk(&drain.to_string())).unwrap();
+    next_watch.write_all(WATCH_HEAD).unwrap();
+    next_watch.write_all(&chunk(&drain.to_string())).unwrap();
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
 }
 
-/// Guards against a drain in a malformed entry of a change that is skipped for good.
+/// Guards against a drain that is lost because the malformed entry of a change that contains it is skipped.
 #[test]
-fn a_change_with_a_malformed_entry_is_asked_for_again() {
+fn a_change_with_a_malformed_entry_is_requested_again() {
     let (server, _health_checks) = server();
     let (at, watches) = discovery_agent();
     let planner = Planner::start("entry", &bootstrap(at, server));
-    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
-    // The malformed entry held a drain; the line behind it on this watch would hide that.
+    // The malformed entry contains a drain. Without a new request, the line after it would hide that loss.
     let mut malformed = member("s-2", server, "DRAINING");
     malformed["phase"] = json!(7);
     let line = list(42, &[malformed, member("s-1", server, "DRAINING")]).to_string();
     let behind = list(43, &[member("s-9", server, "SERVING")]).to_string();
     watch.write_all(&[chunk(&line), chunk(&behind)].concat()).unwrap();
     proxy.read_until_entry(1, json!(["s-1", 0.0]));
-    let (path, mut again) = watches.recv_timeout(LONG).unwrap();
+    let (path, mut next_watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
 
     assert_eq!(path, watch_path(41));
 
     let members = [("s-1", "DRAINING"), ("s-2", "DRAINING"), ("s-9", "SERVING")];
     let changes = list(43, &members.map(|(id, phase)| member(id, server, phase)));
-    again.write_all(WATCH).unwrap();
-    again.write_all(&chunk(&changes.to_string())).unwrap();
+    next_watch.write_all(WATCH_HEAD).unwrap();
+    next_watch.write_all(&chunk(&changes.to_string())).unwrap();
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
 }
 
@@ -208,14 +211,14 @@
     let (server, _health_checks) = server();
     let (at, watches) = discovery_agent();
     let planner = Planner::start("anew", &bootstrap(at, server));
-    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
     let mut complete = list(3, &[member("s-1", server, "SERVING"), member("s-3", server, "SERVING")]);
     complete["complete"] = json!(true);
     watch.write_all(&chunk(&complete.to_string())).unwrap();
-    // A lagging agent would have reached revision 41 by then; empty lines keep the watch alive.
-    let (path, mut again) = loop {
+    // The planner waits in case the agent only lags behind revision 41; empty lines keep the watch alive.
+    let (path, mut next_watch) = loop {
         match watches.recv_timeout(Duration::from_millis(500)) {
             Ok(watch) => break watch,
             Err(_) => watch.write_all(&chunk("")).unwrap(),
@@ -224,32 +227,32 @@
 
     assert_eq!(path, watch_path(0));
 
-    again.write_all(WATCH).unwrap();
-    again.write_all(&chunk(&complete.to_string())).unwrap();
+    next_watch.write_all(WATCH_HEAD).unwrap();
+    next_watch.write_all(&chunk(&complete.to_string())).unwrap();
     proxy.read_until_entry(1, json!(["s-2", 0.0]));
 }
 
 #[test]
-fn a_half_closed_client_gets_the_answer_to_its_ping() {
+fn a_half_closed_client_gets_the_reply_to_its_ping() {
     let (server, _health_checks) = server();
     let discovery = Discovery::start();
     let planner = Planner::start("halfclosed", &bootstrap(discovery.address, server));
-    let mut asking = Client::open(&planner, &[json!({"t": "PING"})]);
-    asking.stream.shutdown(Shutdown::Write).unwrap();
+    let mut client = Client::open(&planner, &[json!({"t": "PING"})]);
+    client.stream.shutdown(Shutdown::Write).unwrap();
 
-    assert_eq!((asking.next(), asking.next()), (Some(json!({"t": "PONG"})), None));
+    assert_eq!((client.next_message(), client.next_message()), (Some(json!({"t": "PONG"})), None));
 }
 
 #[test]
 fn a_planner_waits_for_an_address_that_is_in_use() {
     let (server, _health_checks) = server();
     let discovery = Discovery::start();
-    let held = TcpListener::bind("127.0.0.1:0").unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut bootstrap = bootstrap(discovery.address, server);
-    bootstrap["listen"] = json!(held.local_addr().unwrap().to_string());
-    let planner = Planner::start_with_address_in_use("held", &bootstrap, held);
+    bootstrap["listen"] = json!(listener.local_addr().unwrap().to_string());
+    let planner = Planner::start_with_address_in_use("held", &bootstrap, listener);
     connected_proxy(&planner, 1);
-    // An address that stays in use is an error after some time; the signal ends the wait before that.
+    // The planner would fail if the address stayed in use; the signal ends the wait before that.
     let mut second = Planner::spawn("held-too", &bootstrap);
     second.wait_for_log("in use");
     second.signal("TERM");
@@ -262,11 +265,12 @@
     let (server, _health_checks) = server();
     let (at, watches) = discovery_agent();
     let mut planner = Planner::start("term", &bootstrap(at, server));
-    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
     planner.stop();
-    // All in one iteration: bytes, a connecting proxy, a takeover, a partial message, a drain, a SIGHUP, the end.
+    // One iteration gets all of this: an acknowledgement, connecting proxies of which one takes over a stream, a
+    // partial message, a drain, SIGHUP and SIGTERM.
     watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
     proxy.send(&[json!({"t": "ACK", "id": 1, "seq": 60000, "ms": 1.0})]);
     let mut connecting: Vec<Client> =
@@ -278,9 +282,9 @@
 
     assert_eq!(planner.child.wait().unwrap().code(), Some(0));
 
-    // Proxies connect elsewhere now: each sees the end at once, whatever was pending.
+    // Each connection is closed at once, whatever was pending, so that proxies connect to another planner.
     for client in connecting.iter_mut().chain([&mut proxy]) {
-        while client.next().is_some() {}
+        while client.next_message().is_some() {}
     }
 }
 
@@ -297,22 +301,22 @@
     planner.signal("KILL");
 
     assert_eq!(planner.child.wait().unwrap().code(), None);
-    assert!(waiting.iter_mut().all(|client| client.next().is_none()));
+    assert!(waiting.iter_mut().all(|client| client.next_message().is_none()));
 
-    // At the same address, while the system still closes those connections.
-    bootstrap["listen"] = json!(planner.at.to_string());
-    let again = Planner::start("behind-again", &bootstrap);
+    // At the same address, while the system still closes the old connections.
+    bootstrap["listen"] = json!(planner.address.to_string());
+    let restarted = Planner::start("behind-again", &bootstrap);
     let mut reconnected: Vec<Client> =
-        (0..60).map(|id| Client::open(&again, &[connect_message(id, false)])).collect();
+        (0..60).map(|id| Client::open(&restarted, &[connect_message(id, false)])).collect();
     for (id, proxy) in reconnected.iter_mut().enumerate() {
         proxy.read_until_entry(id as u64, json!(["s-3", 1.0]));
     }
 }
 
 #[test]
-fn a_health_check_with_a_truncated_response_is_repeated_and_its_server_stays() {
+fn a_health_check_with_a_truncated_response_is_repeated_without_ejecting_its_server() {
     let (listener, server) = listen();
-    let (sender, cuts) = channel();
+    let (sender, health_checks) = channel();
     std::thread::spawn(move || {
         for (k, stream) in listener.incoming().enumerate() {
             let mut stream = stream.unwrap();
@@ -331,9 +335,9 @@
         json!([member("s-3", server, "SERVING"), member("s-4", server, "SERVING")]);
     let planner = Planner::start("cut", &bootstrap);
     let mut proxy = connected_proxy(&planner, 1);
-    // Two servers, each checked twice. Neither is ejected by then.
+    // Each of the two servers is checked twice, and neither is ejected by then.
     for _ in 0..4 {
-        cuts.recv_timeout(LONG).unwrap();
+        health_checks.recv_timeout(TEST_TIMEOUT).unwrap();
     }
     let mut second = Client::open(&planner, &[connect_message(2, true)]);
     let updates = second.read_until_entry(2, json!(["s-4", 1.0]));
@@ -345,7 +349,7 @@
     proxy.stream.write_all(&bytes).unwrap();
     let mut received: Vec<Value> = Vec::new();
     while received.last() != Some(&json!({"t": "PONG"})) {
-        received.push(proxy.next().unwrap());
+        received.push(proxy.next_message().unwrap());
     }
 
     assert!(received.iter().all(|update| !update.to_string().contains("0.0")), "{received:?}");
@@ -356,16 +360,16 @@
     let (server, _health_checks) = server();
     let (at, watches) = discovery_agent();
     let planner = Planner::start("rejoin", &bootstrap(at, server));
-    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let proxy = connected_proxy(&planner, 1);
-    // The end of its stream, the drain and its next stream reach the planner together.
+    // The end of the old stream, the drain and the new stream reach the planner in one iteration.
     planner.stop();
     drop(proxy);
     watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
-    let mut again = Client::open(&planner, &[connect_message(1, false)]);
+    let mut reconnected = Client::open(&planner, &[connect_message(1, false)]);
     planner.signal("CONT");
-    let updates = again.read_until_entry(1, json!(["s-3", 1.0]));
+    let updates = reconnected.read_until_entry(1, json!(["s-3", 1.0]));
 
     assert_eq!(
         (&updates[0]["replace"], &updates[0]["rows"]),
@@ -379,9 +383,9 @@
     let discovery = Discovery::start();
     let planner = Planner::start("both", &bootstrap(discovery.address, server));
     planner.stop();
-    let mut both = [0, 1].map(|_| Client::open(&planner, &[connect_message(1, true)]));
+    let mut streams = [0, 1].map(|_| Client::open(&planner, &[connect_message(1, true)]));
     planner.signal("CONT");
-    let first_messages: Vec<Option<Value>> = both.iter_mut().map(Client::next).collect();
+    let first_messages: Vec<Option<Value>> = streams.iter_mut().map(Client::next_message).collect();
 
     assert_eq!(first_messages.iter().filter(|first| first.is_none()).count(), 1, "{first_messages:?}");
     assert!(
@@ -395,8 +399,8 @@
     let (server, _health_checks) = server();
     let (at, watches) = discovery_agent();
     let planner = Planner::start("whole", &bootstrap(at, server));
-    let (_, mut watch) = watches.recv_timeout(LONG).unwrap();
-    watch.write_all(WATCH).unwrap();
+    let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
+    watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
     let complete = |revision| {
         let mut complete =
@@ -414,7 +418,7 @@
 }
 
 #[test]
-fn a_stream_with_an_overdue_ack_or_a_partial_message_is_closed_and_others_go_on() {
+fn a_stream_with_an_overdue_ack_or_a_partial_message_is_closed_and_others_continue() {
     let (server, _health_checks) = server();
     let discovery = Discovery::start();
     let mut bootstrap = bootstrap(discovery.address, server);
@@ -423,15 +427,15 @@
     bootstrap["settings"]["familyInfo"]["lateMostS"] = json!(0.1);
     let planner = Planner::start("mute", &bootstrap);
     let mut other = connected_proxy(&planner, 1);
-    let mut half = connected_proxy(&planner, 2);
-    half.stream.write_all(b"\x40\0\0\0{").unwrap();
-    // It has its table and sends nothing more, as a machine that vanished.
+    let mut half_sent = connected_proxy(&planner, 2);
+    half_sent.stream.write_all(b"\x40\0\0\0{").unwrap();
+    // It receives its table and sends nothing more, like a machine that has crashed.
     let mut unresponsive = Client::open(&planner, &[connect_message(3, true)]);
 
-    assert_eq!(unresponsive.next().unwrap()["replace"], json!(true));
+    assert_eq!(unresponsive.next_message().unwrap()["replace"], json!(true));
 
-    while unresponsive.next().is_some() {}
-    while half.next().is_some() {}
+    while unresponsive.next_message().is_some() {}
+    while half_sent.next_message().is_some() {}
     discovery.lines.send(list(42, &[member("s-2", server, "DRAINING")])).unwrap();
     other.read_until_entry(1, json!(["s-2", 0.0]));
 }
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -8,8 +8,8 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Longer than anything here takes on any machine; no assertion depends on it.
-const LONG: Duration = Duration::from_secs(60);
+/// Limit of every wait, longer than any step takes on a slow machine. No assertion depends on its value.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const FLEET: &str = "<fleet><zone><name>a</name></zone><class><name>q</name><payoff>1</payoff><soft-limit-ms>500\
     </soft-limit-ms><outer-limit-ms>900</outer-limit-ms><repeats>safe</repeats></class><grace><drain-ms>2000</drain-ms>\
@@ -19,7 +19,7 @@
     </probes><report-ms>1000</report-ms><report-lines-per-second>500</report-lines-per-second></proxies><list>\
     <only-drains-bind>false</only-drains-bind></list></fleet>";
 
-/// A folder with certificates, removed at the end.
+/// A temporary folder for certificates and settings; removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -34,7 +34,7 @@
         self.0.join(name)
     }
 
-    /// Writes a certificate for these DNS names, its key and its authority; returns the `tls` element.
+    /// Writes a certificate for the DNS names, its key and its authority; returns the `<tls>` element with their paths.
     fn issue(&self, names: &[&str]) -> String {
         let authority_key = KeyPair::generate().unwrap();
         let mut authority = CertificateParams::new(vec![]).unwrap();
@@ -64,10 +64,10 @@
     }
 }
 
-/// A process of the built program; killed at the end.
+/// A process of the built program; killed at the end of the test.
 struct Process {
     child: Child,
-    /// Its log and what it prints.
+    /// Lines of its standard output and of its log.
     lines: Receiver<String>,
 }
 
@@ -90,10 +90,11 @@
         Process { child, lines }
     }
 
-    /// The next line that contains this.
+    /// Reads lines until one contains `part`, and returns that line.
     fn wait_for(&self, part: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(LONG).unwrap_or_else(|_| panic!("no line with {part}"));
+            let line =
+                self.lines.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("no line contains {part}"));
             if line.contains(part) {
                 return line;
             }
@@ -105,7 +106,8 @@
         assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
     }
 
-    /// Two SIGHUPs, one after the other, are logged; what listens at `address` goes on; SIGTERM ends it in order.
+    /// Checks that two successive SIGHUPs are logged, that `address` still accepts connections, and that SIGTERM ends
+    /// the process with exit code 0, even right after another SIGHUP.
     fn check_signals(&mut self, address: SocketAddr) {
         for _ in 0..2 {
             self.signal("HUP");
@@ -129,7 +131,7 @@
     line.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-/// A planner, and where operators connect.
+/// A planner, and its address for edits.
 fn start_planner(folder: &Folder) -> (Process, SocketAddr) {
     let tls = folder.issue(&["p", "planner.runloom"]);
     let state = folder.file("state");
@@ -145,16 +147,16 @@
     (planner, address)
 }
 
-/// Guards against a planner that ends on SIGHUP, the signal's default.
+/// Guards against a planner that ends on SIGHUP, which is the signal's default action.
 #[test]
-fn a_planner_reads_certificates_again_on_sighup_and_goes_on() {
+fn a_planner_reads_certificates_again_on_sighup_and_keeps_running() {
     let folder = Folder::new("planner");
     let (mut planner, address) = start_planner(&folder);
     planner.check_signals(address);
 }
 
-/// Guards against a planner that ends when a file of its record or state meets a limit on file size: a write beyond it
-/// sends SIGXFSZ, whose default is the end of the process.
+/// Guards against a planner that ends when a file of its event log or state reaches the limit on file size: a write
+/// beyond the limit raises SIGXFSZ, whose default action ends the process.
 #[test]
 fn a_limit_on_file_size_does_not_end_a_planner() {
     let folder = Folder::new("limit");
@@ -163,9 +165,9 @@
     planner.check_signals(address);
 }
 
-/// Guards against a proxy that ends on SIGHUP, and all requests on their way through it.
+/// Guards against a proxy that ends on SIGHUP, and with it all requests in flight.
 #[test]
-fn a_proxy_reads_certificates_again_on_sighup_and_goes_on() {
+fn a_proxy_reads_certificates_again_on_sighup_and_keeps_running() {
     let folder = Folder::new("proxy");
     let tls = folder.issue(&["f1", "proxy.runloom"]);
     let settings = folder.file("forwarder.xml");
