--- a/crates/daemon/tests/changed_bytes.rs
+++ b/crates/daemon/tests/changed_bytes.rs
@@ -1,7 +1,6 @@
-//! What one changed byte makes of whatever is read from a file or a peer: an error, the same, another value, or a panic.
-//!
-//! Text formats carry no checksum, so that another value is to be expected; a panic never is. `--nocapture` prints the
-//! counts.
+//! Changes single bytes of all input from files and peers, and counts what the readers return: an error, the same value
+//! or another value. Text formats carry no checksum, so other values are expected; a panic fails the test.
+//! `--nocapture` prints the counts.
 
 use runloom_daemon::settings;
 use runloom_mqtt::client::{Client, TableFormat};
@@ -15,9 +14,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Each bit, and all of them.
+/// The changes of each byte: each single bit, and all bits.
 const BYTE_CHANGES: [u8; 9] = [0x01, 0x02, 0x04, 0x08, 0x10, 0x20, 0x40, 0x80, 0xff];
-/// Where validation is slow.
+/// A single change per byte, for the settings file, whose validation is slow.
 const ONE_CHANGE: [u8; 1] = [0x11];
 const MAX_NETCONF_BYTES: usize = 1 << 16;
 
@@ -27,10 +26,10 @@
 const LIST: &str = r#"{"revision":41,"complete":true,"members":[]}"#;
 const RPC: &str = "<rpc xmlns='urn:ietf:params:xml:ns:netconf:base:1.0' message-id='7'><get/></rpc>";
 
-/// Reads each copy of `bytes` with one byte changed; `read` gives `None` for an error.
+/// Reads each copy of `bytes` with one byte changed, and counts the outcomes; `read` returns `None` for an error.
 fn count_outcomes(name: &str, bytes: &[u8], changes: &[u8], read: impl Fn(&[u8]) -> Option<String>) {
     let expected = read(bytes);
-    assert!(expected.is_some(), "{name}: it is read as it is");
+    assert!(expected.is_some(), "{name}: unchanged input is not read");
     let (mut errors, mut same, mut others) = (0, 0, 0);
     for position in 0..bytes.len() {
         for change in changes {
@@ -78,9 +77,9 @@
     Some(format!("{events:?}")).filter(|_| !events.is_empty())
 }
 
-/// Guards against a damaged file or message that ends the program.
+/// Guards against a reader that panics on a damaged file or message, which would end the program.
 #[test]
-fn a_changed_byte_never_leads_to_a_panic() {
+fn no_changed_byte_causes_a_panic() {
     let mut message = Vec::new();
     write_frame(&mut message, br#"{"t":"SUBSCRIBE","id":17,"site":"a","rps":21.5,"new":true}"#);
     count_outcomes("platform frame", &message, &BYTE_CHANGES, read_frames);
@@ -98,9 +97,9 @@
     count_outcomes("mqtt connect", &client.output(), &BYTE_CHANGES, read_connect);
 }
 
-/// Guards against a damaged settings file that ends the program instead of being named.
+/// Guards against a damaged settings file that causes a panic instead of an error that names the file.
 #[test]
-fn a_changed_byte_of_a_settings_file_is_a_fault_or_another_setting() {
+fn a_changed_byte_of_a_settings_file_gives_a_fault_or_another_value() {
     let valid = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/settings/valid.xml");
     let bytes = std::fs::read(valid).unwrap();
     let path = std::env::temp_dir().join(format!("runloom-changed-{}.xml", std::process::id()));
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -1,6 +1,6 @@
-//! Snapshots of the commands that read data stored by an earlier build. The fixtures were written by a planner in a short
-//! scripted run with edits, a kill, failing servers and an overload; versions 1 and 2 of the record leave out the kinds of
-//! entries that those did not have.
+//! Snapshots of the output of commands that read data stored by an earlier build. A planner wrote the fixtures in a
+//! short scripted run with edits, a kill, failing servers and an overload. The event logs of versions 1 and 2 lack the
+//! kinds of entries that those versions did not have.
 //!
 //! `UPDATE_SNAPSHOTS=1` rewrites the snapshots.
 
@@ -11,12 +11,12 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// What `runloom` prints and how it ends; paths of this machine are left out.
+/// The output and the exit code of `runloom`, without the path of the fixtures, which differs between machines.
 fn runloom(arguments: &[&str]) -> String {
     let run = Command::new(env!("CARGO_BIN_EXE_runloom")).args(arguments).output().unwrap();
     let printed = String::from_utf8(run.stdout).unwrap() + &String::from_utf8(run.stderr).unwrap();
-    let folders = printed.replace(fixture("").to_str().unwrap(), "");
-    format!("{folders}code {}\n", run.status.code().unwrap())
+    let relative = printed.replace(fixture("").to_str().unwrap(), "");
+    format!("{relative}code {}\n", run.status.code().unwrap())
 }
 
 fn assert_unchanged(name: &str, output: &str) {
@@ -27,7 +27,7 @@
     assert_eq!(output, std::fs::read_to_string(&path).unwrap(), "{}", path.display());
 }
 
-/// A copy of the state folder, since reading it may set files aside.
+/// A copy of the fixture's state folder, since a planner that reads it may rename files.
 fn state_folder(name: &str) -> PathBuf {
     let copy = std::env::temp_dir().join(format!("runloom-stored-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&copy);
@@ -39,14 +39,14 @@
     copy
 }
 
-/// Ages count from now, and so does what is left of a hint: `16 s ago` reads `N s ago`, and the hint is left out.
+/// Removes what depends on the time now: `16 s ago` becomes `N s ago`, and hints, which decay with age, are cut off.
 fn without_ages(text: &str) -> String {
     let lines = text.lines().map(|line| line.split("  counts ").next().unwrap());
     let text: String = lines.flat_map(|line| [line, "\n"]).collect();
     let mut words: Vec<&str> = text.split(' ').collect();
-    for place in 2..words.len() {
-        if words[place].starts_with("ago") && words[place - 1] == "s" {
-            words[place - 2] = "N";
+    for index in 2..words.len() {
+        if words[index].starts_with("ago") && words[index - 1] == "s" {
+            words[index - 2] = "N";
         }
     }
     words.join(" ")
@@ -66,15 +66,15 @@
     text.bytes().fold(0xcbf29ce484222325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x100000001b3))
 }
 
-/// All entries as JSON, of which the snapshot holds the first and a digest of the rest.
+/// The first entries as JSON, and the number and a digest of all entries.
 fn export(folder: &str) -> String {
     let entries = runloom(&["record", "export", folder]);
-    let first: String = entries.lines().take(40).flat_map(|line| [line, "\n"]).collect();
-    format!("{first}{} lines, digest {:016x}\n", entries.lines().count(), digest(&entries))
+    let first_entries: String = entries.lines().take(40).flat_map(|line| [line, "\n"]).collect();
+    format!("{first_entries}{} lines, digest {:016x}\n", entries.lines().count(), digest(&entries))
 }
 
 #[test]
-fn records_of_all_versions_are_read() {
+fn event_logs_of_all_versions_are_read() {
     for version in ["1", "2", "3"] {
         let folder = fixture("record").join(version);
         let path = folder.to_str().unwrap();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_replayed_record_gives_the_same_commands() {
+fn a_replayed_event_log_gives_the_same_commands() {
     let folder = fixture("record/3");
     let path = folder.to_str().unwrap();
     let output =
@@ -101,7 +101,7 @@
     assert_unchanged("check.txt", &output);
 }
 
-/// Names of options and sub-commands, without their descriptions.
+/// Guards against an option or sub-command whose name changes. Descriptions are not compared.
 #[test]
 fn the_command_line_keeps_its_names() {
     let commands: [&[&str]; 17] = [
