--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -273,8 +273,8 @@
         self.unavailable_reason = None;
     }
 
-    /// Returns to the configuration on disk, since the patch in flight could not be written, and drops all edits accepted
-    /// since. The endpoint list is kept: it need not be durable.
+    /// Returns to the configuration on disk, since the patch in flight could not be written, and drops all edits
+    /// accepted since. The endpoint list is kept: it need not be durable.
     pub fn roll_back(&mut self, reason: String) {
         let roster = part(&self.accepted.data, ENDPOINT_LIST_PART).cloned();
         let mut data = (*self.persisted.data).clone();
