--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -3,7 +3,7 @@
 use crate::config_service::ConfigService;
 use crate::error::StartError;
 use crate::persistence::RestoredState;
-use crate::state_file::StateFile;
+use crate::state_file::StateFiles;
 use crate::wall_ms;
 use runloom_control_session::ServerHint;
 use runloom_inventory::edit_history::{EditHistory, StoredEdit};
@@ -23,7 +23,7 @@
 
 /// Returns the epoch of this start, and stores it. It is higher than any earlier one, even if the clock was set back,
 /// so that versions published by different starts can be told apart.
-pub(super) fn next_epoch(files: &StateFile) -> io::Result<u64> {
+pub(super) fn next_epoch(files: &StateFiles) -> io::Result<u64> {
     let last = files.read(EPOCH_FILE)?.and_then(|epoch| epoch.text.parse::<u64>().ok()).unwrap_or(0);
     let epoch = wall_ms().max(last + 1);
     write_epoch(files, epoch)?;
@@ -31,12 +31,12 @@
 }
 
 /// Stores the epoch, which the next start has to exceed.
-pub(super) fn write_epoch(files: &StateFile, epoch: u64) -> io::Result<()> {
+pub(super) fn write_epoch(files: &StateFiles, epoch: u64) -> io::Result<()> {
     files.write(EPOCH_FILE, &Element::leaf("", "epoch", epoch))
 }
 
 /// Renames files of the first layout, once their content is stored in the present one.
-pub(super) fn set_legacy_files_aside(files: &StateFile) -> io::Result<()> {
+pub(super) fn set_legacy_files_aside(files: &StateFiles) -> io::Result<()> {
     files.set_aside(LEGACY_ACCEPTED_FILE)?;
     files.set_aside(LEGACY_ROSTER_FILE)
 }
@@ -44,7 +44,7 @@
 /// Restores the accepted configuration and its edit history; without a stored one, takes that of the settings. State
 /// folders of the first layout are read as well.
 pub(super) fn restore_config(
-    files: &StateFile,
+    files: &StateFiles,
     settings: &PlannerSettings,
     restored: &mut RestoredState,
 ) -> Result<ConfigService, StartError> {
