--- a/crates/daemon/src/commands/state.rs
+++ b/crates/daemon/src/commands/state.rs
@@ -4,7 +4,7 @@
 use crate::persistence::{restore_accepted, RestoreError, EDITS, ENDPOINT_LIST, LEARNED};
 use crate::wall_ms;
 use runloom_store::{
-    describe, AcceptedState, FileSummary, Folder, FolderLock, Layout, LearnedServer, LearnedServers,
+    describe_files, AcceptedState, FileSummary, Folder, FolderLock, Layout, LearnedServer, LearnedServers,
     OpenedState, Store,
 };
 use std::path::Path;
@@ -18,7 +18,7 @@
 
 /// Prints the files, a line each.
 pub fn list(folder: &Path) -> Result<(), CommandError> {
-    for file in describe(&Folder::open_read_only(folder)?)? {
+    for file in describe_files(&Folder::open_read_only(folder)?)? {
         let head = match file.summary {
             Some(FileSummary { version, generation, entries }) => {
                 format!("version {version}  generation {generation}  entries {entries}")
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -26,7 +26,7 @@
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
-use runloom_store::{list_chunks, AcceptedEdit, AcceptedState, EntrySource, ListChunk, StatePatch};
+use runloom_store::{chunk_entries, AcceptedEdit, AcceptedState, EntrySource, ListChunk, StatePatch};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -256,7 +256,7 @@
             let index = old_indexes.get(&Arc::as_ptr(entry)).copied();
             index.map_or_else(|| EntrySource::New(entry.to_text()), EntrySource::Existing)
         };
-        Some(list_chunks(new.iter().map(source)))
+        Some(chunk_entries(new.iter().map(source)))
     }
 
     /// The patch in flight is on disk.
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -2,7 +2,7 @@
 
 use crate::config_service::ConfigService;
 use runloom_control_session::ControlSession;
-use runloom_event_log::{ConversionError, RecordedEvent, Recorder, RecorderConfig, Writer};
+use runloom_event_log::{BackgroundWriter, ConversionError, RecordedEvent, Recorder, RecorderConfig};
 use runloom_model::planner_settings::PlannerSettings;
 use std::io;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 /// The event log of a planner, if its settings name a folder for one.
 pub(super) struct EventRecording {
-    writer: Option<Writer>,
+    writer: Option<BackgroundWriter>,
     /// Whether recording had stopped when last checked, to log each change once.
     is_stopped: bool,
 }
@@ -40,7 +40,7 @@
             fleet: config.persisted_fleet_text(),
         };
         control.recorded_events = Some(vec![(Duration::ZERO, start)]);
-        Ok(EventRecording { writer: Some(Writer::new(recorder)), is_stopped: false })
+        Ok(EventRecording { writer: Some(BackgroundWriter::new(recorder)), is_stopped: false })
     }
 
     /// Writes what happened in an iteration that began at `iteration_start`.
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -18,7 +18,7 @@
 pub use reader::{for_each_entry, read_run, read_runs};
 pub use recorder::{Recorder, RecorderConfig};
 pub use segment::{convert_to_columns, list_segments, read_segment, Segment, SegmentContent};
-pub use writer::{Writer, WriterStatus};
+pub use writer::{BackgroundWriter, WriterStatus};
 
 #[cfg(test)]
 mod tests;
--- a/crates/event-log/src/tests/writer.rs
+++ b/crates/event-log/src/tests/writer.rs
@@ -1,7 +1,7 @@
 //! The recorder's thread.
 
 use super::support::TestFolder;
-use crate::{read_run, RecordedEvent, Recorder, RecorderConfig, Writer};
+use crate::{read_run, BackgroundWriter, RecordedEvent, Recorder, RecorderConfig};
 use std::time::Duration;
 
 fn disconnected(k: u64) -> RecordedEvent {
@@ -12,7 +12,7 @@
 fn entries_are_written_in_sequence_and_those_without_room_are_counted() {
     let folder = TestFolder::new("writer");
     let recorder = Recorder::open(&folder.0, RecorderConfig::default()).unwrap();
-    let mut writer = Writer::with_limit(recorder, 1000);
+    let mut writer = BackgroundWriter::with_limit(recorder, 1000);
     let at = Duration::from_millis;
     // When a batch is larger than the limit, then it is lost.
     writer.push(at(1), (0..100).map(|k| (at(1), disconnected(k))).collect());
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -39,7 +39,7 @@
 }
 
 /// Passes entries to a recorder on another thread.
-pub struct Writer {
+pub struct BackgroundWriter {
     /// `None` once it is finished.
     sender: Option<Sender<Batch>>,
     thread: Option<JoinHandle<()>>,
@@ -53,13 +53,13 @@
     unreported_losses: u64,
 }
 
-impl Writer {
+impl BackgroundWriter {
     /// Starts the thread.
-    pub fn new(recorder: Recorder) -> Writer {
-        Writer::with_limit(recorder, MAX_QUEUED_BYTES)
+    pub fn new(recorder: Recorder) -> BackgroundWriter {
+        BackgroundWriter::with_limit(recorder, MAX_QUEUED_BYTES)
     }
 
-    pub(crate) fn with_limit(recorder: Recorder, max_queued_bytes: usize) -> Writer {
+    pub(crate) fn with_limit(recorder: Recorder, max_queued_bytes: usize) -> BackgroundWriter {
         let (sender, receiver) = channel();
         let (error_sender, conversion_errors) = channel();
         let queued_bytes = Arc::new(AtomicUsize::new(0));
@@ -71,7 +71,7 @@
             status: recorder_status.clone(),
             conversion_errors: error_sender,
         };
-        Writer {
+        BackgroundWriter {
             sender: Some(sender),
             thread: Some(std::thread::spawn(move || worker.run())),
             max_queued_bytes,
--- a/crates/store/src/accepted_state.rs
+++ b/crates/store/src/accepted_state.rs
@@ -144,7 +144,7 @@
 }
 
 /// The chunks of a new list, in its order.
-pub fn list_chunks(entries: impl Iterator<Item = EntrySource>) -> Vec<ListChunk> {
+pub fn chunk_entries(entries: impl Iterator<Item = EntrySource>) -> Vec<ListChunk> {
     let mut chunks: Vec<ListChunk> = Vec::new();
     for entry in entries {
         match (entry, chunks.last_mut()) {
--- a/crates/store/src/description.rs
+++ b/crates/store/src/description.rs
@@ -30,7 +30,7 @@
 }
 
 /// Describes all snapshots and journals in a folder.
-pub fn describe(disk: &impl Disk) -> Result<Vec<FileDescription>, StoreError> {
+pub fn describe_files(disk: &impl Disk) -> Result<Vec<FileDescription>, StoreError> {
     let mut descriptions = Vec::new();
     for file in disk.list()?.into_iter().filter(|file| is_store_file(file)) {
         let bytes = disk.read(&file)?;
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -10,7 +10,7 @@
     Io(#[from] io::Error),
     /// A newer version of the program wrote the file; its content would be lost if this one went on.
     #[error("{file} is of version {found}, and this program knows up to {known}")]
-    Newer {
+    NewerVersion {
         /// The file.
         file: String,
         /// The version of its content.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -17,9 +17,9 @@
 mod store;
 
 pub use accepted_state::{
-    list_chunks, AcceptedEdit, AcceptedState, EntrySource, ListChunk, PatchError, StatePatch,
+    chunk_entries, AcceptedEdit, AcceptedState, EntrySource, ListChunk, PatchError, StatePatch,
 };
-pub use description::{describe, FileDescription, FileSummary};
+pub use description::{describe_files, FileDescription, FileSummary};
 pub use disk::Disk;
 pub use error::{DecodeError, StoreError};
 pub use folder::{Folder, FolderLock};
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -128,7 +128,7 @@
         }
         if header.version > self.layout.version {
             let (found, known) = (header.version, self.layout.version);
-            return Err(StoreError::Newer { file: file.into(), found, known });
+            return Err(StoreError::NewerVersion { file: file.into(), found, known });
         }
         Ok(Some(content))
     }
--- a/crates/store/src/tests/accepted_state.rs
+++ b/crates/store/src/tests/accepted_state.rs
@@ -1,6 +1,6 @@
 //! Patches of the accepted state.
 
-use crate::{list_chunks, AcceptedState, EntrySource, ListChunk, PatchError, StatePatch};
+use crate::{chunk_entries, AcceptedState, EntrySource, ListChunk, PatchError, StatePatch};
 use proptest::prelude::*;
 
 fn entry_text(entry: u32) -> String {
@@ -16,7 +16,7 @@
             None => EntrySource::New(text),
         }
     };
-    StatePatch { chunks: Some(list_chunks(list.iter().map(source))), ..StatePatch::default() }
+    StatePatch { chunks: Some(chunk_entries(list.iter().map(source))), ..StatePatch::default() }
 }
 
 proptest! {
--- a/crates/store/src/tests/durability.rs
+++ b/crates/store/src/tests/durability.rs
@@ -200,7 +200,7 @@
     // When it has written state, then a program of version 2 rejects that.
     store.snapshot(b"now").unwrap();
     let error = Store::open(store.disk, LAYOUT).err().unwrap();
-    assert!(matches!(error, StoreError::Newer { found: 3, known: 2, .. }), "{error}");
+    assert!(matches!(error, StoreError::NewerVersion { found: 3, known: 2, .. }), "{error}");
 }
 
 #[test]
--- a/crates/store/src/tests/folder.rs
+++ b/crates/store/src/tests/folder.rs
@@ -1,7 +1,7 @@
 //! Folders of the file system.
 
 use super::durability::{replay, LAYOUT};
-use crate::{describe, Folder, FolderLock, Store};
+use crate::{describe_files, Folder, FolderLock, Store};
 use std::io;
 
 #[test]
@@ -25,7 +25,7 @@
     drop(lock);
     let (_, opened) = Store::open(Folder::open(&path).unwrap(), LAYOUT).unwrap();
     assert_eq!(replay(&opened), [1, 2, 4]);
-    let descriptions = describe(&Folder::open_read_only(&path).unwrap()).unwrap();
+    let descriptions = describe_files(&Folder::open_read_only(&path).unwrap()).unwrap();
     let is_intact = |summary: crate::FileSummary| summary.version == 2;
     assert!(
         descriptions.iter().all(|file| file.trailing_bytes == 0 && file.summary.is_some_and(is_intact)),
--- a/crates/testbed/src/benchmarks/persistence.rs
+++ b/crates/testbed/src/benchmarks/persistence.rs
@@ -10,7 +10,7 @@
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::FLEET;
 use runloom_netconf::tree::Element;
-use runloom_store::{list_chunks, AcceptedEdit, AcceptedState, EntrySource, Folder, StatePatch, Store};
+use runloom_store::{chunk_entries, AcceptedEdit, AcceptedState, EntrySource, Folder, StatePatch, Store};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -74,7 +74,7 @@
         true => EntrySource::New(fleet_entry(entry)),
         false => EntrySource::Existing(entry as u32),
     };
-    let chunks = Some(list_chunks((0..FLEET_ENTRIES).map(source)));
+    let chunks = Some(chunk_entries((0..FLEET_ENTRIES).map(source)));
     StatePatch { chunks, edits: vec![accepted_edit(number)], rollback_entries: None }.encode()
 }
 
