--- a/crates/store/src/tests/durability.rs
+++ b/crates/store/src/tests/durability.rs
@@ -1,4 +1,4 @@
-//! What was confirmed is read back, once and in order, whatever a power cut or a fault leaves.
+//! Tests that confirmed entries are read back, once and in order, after power cuts and failed writes.
 
 use super::flaky_disk::FlakyDisk;
 use crate::disk::Disk;
@@ -16,7 +16,7 @@
     Ok(bytes)
 }
 
-/// The state after all entries: the tests' entries are numbers, and the state is the numbers in their order.
+/// The state after all entries are applied. In these tests an entry is a number, and the state is the list of numbers.
 pub fn replay(opened: &OpenedState) -> Vec<u8> {
     let mut state = opened.state.clone().unwrap_or_default();
     for entry in &opened.entries {
@@ -25,18 +25,18 @@
     state
 }
 
-/// What came of writing batches to a disk.
-struct Written {
+/// Result of writing batches to a disk.
+struct WriteOutcome {
     disk: FlakyDisk,
     /// Numbers that the store confirmed.
     confirmed: Vec<u8>,
-    /// Numbers of the batch that failed last, which may be there or not.
+    /// Numbers of the batch that failed last, of which any first part may be on disk.
     unconfirmed: Vec<u8>,
 }
 
-/// Writes batches of so many numbers each, like a planner: a batch that fails is taken back, and a snapshot comes
-/// before the next.
-fn write_batches(disk: FlakyDisk, batches: &[usize]) -> Written {
+/// Writes batches with these counts of numbers, as a planner does: a failed batch is rolled back, and a snapshot is
+/// written before the next one.
+fn write_batches(disk: FlakyDisk, batches: &[usize]) -> WriteOutcome {
     let Ok((mut store, opened)) = Store::open(disk, LAYOUT) else { panic!("the disk is empty") };
     assert_eq!(opened, OpenedState::default());
     let mut confirmed = vec![];
@@ -56,12 +56,12 @@
             Err(_) => unconfirmed = entries.concat(),
         }
     }
-    Written { disk: store.disk, confirmed, unconfirmed }
+    WriteOutcome { disk: store.disk, confirmed, unconfirmed }
 }
 
-impl Written {
-    /// Asserts that a disk has all that was confirmed, once and in order, and beyond it at most a part of the batch
-    /// that failed.
+impl WriteOutcome {
+    /// Asserts that a disk has all confirmed numbers, once and in order, followed by at most a first part of the failed
+    /// batch.
     fn assert_durable(&self, disk: FlakyDisk, case: impl std::fmt::Display) {
         let (_, opened) = Store::open(disk, LAYOUT).unwrap_or_else(|e| panic!("{case}: {e}"));
         let state = replay(&opened);
@@ -72,8 +72,8 @@
         assert!(unconfirmed.starts_with(rest), "{case}: {state:?} for {confirmed:?} and {unconfirmed:?}");
     }
 
-    /// Asserts the same after all power cuts now: with any of the unsynced changes of names, and of any one file's
-    /// unsynced bytes any number, of the others' none or all. Returns how many these are.
+    /// Asserts the same after each power cut that is possible now: any subset of the unsynced name changes survives, any
+    /// number of one file's unsynced bytes, and none or all of those of the other files. Returns the number of cases.
     fn assert_durable_after_all_power_cuts(&self, operation: usize) -> usize {
         let mut cases = 0;
         for changes in 0..1u32 << self.disk.unsynced_changes.len() {
@@ -91,7 +91,7 @@
         cases
     }
 
-    /// Each file with unsynced bytes, with each number of them that may survive; at the end no file at all.
+    /// Each file with unsynced bytes, paired with each number of them that may survive; the last pair is no file.
     fn cut_files(&self) -> Vec<(usize, usize)> {
         let mut cuts = Vec::new();
         for (file, content) in self.disk.files.iter().enumerate() {
@@ -104,9 +104,9 @@
     }
 }
 
-/// The power is cut at each operation of a history with three snapshots.
+/// Cuts the power at each operation of a history with three snapshots.
 #[test]
-fn whatever_a_power_cut_leaves_confirmed_entries_are_there_once() {
+fn confirmed_entries_survive_every_power_cut_exactly_once() {
     let batches = [1, 2, 3, 1, 5, 2, 1, 6, 1, 3, 2, 4, 1, 1, 2, 5, 3, 1];
     let operations = write_batches(FlakyDisk::default(), &batches).disk.operations;
     let mut cases = 0;
@@ -122,7 +122,7 @@
 }
 
 proptest! {
-    /// Operations fail half done while the machine goes on (a full disk, a sync that fails); then the power is cut.
+    /// Some operations fail half way while the machine keeps running (a full disk, a failed sync); then the power is cut.
     #[test]
     fn faults_lose_nothing_that_was_confirmed(
         batches in prop::collection::vec(1usize..4, 1..25),
@@ -137,14 +137,14 @@
         written.assert_durable(written.disk.after_power_cut(u32::MAX, |_| usize::MAX), "all written");
     }
 
-    /// Any bytes in place of a part of a file: no panic, and nothing is read that was not written.
+    /// Arbitrary bytes replace the end of a file: nothing panics, and nothing is read that was not written.
     #[test]
     fn arbitrary_bytes_in_a_file_are_tolerated(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
         at in 0usize..100,
         in_journal: bool,
     ) {
-        let Written { mut disk, confirmed, .. } = write_batches(FlakyDisk::default(), &[2, 2]);
+        let WriteOutcome { mut disk, confirmed, .. } = write_batches(FlakyDisk::default(), &[2, 2]);
         let file = disk.names[if in_journal { "edits.journal.1" } else { "edits.state.1" }];
         let content = &mut disk.files[file].synced;
         let at = at.min(content.len());
@@ -157,20 +157,20 @@
 }
 
 #[test]
-fn a_corrupt_snapshot_is_set_aside_and_the_one_before_it_has_all() {
+fn a_corrupt_snapshot_is_renamed_and_the_previous_generation_has_all_entries() {
     // Given two generations, of which the newer snapshot is corrupt.
-    let Written { mut disk, confirmed, .. } = write_batches(FlakyDisk::default(), &[3, 3, 3, 3, 2]);
+    let WriteOutcome { mut disk, confirmed, .. } = write_batches(FlakyDisk::default(), &[3, 3, 3, 3, 2]);
     let snapshots = disk.names.keys().filter(|name| name.contains("state"));
     let newest = snapshots.clone().max().cloned().unwrap();
     assert_eq!(snapshots.count(), 2, "two generations: {:?}", disk.names);
     let content = &mut disk.files[disk.names[&newest]].synced;
     *content.last_mut().unwrap() ^= 1;
-    // When the store is opened, then the snapshot is renamed, and nothing is lost.
+    // When the store is opened, then the corrupt snapshot is renamed, and nothing is lost.
     let (mut store, opened) = Store::open(disk, LAYOUT).unwrap();
     assert!(opened.notes[0].contains("broken"));
     assert!(store.disk.list().unwrap().iter().any(|name| name.ends_with(".broken")));
     assert_eq!(replay(&opened), confirmed);
-    // When the next snapshot is written, then it does not take the corrupt one's number.
+    // When the next snapshot is written, then it does not reuse the generation of the corrupt one.
     store.snapshot(&confirmed).unwrap();
     assert!(!store.disk.list().unwrap().contains(&newest));
 }
@@ -192,20 +192,20 @@
     let (mut store, _) = Store::open(FlakyDisk::default(), old).unwrap();
     store.snapshot(b"s").unwrap();
     store.append(&[b"e".to_vec()]).unwrap();
-    // When a program of version 3 opens it, then both steps are taken.
+    // When a program of version 3 opens it, then both upgrades are applied.
     let new = Layout { version: 3, upgrades: &UPGRADES, ..LAYOUT };
     let (mut store, opened) = Store::open(store.disk, new).unwrap();
     assert_eq!(opened.state.unwrap(), b"s+2+3");
     assert_eq!(opened.entries[0], b"e+2+3");
-    // When it has written state, then a program of version 2 rejects that.
+    // When that program has written a snapshot, then a program of version 2 rejects it.
     store.snapshot(b"now").unwrap();
     let error = Store::open(store.disk, LAYOUT).err().unwrap();
     assert!(matches!(error, StoreError::NewerVersion { found: 3, known: 2, .. }), "{error}");
 }
 
 #[test]
-fn after_a_failed_write_nothing_is_appended_before_a_snapshot() {
-    // Given a new store: nothing can be appended before its first snapshot.
+fn after_a_failed_write_appends_are_rejected_until_a_snapshot() {
+    // Given a new store, to which nothing can be appended before its first snapshot.
     let (mut store, _) = Store::open(FlakyDisk::default(), LAYOUT).unwrap();
     assert!(matches!(store.append(&[vec![1]]), Err(StoreError::JournalEndUnknown)));
     store.snapshot(&[]).unwrap();
--- a/crates/store/src/tests/flaky_disk.rs
+++ b/crates/store/src/tests/flaky_disk.rs
@@ -1,17 +1,17 @@
-//! A disk that may lose, cut off and reorder what was not synced.
+//! A disk in memory that may lose, truncate and reorder unsynced writes.
 
 use crate::disk::Disk;
 use std::collections::BTreeMap;
 use std::io;
 
-/// A file: what is sure to survive a power cut, and what was written since.
+/// Content of a file: the bytes that survive a power cut, and those written since the last sync.
 #[derive(Debug, Clone, Default)]
 pub struct FlakyFile {
     pub synced: Vec<u8>,
     pub unsynced: Vec<u8>,
 }
 
-/// A change of a name.
+/// A change of the folder's names.
 #[derive(Debug, Clone)]
 pub enum NameChange {
     Create { name: String, file: usize },
@@ -35,23 +35,24 @@
 
 /// How an operation fails.
 enum Fault {
-    /// It is half done, and the machine goes on.
+    /// Half of it is done, and the machine keeps running.
     HalfDone,
-    /// The power is gone.
+    /// The machine is off: this and all later operations do nothing.
     PowerCut,
 }
 
-/// A disk in memory. Until the folder is synced, any of the changes of names may be missing after a power cut.
+/// A disk in memory. Until the folder is synced, any subset of the name changes may be missing after a power cut.
 #[derive(Debug, Clone, Default)]
 pub struct FlakyDisk {
     pub files: Vec<FlakyFile>,
+    /// Index in `files` by name.
     pub names: BTreeMap<String, usize>,
     pub unsynced_changes: Vec<NameChange>,
-    /// Operations so far.
+    /// Number of operations so far that change the disk.
     pub operations: usize,
-    /// All operations after this one fail.
+    /// All operations after this one fail without effect.
     pub power_cut_after: Option<usize>,
-    /// These operations fail half done.
+    /// These operations fail half way.
     pub faulty_operations: Vec<usize>,
     pub synced_names: BTreeMap<String, usize>,
 }
@@ -67,18 +68,18 @@
     }
 
     fn change_names(&mut self, change: NameChange) -> io::Result<()> {
-        self.begin_operation().map_err(|_| fault())?;
+        self.begin_operation().map_err(|_| fault_error())?;
         change.apply(&mut self.names);
         self.unsynced_changes.push(change);
         Ok(())
     }
 
-    fn file_of(&self, name: &str) -> io::Result<usize> {
+    fn file_index(&self, name: &str) -> io::Result<usize> {
         Ok(self.names.get(name).copied().ok_or(io::ErrorKind::NotFound)?)
     }
 
-    /// The disk after a power cut: with the changes of names whose bits are set in `surviving_changes`, and of each
-    /// file's unsynced bytes the first `surviving_bytes(file)`.
+    /// Returns the disk after a power cut. The name changes whose bits are set in `surviving_changes` survive, and the
+    /// first `surviving_bytes(file)` unsynced bytes of each file.
     pub fn after_power_cut(
         &self,
         surviving_changes: u32,
@@ -104,7 +105,7 @@
     }
 }
 
-fn fault() -> io::Error {
+fn fault_error() -> io::Error {
     io::Error::other("fault")
 }
 
@@ -114,7 +115,7 @@
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        let file = &self.files[self.file_of(name)?];
+        let file = &self.files[self.file_index(name)?];
         Ok([&file.synced[..], &file.unsynced[..]].concat())
     }
 
@@ -126,27 +127,27 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let outcome = self.begin_operation();
-        let file = self.file_of(name)?;
+        let file = self.file_index(name)?;
         let written = match outcome {
             Ok(()) => bytes,
-            // A full disk takes a part.
+            // A full disk takes only part of a write.
             Err(Fault::HalfDone) => &bytes[..bytes.len() / 2],
             Err(Fault::PowerCut) => &[],
         };
         self.files[file].unsynced.extend_from_slice(written);
-        outcome.map_err(|_| fault())
+        outcome.map_err(|_| fault_error())
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.begin_operation().map_err(|_| fault())?;
-        let file = self.file_of(name)?;
+        self.begin_operation().map_err(|_| fault_error())?;
+        let file = self.file_index(name)?;
         let FlakyFile { synced, unsynced } = &mut self.files[file];
         synced.append(unsynced);
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.begin_operation().map_err(|_| fault())?;
+        self.begin_operation().map_err(|_| fault_error())?;
         self.synced_names = self.names.clone();
         self.unsynced_changes.clear();
         Ok(())
--- a/crates/store/src/tests/folder.rs
+++ b/crates/store/src/tests/folder.rs
@@ -1,14 +1,14 @@
-//! Folders of the file system.
+//! Tests of folders in the file system.
 
 use super::durability::{replay, LAYOUT};
 use crate::{describe_files, Folder, FolderLock, Store};
 use std::io;
 
 #[test]
-fn a_replaced_file_and_a_second_planner_are_noticed() {
+fn a_replaced_folder_and_a_second_planner_are_detected() {
     let path = std::env::temp_dir().join(format!("runloom-store-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    // Given a locked folder with state: a second planner cannot lock it.
+    // Given a locked folder with state, which a second planner cannot lock.
     let lock = FolderLock::acquire(&path).unwrap();
     assert_eq!(FolderLock::acquire(&path).unwrap_err().kind(), io::ErrorKind::AddrInUse);
     let (mut store, _) = Store::open(Folder::open(&path).unwrap(), LAYOUT).unwrap();
@@ -18,7 +18,7 @@
     std::fs::remove_dir_all(&path).unwrap();
     assert!(store.append(&[vec![3]]).is_err());
     assert!(store.snapshot(&[1, 2]).is_err(), "there is no folder");
-    // When it is there again, then a snapshot succeeds, and all is read back.
+    // When the folder is created again, then a snapshot succeeds, and all state is read back.
     std::fs::create_dir_all(&path).unwrap();
     store.snapshot(&[1, 2]).unwrap();
     store.append(&[vec![4]]).unwrap();
--- a/crates/store/src/tests/learned_servers.rs
+++ b/crates/store/src/tests/learned_servers.rs
@@ -1,4 +1,4 @@
-//! What was learned of servers, and how it ages.
+//! Tests of warm-start hints, their decay, and their merging.
 
 use crate::{LearnedServer, LearnedServers, WarmStartHint};
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A slow server, one that was just ejected, and one that was ejected for long.
+/// A slow server, a server that was just ejected, and one with a long ejection, read back from the stored form.
 fn learned() -> LearnedServers {
     let servers = vec![
         server("slow", 0.5, None, false),
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn what_was_learned_ages_and_another_machine_or_start_is_a_new_server() {
+fn hints_decay_and_another_address_or_start_time_is_a_new_server() {
     let learned = learned();
-    // At once, all counts.
+    // Without delay, the hints have their full value.
     let slow = WarmStartHint { speed_factor: 0.5, suspicion: 0.0 };
     let ejected = WarmStartHint { speed_factor: 1.0, suspicion: 1.0 };
     assert_eq!(hint(&learned, NOW, "slow"), Some(slow));
     assert_eq!(hint(&learned, NOW, "ejected"), Some(ejected));
-    // Then it decays, more slowly after a long ejection.
+    // Later they decay, more slowly after a long ejection.
     let later = NOW + 2 * MINUTE;
     assert!((hint(&learned, later, "ejected").unwrap().suspicion - 0.5).abs() < 1e-9);
     assert!(hint(&learned, later, "long-ejected").unwrap().suspicion > 0.7);
@@ -64,18 +64,18 @@
 }
 
 #[test]
-fn a_restart_keeps_ejections_that_still_count() {
+fn a_restart_keeps_recent_ejections() {
     let earlier = learned();
     let soon = NOW + 4_000;
-    // A planner that has seen nothing yet keeps the ejections, and no speed.
+    // A planner that has no results yet keeps the earlier ejections, but no speed factor.
     let merged = LearnedServers { written_ms: soon, servers: vec![] }.merge_earlier(&earlier);
     assert!(hint(&merged, soon, "ejected").unwrap().suspicion > 0.9);
-    assert_eq!(merged.servers.len(), 2, "the speed is for the newer process to learn");
-    // What it has seen itself, later, counts.
+    assert_eq!(merged.servers.len(), 2, "the speed factor is left for the newer process to learn");
+    // A later ejection that it has seen itself takes precedence.
     let seen = vec![server("ejected", 0.8, Some(NOW + 3_000), true)];
     let merged = LearnedServers { written_ms: soon, servers: seen.clone() }.merge_earlier(&earlier);
     assert_eq!(merged.servers[0], seen[0]);
-    // An hour later nothing is kept.
+    // An hour later no ejection is kept.
     let merged = LearnedServers { written_ms: NOW + HOUR, servers: vec![] }.merge_earlier(&earlier);
     assert_eq!(merged.servers, []);
 }
