--- a/crates/store/src/accepted_state.rs
+++ b/crates/store/src/accepted_state.rs
@@ -1,80 +1,81 @@
-//! What operators' edits came to: the fleet's entries, the accepted edits, and what a confirmed commit rolls back to.
+//! Result of the operators' edits: the fleet's entries, the accepted edits, and what a confirmed commit rolls back to.
 //!
-//! One edit is stored as a patch of the entries: some hundred bytes, however large the fleet is. The order of fields
-//! and variants is part of the stored form.
+//! Each batch of edits is stored as a patch of the entries: an edit takes some hundred bytes, however large the fleet is.
+//! The order of fields and variants is part of the stored form.
 
 use crate::error::DecodeError;
 use serde::{Deserialize, Serialize};
 
-/// Edits that are stored.
+/// Number of edits that are kept; older ones are dropped.
 const MAX_EDITS: usize = 1024;
 
-/// An accepted edit.
+/// An accepted edit, without the changes that it made.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedEdit {
-    /// Its id.
+    /// Id that the operator gave, or that was generated.
     pub id: String,
-    /// Who made it.
+    /// User that made the edit.
     pub author: String,
-    /// Digest of its content.
+    /// Digest of its content, to recognize a repeated edit.
     pub digest: String,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time of acceptance, in milliseconds since 1970.
     pub accepted_ms: u64,
 }
 
-/// A chunk of a list of entries.
+/// Consecutive entries of a new list, described relative to the previous list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListChunk {
-    /// Entries of the list before.
+    /// A range of entries copied from the previous list.
     Existing {
-        /// Index of the first.
+        /// Index of the first entry in the previous list.
         from: u32,
-        /// How many.
+        /// Number of entries.
         count: u32,
     },
-    /// An entry that was not in it.
+    /// An entry that the previous list does not have.
     New(String),
 }
 
-/// What one batch of edits changed.
+/// The changes of one batch of edits to the [`AcceptedState`].
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct StatePatch {
-    /// The new list of entries; `None` if it did not change.
+    /// The new list of entries; `None` if unchanged.
     pub chunks: Option<Vec<ListChunk>>,
-    /// The edits of the batch.
+    /// Edits of the batch, oldest first.
     pub edits: Vec<AcceptedEdit>,
-    /// The new [`AcceptedState::rollback_entries`]; `None` if it did not change.
+    /// The new [`AcceptedState::rollback_entries`]; the outer `None` means unchanged.
     pub rollback_entries: Option<Option<Vec<String>>>,
 }
 
-/// All that is stored.
+/// All stored state that results from operators' edits.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AcceptedState {
-    /// The fleet's entries as XML.
+    /// The fleet's entries, as XML.
     pub entries: Vec<String>,
-    /// The entries that a confirmed commit rolls back to while it waits for its confirmation (RFC 6241, section 8.4).
+    /// The entries that a confirmed commit rolls back to if it is not confirmed (RFC 6241, section 8.4); `None` if no
+    /// commit waits for its confirmation.
     pub rollback_entries: Option<Vec<String>>,
-    /// The accepted edits, oldest first.
+    /// The newest accepted edits, oldest first.
     pub edits: Vec<AcceptedEdit>,
 }
 
-/// A patch does not fit the state.
+/// A patch that cannot be applied to the state.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum PatchError {
-    /// It was made for another list.
+    /// The patch was made for another list of entries.
     #[error("a patch names entries {from} to {to} of {entries}")]
     UnknownEntries {
-        /// Index of the first entry that it names.
+        /// Index of the first entry that a chunk refers to.
         from: usize,
-        /// Index after the last one.
+        /// Index after the last entry that it refers to.
         to: usize,
-        /// Entries of the state.
+        /// Number of entries in the state.
         entries: usize,
     },
 }
 
 impl AcceptedState {
-    /// Applies a patch.
+    /// Applies a patch, which must have been made for this state; on failure the state is unchanged.
     pub fn apply(&mut self, patch: StatePatch) -> Result<(), PatchError> {
         if let Some(chunks) = patch.chunks {
             self.entries = self.assemble(chunks)?;
@@ -106,44 +107,44 @@
         self.entries.get(from..to).ok_or(PatchError::UnknownEntries { from, to, entries })
     }
 
-    /// The stored form.
+    /// Encodes the stored form.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads the stored form.
+    /// Decodes the stored form.
     pub fn decode(bytes: &[u8]) -> Result<AcceptedState, DecodeError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 }
 
 impl StatePatch {
-    /// The stored form.
+    /// Encodes the stored form.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads the stored form.
+    /// Decodes the stored form.
     pub fn decode(bytes: &[u8]) -> Result<StatePatch, DecodeError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 }
 
-/// Encodes texts, numbers and lists of them, which cannot fail.
+/// Encodes a value made of texts, numbers and lists. Their encoding cannot fail, so an error yields no bytes.
 pub(crate) fn encode(value: &impl Serialize) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Where an entry of a new list comes from.
+/// Where an entry of a new list comes from, as input of [`chunk_entries`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntrySource {
-    /// Its index in the list before.
+    /// Index of the same entry in the previous list.
     Existing(u32),
-    /// It was not in it.
+    /// An entry that the previous list does not have.
     New(String),
 }
 
-/// The chunks of a new list, in its order.
+/// Describes a new list as chunks, in its order. Entries that are consecutive in both lists become one chunk.
 pub fn chunk_entries(entries: impl Iterator<Item = EntrySource>) -> Vec<ListChunk> {
     let mut chunks: Vec<ListChunk> = Vec::new();
     for entry in entries {
--- a/crates/store/src/description.rs
+++ b/crates/store/src/description.rs
@@ -1,35 +1,35 @@
-//! Files as they are, for people.
+//! Descriptions of the files in a state folder, for operators.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
 use crate::framing::{read_file, FileContent};
 use crate::generation::is_store_file;
 
-/// What the readable part of a file holds.
+/// The header and entry count of a readable file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FileSummary {
-    /// Version of the content.
+    /// Version of the stored content.
     pub version: u16,
-    /// Generation of the file.
+    /// Generation according to the header, not the file name.
     pub generation: u64,
-    /// Complete entries.
+    /// Number of intact entries before the first damaged or incomplete one.
     pub entries: usize,
 }
 
-/// One file as it is.
+/// A snapshot or a journal, as found on disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileDescription {
-    /// Its name.
+    /// Name of the file within its folder.
     pub file: String,
-    /// Its size in bytes.
+    /// Size of the file in bytes.
     pub size: usize,
-    /// Its content; `None` if it cannot be read.
+    /// What the file holds; `None` if its header is corrupt.
     pub summary: Option<FileSummary>,
-    /// Bytes at its end that are no complete entry.
+    /// Bytes after the last intact entry; all bytes if the header is corrupt.
     pub trailing_bytes: usize,
 }
 
-/// Describes all snapshots and journals in a folder.
+/// Describes all snapshots and journals in a folder, also those that cannot be read.
 pub fn describe_files(disk: &impl Disk) -> Result<Vec<FileDescription>, StoreError> {
     let mut descriptions = Vec::new();
     for file in disk.list()?.into_iter().filter(|file| is_store_file(file)) {
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of the file system, and its lock.
+//! [`Folder`]: a [`Disk`] in a directory of the file system, and the lock that one process holds on it.
 
 use crate::disk::Disk;
 use rustix::fs::{flock, FlockOperation};
@@ -9,18 +9,18 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// Name of the file that is locked.
+/// Name of the file in the folder that is locked.
 const LOCK_FILE: &str = "lock";
 
-/// A folder that is locked by this process: two planners on one folder would each undo what the other accepted.
+/// An exclusive lock on a folder, released when dropped. Without it, two planners on one folder would each undo what the
+/// other accepted.
 #[derive(Debug)]
 pub struct FolderLock {
     _file: File,
 }
 
 impl FolderLock {
-    /// Locks a folder, which is created if it does not exist. Fails with [`io::ErrorKind::AddrInUse`] if another
-    /// process has locked it.
+    /// Locks a folder, creating it if needed. Fails with [`io::ErrorKind::AddrInUse`] if another process holds the lock.
     pub fn acquire(folder: &Path) -> io::Result<FolderLock> {
         fs::create_dir_all(folder)?;
         let file =
@@ -36,7 +36,7 @@
     }
 }
 
-/// A folder of the file system.
+/// A directory of the file system, with the files in it that are open for writing.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -45,20 +45,21 @@
 }
 
 impl Folder {
-    /// Opens a folder, which is created if it does not exist.
+    /// Opens a folder, creating it if needed.
     pub fn open(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
         Ok(Folder { path: path.to_path_buf(), open_files: BTreeMap::new(), is_read_only: false })
     }
 
-    /// Opens an existing folder for reading: renames do nothing, and other changes fail.
+    /// Opens an existing folder for reading. Renames succeed without effect, so that recovery can report a corrupt snapshot;
+    /// creating and removing files fails.
     pub fn open_read_only(path: &Path) -> io::Result<Folder> {
         fs::read_dir(path)?;
         Ok(Folder { path: path.to_path_buf(), open_files: BTreeMap::new(), is_read_only: true })
     }
 
-    /// A file that is open for writing.
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
+    /// Returns a file that is open for writing.
+    fn open_file(&mut self, name: &str) -> io::Result<&mut File> {
         self.open_files.get_mut(name).ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, name.to_string()))
     }
 }
@@ -81,7 +82,7 @@
         if self.is_read_only {
             return Err(io::ErrorKind::PermissionDenied.into());
         }
-        // Files are written one after the other.
+        // Files are written one after the other; an earlier one is reopened if it is appended to again.
         self.open_files.clear();
         let file = File::create(self.path.join(name))?;
         self.open_files.insert(name.to_string(), file);
@@ -93,17 +94,17 @@
             let file = OpenOptions::new().append(true).open(self.path.join(name))?;
             self.open_files.insert(name.to_string(), file);
         }
-        self.file(name)?.write_all(bytes)
+        self.open_file(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let path = self.path.join(name);
-        let file = self.file(name)?;
+        let file = self.open_file(name)?;
         file.sync_data()?;
-        // What is written to a file that was removed, or whose folder was replaced, is lost.
-        let written = file.metadata()?;
-        let named = fs::metadata(&path)?;
-        if (written.dev(), written.ino()) != (named.dev(), named.ino()) {
+        // Writes to a file that was removed, or whose folder was replaced, succeed but are lost.
+        let open_file = file.metadata()?;
+        let file_at_path = fs::metadata(&path)?;
+        if (open_file.dev(), open_file.ino()) != (file_at_path.dev(), file_at_path.ino()) {
             return Err(io::Error::new(io::ErrorKind::NotFound, format!("{} was replaced", path.display())));
         }
         Ok(())
--- a/crates/store/src/framing.rs
+++ b/crates/store/src/framing.rs
@@ -1,23 +1,24 @@
-//! The form of a file: magic bytes, a header, and frames, each with its length and a checksum.
+//! File format: magic bytes, a header frame, then content frames. Each frame has a length, a checksum and a body.
 
 use crate::error::StoreError;
 use serde::{Deserialize, Serialize};
 
-/// The first bytes of every file.
+/// Magic bytes at the start of every file.
 const MAGIC: [u8; 4] = *b"RLST";
-/// Bytes of a frame's length and of its checksum.
+/// Size in bytes of a frame's length field, and of its checksum field.
 const FIELD_SIZE: usize = 4;
-/// Largest frame, in bytes: twice the largest message that an edit may come in, and a fleet of thousands of servers.
+/// Largest frame body, in bytes: twice the largest message that can carry an edit, and enough for a fleet of thousands
+/// of servers.
 const MAX_FRAME_SIZE: usize = 64 << 20;
 
-/// What a file holds. The order of the variants is part of the stored form.
+/// Whether a file is a snapshot or a journal. The order of the variants is part of the stored form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum FileKind {
     Snapshot,
     Journal,
 }
 
-/// The first frame of a file. The order of the fields is part of the stored form.
+/// Content of a file's first frame. The order of the fields is part of the stored form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Header {
     pub kind: FileKind,
@@ -25,17 +26,19 @@
     pub generation: u64,
 }
 
-/// A file as it was read.
+/// The readable part of a file.
 pub(crate) struct FileContent {
     pub header: Header,
+    /// Bodies of the intact frames after the header.
     pub frames: Vec<Vec<u8>>,
-    /// Bytes after the last complete frame.
+    /// Bytes after the last of these frames.
     pub trailing_bytes: usize,
-    /// Complete frames among those bytes: what stands before them is damaged, and not the unfinished end of a write.
-    pub frames_behind_damage: usize,
+    /// Intact frames within the trailing bytes. If there are any, the bytes before them are damaged, and not just the
+    /// incomplete end of a write.
+    pub frames_after_damage: usize,
 }
 
-/// Appends a frame to `out`.
+/// Appends a frame with this body to `out`.
 pub(crate) fn write_frame(body: &[u8], out: &mut Vec<u8>) -> Result<(), StoreError> {
     if body.len() > MAX_FRAME_SIZE {
         return Err(StoreError::TooLarge(body.len()));
@@ -46,7 +49,7 @@
     Ok(())
 }
 
-/// The beginning of a file.
+/// Encodes the beginning of a file: the magic bytes and the header frame.
 pub(crate) fn write_header(header: Header) -> Result<Vec<u8>, StoreError> {
     let unusable = |e: postcard::Error| StoreError::Unusable { file: "head".into(), reason: e.to_string() };
     let mut out = MAGIC.to_vec();
@@ -54,7 +57,7 @@
     Ok(out)
 }
 
-/// Reads a file up to its first frame that is incomplete or corrupt; `None` if that is the header.
+/// Decodes a file up to its first incomplete or corrupt frame; `None` if that frame is the header.
 pub(crate) fn read_file(bytes: &[u8]) -> Option<FileContent> {
     let after_magic = bytes.strip_prefix(&MAGIC)?;
     let (header, mut rest) = split_frame(after_magic)?;
@@ -64,12 +67,13 @@
         frames.push(body.to_vec());
         rest = after;
     }
-    let frames_behind_damage = count_frames_behind_damage(rest);
-    Some(FileContent { header, frames, trailing_bytes: rest.len(), frames_behind_damage })
+    let frames_after_damage = count_frames_after_damage(rest);
+    Some(FileContent { header, frames, trailing_bytes: rest.len(), frames_after_damage })
 }
 
-/// Counts the complete frames behind one that cannot be read. Its length may be what is damaged, so each byte is tried.
-pub(crate) fn count_frames_behind_damage(bytes: &[u8]) -> usize {
+/// Counts the intact frames after an unreadable one at the start of `bytes`. The damage may be in its length field, so
+/// the next frame is searched for at every offset.
+pub(crate) fn count_frames_after_damage(bytes: &[u8]) -> usize {
     let mut count = 0;
     let mut rest = bytes.get(1..).unwrap_or_default();
     while !rest.is_empty() {
@@ -84,7 +88,8 @@
     count
 }
 
-/// The first frame and what follows it; `None` if it is incomplete or corrupt.
+/// Splits off the first frame and returns its body and the remaining bytes; `None` if the frame is incomplete or
+/// corrupt.
 fn split_frame(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let length = read_u32(bytes, 0)? as usize;
     let expected = read_u32(bytes, FIELD_SIZE)?;
@@ -101,7 +106,7 @@
     Some(u32::from_le_bytes([field[0], field[1], field[2], field[3]]))
 }
 
-/// CRC-32 of the length and the body: a length that was written in part must not pass.
+/// CRC-32 of the length and the body. The length is included so that a partly written one is detected.
 fn checksum(body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(body.len() as u32).to_le_bytes());
--- a/crates/store/src/layout.rs
+++ b/crates/store/src/layout.rs
@@ -1,26 +1,26 @@
-//! Names and versions of stored state.
+//! File names, versions and limits of one kind of stored state.
 
-/// Brings bytes of one version to the next.
+/// Converts stored bytes of one version to the next; fails with a reason for operators.
 pub type UpgradeFn = fn(Vec<u8>) -> Result<Vec<u8>, String>;
 
-/// One step from a version to the next.
+/// The upgrade from one version to the next.
 #[derive(Debug, Clone, Copy)]
 pub struct VersionUpgrade {
-    /// For a snapshot.
+    /// Upgrades the content of a snapshot.
     pub snapshot: UpgradeFn,
-    /// For an entry of the journal.
+    /// Upgrades one journal entry.
     pub entry: UpgradeFn,
 }
 
-/// How one kind of state is stored.
+/// How one kind of state is stored, such as accepted edits.
 #[derive(Debug, Clone, Copy)]
 pub struct Layout {
-    /// First part of the files' names.
+    /// First part of the file names, before `.state.` or `.journal.`.
     pub name: &'static str,
-    /// Version of what is written.
+    /// Version of newly written files, and the newest version that is read.
     pub version: u16,
-    /// Steps for older versions; the first one leads from version 1 to 2.
+    /// Upgrades for older versions in order; the first one leads from version 1 to 2.
     pub upgrades: &'static [VersionUpgrade],
-    /// A journal with more bytes than this is to be followed by a snapshot.
+    /// Once the journal is larger than this, [`crate::Store::needs_snapshot`] asks for a snapshot.
     pub max_journal_bytes: usize,
 }
--- a/crates/store/src/learned_servers.rs
+++ b/crates/store/src/learned_servers.rs
@@ -1,7 +1,7 @@
-//! What a planner learned of its servers, and what of that still counts after a restart.
+//! What a planner learned about its servers, and how much of that applies after a restart.
 //!
-//! It yields hints that age: the state of a server is never restored from it. The order of fields is part of the
-//! stored form.
+//! It yields only warm-start hints that decay with age; the health state of a server is never restored from it. The
+//! order of fields is part of the stored form.
 
 use crate::accepted_state::encode;
 use crate::error::DecodeError;
@@ -10,37 +10,37 @@
 
 /// Half-life of the logarithm of a speed factor.
 const SPEED_FACTOR_HALF_LIFE: Duration = Duration::from_secs(600);
-/// Half-life of the suspicion of a server that was ejected.
+/// Half-life of the suspicion of a server since its last ejection.
 const SUSPICION_HALF_LIFE: Duration = Duration::from_secs(120);
-/// The suspicion of a server that was ejected for long has this times the half-life.
+/// Factor on [`SUSPICION_HALF_LIFE`] for a server whose ejection was a long one.
 const LONG_EJECTION_MULTIPLE: u32 = 2;
-/// Smallest suspicion that counts.
+/// Smallest suspicion that is used; a smaller one is treated as 0.
 const MIN_SUSPICION: f64 = 0.1;
-/// Smallest absolute logarithm of a speed factor that counts.
+/// Smallest absolute logarithm of a speed factor that is used; a factor closer to 1 is treated as 1.
 const MIN_LOG_SPEED_FACTOR: f64 = 0.02;
-/// Bounds of a restored speed factor.
+/// Bounds that a stored speed factor is clamped to.
 const MIN_SPEED_FACTOR: f64 = 0.1;
 const MAX_SPEED_FACTOR: f64 = 10.0;
 
-/// What was learned of one server.
+/// What a planner learned about one server process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LearnedServer {
-    /// Its name.
+    /// Name in the endpoint list.
     pub name: String,
-    /// Where it listened: at another address it is another server.
+    /// Address that it listened on. The same name at another address is another server.
     pub address: String,
-    /// When its process started, in milliseconds since 1970: after another start it is another server.
+    /// Start time of its process, in milliseconds since 1970. After a restart it counts as another server.
     pub started_ms: Option<u64>,
-    /// Its speed relative to its weight.
+    /// Measured speed relative to its weight; 1 is neutral.
     pub speed_factor: f64,
-    /// When it was last ejected for failures, in milliseconds since 1970.
+    /// Time of its last ejection for failures, in milliseconds since 1970; `None` if never ejected.
     pub last_ejected_ms: Option<u64>,
-    /// Whether that was for long.
+    /// Whether that ejection was a long one.
     pub is_long_ejected: bool,
 }
 
 impl LearnedServer {
-    /// How likely it is to fail still, from 0 to 1.
+    /// Estimated probability that it still fails, from 0 to 1; 0 if the clock was set back to before the ejection.
     fn suspicion(&self, now_ms: u64) -> f64 {
         let ejected_ago = self.last_ejected_ms.and_then(|at| now_ms.checked_sub(at));
         let multiple = if self.is_long_ejected { LONG_EJECTION_MULTIPLE } else { 1 };
@@ -51,7 +51,7 @@
         self.address == other.address && self.started_ms == other.started_ms
     }
 
-    /// Takes the last ejection over from what an earlier process learned, unless its own is as new.
+    /// Takes over the last ejection known to an earlier planner process, if it is newer and of the same server process.
     fn merge_ejection(&mut self, earlier: &LearnedServer) {
         if self.is_same_process(earlier) && self.last_ejected_ms < earlier.last_ejected_ms {
             self.last_ejected_ms = earlier.last_ejected_ms;
@@ -60,44 +60,44 @@
     }
 }
 
-/// All that was learned, at one time.
+/// All that a planner learned about its servers, as of one time.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LearnedServers {
-    /// When, in milliseconds since 1970.
+    /// Time of writing, in milliseconds since 1970.
     pub written_ms: u64,
-    /// The servers.
+    /// One record for each server.
     pub servers: Vec<LearnedServer>,
 }
 
-/// What still counts of it, for one server.
+/// What remains of a [`LearnedServer`] after decay, as the start value for a restarted planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmStartHint {
-    /// Its speed relative to its weight.
+    /// Speed relative to the server's weight, decayed towards 1.
     pub speed_factor: f64,
-    /// How likely it is to fail still, from 0 to 1.
+    /// Estimated probability that the server still fails, from 0 to 1.
     pub suspicion: f64,
 }
 
 impl WarmStartHint {
-    /// Nothing is known.
+    /// The values for a server that nothing is known about.
     const NEUTRAL: WarmStartHint = WarmStartHint { speed_factor: 1.0, suspicion: 0.0 };
 }
 
 impl LearnedServers {
-    /// The stored form.
+    /// Encodes the stored form.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads the stored form.
+    /// Decodes the stored form.
     pub fn decode(bytes: &[u8]) -> Result<LearnedServers, DecodeError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
-    /// Adds the ejections that an earlier process learned of and that still count.
+    /// Adds the ejections that an earlier planner process recorded and that still cause suspicion.
     ///
-    /// A planner that restarts again and again within seconds would lose them else: it sees too little of a failing
-    /// server to eject it itself.
+    /// Otherwise a planner that restarts repeatedly within seconds would lose them: it receives too few results from a
+    /// failing server to eject it itself.
     pub fn merge_earlier(mut self, earlier: &LearnedServers) -> LearnedServers {
         let now_ms = self.written_ms;
         for old in earlier.servers.iter().filter(|old| old.suspicion(now_ms) >= MIN_SUSPICION) {
@@ -109,7 +109,8 @@
         self
     }
 
-    /// What still counts at `now_ms` of a server that is listed with this address and start; `None` for nothing.
+    /// Returns what still applies at `now_ms` to a server that is listed with this address and start time; `None` if
+    /// the process is another one or nothing significant remains.
     pub fn hint(
         &self,
         now_ms: u64,
@@ -121,7 +122,7 @@
         if known.address != address || known.started_ms != started_ms {
             return None;
         }
-        // After the clock was set back the age is not known.
+        // If the clock was set back, the age is unknown, and no hint is given.
         let age = Duration::from_millis(now_ms.checked_sub(self.written_ms)?);
         let bounded = known.speed_factor.clamp(MIN_SPEED_FACTOR, MAX_SPEED_FACTOR);
         let speed_factor = bounded.powf(decay(age, SPEED_FACTOR_HALF_LIFE));
@@ -134,7 +135,7 @@
     }
 }
 
-/// What is left of 1 after `age`.
+/// Fraction that remains after `age` of a value with this half-life.
 fn decay(age: Duration, half_life: Duration) -> f64 {
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! Durable state of a planner: a folder with numbered snapshots and a journal of what was accepted since.
+//! Durable state of a planner: a folder with numbered snapshots, each followed by a journal of later changes.
 //!
-//! Whatever a power cut loses, cuts off or reorders between two syncs: what [`Store::snapshot`] and
-//! [`Store::append`] have confirmed is read back, once and in order. Files are versioned and checksummed, and two
-//! generations are kept. All access to files goes through [`Disk`].
+//! A power cut may lose, truncate or reorder writes that were not synced. State that [`Store::snapshot`] or
+//! [`Store::append`] confirmed is still read back, each entry once and in order. Files are versioned and checksummed,
+//! and two generations are kept. All file access goes through [`Disk`].
 
 mod accepted_state;
 mod description;
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,37 +1,38 @@
-//! Reads back the newest snapshot that is intact, and the journals since.
+//! Recovery: reads the newest intact snapshot and the journals since.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
-use crate::framing::{count_frames_behind_damage, read_file, FileContent, FileKind};
+use crate::framing::{count_frames_after_damage, read_file, FileContent, FileKind};
 use crate::generation::{list_files, FileId};
 use crate::layout::{Layout, UpgradeFn, VersionUpgrade};
 use std::collections::BTreeMap;
 
-/// State as it was read back.
+/// State that was read back when the store was opened.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct OpenedState {
-    /// The snapshot; `None` if there is none.
+    /// Content of the newest intact snapshot; `None` if there is none.
     pub state: Option<Vec<u8>>,
-    /// Entries since the snapshot, oldest first.
+    /// Journal entries since that snapshot, oldest first.
     pub entries: Vec<Vec<u8>>,
-    /// What was corrupt and was set aside or left out, for people.
+    /// Messages to operators about corrupt files that were renamed, copied or left out.
     pub notes: Vec<String>,
 }
 
-/// State that was read back, and the newest generation of its files.
+/// Result of [`recover`].
 pub(crate) struct Recovered {
     pub opened: OpenedState,
+    /// Newest generation of any file, intact or not; 0 if there is none.
     pub generation: u64,
 }
 
-/// Reads state back. Corrupt snapshots are renamed.
+/// Reads state back. Corrupt snapshots are renamed, and damaged journals are copied.
 pub(crate) fn recover(disk: &mut impl Disk, layout: &Layout) -> Result<Recovered, StoreError> {
     let files = list_files(disk, layout.name)?;
-    // Whatever is left of an earlier snapshot, the next one gets a new number.
+    // Journals count too: even if a snapshot is lost or incomplete, the next one gets an unused generation.
     let generation = files.keys().map(|id| id.generation).max().unwrap_or(0);
     let mut recovery = Recovery { disk, layout, files, opened: OpenedState::default() };
     let snapshot_generation = recovery.read_newest_snapshot()?;
-    // A corrupt newer snapshot is made up for by the journals since the older one.
+    // If a newer snapshot was corrupt, the journals since the older one hold the same changes.
     recovery.read_journals(snapshot_generation.unwrap_or(0))?;
     if snapshot_generation.is_none() && recovery.has_snapshot_files() {
         recovery.note("no snapshot could be read".into());
@@ -60,7 +61,7 @@
         files.map(|(id, file)| (*id, file.clone())).collect()
     }
 
-    /// Reads the newest snapshot that is intact, sets corrupt ones aside, and returns its generation.
+    /// Reads the newest intact snapshot and returns its generation. Corrupt ones on the way are renamed.
     fn read_newest_snapshot(&mut self) -> Result<Option<u64>, StoreError> {
         for (id, file) in self.files_of(FileKind::Snapshot).into_iter().rev() {
             match self.read(&file, id)? {
@@ -72,9 +73,9 @@
                     return Ok(Some(id.generation));
                 }
                 _ => {
-                    let aside = format!("{file}.broken");
-                    self.disk.rename(&file, &aside)?;
-                    self.note(format!("{file} is broken: set aside as {aside}"));
+                    let broken_name = format!("{file}.broken");
+                    self.disk.rename(&file, &broken_name)?;
+                    self.note(format!("{file} is broken: set aside as {broken_name}"));
                 }
             }
         }
@@ -85,7 +86,7 @@
         let journals = self.files_of(FileKind::Journal).into_iter();
         for (id, file) in journals.filter(|(id, _)| id.generation >= first_generation) {
             let Some(content) = self.read(&file, id)? else {
-                match count_frames_behind_damage(&self.disk.read(&file)?) {
+                match count_frames_after_damage(&self.disk.read(&file)?) {
                     0 => self.note(format!("{file} was cut off before its first entry")),
                     entries => self.keep_damaged_journal(&file, entries)?,
                 }
@@ -96,8 +97,8 @@
                 let entry = upgrade(self.layout, &file, version, entry, |step| step.entry)?;
                 self.opened.entries.push(entry);
             }
-            if content.frames_behind_damage > 0 {
-                self.keep_damaged_journal(&file, content.frames_behind_damage)?;
+            if content.frames_after_damage > 0 {
+                self.keep_damaged_journal(&file, content.frames_after_damage)?;
             } else if content.trailing_bytes > 0 {
                 self.note(format!("{file}: {} bytes at its end were cut off", content.trailing_bytes));
             }
@@ -105,21 +106,22 @@
         Ok(())
     }
 
-    /// Copies a journal with entries that cannot be applied, since one before them is lost: it is pruned otherwise.
+    /// Copies a damaged journal that has intact entries after the damage. They cannot be applied, since an earlier entry
+    /// is lost, and without a copy they would be pruned with the journal.
     fn keep_damaged_journal(&mut self, file: &str, entries: usize) -> Result<(), StoreError> {
-        let aside = format!("{file}.broken");
+        let broken_name = format!("{file}.broken");
         let bytes = self.disk.read(file)?;
-        self.disk.create(&aside)?;
-        self.disk.append(&aside, &bytes)?;
-        self.disk.sync(&aside)?;
+        self.disk.create(&broken_name)?;
+        self.disk.append(&broken_name, &bytes)?;
+        self.disk.sync(&broken_name)?;
         self.disk.sync_folder()?;
         self.note(format!(
-            "{file} is broken: {entries} entries behind the damage are left out, and kept in {aside}"
+            "{file} is broken: {entries} entries behind the damage are left out, and kept in {broken_name}"
         ));
         Ok(())
     }
 
-    /// Reads a file; `None` if its header is corrupt or that of another file.
+    /// Reads a file; `None` if its header is corrupt, or does not match the kind and generation in the file name.
     fn read(&self, file: &str, id: FileId) -> Result<Option<FileContent>, StoreError> {
         let Some(content) = read_file(&self.disk.read(file)?) else { return Ok(None) };
         let header = content.header;
@@ -134,7 +136,7 @@
     }
 }
 
-/// Brings bytes of `version` to the layout's version.
+/// Upgrades bytes of `version` step by step to the layout's version.
 fn upgrade(
     layout: &Layout,
     file: &str,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! [`Store`]: writes snapshots and journal entries.
+//! [`Store`]: writes snapshots and journal entries, and removes old generations.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
@@ -7,42 +7,44 @@
 use crate::layout::Layout;
 use crate::recovery::{recover, OpenedState, Recovered};
 
-/// Generations that are kept: the newest, and the one before in case the newest is corrupt.
+/// Number of generations that are kept: the newest one, and the previous one in case the newest is corrupt.
 const KEPT_GENERATIONS: usize = 2;
 
-/// One kind of state in a folder.
+/// The snapshots and journals of one kind of state in a folder.
 pub struct Store<D> {
     pub(crate) disk: D,
     layout: Layout,
     generation: u64,
     journal_bytes: usize,
-    /// Whether it is known where the journal ends: not before the first snapshot, nor after a write that failed.
+    /// Whether the end of the journal is known. It is not before the first snapshot, nor after a failed write.
     is_journal_end_known: bool,
 }
 
 impl<D: Disk> Store<D> {
-    /// Reads state back.
+    /// Opens the store and reads its state back.
     ///
-    /// A snapshot must follow before entries can be appended: nothing is written after an end that may be cut off.
+    /// A snapshot must be written before entries can be appended: the existing journal may end in an incomplete entry,
+    /// and nothing may be written after that.
     pub fn open(mut disk: D, layout: Layout) -> Result<(Store<D>, OpenedState), StoreError> {
         let Recovered { opened, generation } = recover(&mut disk, &layout)?;
         let store = Store { disk, layout, generation, journal_bytes: 0, is_journal_end_known: false };
         Ok((store, opened))
     }
 
-    /// Replaces all state. On success it survives a power cut; on failure the earlier state does.
+    /// Replaces all state, and starts a new generation. On success the new state survives a power cut; on failure the
+    /// earlier one does.
     pub fn snapshot(&mut self, state: &[u8]) -> Result<(), StoreError> {
         self.is_journal_end_known = false;
-        // A number is not used again, even if this fails half way.
+        // A generation number is never reused, even if the snapshot fails half way.
         self.generation += 1;
         let mut snapshot = write_header(self.header(FileKind::Snapshot))?;
         write_frame(state, &mut snapshot)?;
-        // The journal comes first: a snapshot always has one.
+        // The journal is created first, so that every snapshot has one.
         self.write_journal_header()?;
         self.write_snapshot(&snapshot)?;
         self.journal_bytes = 0;
         self.is_journal_end_known = true;
-        // Files that cannot be removed do no harm.
+        // Old files that cannot be removed do no harm.
         let _ = self.prune();
         Ok(())
     }
@@ -66,7 +68,7 @@
         Ok(())
     }
 
-    /// Appends entries to the journal. On success they survive a power cut; on failure that is not known, and
+    /// Appends entries to the journal. On success they survive a power cut. After a failure they may or may not, and
     /// nothing can be appended before the next snapshot.
     pub fn append(&mut self, entries: &[Vec<u8>]) -> Result<(), StoreError> {
         if !self.is_journal_end_known {
@@ -85,12 +87,12 @@
         Ok(())
     }
 
-    /// Whether a snapshot is to come next: the journal is long, or its end is not known.
+    /// Whether a snapshot should be written next, because the journal is too long or its end is unknown.
     pub fn needs_snapshot(&self) -> bool {
         !self.is_journal_end_known || self.journal_bytes > self.layout.max_journal_bytes
     }
 
-    /// Removes files of old generations and incomplete snapshots, and returns their names.
+    /// Removes the files of old generations and incomplete snapshots, and returns their names.
     pub fn prune(&mut self) -> Result<Vec<String>, StoreError> {
         let files = list_files(&self.disk, self.layout.name)?;
         let is_snapshot = |id: &&FileId| id.kind == FileKind::Snapshot;
