--- a/crates/inventory/src/edit_history.rs
+++ b/crates/inventory/src/edit_history.rs
@@ -1,54 +1,56 @@
-//! The history of operators' edits: accepted, decided (the controller knows), and in force at the proxies.
+//! The history of operators' edits and their progress: accepted, decided (passed to the controller), and in force at
+//! the proxies.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Edits that are kept, an hour of one each four seconds. An older one that is sent again counts as new.
+/// Number of edits that are kept: an hour at one edit every four seconds. An older edit that is sent again counts as new.
 pub const MAX_EDITS: usize = 1024;
-/// Updates are published once a second, with time for the channel. What the controller has not published of a
-/// decided edit by then needs no change.
+/// Time after which a decided edit needs no further updates. Updates are published once a second, and the rest allows for
+/// the update channel: a server that no update was about by then did not change.
 pub const PUBLICATION_TIMEOUT: Duration = Duration::from_millis(1250);
 
-/// What is known of an edit's id.
+/// Result of looking up an edit's id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EditLookup {
-    /// It was not used.
+    /// No edit in the history has the id.
     New,
-    /// The same edit had it.
+    /// An edit with the same content has it.
     Repeated,
-    /// Another edit had it.
+    /// An edit with other content has it.
     Conflicting,
 }
 
-/// An edit as it is stored.
+/// The part of an edit that is stored across restarts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredEdit {
-    /// Its id.
+    /// Id that the operator gave, or that was generated.
     pub id: String,
-    /// Who made it.
+    /// User that made the edit.
     pub author: String,
-    /// Digest of its content.
+    /// Digest of its content, to recognize a repeated edit.
     pub digest: String,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time of acceptance, in milliseconds since 1970.
     pub accepted_ms: u64,
 }
 
-/// An accepted edit. Times but [`StoredEdit::accepted_ms`] count from the process's start.
+/// An accepted edit and its progress. Times, other than [`StoredEdit::accepted_ms`], are since the process's start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Edit {
-    /// What is stored of it.
+    /// The part that is stored across restarts.
     pub stored: StoredEdit,
-    /// When it was on disk.
+    /// When it was on disk; `None` while it is not.
     pub stored_at: Option<Duration>,
-    /// When the controller learned of it.
+    /// When the controller received it; `None` if it has not.
     pub decided_at: Option<Duration>,
-    /// When all proxies concerned had applied it.
+    /// When all proxies concerned had applied it; `None` until then.
     pub in_force_at: Option<Duration>,
-    /// Proxies that an update with it was sent to.
+    /// Number of proxies that updates about its servers were sent to, without those that disconnected before they
+    /// acknowledged one.
     pub proxy_count: usize,
-    /// Servers whose entries it may change and that no update was about yet.
+    /// Servers whose table entries it may change and that no update was about yet.
     unpublished_servers: BTreeSet<String>,
-    /// Proxies that have not acknowledged their update, with its number.
+    /// Proxies that have not acknowledged their latest update, with the number of its message.
     pending_acks: BTreeMap<usize, u64>,
 }
 
@@ -65,12 +67,12 @@
         }
     }
 
-    /// Proxies that have applied it, of [`Edit::proxy_count`].
+    /// Number of proxies that have applied it, out of [`Edit::proxy_count`].
     pub fn acknowledged_count(&self) -> usize {
         self.proxy_count.saturating_sub(self.pending_acks.len())
     }
 
-    /// Its state as operators see it: `accepted`, `decided` or `in-force`.
+    /// Its state in the operators' interface: `accepted`, `decided` or `in-force`.
     pub fn state(&self) -> &'static str {
         match (self.decided_at, self.in_force_at) {
             (_, Some(_)) => "in-force",
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Whether all that it changes is applied.
+    /// Whether all of its changes are published and acknowledged.
     fn is_complete(&self, now: Duration) -> bool {
         let is_published = self.unpublished_servers.is_empty()
             || self.decided_at.is_some_and(|at| now >= at + PUBLICATION_TIMEOUT);
@@ -99,7 +101,7 @@
     }
 }
 
-/// The newest edits, oldest first.
+/// The newest [`MAX_EDITS`] edits.
 #[derive(Debug, Clone, Default)]
 pub struct EditHistory {
     edits: VecDeque<Edit>,
@@ -107,8 +109,8 @@
 }
 
 impl EditHistory {
-    /// The history as an earlier process stored it: its edits are part of the first endpoint list, and where they
-    /// are in force is not known.
+    /// Restores the history that an earlier process stored. Its edits are already part of the first endpoint list; at
+    /// which proxies they are in force is unknown.
     pub fn restore(stored: impl Iterator<Item = StoredEdit>) -> EditHistory {
         let edits: VecDeque<Edit> = stored.map(|stored| Edit::new(stored, Some(Duration::ZERO))).collect();
         EditHistory { accepted_count: edits.len() as u64, edits }
@@ -119,7 +121,7 @@
         self.edits.iter()
     }
 
-    /// Looks an id up. With an empty digest, any edit of that id counts as the same.
+    /// Looks up an id. An empty digest matches any edit with that id.
     pub fn lookup(&self, id: &str, digest: &str) -> EditLookup {
         match self.edits.iter().rfind(|edit| edit.stored.id == id) {
             None => EditLookup::New,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Adds an accepted edit and returns its id, which is made up if it has none.
+    /// Adds an accepted edit and returns its id; one is generated if `id` is `None`.
     pub fn accept(&mut self, id: Option<&str>, author: &str, digest: &str, accepted_ms: u64) -> String {
         self.accepted_count += 1;
         let id = id.map_or_else(|| format!("e{accepted_ms}-{}", self.accepted_count), str::to_string);
@@ -145,7 +147,7 @@
         id
     }
 
-    /// Edits are on disk: the controller may learn of them.
+    /// Records that edits are on disk, so that the next [`EditHistory::record_decided`] covers them.
     pub fn record_stored(&mut self, ids: &[String], now: Duration) {
         let is_newly_stored = |edit: &&mut Edit| edit.stored_at.is_none() && ids.contains(&edit.stored.id);
         for edit in self.edits.iter_mut().rev().filter(is_newly_stored) {
@@ -153,12 +155,12 @@
         }
     }
 
-    /// Removes edits that could not be stored and that nobody was told of.
+    /// Removes edits that could not be stored, and whose acceptance was not reported.
     pub fn remove(&mut self, ids: &[String]) {
         self.edits.retain(|edit| !ids.contains(&edit.stored.id));
     }
 
-    /// The controller learned of all stored edits, which changed these servers.
+    /// Records that the controller received all stored edits, which changed these servers.
     pub fn record_decided(&mut self, now: Duration, servers: &BTreeSet<String>) {
         let is_undecided = |edit: &&mut Edit| edit.decided_at.is_none() && edit.stored_at.is_some();
         for edit in self.edits.iter_mut().filter(is_undecided) {
@@ -167,14 +169,14 @@
         }
     }
 
-    /// Updates about these servers went out, as messages: proxy and number of each.
+    /// Records that updates about these servers were sent. `messages` has the proxy and the message number of each.
     pub fn record_published(&mut self, servers: &BTreeSet<String>, messages: &[(usize, u64)]) {
         for edit in self.pending_edits() {
             edit.record_published(servers, messages);
         }
     }
 
-    /// A proxy acknowledged message `number` and all before it.
+    /// Records that a proxy acknowledged message `number` and all before it.
     pub fn acknowledge(&mut self, proxy: usize, number: u64) {
         for edit in self.pending_edits() {
             if edit.pending_acks.get(&proxy).is_some_and(|pending| *pending <= number) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// A proxy disconnected: nothing is in force there by this planner.
+    /// Records that a proxy disconnected. Edits that it has not acknowledged no longer wait for it.
     pub fn disconnect_proxy(&mut self, proxy: usize) {
         for edit in self.pending_edits() {
             if edit.pending_acks.remove(&proxy).is_some() {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Marks the edits that are in force now, and returns them.
+    /// Marks the edits that have come into force by now, and returns them, newest first.
     pub fn take_completed(&mut self, now: Duration) -> Vec<Edit> {
         let mut completed = Vec::new();
         for edit in self.pending_edits().filter(|edit| edit.is_complete(now)) {
@@ -203,14 +205,15 @@
         completed
     }
 
-    /// When [`EditHistory::take_completed`] is to be called though nothing happened.
+    /// When to call [`EditHistory::take_completed`] next even if nothing happens; `None` if no edit waits for its
+    /// [`PUBLICATION_TIMEOUT`].
     pub fn next_wakeup(&self) -> Option<Duration> {
         let is_waiting = |edit: &&Edit| edit.in_force_at.is_none() && !edit.unpublished_servers.is_empty();
         let waiting = self.edits.iter().filter(is_waiting);
         waiting.filter_map(|edit| edit.decided_at.map(|at| at + PUBLICATION_TIMEOUT)).min()
     }
 
-    /// Edits that are decided and not in force, newest first.
+    /// Edits that are decided but not yet in force, newest first.
     fn pending_edits(&mut self) -> impl Iterator<Item = &mut Edit> {
         self.edits.iter_mut().rev().filter(|edit| edit.decided_at.is_some() && edit.in_force_at.is_none())
     }
--- a/crates/inventory/src/inventory.rs
+++ b/crates/inventory/src/inventory.rs
@@ -1,39 +1,39 @@
-//! The merged inventory of servers, and what changes in it.
+//! [`Inventory`]: the merged servers, and the changes from one merge to the next.
 
 use runloom_model::fleet::Fleet;
 use runloom_model::listed_server::ListedServer;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A server as the controller sees it.
+/// A server as the controller sees it, with operators' overrides applied.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Server {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// Kind of machine that it runs on.
     pub kind: String,
-    /// Its cell, a group of machines that share something.
+    /// Number of its cell, a group of machines that share something.
     pub cell: u64,
-    /// It finishes the requests that it has and takes no more.
+    /// Whether it finishes its current requests and must get no new ones.
     pub is_draining: bool,
-    /// Its share of requests relative to others, before what the controller learns of it.
+    /// Configured share of requests relative to other servers, before the controller's own adjustments.
     pub weight: f64,
-    /// When its process started, in milliseconds since 1970.
+    /// Start time of its process, in milliseconds since 1970; `None` if the list does not have it.
     pub started_ms: Option<u64>,
 }
 
-/// A change of one server.
+/// A change of one server in the inventory.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// The server is new, or differs from before.
+    /// The server is new, or any of its values changed; holds the new values.
     Updated(Server),
     /// The server is no longer listed.
     Removed,
 }
 
-/// The merged servers by name.
+/// The merged servers, by name.
 #[derive(Debug, Clone, Default)]
 pub struct Inventory {
     servers: BTreeMap<String, Server>,
@@ -41,8 +41,8 @@
 
 /// Merges a listed server with the operators' overrides.
 ///
-/// An operator's weight replaces the listed one, a drain by either counts, and the zone's share multiplies the
-/// weight.
+/// An operator's weight replaces the listed one, and the zone's share multiplies it. The server drains if the list or
+/// an operator says so.
 pub fn merge_overrides(name: &str, listed: &ListedServer, fleet: &Fleet) -> Server {
     let overrides = fleet.overrides.get(name).cloned().unwrap_or_default();
     Server {
@@ -57,15 +57,15 @@
 }
 
 impl Inventory {
-    /// The servers by name.
+    /// The servers as of the last [`Inventory::update`], by name.
     pub fn servers(&self) -> &BTreeMap<String, Server> {
         &self.servers
     }
 
-    /// Merges the list and the overrides as they are now, and returns what changed.
+    /// Merges the current list and overrides, and returns the changes since the last update.
     ///
-    /// An override of a server that is not listed has no effect: the end of a drain does not bring a removed
-    /// server back.
+    /// An override of a server that is not listed has no effect, so the end of a drain does not bring back a removed
+    /// server.
     pub fn update(
         &mut self,
         fleet: &Fleet,
--- a/crates/inventory/src/tests.rs
+++ b/crates/inventory/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the inventory and the edit history.
+
 use crate::edit_history::{EditHistory, EditLookup, MAX_EDITS, PUBLICATION_TIMEOUT};
 use crate::{Change, Inventory};
 use runloom_model::fleet::Fleet;
@@ -8,10 +10,10 @@
 
 const ZONE: &str = "<zone><name>a</name></zone>";
 
-/// A fleet with these zones and overrides of servers.
-fn fleet(shares: &str, overrides: &str) -> Fleet {
+/// A fleet with these `<zone>` elements and `<server>` overrides.
+fn fleet(zones: &str, overrides: &str) -> Fleet {
     let text = format!(
-        "<fleet xmlns='urn:runloom:fleet'>{shares}<class><name>q</name><payoff>1</payoff>\
+        "<fleet xmlns='urn:runloom:fleet'>{zones}<class><name>q</name><payoff>1</payoff>\
          <soft-limit-ms>500</soft-limit-ms><outer-limit-ms>900</outer-limit-ms><repeats>safe</repeats></class>{overrides}\
          <grace><drain-ms>2000</drain-ms><bare-ms>2000</bare-ms><reply-ms>2000</reply-ms></grace><channel>\
          <lines-per-second>9000</lines-per-second><backlog>9000</backlog><overhead>4</overhead></channel><cold>\
@@ -25,25 +27,25 @@
 
 /// Listed servers of weight 1 in zone a.
 fn listed(names: &[&str]) -> BTreeMap<String, ListedServer> {
-    let one = |name: &&str| {
+    let server = |name: &&str| {
         let text =
             format!("<server><name>{name}</name><address>127.0.0.1:1</address><zone>a</zone></server>");
         ListedServer::read(&Element::parse(&text).unwrap()).unwrap()
     };
-    names.iter().map(one).collect()
+    names.iter().map(server).collect()
 }
 
 #[test]
-fn a_zones_share_and_an_operators_weight_make_the_weight() {
+fn a_zones_share_multiplies_the_listed_weight_and_an_operators_weight() {
     // Given two servers.
     let mut inventory = Inventory::default();
     let servers = listed(&["s1", "s2"]);
     inventory.update(&fleet(ZONE, ""), &servers);
-    // When their zone gets half its share and one of them a weight.
+    // When their zone gets half a share, and an operator gives one of them a weight.
     let zone = "<zone><name>a</name><share>0.5</share></zone>";
     let overrides = "<server><name>s2</name><weight>3</weight></server>";
     let changes = inventory.update(&fleet(zone, overrides), &servers);
-    // Then both are multiplied.
+    // Then the share multiplies both the listed weight and the operator's.
     let weight = |(_, change): &(String, Change)| match change {
         Change::Updated(server) => server.weight,
         Change::Removed => 0.0,
@@ -57,7 +59,7 @@
     let mut inventory = Inventory::default();
     let drained = fleet(ZONE, "<server><name>s1</name><drain>true</drain></server>");
     inventory.update(&drained, &listed(&["s1", "s2"]));
-    // When it is removed and the drain ends, then it is removed once.
+    // When it is delisted and the drain ends, then it is removed, and only once.
     let changes = inventory.update(&fleet(ZONE, ""), &listed(&["s2"]));
     assert_eq!(changes, [("s1".to_string(), Change::Removed)]);
     assert_eq!(inventory.update(&fleet(ZONE, ""), &listed(&["s2"])), []);
@@ -70,7 +72,7 @@
     assert_eq!(history.lookup("a", "d1"), EditLookup::Repeated);
     assert_eq!(history.lookup("a", "d2"), EditLookup::Conflicting);
     assert_eq!(history.lookup("a", ""), EditLookup::Repeated);
-    // The same after a restart.
+    // The lookup is the same after a restart.
     let restored = EditHistory::restore(history.edits().map(|edit| edit.stored.clone()));
     assert_eq!(restored.lookup("a", "d1"), EditLookup::Repeated);
     assert_eq!(restored.lookup("b", "d1"), EditLookup::New);
@@ -78,7 +80,7 @@
 
 #[test]
 fn an_edit_is_in_force_once_all_its_proxies_have_acknowledged() {
-    // Given an edit that is not on disk: the controller does not learn of it.
+    // Given an edit that is not on disk, which the controller does not receive.
     let mut history = EditHistory::default();
     let servers: BTreeSet<String> = ["s1".to_string()].into();
     let id = history.accept(Some("a"), "staff", "d", 5);
@@ -92,7 +94,7 @@
     history.acknowledge(1, 6);
     // Then it is not in force.
     assert_eq!(history.take_completed(Duration::from_secs(9)).len(), 0);
-    // When that proxy disconnects, then it is in force at the other one.
+    // When that proxy disconnects, then the edit is in force at the other one.
     history.disconnect_proxy(1);
     let completed = history.take_completed(Duration::from_secs(9));
     assert_eq!(completed[0].acknowledged_count(), 1);
