--- a/crates/event-log/src/tests/columns.rs
+++ b/crates/event-log/src/tests/columns.rs
@@ -1,4 +1,4 @@
-//! Columnar segments.
+//! Tests of columnar segments.
 
 use super::support::{entries, journal, TestFolder};
 use crate::columns::{self, ColumnError, ColumnarContent, Integrity};
@@ -8,25 +8,26 @@
 use std::collections::BTreeMap;
 use std::fs::File;
 
-/// What an earlier build wrote of `entries(4)`, without a checksum.
+/// The columnar file of `entries(4)` that an earlier build wrote, without a checksum.
 const WITHOUT_CHECKSUM: &[u8] = include_bytes!("fixtures/without_checksum.parquet");
-/// Changes of a byte that are tried at each position of a file whose decoding is slow: each bit, and all of them.
+/// Bit masks to flip in each byte of a file whose decoding is slow: each single bit, and all of them.
 const BYTE_CHANGES: [u8; 9] = [0x01, 0x02, 0x04, 0x08, 0x10, 0x20, 0x40, 0x80, 0xff];
 
 fn read_bytes(file: Vec<u8>) -> Result<ColumnarContent, ColumnError> {
     columns::read_content(Bytes::from(file))
 }
 
-/// Calls `visit` with the result of reading each copy of `file` that has one byte changed.
-fn read_each_change(
+/// Reads copies of `file` with one byte changed, for each position and bit mask, and calls `visit` with the position
+/// and the result.
+fn read_with_each_byte_changed(
     file: &[u8],
-    changes: &[u8],
+    masks: &[u8],
     visit: &mut dyn FnMut(usize, Result<ColumnarContent, ColumnError>),
 ) {
     for position in 0..file.len() {
-        for change in changes {
+        for mask in masks {
             let mut damaged = file.to_vec();
-            damaged[position] ^= change;
+            damaged[position] ^= mask;
             visit(position, read_bytes(damaged));
         }
     }
@@ -39,7 +40,7 @@
 }
 
 proptest::proptest! {
-    /// A changed byte may or may not be noticed, and never leads to a panic; arbitrary bytes are rejected.
+    /// A changed byte never leads to a panic, whether it is detected or not; arbitrary bytes are rejected.
     #[test]
     fn corrupt_files_are_read_without_a_panic(
         mut bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..600),
@@ -70,18 +71,18 @@
     assert_eq!(columns::read(File::open(&path).unwrap()).unwrap(), all);
 }
 
-/// Guards against damage that was read as other entries, or made the Parquet library panic.
+/// Guards against damage that is read as other entries, or that makes the Parquet library panic.
 #[test]
 fn every_changed_byte_of_a_columnar_segment_is_an_error() {
     let file = columnar_file();
-    let all_changes: Vec<u8> = (1..=u8::MAX).collect();
-    read_each_change(&file, &all_changes, &mut |position, result| {
+    let all_masks: Vec<u8> = (1..=u8::MAX).collect();
+    read_with_each_byte_changed(&file, &all_masks, &mut |position, result| {
         let error = result.unwrap_err();
         assert!(!matches!(error, ColumnError::DecoderPanicked(_)), "at {position}: {error}");
     });
 }
 
-/// Guards against a cut file, as a full disk leaves it, that is read or panics.
+/// Guards against a truncated file, as a full disk leaves it, that is read as a segment or makes the reader panic.
 #[test]
 fn every_prefix_of_a_columnar_segment_is_an_error() {
     let file = columnar_file();
@@ -91,20 +92,20 @@
 }
 
 #[test]
-fn a_segment_with_a_checksum_is_verified_and_one_of_an_earlier_build_is_not() {
+fn a_segment_with_a_checksum_is_verified_and_one_from_an_earlier_build_is_not() {
     let content = read_bytes(columnar_file()).unwrap();
     assert_eq!(content, ColumnarContent { entries: entries(4), integrity: Integrity::Verified });
     let content = read_bytes(WITHOUT_CHECKSUM.to_vec()).unwrap();
     assert_eq!(content, ColumnarContent { entries: entries(4), integrity: Integrity::Unverified });
 }
 
-/// Guards against the library's panics on files that no checksum covers. Their damage may be read as other entries, which
-/// are then called unverified; the columns tell of most of it.
+/// Guards against panics of the Parquet library on files without a checksum. Most damage to such a file is detected by
+/// comparing its columns with its entries; the rest is read as other entries, which must be reported as unverified.
 #[test]
-fn changed_bytes_of_a_segment_without_checksum_never_panic_and_are_never_called_verified() {
+fn changed_bytes_of_a_segment_without_checksum_never_panic_or_pass_as_verified() {
     let expected = entries(4);
     let mut outcomes: BTreeMap<&str, usize> = BTreeMap::new();
-    read_each_change(WITHOUT_CHECKSUM, &BYTE_CHANGES, &mut |position, result| {
+    read_with_each_byte_changed(WITHOUT_CHECKSUM, &BYTE_CHANGES, &mut |position, result| {
         let outcome = match result {
             Err(ColumnError::DecoderPanicked(_)) => "contained panic",
             Err(_) => "error",
@@ -120,10 +121,10 @@
         *outcomes.entry(outcome).or_default() += 1;
     });
     println!("{outcomes:?}");
-    assert!(outcomes["contained panic"] > 0, "the panics are there to be contained");
+    assert!(outcomes["contained panic"] > 0, "no panic occurred that could be contained");
 }
 
-/// The checksum stands where no reader of Parquet looks.
+/// Other Parquet readers must be able to read a segment despite its checksum, which stands where they do not look.
 #[test]
 fn a_segment_with_a_checksum_is_plain_parquet() {
     use parquet::file::reader::{FileReader, SerializedFileReader};
--- a/crates/event-log/src/tests/entry.rs
+++ b/crates/event-log/src/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Stored forms that differ from the Rust types.
+//! Tests of stored forms that differ from the Rust types.
 
 use crate::entry::{Entry, RecordedEvent, RecordedHint};
 
--- a/crates/event-log/src/tests/framing.rs
+++ b/crates/event-log/src/tests/framing.rs
@@ -1,10 +1,10 @@
-//! Journals that are cut off, corrupt, or of another version.
+//! Tests of decoding journals that are truncated, corrupt, or of another version.
 
 use super::support::{entries, journal};
 use crate::entry::{OLDEST_VERSION, VERSION};
 use crate::framing::{decode_journal, header, JournalError};
 
-/// Where the version stands in a journal.
+/// Position of the version in a journal.
 const VERSION_FIELD: std::ops::Range<usize> = 8..12;
 
 proptest::proptest! {
@@ -22,7 +22,7 @@
     }
 }
 
-/// A kill may leave any prefix of a journal.
+/// A killed writer may leave any prefix of a journal.
 #[test]
 fn every_prefix_of_a_journal_decodes_to_its_complete_entries() {
     // Given a journal, and where each of its entries ends.
@@ -30,7 +30,7 @@
     let bytes = journal(&all);
     let ends: Vec<usize> = (0..=9).map(|count| journal(&all[..count]).len()).collect();
     for cut in 0..=bytes.len() {
-        // When it is cut off, then the entries before the cut are there, and the rest is torn.
+        // When it is truncated, then the entries before the cut are decoded, and the rest is torn.
         let decoded = decode_journal(&bytes[..cut]).unwrap();
         let complete = ends.iter().filter(|end| **end <= cut).count().saturating_sub(1);
         assert_eq!(decoded.entries, all[..complete], "cut at {cut}");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_flipped_bit_is_noticed_and_no_entry_before_it_is_lost() {
+fn a_flipped_bit_is_detected_and_no_entry_before_it_is_lost() {
     let all = entries(6);
     let bytes = journal(&all);
     for position in header().len()..bytes.len() {
@@ -53,16 +53,16 @@
 }
 
 #[test]
-fn an_unknown_version_and_another_file_are_rejected_by_name() {
+fn an_unknown_version_and_another_kind_of_file_are_different_errors() {
     let mut bytes = journal(&entries(1));
     bytes[VERSION_FIELD.start] = 9;
     assert_eq!(decode_journal(&bytes), Err(JournalError::UnknownVersion(9)));
     assert_eq!(decode_journal(b"something else altogether"), Err(JournalError::NotAJournal));
 }
 
-/// Version 1 had all kinds of entries but the last ones: it is read as it is.
+/// Version 1 lacks only the kinds of entries that were added last, so it is decoded without an upgrade.
 #[test]
-fn an_older_version_is_decoded_and_an_unknown_one_is_named() {
+fn an_older_version_is_decoded_and_an_unknown_one_is_rejected() {
     let mut bytes = journal(&entries(30));
     bytes[VERSION_FIELD].copy_from_slice(&OLDEST_VERSION.to_le_bytes());
     assert_eq!(decode_journal(&bytes).unwrap().entries, entries(30));
--- a/crates/event-log/src/tests/recorder.rs
+++ b/crates/event-log/src/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! Logs as a recorder writes them.
+//! Tests of logs that a recorder writes.
 
 use super::support::{entries, TestFolder};
 use crate::entry::{Entry, RecordedEvent};
@@ -18,13 +18,13 @@
     let config =
         RecorderConfig { max_segment_bytes: 2000, max_total_bytes: 20_000, ..RecorderConfig::default() };
     let mut recorder = Recorder::open(&folder.0, config).unwrap();
-    // When far more is written.
+    // When far more than the limit is written.
     let all = entries(3000);
     for entry in &all {
         push_and_write(&mut recorder, entry);
     }
     recorder.finish(Duration::from_secs(9));
-    // Then the newest segments are left, columnar but for the last, without a gap.
+    // Then the newest segments are left, all columnar except the last, without a gap.
     let segments = list_segments(&folder.0).unwrap();
     assert!(segments.iter().map(|segment| segment.size).sum::<u64>() < 30_000);
     assert!(segments.len() > 2);
@@ -36,16 +36,17 @@
     assert_eq!(left, all[all.len() - left.len()..]);
 }
 
-/// The folder is gone, like on a broken disk.
+/// Guards against a recorder that blocks, grows without limit or stays stopped when its disk fails. Removing the folder
+/// stands in for a failing disk.
 #[test]
-fn a_disk_that_fails_stops_the_log_until_it_recovers() {
+fn a_failing_disk_stops_the_log_until_it_recovers() {
     // Given a recorder whose folder is removed.
     let folder = TestFolder::new("full");
     let inner = folder.0.join("record");
     let config = RecorderConfig { max_buffered_bytes: 4000, ..RecorderConfig::default() };
     let mut recorder = Recorder::open(&inner, config).unwrap();
     std::fs::remove_dir_all(&inner).unwrap();
-    // When entries are pushed, then those beyond the limit are lost and counted.
+    // When entries are pushed, then those beyond the buffer's limit are lost and counted.
     for (k, entry) in entries(500).into_iter().enumerate() {
         let now = Duration::from_millis(k as u64);
         recorder.push(now, entry.event);
@@ -53,7 +54,7 @@
     }
     assert!(recorder.failure().is_some());
     assert!(recorder.lost_entries() > 300);
-    // When the folder is back, then the log goes on, and names the loss.
+    // When the folder is back, then recording resumes, and the log has the number of lost entries.
     std::fs::create_dir_all(&inner).unwrap();
     let later = Duration::from_secs(60);
     recorder.write(later);
@@ -68,7 +69,7 @@
     assert!(run.len() < 200);
 }
 
-/// The planner goes on writing, and makes segments columnar, while its log is read.
+/// A planner may write entries and convert segments while its log is read.
 #[test]
 fn a_log_is_read_while_it_is_written() {
     let folder = TestFolder::new("while");
@@ -79,7 +80,7 @@
     for (k, entry) in all.iter().enumerate() {
         push_and_write(&mut recorder, entry);
         if k % 100 == 99 {
-            // Each reading is complete up to its last entry, and no shorter than the one before.
+            // What is read has no gaps, and is no shorter than at the previous read.
             let run = read_run(&folder.0, 0).unwrap();
             assert_eq!(run, all[..run.len()]);
             assert!(run.len() >= longest && run.len() <= k + 1);
@@ -88,7 +89,7 @@
     }
     recorder.finish(Duration::from_secs(9));
     assert_eq!(read_run(&folder.0, 0).unwrap(), all);
-    // One entry at a time, until the reader wants no more.
+    // Entries are visited one at a time, until the visitor returns false.
     let mut visited = vec![];
     let mut visit = |entry| {
         visited.push(entry);
@@ -98,14 +99,14 @@
     assert_eq!(visited, all[..3000]);
 }
 
-/// Guards against a recording that ends for good since a file has the number of its next journal.
+/// Guards against a recorder that stops for good because a file with the number of its next journal exists.
 #[test]
-fn recording_goes_on_beside_a_file_that_has_the_next_number() {
-    // Given a recorder, and a half header that could not be removed.
+fn recording_continues_if_a_file_has_the_next_number() {
+    // Given a recorder, and an incomplete header that could not be removed.
     let folder = TestFolder::new("number");
     let mut recorder = Recorder::open(&folder.0, RecorderConfig::default()).unwrap();
     folder.write("00000001.journal", b"runl");
-    // When it writes, then the second attempt succeeds.
+    // When it writes twice, then the second attempt succeeds.
     for (entry, seconds) in entries(2).into_iter().zip([0, 60]) {
         recorder.push(Duration::from_secs(seconds), entry.event);
         recorder.write(Duration::from_secs(seconds));
@@ -115,9 +116,10 @@
     assert_eq!(read_run(&folder.0, 0).unwrap().len(), 2);
 }
 
-/// Guards against an entry that is written and cannot be read, with those behind it: it is larger than a reader accepts.
+/// Guards against an entry that is written although it is larger than the reader accepts, which makes it and all later
+/// entries unreadable.
 #[test]
-fn an_entry_that_is_too_large_is_a_loss_and_the_others_are_read() {
+fn a_too_large_entry_counts_as_lost_and_the_others_are_read() {
     let folder = TestFolder::new("large");
     let mut recorder = Recorder::open(&folder.0, RecorderConfig::default()).unwrap();
     let small = RecordedEvent::ProxyDisconnected { proxy: "f1".into() };
--- a/crates/event-log/src/tests/segment.rs
+++ b/crates/event-log/src/tests/segment.rs
@@ -1,4 +1,4 @@
-//! Folders of segments.
+//! Tests of folders with segments: listing, reading, and conversion to columnar files.
 
 use super::support::{entries, journal, TestFolder};
 use crate::entry::{Entry, RecordedEvent};
@@ -13,7 +13,7 @@
     matches!(entry.event, RecordedEvent::EntriesLost { .. })
 }
 
-/// The only segment of a folder.
+/// Returns the only segment of a folder.
 fn only_segment(folder: &TestFolder) -> Segment {
     let mut segments = list_segments(&folder.0).unwrap();
     assert_eq!(segments.len(), 1);
@@ -28,7 +28,7 @@
     for (number, part) in [(1, &all[..3]), (2, &all[3..6]), (4, &all[6..])] {
         folder.write(&format!("{number:08}.journal"), &journal(part));
     }
-    // When the run is read, then a loss stands between the second and the last.
+    // When the run is read, then a loss stands between segments 2 and 4.
     let run = read_run(&folder.0, 0).unwrap();
     let is_loss = |position: &usize| matches!(run[*position].event, RecordedEvent::EntriesLost { .. });
     let losses: Vec<usize> = (0..run.len()).filter(is_loss).collect();
@@ -36,10 +36,10 @@
     assert_eq!(run.len(), 10);
 }
 
-/// A planner may be killed after it made a segment columnar and before it removed the journal.
+/// A planner may be killed after it wrote a columnar file and before it removed the journal.
 #[test]
 fn a_segment_in_both_forms_is_read_once() {
-    // Given a segment as a journal and columnar, and another one that was not completed.
+    // Given a segment in both forms, and an incomplete columnar file of another one.
     let folder = TestFolder::new("twice");
     let path = folder.write("00000001.journal", &journal(&entries(5)));
     std::fs::copy(&path, folder.0.join("keep")).unwrap();
@@ -51,21 +51,21 @@
     assert_eq!(read_run(&folder.0, 0).unwrap().len(), 5);
 }
 
-/// Guards against a damaged journal that was replaced by a columnar file of what stood before the damage.
+/// Guards against a damaged journal that is replaced by a columnar file with only the entries before the damage.
 #[test]
-fn a_damaged_journal_is_kept_by_its_conversion_and_its_other_entries_are_read() {
+fn a_damaged_journal_is_not_converted_and_its_intact_entries_are_read() {
     // Given a journal of fifty entries with one byte changed.
     let folder = TestFolder::new("damaged-journal");
     let all = entries(50);
     let mut bytes = journal(&all);
     bytes[200] ^= 0x40;
     let path = folder.write("00000001.journal", &bytes);
-    // When it is converted at the start of a recorder, then that is reported, and the journal is as it was.
+    // When a recorder tries to convert it at its start, then an error is reported, and the journal is unchanged.
     let recorder = Recorder::open(&folder.0, RecorderConfig::default()).unwrap();
     let errors = recorder.finish(Duration::ZERO);
     assert!(matches!(errors[..], [ConversionError::Damaged { .. }]), "{errors:?}");
     assert_eq!(std::fs::read(&path).unwrap(), bytes);
-    // Then a loss stands for the damaged entry in the run, and the others are there.
+    // Then the run has a loss in place of the damaged entry, and all other entries.
     let run = read_run(&folder.0, 0).unwrap();
     assert_eq!(run.iter().filter(|entry| is_loss(entry)).count(), 1);
     let found: Vec<&Entry> = run.iter().filter(|entry| !is_loss(entry)).collect();
@@ -73,9 +73,9 @@
     assert!(found.iter().all(|entry| all.contains(entry)));
 }
 
-/// Guards against entries behind a damaged byte that are lost, or lost without a word, wherever the byte is.
+/// Guards against entries after a damaged byte that are lost or not reported as lost, wherever the byte is.
 #[test]
-fn a_changed_byte_of_a_journal_loses_one_entry_at_most_and_is_told() {
+fn a_changed_byte_of_a_journal_loses_one_entry_and_is_reported() {
     let folder = TestFolder::new("each-byte");
     let all = entries(9);
     let bytes = journal(&all);
@@ -97,7 +97,7 @@
     }
 }
 
-/// A kill leaves the beginning of a frame, which is no damage: the journal becomes columnar.
+/// A killed writer may leave the beginning of a frame. This is no damage, and does not prevent the conversion.
 #[test]
 fn a_journal_with_a_torn_tail_is_converted() {
     let folder = TestFolder::new("torn-tail");
@@ -115,7 +115,7 @@
 
 /// Guards against a journal that is removed although its columnar file could not be written.
 #[test]
-fn a_journal_whose_columnar_file_cannot_be_written_stays() {
+fn a_journal_whose_columnar_file_cannot_be_written_is_kept() {
     let folder = TestFolder::new("unwritable");
     folder.write("00000001.journal", &journal(&entries(5)));
     // A folder stands where the file is to be written.
--- a/crates/event-log/src/tests/support.rs
+++ b/crates/event-log/src/tests/support.rs
@@ -1,10 +1,10 @@
-//! Entries, journals and folders for the tests.
+//! Entries, journals and temporary folders for the tests.
 
 use crate::entry::{Entry, RecordedArrivals, RecordedEvent, RecordedOutcome, SentUpdate};
 use crate::framing;
 use std::path::PathBuf;
 
-/// So many entries, a millisecond apart: reports, steps and connecting proxies in turn.
+/// This many entries, a millisecond apart: reports, steps and connecting proxies in turn.
 pub fn entries(count: u64) -> Vec<Entry> {
     (0..count).map(|k| Entry { at_us: 1000 * k, event: event(k) }).collect()
 }
--- a/crates/event-log/src/tests/writer.rs
+++ b/crates/event-log/src/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The recorder's thread.
+//! Tests of the background writer.
 
 use super::support::TestFolder;
 use crate::{read_run, BackgroundWriter, RecordedEvent, Recorder, RecorderConfig};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn entries_are_written_in_sequence_and_those_without_room_are_counted() {
+fn entries_are_written_in_sequence_and_those_beyond_the_limit_are_counted() {
     let folder = TestFolder::new("writer");
     let recorder = Recorder::open(&folder.0, RecorderConfig::default()).unwrap();
     let mut writer = BackgroundWriter::with_limit(recorder, 1000);
@@ -18,7 +18,7 @@
     writer.push(at(1), (0..100).map(|k| (at(1), disconnected(k))).collect());
     assert_eq!(writer.status().lost_entries, 100);
     assert!(writer.status().failure.is_some());
-    // When small ones follow, each once there is room, then none is lost.
+    // When small batches follow, each once there is room, then none is lost.
     for k in 0..50 {
         while writer.queued_bytes() > 500 {
             std::thread::yield_now();
@@ -27,7 +27,7 @@
     }
     assert_eq!(writer.status().lost_entries, 100);
     writer.finish();
-    // Then the log has the loss first, and the others in sequence.
+    // Then the log begins with the loss, followed by the other entries in sequence.
     let run = read_run(&folder.0, 0).unwrap();
     assert_eq!(run[0].event, RecordedEvent::EntriesLost { entries: 100 });
     assert_eq!(run.len(), 51);
--- a/crates/event-log/tests/file_size_limit.rs
+++ b/crates/event-log/tests/file_size_limit.rs
@@ -1,4 +1,4 @@
-//! A recorder on a disk that takes no byte more. The limit holds for the process: no other test may be in this file.
+//! A recorder on a full disk. The file size limit applies to the whole process, so this file may hold no other test.
 
 use runloom_event_log::{list_segments, read_run, RecordedEvent, Recorder, RecorderConfig};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Less than a journal's header.
-const HALF_A_HEADER: u64 = 6;
+/// Fewer bytes than a journal's header has.
+const PARTIAL_HEADER_BYTES: u64 = 6;
 
 fn limit_file_size(bytes: Option<u64>) {
     let limits = getrlimit(Resource::Fsize);
@@ -19,24 +19,24 @@
     RecordedEvent::ProxyDisconnected { proxy: format!("f{proxy}") }
 }
 
-/// Guards against a recording that a header which could not be written ends for good.
+/// Guards against a recorder that stops for good because a header could not be written.
 #[test]
-fn recording_goes_on_after_a_header_that_could_not_be_written() {
-    // A write beyond the limit is an error instead of the end of the process.
+fn recording_continues_after_a_header_that_could_not_be_written() {
+    // With a handler for SIGXFSZ, a write beyond the limit fails instead of ending the process.
     signal_hook::flag::register(SIGXFSZ, Arc::new(AtomicBool::new(false))).unwrap();
     let folder = std::env::temp_dir().join(format!("runloom-record-limit-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let mut recorder = Recorder::open(&folder, RecorderConfig::default()).unwrap();
-    // Given a disk that is full before the first header is complete, at several attempts.
+    // Given a disk that is full before the first header is complete, during several attempts.
     let unlimited = getrlimit(Resource::Fsize).current;
-    limit_file_size(Some(HALF_A_HEADER));
+    limit_file_size(Some(PARTIAL_HEADER_BYTES));
     for attempt in 0..3 {
         let now = Duration::from_secs(60 * attempt);
         recorder.push(now, disconnected(attempt));
         recorder.write(now);
         assert!(recorder.failure().is_some());
     }
-    // When there is room again, then all entries are written, and no half journal is left.
+    // When there is room again, then all entries are written, and no incomplete journal is left.
     limit_file_size(unlimited);
     let now = Duration::from_secs(600);
     recorder.push(now, disconnected(3));
--- a/crates/event-log/tests/memory_limit.rs
+++ b/crates/event-log/tests/memory_limit.rs
@@ -1,26 +1,27 @@
-//! Memory that damaged columnar segments ask for.
+//! Limits the memory that reading damaged columnar segments allocates.
 
 use bytes::Bytes;
 use runloom_event_log::columns;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// No single allocation may be larger for a file of less than 2 KiB.
+/// Largest single allocation that reading a file of less than 2 KiB may make, in bytes.
 const MAX_ALLOCATION: usize = 1 << 20;
 
-/// Written by an earlier build, without a checksum.
+/// A columnar file that an earlier build wrote, without a checksum.
 const WITHOUT_CHECKSUM: &[u8] = include_bytes!("../src/tests/fixtures/without_checksum.parquet");
 
 /// The largest integers of Thrift's compact protocol (zigzag varints): 2^31 - 1 and 2^24.
 const LARGE_INTEGERS: [&[u8]; 2] = [&[0xfe, 0xff, 0xff, 0xff, 0x0f], &[0x80, 0x80, 0x80, 0x10]];
 
-/// Counts the largest allocation.
-struct CountingAllocator;
+/// The system's allocator, which also records the size of the largest allocation.
+struct RecordingAllocator;
 
+/// Size in bytes of the largest allocation since the last reset.
 static LARGEST_ALLOCATION: AtomicUsize = AtomicUsize::new(0);
 
 // SAFETY: all calls are passed on to the system's allocator.
-unsafe impl GlobalAlloc for CountingAllocator {
+unsafe impl GlobalAlloc for RecordingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         LARGEST_ALLOCATION.fetch_max(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
@@ -42,9 +43,9 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: CountingAllocator = CountingAllocator;
+static ALLOCATOR: RecordingAllocator = RecordingAllocator;
 
-/// The file with `width` bytes at `position` replaced.
+/// Returns the file with `width` bytes at `position` replaced.
 fn damage(position: usize, width: usize, replacement: &[u8]) -> Vec<u8> {
     let mut damaged = WITHOUT_CHECKSUM.to_vec();
     let end = (position + width).min(damaged.len());
@@ -52,9 +53,9 @@
     damaged
 }
 
-/// Guards against a damaged length in a file without checksum that makes the reader ask for gigabytes.
+/// Guards against a damaged length in a file without a checksum that makes the reader allocate gigabytes.
 #[test]
-fn damaged_lengths_ask_for_little_memory() {
+fn damaged_lengths_allocate_little_memory() {
     for position in 0..WITHOUT_CHECKSUM.len() {
         for integer in LARGE_INTEGERS {
             // A length takes one or two bytes in this file.
