--- a/crates/event-log/src/columns.rs
+++ b/crates/event-log/src/columns.rs
@@ -1,4 +1,5 @@
-//! Closed segments as Parquet: a row for each entry, with columns that other tools can query, and the entry itself.
+//! Closed segments as Parquet files: a row for each entry, with columns that other tools can query and the encoded
+//! entry itself.
 
 mod checksum;
 mod page_header;
@@ -18,8 +19,8 @@
 use std::io::{self, Write};
 use std::sync::Arc;
 
-/// `at` is in microseconds since the planner's start; `queries`, `failed` and `lines` are the [`EntryTotals`];
-/// `entry` is the entry as the journal has it.
+/// `at` is in microseconds since the planner's start; `queries`, `failed` and `lines` are the requests, failures and
+/// table entries of [`EntryTotals`]; `entry` is the entry in the journal's encoding.
 const SCHEMA: &str = "message entry {
     REQUIRED INT64 at;
     REQUIRED BYTE_ARRAY kind (UTF8);
@@ -30,7 +31,7 @@
     REQUIRED BYTE_ARRAY entry;
 }";
 
-/// Columns of the schema, in its order.
+/// Columns of the schema. The order is that of [`SCHEMA`], since the variants serve as column indices.
 #[derive(Debug, Clone, Copy)]
 enum Column {
     At,
@@ -42,6 +43,7 @@
     Entry,
 }
 
+/// All columns, in the order in which they are written.
 const COLUMNS: [Column; 7] = [
     Column::At,
     Column::Kind,
@@ -52,75 +54,75 @@
     Column::Entry,
 ];
 
-/// Key of the version in a file's metadata.
+/// Key of the version in the file metadata.
 const VERSION_KEY: &str = "runloom.version";
-/// Key of the kind of checksum in a file's metadata. Without it, a file whose checksum is damaged beyond recognition
-/// would pass for one of an earlier build.
+/// Key of the checksum's kind in the file metadata. Without it, a file whose checksum marker is damaged would be
+/// taken for one from an earlier build, which stored no checksum.
 const CHECKSUM_KEY: &str = "runloom.checksum";
-/// CRC-32 (IEEE) of all bytes but its own four.
+/// CRC-32 (IEEE) of all bytes except the four of the checksum itself.
 const CHECKSUM_KIND: &str = "crc32";
 
 /// A columnar file that cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum ColumnError {
-    /// The file is not Parquet of the expected schema.
+    /// The file is not Parquet with the expected schema.
     #[error("{0}")]
     Parquet(#[from] parquet::errors::ParquetError),
-    /// Its bytes are not those that were written.
-    #[error("it is damaged: its checksum is {stored:08x}, that of its bytes is {computed:08x}")]
+    /// The bytes of the file are not those that were written.
+    #[error("damaged file: stored checksum {stored:08x}, computed checksum {computed:08x}")]
     Checksum {
-        /// The checksum in the file.
+        /// Checksum stored in the file.
         stored: u32,
-        /// The checksum of its bytes.
+        /// Checksum computed from its bytes.
         computed: u32,
     },
-    /// It was written with a checksum, which is not there.
-    #[error("it is damaged: its checksum is missing")]
+    /// The file was written with a checksum, but has none.
+    #[error("damaged file: the checksum is missing")]
     ChecksumMissing,
-    /// A page claims a size that cannot be.
-    #[error("it is damaged: a page header has an impossible size")]
+    /// A page header cannot be decoded, or has a size that exceeds the file or the possible compression.
+    #[error("damaged file: a page header has an impossible size")]
     PageSize,
-    /// It has another number of rows than it says.
-    #[error("it is damaged: it has {found} rows of {expected}")]
+    /// The number of rows differs from that in the metadata.
+    #[error("damaged file: found {found} of {expected} rows")]
     RowCount {
-        /// The number in its metadata.
+        /// Number of rows according to the metadata.
         expected: i64,
-        /// The rows that were read.
+        /// Number of rows that were read.
         found: usize,
     },
     /// The columns of a row contradict its entry.
-    #[error("it is damaged: the columns of row {row} contradict its entry")]
+    #[error("damaged file: the columns of row {row} contradict its entry")]
     Inconsistent {
-        /// The row, from 0.
+        /// Index of the row, from 0.
         row: usize,
     },
-    /// The Parquet library panicked.
-    #[error("it is damaged: the decoder gave up: {0}")]
+    /// The Parquet library panicked, with this message.
+    #[error("damaged file: the Parquet decoder panicked: {0}")]
     DecoderPanicked(String),
-    /// It could not be written.
+    /// The file could not be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// An entry in it is corrupt.
-    #[error("an entry cannot be read: {0}")]
+    /// An entry cannot be encoded, or a stored one cannot be decoded.
+    #[error("an entry cannot be encoded or decoded: {0}")]
     Entry(#[from] postcard::Error),
-    /// It is of a version that this build does not read.
-    #[error("its version is {0}, this build reads {OLDEST_VERSION} to {VERSION}")]
+    /// The file has a version that this build does not read.
+    #[error("file version {0} is not supported; this build reads {OLDEST_VERSION} to {VERSION}")]
     Version(String),
 }
 
-/// Totals of an entry.
+/// Totals of an entry, which columns of their own hold; 0 for kinds of entries without them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EntryTotals {
-    /// Requests that a report names as arrived.
+    /// Requests that arrived, according to a report.
     pub requests: i64,
-    /// Failed attempts that a report names.
+    /// Attempts that failed, according to a report.
     pub failures: i64,
-    /// Table entries that a step sent.
+    /// Table entries that a step sent to proxies.
     pub table_entries: i64,
 }
 
 impl EntryTotals {
-    /// The totals of an event.
+    /// Computes the totals of an event.
     pub fn of(event: &RecordedEvent) -> EntryTotals {
         match event {
             RecordedEvent::Report { outcomes, arrivals, .. } => EntryTotals {
@@ -137,7 +139,7 @@
     }
 }
 
-/// Writes entries as one file, with a checksum.
+/// Writes entries as one columnar file with a checksum.
 pub fn write(entries: &[Entry], mut out: impl Write + Send) -> Result<(), ColumnError> {
     out.write_all(&encode(entries)?)?;
     Ok(())
@@ -155,10 +157,10 @@
         let Some(column) = columns.next() else { break };
         match writer.untyped() {
             ColumnWriter::Int64ColumnWriter(writer) => {
-                writer.write_batch(&integers(*column, entries), None, None)?;
+                writer.write_batch(&integer_values(*column, entries), None, None)?;
             }
             ColumnWriter::ByteArrayColumnWriter(writer) => {
-                writer.write_batch(&texts(*column, entries, &payloads), None, None)?;
+                writer.write_batch(&byte_array_values(*column, entries, &payloads), None, None)?;
             }
             _ => {}
         }
@@ -166,7 +168,7 @@
     }
     group.close()?;
     writer.close()?;
-    checksum::seal(&mut file);
+    checksum::fill_in(&mut file);
     Ok(file)
 }
 
@@ -179,7 +181,7 @@
         .build()
 }
 
-fn integers(column: Column, entries: &[Entry]) -> Vec<i64> {
+fn integer_values(column: Column, entries: &[Entry]) -> Vec<i64> {
     let value = |entry: &Entry| {
         let totals = EntryTotals::of(&entry.event);
         match column {
@@ -192,7 +194,7 @@
     entries.iter().map(value).collect()
 }
 
-fn texts(column: Column, entries: &[Entry], payloads: &[Vec<u8>]) -> Vec<ByteArray> {
+fn byte_array_values(column: Column, entries: &[Entry], payloads: &[Vec<u8>]) -> Vec<ByteArray> {
     match column {
         Column::Kind => entries.iter().map(|entry| ByteArray::from(entry.event.kind())).collect(),
         Column::Name => entries.iter().map(|entry| ByteArray::from(entry.event.name())).collect(),
--- a/crates/event-log/src/columns/checksum.rs
+++ b/crates/event-log/src/columns/checksum.rs
@@ -1,47 +1,48 @@
-//! The checksum of a columnar file: bytes between Parquet's magic number and the first column, which no offset in the
-//! footer refers to, so that every reader of Parquet skips them.
+//! The checksum of a columnar file. It stands between Parquet's magic number and the first column, where no offset in
+//! the footer refers to, so that all Parquet readers skip it.
 //!
-//! It covers the footer too. A checksum in the footer, or Parquet's own ones of pages, would be found only by decoding
-//! bytes that may be damaged.
+//! It covers the footer too. A checksum in the footer, or the page checksums of Parquet, could be found only by
+//! decoding bytes that may be damaged.
 
 use std::ops::Range;
 
-/// Bytes of Parquet's magic number, with which a file begins.
+/// Size in bytes of Parquet's magic number, with which a file begins.
 const PARQUET_MAGIC_SIZE: usize = 4;
-/// What tells a file with a checksum.
+/// Marks a file that has a checksum.
 const MARKER: &[u8; 8] = b"runlcrc\n";
-/// Bytes of a CRC-32.
+/// Size of a CRC-32 in bytes.
 const CRC_SIZE: usize = 4;
-/// Where the marker stands in a file.
+/// Position of the marker in a file.
 const MARKER_RANGE: Range<usize> = PARQUET_MAGIC_SIZE..PARQUET_MAGIC_SIZE + MARKER.len();
-/// Where the checksum stands in a file.
+/// Position of the checksum in a file.
 const CRC_RANGE: Range<usize> = MARKER_RANGE.end..MARKER_RANGE.end + CRC_SIZE;
 
-/// What the checksum of a file says.
+/// Result of comparing a file with its checksum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ChecksumState {
-    /// The file is as it was written.
+    /// The checksum matches: the file is unchanged since it was written.
     Valid,
     /// The file has changed since it was written.
     Mismatch {
-        /// The checksum in the file.
+        /// Checksum stored in the file.
         stored: u32,
-        /// The checksum of its bytes.
+        /// Checksum computed from its bytes.
         computed: u32,
     },
-    /// The file has no checksum, as those of earlier builds.
+    /// The file has no checksum, like those of earlier builds, or its marker is damaged.
     Absent,
 }
 
-/// The bytes to write behind the magic number; [`seal`] sets the checksum once the file is complete.
+/// The marker and a zero checksum, to be written after the magic number. [`fill_in`] sets the checksum once the file is
+/// complete.
 pub(super) fn placeholder() -> Vec<u8> {
     let mut bytes = MARKER.to_vec();
     bytes.resize(MARKER.len() + CRC_SIZE, 0);
     bytes
 }
 
-/// Sets the checksum of a complete file that has a placeholder.
-pub(super) fn seal(file: &mut [u8]) {
+/// Sets the checksum of a complete file that was written with a [`placeholder`].
+pub(super) fn fill_in(file: &mut [u8]) {
     let checksum = compute(file);
     file[CRC_RANGE].copy_from_slice(&checksum.to_le_bytes());
 }
@@ -63,7 +64,7 @@
     }
 }
 
-/// CRC-32 of all bytes but those of the checksum itself.
+/// CRC-32 of all bytes except those of the checksum itself.
 fn compute(file: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&file[..CRC_RANGE.start]);
--- a/crates/event-log/src/columns/page_header.rs
+++ b/crates/event-log/src/columns/page_header.rs
@@ -1,23 +1,24 @@
-//! The sizes that page headers claim, checked before the Parquet library allocates them.
+//! Checks the sizes in page headers before the Parquet library allocates memory for them.
 //!
-//! Page headers are in Thrift's compact protocol; only the fields that lead to allocations are read here. A checksummed
-//! file needs no such check.
+//! Page headers are encoded in Thrift's compact protocol. Only the fields that lead to allocations are read here. A
+//! file with a valid checksum needs no such check.
 
 use super::ColumnError;
 use parquet::file::metadata::ParquetMetaData;
 
-/// Snappy makes at most 64 bytes of three; a page that claims more than this many times its compressed size is damaged.
+/// Largest accepted ratio of a page's uncompressed to its compressed size. Snappy expands three bytes to at most 64, so
+/// a page with a larger ratio is damaged.
 const MAX_COMPRESSION_RATIO: usize = 32;
-/// The deepest nesting of structs and lists in a page header, which has three levels.
+/// Largest accepted nesting of structs and lists; a valid page header has three levels.
 const MAX_DEPTH: usize = 8;
-/// Fields of Parquet's `PageHeader`.
+/// Field numbers in Parquet's `PageHeader`.
 const UNCOMPRESSED_SIZE_FIELD: i16 = 2;
 const COMPRESSED_SIZE_FIELD: i16 = 3;
 const DICTIONARY_HEADER_FIELD: i16 = 7;
-/// Field of Parquet's `DictionaryPageHeader`.
+/// Field number in Parquet's `DictionaryPageHeader`.
 const DICTIONARY_VALUES_FIELD: i16 = 1;
 
-/// Checks the sizes of all pages of a file.
+/// Checks the sizes in the headers of all pages of a file; fails with [`ColumnError::PageSize`].
 pub(super) fn check_page_sizes(file: &[u8], metadata: &ParquetMetaData) -> Result<(), ColumnError> {
     for row_group in metadata.row_groups() {
         for column in row_group.columns() {
@@ -35,7 +36,7 @@
         let mut reader = CompactReader { bytes: pages };
         let header = PageSizes::read(&mut reader).ok_or(ColumnError::PageSize)?;
         let max_size = header.compressed.saturating_mul(MAX_COMPRESSION_RATIO);
-        // A value of a dictionary has at least one byte.
+        // Each value of a dictionary takes at least one byte.
         if header.uncompressed > max_size || header.dictionary_values > header.uncompressed {
             return Err(ColumnError::PageSize);
         }
@@ -44,16 +45,19 @@
     Ok(())
 }
 
-/// What a page header says of sizes.
+/// The sizes in a page header; 0 for absent fields.
 #[derive(Debug, Default)]
 struct PageSizes {
+    /// Uncompressed size of the page in bytes.
     uncompressed: usize,
+    /// Compressed size of the page in bytes.
     compressed: usize,
+    /// Number of values in a dictionary page.
     dictionary_values: usize,
 }
 
 impl PageSizes {
-    /// Reads a header; `None` if it is damaged.
+    /// Reads a header, and leaves `reader` at its end; `None` if the header is damaged.
     fn read(reader: &mut CompactReader) -> Option<PageSizes> {
         let mut sizes = PageSizes::default();
         let mut id = 0;
@@ -83,10 +87,10 @@
     Some(values)
 }
 
-/// Types of Thrift's compact protocol, by how their values are read.
+/// Types of Thrift's compact protocol, grouped by how their values are encoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FieldKind {
-    /// In a struct the value stands in the type; in a list it has a byte.
+    /// In a struct, the value is part of the type code; in a list, it takes one byte.
     Boolean,
     Byte,
     Integer,
@@ -111,13 +115,13 @@
     }
 }
 
-/// The head of a struct's field.
+/// The header of a struct's field, which precedes its value.
 struct Field {
     id: i16,
     kind: FieldKind,
 }
 
-/// Reads values of Thrift's compact protocol; `None` where the bytes end or make no sense.
+/// Reads values in Thrift's compact protocol. Methods return `None` if the bytes end too early or are invalid.
 struct CompactReader<'a> {
     bytes: &'a [u8],
 }
@@ -151,7 +155,7 @@
         Some((value >> 1) as i64 ^ -((value & 1) as i64))
     }
 
-    /// An integer that is a size.
+    /// Reads an integer that is a size.
     fn size(&mut self, kind: FieldKind) -> Option<usize> {
         if kind != FieldKind::Integer {
             return None;
@@ -159,18 +163,19 @@
         usize::try_from(self.zigzag()?).ok()
     }
 
-    /// The next field of a struct, which follows field `previous_id`; `None` at its end.
+    /// Reads the header of a struct's next field, or `Some(None)` at the end of the struct. `previous_id` is the
+    /// number of the field before, 0 at first, and is updated.
     fn field(&mut self, previous_id: &mut i16) -> Option<Option<Field>> {
-        let head = self.byte()?;
-        if head == 0 {
+        let header = self.byte()?;
+        if header == 0 {
             return Some(None);
         }
-        let id = match head >> 4 {
+        let id = match header >> 4 {
             0 => i16::try_from(self.zigzag()?).ok()?,
             delta => previous_id.checked_add(i16::from(delta))?,
         };
         *previous_id = id;
-        Some(Some(Field { id, kind: FieldKind::from_code(head & 0x0f)? }))
+        Some(Some(Field { id, kind: FieldKind::from_code(header & 0x0f)? }))
     }
 
     fn skip(&mut self, kind: FieldKind, depth: usize) -> Option<()> {
@@ -198,9 +203,9 @@
     }
 
     fn skip_list(&mut self, depth: usize) -> Option<()> {
-        let head = self.byte()?;
-        let kind = FieldKind::from_code(head & 0x0f)?;
-        let count = match head >> 4 {
+        let header = self.byte()?;
+        let kind = FieldKind::from_code(header & 0x0f)?;
+        let count = match header >> 4 {
             0x0f => self.varint()?,
             count => u64::from(count),
         };
--- a/crates/event-log/src/columns/panic_containment.rs
+++ b/crates/event-log/src/columns/panic_containment.rs
@@ -1,8 +1,8 @@
-//! The only place where a library's panic is contained.
+//! Catches panics of the Parquet library; no other panic of a library is caught.
 //!
-//! The Parquet library asserts on damaged lengths and offsets (`ByteArray::decode`, `ColumnChunkMetaData::byte_range`)
-//! where an error is wanted. A file without a checksum can't be verified before the library sees it, and one damaged
-//! byte must not end the program that reads it.
+//! The library asserts on damaged lengths and offsets (`ByteArray::decode`, `ColumnChunkMetaData::byte_range`)
+//! instead of returning an error. A file without a checksum can't be verified before the library decodes it, and one
+//! damaged byte must not end the program that reads it.
 
 use std::any::Any;
 use std::cell::Cell;
@@ -10,13 +10,14 @@
 use std::sync::Once;
 
 thread_local! {
-    /// Whether a panic of this thread is contained, and so not to be reported.
+    /// Whether a panic of this thread would be caught, and so must not be reported by the panic hook.
     static IS_CONTAINING: Cell<bool> = const { Cell::new(false) };
 }
 
 static SILENCE_CONTAINED_PANICS: Once = Once::new();
 
-/// Calls `decode`, whose state is dropped if it panics; returns the message of its panic as an error.
+/// Calls `decode` and returns its result, or the panic message as an error. On a panic, all state of `decode` is
+/// dropped.
 pub(super) fn contain_panic<T>(decode: impl FnOnce() -> T) -> Result<T, String> {
     SILENCE_CONTAINED_PANICS.call_once(silence_contained_panics);
     let was_containing = IS_CONTAINING.replace(true);
@@ -25,7 +26,7 @@
     result.map_err(|payload| panic_message(payload.as_ref()))
 }
 
-/// All other panics are reported as before.
+/// Installs a panic hook that ignores the caught panics and passes all others to the previous hook.
 fn silence_contained_panics() {
     let report = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
@@ -38,5 +39,5 @@
 fn panic_message(payload: &(dyn Any + Send)) -> String {
     let text = payload.downcast_ref::<&str>().map(|text| text.to_string());
     let text = text.or_else(|| payload.downcast_ref::<String>().cloned());
-    text.unwrap_or_else(|| "no reason given".into())
+    text.unwrap_or_else(|| "panic without a message".into())
 }
--- a/crates/event-log/src/columns/reading.rs
+++ b/crates/event-log/src/columns/reading.rs
@@ -1,5 +1,5 @@
-//! Reading of columnar files: those with a checksum are verified before they are decoded, those without are decoded with
-//! care, and what they say twice is compared.
+//! Reads columnar files. A file with a checksum is verified before it is decoded. One without is checked for impossible
+//! page sizes first. In both, the redundant columns are compared with the entries.
 
 use super::checksum::{self, ChecksumState};
 use super::page_header::check_page_sizes;
@@ -11,31 +11,31 @@
 use parquet::file::reader::{ChunkReader, FileReader, SerializedFileReader};
 use parquet::record::{Row, RowAccessor};
 
-/// Whether what was read is known to be what was written.
+/// Whether the entries that were read are known to be those that were written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Integrity {
-    /// A checksum covers all of it.
+    /// A checksum covers all of the file, and matches.
     #[default]
     Verified,
-    /// It was written by a build that stored no checksum: damage that leaves it readable may not show.
+    /// The file is from a build that stored no checksum. Damage that leaves it readable may go undetected.
     Unverified,
 }
 
-/// The entries of a columnar file.
+/// What was read from a columnar file.
 #[derive(Debug, PartialEq)]
 pub struct ColumnarContent {
-    /// Its entries.
+    /// The entries, one for each row.
     pub entries: Vec<Entry>,
-    /// Whether they are known to be as they were written.
+    /// Whether a checksum confirms the entries.
     pub integrity: Integrity,
 }
 
-/// Reads a file that [`write()`](super::write()) or an earlier build wrote.
+/// Reads the entries of a file that [`write()`](super::write()) or an earlier build wrote.
 pub fn read(file: impl ChunkReader) -> Result<Vec<Entry>, ColumnError> {
     Ok(read_content(file)?.entries)
 }
 
-/// Like [`read`], and says whether the entries are verified.
+/// Like [`read`], but also returns whether a checksum confirms the entries.
 pub fn read_content(file: impl ChunkReader) -> Result<ColumnarContent, ColumnError> {
     let size = usize::try_from(file.len()).unwrap_or(usize::MAX);
     let bytes = if size == 0 { Bytes::new() } else { file.get_bytes(0, size)? };
@@ -56,7 +56,7 @@
     let key_values = reader.metadata().file_metadata().key_value_metadata();
     check_version(key_values)?;
     if integrity == Integrity::Unverified {
-        // The marker in front of the checksum is damaged, or there never was one.
+        // No marker was found. If the file was written with a checksum, its marker is damaged.
         if find_value(key_values, CHECKSUM_KEY).is_some() {
             return Err(ColumnError::ChecksumMissing);
         }
@@ -67,7 +67,7 @@
         let row = row?;
         let payload = row.get_bytes(Column::Entry as usize)?.data();
         let entry: Entry = postcard::from_bytes(payload)?;
-        if !agrees(&row, payload, &entry)? {
+        if !is_consistent(&row, payload, &entry)? {
             return Err(ColumnError::Inconsistent { row: entries.len() });
         }
         entries.push(entry);
@@ -93,8 +93,8 @@
     pair.value.as_deref()
 }
 
-/// Whether the columns of a row say of its entry what the entry itself says.
-fn agrees(row: &Row, payload: &[u8], entry: &Entry) -> Result<bool, ColumnError> {
+/// Whether the columns of a row agree with its entry, and `payload` is exactly the entry's encoding.
+fn is_consistent(row: &Row, payload: &[u8], entry: &Entry) -> Result<bool, ColumnError> {
     let totals = EntryTotals::of(&entry.event);
     let stored_totals = EntryTotals {
         requests: row.get_long(Column::Requests as usize)?,
--- a/crates/event-log/src/framing.rs
+++ b/crates/event-log/src/framing.rs
@@ -1,70 +1,70 @@
-//! The form of a journal: a header, then frames of length, checksum and entry. Free of I/O.
+//! Journal format: a header, then frames of length, checksum and entry. Does no I/O.
 
 use crate::entry::{Entry, RecordedEvent, OLDEST_VERSION, VERSION};
 
-/// The first bytes of a journal; the version follows.
+/// Magic bytes at the start of a journal, before the version.
 const MAGIC: &[u8; 8] = b"runlrec\n";
-/// Bytes of the header.
+/// Size of the header in bytes.
 const HEADER_SIZE: usize = MAGIC.len() + FIELD_SIZE;
-/// Bytes of the version, of a frame's length and of its checksum.
+/// Size in bytes of the version, of a frame's length field and of its checksum field.
 const FIELD_SIZE: usize = 4;
-/// Bytes before a frame's entry.
+/// Size in bytes of a frame's length and checksum, which precede its entry.
 const FRAME_PREFIX_SIZE: usize = 2 * FIELD_SIZE;
-/// Largest entry, in bytes; that of a step with 592 complete tables has some 2 MB.
+/// Largest encoded entry, in bytes. That of a step with 592 complete tables takes some 2 MB.
 const MAX_ENTRY_SIZE: usize = 16 << 20;
 
 /// A journal that cannot be read.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum JournalError {
-    /// The file begins with something else.
-    #[error("it is no journal")]
+    /// The file does not begin with the magic bytes.
+    #[error("not a journal: the magic bytes are missing")]
     NotAJournal,
-    /// It is of a version that this build does not read.
-    #[error("its version is {0}, this build reads {OLDEST_VERSION} to {VERSION}")]
+    /// The journal has a version that this build does not read.
+    #[error("journal version {0} is not supported; this build reads {OLDEST_VERSION} to {VERSION}")]
     UnknownVersion(u32),
 }
 
 /// An entry that cannot be appended.
 #[derive(Debug, thiserror::Error)]
 pub enum AppendError {
-    /// It cannot be encoded.
+    /// The entry cannot be encoded.
     #[error(transparent)]
     Encode(#[from] postcard::Error),
-    /// It has more bytes than a reader accepts.
-    #[error("the entry has {0} bytes, a journal takes {MAX_ENTRY_SIZE}")]
+    /// The encoded entry has this many bytes, more than the reader accepts.
+    #[error("an entry of {0} bytes exceeds the limit of {MAX_ENTRY_SIZE} bytes")]
     TooLarge(usize),
 }
 
-/// A journal as it was read.
+/// Readable part of a journal, up to the first incomplete or corrupt frame.
 #[derive(Debug, Default, PartialEq)]
 pub struct DecodedJournal {
-    /// Its entries.
+    /// Entries of the intact frames.
     pub entries: Vec<Entry>,
-    /// Bytes of the header and of complete frames.
+    /// Size in bytes of the header and the intact frames.
     pub complete_bytes: usize,
-    /// Bytes after them: a frame that was not finished, or one that is corrupt.
+    /// Bytes after these, beginning with an incomplete or corrupt frame.
     pub torn_bytes: usize,
 }
 
-/// What stands behind the first frame of a journal that cannot be read.
+/// What [`recover_frames`] finds after the first unreadable frame of a journal.
 #[derive(Debug, Default, PartialEq)]
 pub struct RecoveredFrames {
-    /// The entries of the readable frames; each damaged place is an [`RecordedEvent::EntriesLost`] of an unknown number.
+    /// Entries of the intact frames, with a [`RecordedEvent::EntriesLost`] of unknown number for each damaged place.
     pub entries: Vec<Entry>,
-    /// Bytes of the damaged places.
+    /// Total size of the damaged places, in bytes.
     pub damaged_bytes: usize,
-    /// Bytes at the end that are the beginning of a frame: its writer was killed.
+    /// Bytes at the end that are the beginning of a frame, whose writer was killed.
     pub torn_bytes: usize,
 }
 
-/// The header of a journal.
+/// Encodes the header of a journal of the current version.
 pub fn header() -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&VERSION.to_le_bytes());
     out
 }
 
-/// Appends the frame of an entry; on failure `out` is unchanged.
+/// Encodes an entry as a frame and appends it to `out`, which is unchanged on failure.
 pub fn append_frame(entry: &Entry, out: &mut Vec<u8>) -> Result<(), AppendError> {
     let begin = out.len();
     let body = begin + FRAME_PREFIX_SIZE;
@@ -90,7 +90,7 @@
     }
 }
 
-/// Reads a journal up to its first frame that is incomplete or corrupt.
+/// Decodes a journal up to its first incomplete or corrupt frame.
 pub fn decode_journal(bytes: &[u8]) -> Result<DecodedJournal, JournalError> {
     if bytes.len() < HEADER_SIZE {
         return decode_incomplete_header(bytes);
@@ -111,10 +111,11 @@
     Ok(journal)
 }
 
-/// Finds the readable frames in what follows the last entry of [`decode_journal`], at `previous_at_us`.
+/// Finds the intact frames in the bytes after those that [`decode_journal`] could read. `previous_at_us` is the time of
+/// its last entry, and is used for a loss that directly follows it.
 ///
-/// A damaged length leaves no trace of where the next frame begins, so each byte is tried. A frame is one only if its
-/// checksum is right.
+/// If a length is damaged, the begin of the next frame is unknown, so a frame with a correct checksum is searched for
+/// at every offset.
 pub fn recover_frames(bytes: &[u8], previous_at_us: u64) -> RecoveredFrames {
     let mut recovered = RecoveredFrames::default();
     let mut at_us = previous_at_us;
@@ -127,7 +128,7 @@
             continue;
         }
         let next = find_frame(rest);
-        if next.is_none() && is_beginning_of_frame(rest) {
+        if next.is_none() && is_incomplete_frame(rest) {
             recovered.torn_bytes = rest.len();
             break;
         }
@@ -139,13 +140,14 @@
     recovered
 }
 
-/// Where the next readable frame begins.
+/// Returns the offset of the next intact frame, not counting one at offset 0.
 fn find_frame(bytes: &[u8]) -> Option<usize> {
     (1..bytes.len()).find(|begin| decode_frame(&bytes[*begin..]).is_some())
 }
 
-/// Whether a frame begins here that was not written to its end. One whose body is complete has a damaged length.
-fn is_beginning_of_frame(bytes: &[u8]) -> bool {
+/// Whether the bytes are a frame that was not written to its end. If the checksum matches the body, the frame is
+/// complete and its length is damaged.
+fn is_incomplete_frame(bytes: &[u8]) -> bool {
     let (Some(length), Some(checksum)) = (read_u32(bytes, 0), read_u32(bytes, FIELD_SIZE)) else {
         return true;
     };
@@ -154,7 +156,7 @@
     length <= MAX_ENTRY_SIZE && length > body.len() && crc32fast::hash(body) != checksum
 }
 
-/// A journal whose writer was killed while it wrote the header: it has no entries.
+/// Decodes a journal without entries, whose writer was killed while it wrote the header.
 fn decode_incomplete_header(bytes: &[u8]) -> Result<DecodedJournal, JournalError> {
     if header().starts_with(bytes) || bytes.starts_with(MAGIC) {
         Ok(DecodedJournal { torn_bytes: bytes.len(), ..DecodedJournal::default() })
@@ -163,7 +165,7 @@
     }
 }
 
-/// The first entry and the size of its frame; `None` if that is incomplete or corrupt.
+/// Decodes the first frame: its entry and its size in bytes. `None` if it is incomplete or corrupt.
 fn decode_frame(bytes: &[u8]) -> Option<(Entry, usize)> {
     let length = read_u32(bytes, 0)? as usize;
     let checksum = read_u32(bytes, FIELD_SIZE)?;
@@ -172,7 +174,7 @@
     }
     let size = FRAME_PREFIX_SIZE + length;
     let body = bytes.get(FRAME_PREFIX_SIZE..size)?;
-    // Decoding ends at the first byte that makes no entry, where the checksum would take all of them.
+    // Decoding comes first since it stops at the first invalid byte, while the checksum has to read the whole body.
     let entry = postcard::from_bytes(body).ok()?;
     (crc32fast::hash(body) == checksum).then_some((entry, size))
 }
