--- a/crates/event-log/src/entry.rs
+++ b/crates/event-log/src/entry.rs
@@ -1,114 +1,115 @@
 //! Entries of the log. They hold all inputs of a control session, so that a replay can make the same calls.
 //!
-//! The stored form (postcard) depends on the order of fields and variants; the exported form (JSON) on the names in
-//! `serde(rename)`. Kinds of entries are only ever added, after the others.
+//! The stored form (postcard) depends on the order of fields and variants, the exported form (JSON) on the names in
+//! `serde(rename)`. New kinds of entries are only ever added after the existing ones.
 
 use serde::{Deserialize, Serialize};
 
-/// Version of what is written.
+/// Version of newly written segments.
 pub const VERSION: u32 = 3;
-/// Oldest version that is read. It has no outcomes by class.
+/// Oldest version that is read. It has no [`RecordedEvent::ClassOutcomes`].
 pub const OLDEST_VERSION: u32 = 1;
 
-/// A server as it was listed.
+/// A server with its values in an endpoint list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordedServer {
-    /// Its name.
+    /// Name in the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: String,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// Kind of machine that it runs on.
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell, a group of machines that share something.
     pub cell: u64,
-    /// Whether it finishes its requests and takes no more.
+    /// Whether it finishes its current requests and must get no new ones.
     #[serde(rename = "draining")]
     pub is_draining: bool,
-    /// Its weight.
+    /// Configured share of requests relative to other servers.
     pub weight: f64,
-    /// When its process started, in milliseconds since 1970.
+    /// Start time of its process, in milliseconds since 1970; `None` if the list does not have it.
     #[serde(rename = "started")]
     pub started_ms: Option<u64>,
 }
 
-/// Outcomes of a proxy's attempts at one server within a report's window.
+/// Outcomes of a proxy's attempts at one server, within a report's window.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordedOutcome {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// Attempts that ended.
+    /// Number of attempts that ended.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Those of them that failed.
+    /// Number of those that failed.
     #[serde(rename = "failed")]
     pub failures: u64,
-    /// Mean latency of the successful ones, in microseconds.
+    /// Mean latency of the successful attempts, in microseconds.
     #[serde(rename = "took")]
     pub mean_latency_us: u64,
-    /// Successful ones within the latency objective of their class.
+    /// Number of successful attempts within the latency objective of their class.
     #[serde(rename = "in_time")]
     pub within_objective: u64,
-    /// The server's newest load report: the bits of each value, NaN for a missing one.
+    /// Newest load report of the server: the IEEE 754 bits of each value, NaN for a missing one.
     #[serde(rename = "load")]
     pub load_bits: Vec<u64>,
 }
 
-/// Requests of one class that arrived at a proxy within a report's window.
+/// Requests of one traffic class that arrived at a proxy, within a report's window.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedArrivals {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     #[serde(rename = "queries")]
     pub requests: u64,
-    /// Those of them that got no answer.
+    /// Number of those that got no answer.
     pub unanswered: u64,
 }
 
-/// Outcomes of a proxy's attempts at one server with requests of one class.
+/// Outcomes of a proxy's attempts at one server with requests of one traffic class, within a report's window.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedClassOutcome {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// Attempts that ended.
+    /// Number of attempts that ended.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Successful ones within the class's latency objective.
+    /// Number of successful attempts within the class's latency objective.
     #[serde(rename = "in_time")]
     pub within_objective: u64,
-    /// Successful ones by latency: the number of bits of their microseconds, and how many they are.
+    /// Histogram of the successful attempts by latency: the bit length of the latency in microseconds, and the number
+    /// of attempts.
     #[serde(rename = "took")]
     pub latency_buckets: Vec<(u8, u64)>,
 }
 
-/// A message that was sent.
+/// A message with table updates that was sent to a proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentUpdate {
-    /// The recipient.
+    /// Name of the proxy that it was sent to.
     pub proxy: String,
-    /// Sequence number at this proxy.
+    /// Sequence number among the messages to this proxy.
     pub number: u64,
-    /// Index of its text among the step's texts.
+    /// Index of its text in the `texts` of the [`RecordedEvent::Step`].
     #[serde(rename = "text")]
     pub text_index: u32,
-    /// Table entries in it.
+    /// Number of table entries that it contains.
     #[serde(rename = "lines")]
     pub entries: u32,
 }
 
-/// What an earlier process learned of a server. Stored and exported as a tuple.
+/// Warm-start hint: what an earlier planner process learned about a server. Stored and exported as a tuple.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u64, u64)", into = "(String, u64, u64)")]
 pub struct RecordedHint {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// Bits of its speed factor.
+    /// IEEE 754 bits of its speed factor.
     pub speed_factor_bits: u64,
-    /// Bits of its suspicion.
+    /// IEEE 754 bits of its suspicion.
     pub suspicion_bits: u64,
 }
 
@@ -124,28 +125,28 @@
     }
 }
 
-/// What happened.
+/// An input of the control session, or a step of the controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RecordedEvent {
     /// The planner started.
     #[serde(rename = "Start")]
     PlannerStarted {
-        /// The program's build.
+        /// Build of the program; another build may decide differently on the same inputs.
         build: String,
-        /// The planner's name.
+        /// Name of the planner.
         planner: String,
-        /// Seed of the controller.
+        /// Seed of the controller's random numbers.
         seed: u64,
-        /// Wall clock at time zero, in milliseconds since 1970.
+        /// Wall-clock time that [`Entry::at_us`] counts from, in milliseconds since 1970.
         #[serde(rename = "epoch")]
         epoch_ms: u64,
-        /// The `<fleet>` element.
+        /// The configuration, as a `<fleet>` element.
         fleet: String,
     },
-    /// An endpoint list.
+    /// An endpoint list was applied.
     #[serde(rename = "Listed")]
     EndpointsListed {
-        /// It is the list as held before the start, and not a change.
+        /// Whether it is a complete list, such as the one restored at the start, and not a delta.
         #[serde(rename = "whole")]
         is_complete: bool,
         /// Servers that are new or changed.
@@ -154,136 +155,137 @@
         #[serde(rename = "gone")]
         removed: Vec<String>,
     },
-    /// The fleet was edited.
+    /// An operator changed the fleet configuration.
     #[serde(rename = "Refit")]
     Reconfigured {
-        /// The new `<fleet>` element.
+        /// The new configuration, as a `<fleet>` element.
         fleet: String,
-        /// Seed of the controller, if it starts over.
+        /// Seed of the controller's random numbers, if the change makes it start over.
         seed: u64,
     },
     /// A proxy connected.
     #[serde(rename = "Joined")]
     ProxyConnected {
-        /// The proxy.
+        /// Name of the proxy.
         proxy: String,
-        /// Its zone.
+        /// Name of its zone.
         zone: String,
-        /// Requests a second that it expects.
+        /// Requests per second that it expects.
         #[serde(rename = "rate")]
         request_rate: f64,
-        /// It holds no table of an earlier planner.
+        /// Whether it holds no table from an earlier planner.
         #[serde(rename = "fresh")]
         has_no_table: bool,
     },
     /// A proxy's connection ended.
     #[serde(rename = "Left")]
     ProxyDisconnected {
-        /// The proxy.
+        /// Name of the proxy.
         proxy: String,
     },
     /// A proxy acknowledged a message and all before it.
     #[serde(rename = "Applied")]
     UpdateAcknowledged {
-        /// The proxy.
+        /// Name of the proxy.
         proxy: String,
-        /// The message.
+        /// Sequence number of the message, as in [`SentUpdate::number`].
         number: u64,
     },
-    /// A proxy's report.
+    /// A proxy sent an outcome report.
     Report {
-        /// The proxy.
+        /// Name of the proxy.
         proxy: String,
-        /// The time that it covers, in microseconds.
+        /// Length of the reported window, in microseconds.
         #[serde(rename = "span")]
         window_us: u64,
-        /// Outcomes by server.
+        /// Outcomes of attempts, by server.
         #[serde(rename = "met")]
         outcomes: Vec<RecordedOutcome>,
-        /// Arrivals by class.
+        /// Arrived requests, by class.
         #[serde(rename = "came")]
         arrivals: Vec<RecordedArrivals>,
     },
     /// A health check ended.
     #[serde(rename = "Probed")]
     HealthChecked {
-        /// The server.
+        /// Name of the server.
         server: String,
-        /// Number of the result, in the order of `HealthCheckResult`.
+        /// Result, as its index in the order of the controller's `HealthCheckResult`.
         #[serde(rename = "found")]
         result: u8,
-        /// How long it took, in microseconds.
+        /// Duration of the health check, in microseconds.
         #[serde(rename = "after")]
         elapsed_us: u64,
-        /// The load report that came with the answer: the bits of each value.
+        /// Load report that came with the answer: the IEEE 754 bits of each value.
         #[serde(rename = "load")]
         load_bits: Vec<u64>,
     },
-    /// An operator's edit is in force.
+    /// An operator's edit came into force.
     #[serde(rename = "Edit")]
     EditInForce {
-        /// The edit.
+        /// Id of the edit.
         id: String,
-        /// Who made it.
+        /// User that made the edit.
         #[serde(rename = "who")]
         author: String,
     },
-    /// The controller was asked, and what it commanded. A step without commands counts too: it moves the
+    /// The controller ran one step, with these results. Steps without commands are recorded too, since they advance the
     /// controller's clock.
     #[serde(rename = "Turn")]
     Step {
-        /// How long it took, in microseconds.
+        /// Duration of the step, in microseconds.
         #[serde(rename = "took")]
         duration_us: u64,
-        /// Texts of the messages, each once.
+        /// Distinct texts of the messages in `sent`.
         texts: Vec<String>,
-        /// The messages sent.
+        /// Messages that were sent.
         sent: Vec<SentUpdate>,
-        /// Servers whose health is checked.
+        /// Names of the servers whose health check was started.
         #[serde(rename = "probes")]
         health_checks: Vec<String>,
-        /// Lines of the log.
+        /// Lines that the controller wrote to its log.
         log: Vec<String>,
-        /// Commands that the guard rejected, with the reason.
+        /// Commands that the guard rejected, with their reasons, as text.
         #[serde(rename = "refused")]
         rejections: Vec<String>,
     },
-    /// Entries were lost here, since the disk was full or too slow.
+    /// Entries are missing here: the disk failed or was too slow, they were too large or are damaged, or their
+    /// segment is missing.
     #[serde(rename = "Lost")]
     EntriesLost {
-        /// How many; 0 if that is not known.
+        /// Number of lost entries; 0 if unknown.
         entries: u64,
     },
-    /// Outcomes of a report by class. The controller does not use them.
+    /// Outcomes by class from a proxy's report. The controller does not use them.
     #[serde(rename = "Outcomes")]
     ClassOutcomes {
-        /// The proxy.
+        /// Name of the proxy.
         proxy: String,
-        /// Outcomes by server and class.
+        /// Outcomes of attempts, by server and class.
         #[serde(rename = "met")]
         outcomes: Vec<RecordedClassOutcome>,
     },
-    /// What an earlier process learned.
+    /// The control session received hints from an earlier planner process.
     #[serde(rename = "Remembered")]
     WarmStart {
-        /// One hint for each server.
+        /// Hints for the servers that anything is known about.
         hints: Vec<RecordedHint>,
     },
 }
 
-/// One entry of the log.
+/// One entry of the log: an event and its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// Microseconds since the planner's start.
     #[serde(rename = "at")]
     pub at_us: u64,
-    /// What happened.
+    /// The event.
     #[serde(rename = "what")]
     pub event: RecordedEvent,
 }
 
 impl RecordedEvent {
-    /// The kind of the event, as stored in a column and shown to operators.
+    /// Returns the kind of the event, as stored in columnar files and shown to operators.
     pub fn kind(&self) -> &'static str {
         match self {
             RecordedEvent::PlannerStarted { .. } => "start",
@@ -302,7 +304,7 @@
         }
     }
 
-    /// The planner, proxy, server or edit that the event is about; empty for none.
+    /// Returns the planner, proxy, server or edit that the event is about; empty if there is none.
     pub fn name(&self) -> &str {
         match self {
             RecordedEvent::PlannerStarted { planner, .. } => planner,
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -1,14 +1,14 @@
-//! Errors of reading a log, and of making journals columnar.
+//! Errors of reading a log, and of converting journals to columnar files.
 
 use crate::columns::ColumnError;
 use crate::framing::JournalError;
 use std::io;
 use std::path::PathBuf;
 
-/// A segment or folder that cannot be read.
+/// A segment or folder that cannot be read, with its path.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The file system failed.
+    /// A file system operation failed.
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
     /// The file is not a journal of a known version.
@@ -19,27 +19,27 @@
     Columns(PathBuf, ColumnError),
 }
 
-/// A closed journal that could not be made columnar. It stays, and is readable.
+/// A closed journal that could not be converted to a columnar file. The journal is kept, and remains readable.
 #[derive(Debug, thiserror::Error)]
 pub enum ConversionError {
-    /// It cannot be read.
+    /// The journal, or the columnar file just written, cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// Some of its bytes are damaged: a columnar file would hold less than it.
-    #[error("{}: {damaged_bytes} of its bytes are damaged", path.display())]
+    /// The journal has damaged bytes, which a columnar file could not hold.
+    #[error("{}: {damaged_bytes} bytes of the journal are damaged", path.display())]
     Damaged {
-        /// The journal.
+        /// Path of the journal.
         path: PathBuf,
-        /// The damaged bytes.
+        /// Number of damaged bytes.
         damaged_bytes: usize,
     },
-    /// The columnar file or its folder cannot be written.
+    /// The columnar file or its folder cannot be written, or the journal cannot be removed.
     #[error("{0}: {1}")]
     Write(PathBuf, io::Error),
-    /// The columnar file cannot be made of its entries.
+    /// The entries cannot be encoded as a columnar file.
     #[error("{0}: {1}")]
     Encode(PathBuf, ColumnError),
-    /// The columnar file reads back otherwise than it was written.
+    /// The entries that the columnar file reads back differ from those of the journal.
     #[error("{0}: it has other entries than its journal")]
     ReadBack(PathBuf),
 }
--- a/crates/event-log/src/lib.rs
+++ b/crates/event-log/src/lib.rs
@@ -1,8 +1,8 @@
-//! The event log of a planner: what happened, and what the controller decided, on disk.
+//! The event log of a planner: the inputs and decisions of its controller, on disk.
 //!
-//! A planner appends to a journal of frames, each with its length and checksum. A journal that is long enough is
-//! closed and becomes a columnar file (Parquet), which other tools read too. After a kill at any moment all that
-//! was written before the last frame is there; a torn tail is left out and reported.
+//! A planner appends to a journal of frames, each with a length and a checksum. A journal that has reached its maximum
+//! size is closed and converted to a columnar file (Parquet), which other tools can read too. If the process is killed,
+//! all frames that were written completely remain readable; a torn tail is left out and reported.
 
 pub mod columns;
 pub mod entry;
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes a log: the open journal, closed segments, and their retention.
+//! [`Recorder`]: writes the journal of a log, closes segments, and removes old ones.
 
 use crate::entry::{Entry, RecordedEvent};
 use crate::error::ConversionError;
@@ -11,22 +11,23 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, SystemTime};
 
-/// Time between attempts to write to a disk that failed.
+/// Time between attempts to write after a failure of the disk.
 const RETRY_INTERVAL: Duration = Duration::from_secs(5);
 const DAY: Duration = Duration::from_secs(86_400);
 
-/// Limits of a log.
+/// Limits of a log, and how often it is synced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecorderConfig {
-    /// Size in bytes at which a journal is closed.
+    /// Size in bytes at which a journal is closed and the next one begins.
     pub max_segment_bytes: u64,
-    /// Size in bytes of all segments, beyond which the oldest are removed.
+    /// Total size in bytes of all segments beyond which the oldest ones are removed.
     pub max_total_bytes: u64,
     /// Age beyond which segments are removed.
     pub max_age: Duration,
-    /// Time between syncs, which is what a power cut may lose. A killed process loses nothing that was written.
+    /// Time between syncs. A power cut may lose the entries of this time; a killed process loses nothing that was
+    /// written.
     pub sync_interval: Duration,
-    /// Bytes that may wait to be written. Entries beyond that are lost, and counted.
+    /// Bytes that may wait to be written. Further entries are dropped and counted as lost.
     pub max_buffered_bytes: usize,
 }
 
@@ -42,37 +43,37 @@
     }
 }
 
-/// The journal that is written to.
+/// The journal that entries are written to.
 struct OpenJournal {
     file: File,
-    /// Bytes of header and complete frames.
+    /// Size in bytes of the header and all complete frames.
     size: u64,
 }
 
-/// Writes a log. It never blocks its planner on a disk that fails: entries wait within a limit, and beyond that they
-/// are lost, which the log then says.
+/// Writes a log. If the disk fails, entries are buffered up to a limit and dropped beyond that; the log then has an
+/// entry with the number of lost ones.
 pub struct Recorder {
     folder: PathBuf,
     config: RecorderConfig,
-    /// Number of the open segment, or of the next one.
+    /// Number of the open segment, or of the next one if none is open.
     number: u64,
     journal: Option<OpenJournal>,
     buffer: Vec<u8>,
     lost_entries: u64,
-    /// Lost entries that the log does not mention yet.
+    /// Number of lost entries that the log does not mention yet.
     unreported_losses: u64,
     last_sync: Duration,
     next_attempt: Duration,
-    /// Why the last write failed.
+    /// Why the last write failed; `None` if it succeeded.
     failure: Option<String>,
     converters: Vec<JoinHandle<()>>,
-    /// Where the converters report the journals that they leave as they are.
+    /// Errors from the converters, for journals that could not be converted.
     conversion_errors: Receiver<ConversionError>,
     error_sender: Sender<ConversionError>,
 }
 
 impl Recorder {
-    /// Opens a folder, which is created if it does not exist. A new segment begins; earlier journals become columnar.
+    /// Opens a folder, creating it if needed. Entries go to a new segment; journals of earlier runs are converted.
     pub fn open(folder: &Path, config: RecorderConfig) -> io::Result<Recorder> {
         fs::create_dir_all(folder)?;
         let earlier = list_segments(folder)?;
@@ -98,22 +99,22 @@
         Ok(recorder)
     }
 
-    /// Why nothing is recorded at the moment, if so.
+    /// Returns why nothing can be written at the moment; `None` if the last write succeeded.
     pub fn failure(&self) -> Option<&str> {
         self.failure.as_deref()
     }
 
-    /// Entries lost since the start.
+    /// Returns the number of entries lost since the start.
     pub fn lost_entries(&self) -> u64 {
         self.lost_entries
     }
 
-    /// The journals that could not be made columnar since the last call.
+    /// Returns the failed conversions since the last call.
     pub fn take_conversion_errors(&mut self) -> Vec<ConversionError> {
         self.conversion_errors.try_iter().collect()
     }
 
-    /// Adds an entry to the buffer.
+    /// Adds an entry to the buffer, or counts it as lost if the buffer is full or the entry is too large.
     pub fn push(&mut self, at: Duration, event: RecordedEvent) {
         let at_us = at.as_micros() as u64;
         if self.buffer.len() >= self.config.max_buffered_bytes {
@@ -135,7 +136,7 @@
         self.lost_entries += 1;
     }
 
-    /// Writes the buffer; after a failure not before `RETRY_INTERVAL` has passed.
+    /// Writes the buffer to disk. After a failure, does nothing until `RETRY_INTERVAL` has passed.
     pub fn write(&mut self, now: Duration) {
         if self.buffer.is_empty() || (self.failure.is_some() && now < self.next_attempt) {
             return;
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Cuts off a frame that may be half written; the buffer goes into a new segment.
+    /// Truncates a frame that may be half written. The buffer will be written to a new segment.
     fn abandon_journal(&mut self) {
         if let Some(journal) = self.journal.take() {
             let _ = journal.file.set_len(journal.size);
@@ -176,8 +177,8 @@
         Ok(())
     }
 
-    /// Creates the next journal. One whose header cannot be written is removed: its number is needed for the next
-    /// attempt. If it cannot be removed either, the attempt after that takes another number.
+    /// Creates the next journal. If its header cannot be written, the file is removed, so that the next attempt can
+    /// use the same number. If it cannot be removed either, the attempt after that uses another number.
     fn create_journal(&mut self) -> io::Result<OpenJournal> {
         let path = journal_path(&self.folder, self.number);
         let created = OpenOptions::new().create_new(true).append(true).open(&path);
@@ -209,20 +210,20 @@
         Ok(())
     }
 
-    /// Makes a closed journal columnar on a thread of its own, since that takes longer than an iteration of the event
-    /// loop may. A journal for which that fails stays, and is readable.
+    /// Converts a closed journal to a columnar file on a separate thread, since that takes longer than an iteration
+    /// of the event loop may. A journal that cannot be converted is kept, and remains readable.
     fn start_conversion(&mut self, segment: Segment) {
         self.converters.retain(|converter| !converter.is_finished());
         let errors = self.error_sender.clone();
         self.converters.push(std::thread::spawn(move || {
             if let Err(error) = convert_to_columns(&segment) {
-                // A recorder that has ended needs no report: the next one converts the journal again.
+                // If the recorder has ended, nobody receives the error; the next one tries the conversion again.
                 let _ = errors.send(error);
             }
         }));
     }
 
-    /// Removes closed segments beyond the limits of size and age, oldest first.
+    /// Removes closed segments beyond the limits of total size and age, oldest first.
     fn remove_old_segments(&mut self) {
         let Ok(segments) = list_segments(&self.folder) else { return };
         let mut total_bytes: u64 = segments.iter().map(|segment| segment.size).sum();
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Ends the log in order: all is written, and closed segments are columnar but for those returned.
+    /// Writes what is buffered, waits for all conversions, and ends the log. Returns the failed conversions.
     pub fn finish(mut self, now: Duration) -> Vec<ConversionError> {
         self.write(now);
         if let Some(journal) = &self.journal {
@@ -243,13 +244,13 @@
         for converter in std::mem::take(&mut self.converters) {
             let _ = converter.join();
         }
-        // A small columnar file is larger than its journal was.
+        // A small columnar file is larger than its journal, so the limit may be exceeded again.
         self.remove_old_segments();
         self.take_conversion_errors()
     }
 }
 
-/// Time since a segment was written.
+/// Returns the time since a segment was last written; 0 if unknown.
 fn age(segment: &Segment) -> Duration {
     let modified = fs::metadata(&segment.path).and_then(|metadata| metadata.modified()).ok();
     modified.and_then(|at| SystemTime::now().duration_since(at).ok()).unwrap_or_default()
--- a/crates/event-log/src/segment.rs
+++ b/crates/event-log/src/segment.rs
@@ -1,4 +1,4 @@
-//! Segments of a log: files named by number, either journals or columnar.
+//! Segments of a log: numbered files that are either journals or columnar.
 
 use crate::columns::{self, ColumnarContent, Integrity};
 use crate::entry::Entry;
@@ -12,70 +12,74 @@
 const JOURNAL_EXTENSION: &str = "journal";
 /// Extension of a columnar file.
 const COLUMNAR_EXTENSION: &str = "parquet";
-/// Extension of a columnar file that is being written.
+/// Extension of a columnar file that is still being written.
 const TEMPORARY_EXTENSION: &str = "making";
 
 /// One segment of a log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Segment {
-    /// Its number; segments are numbered in sequence.
+    /// Sequence number, from the file name.
     pub number: u64,
-    /// Its file.
+    /// Path of its file.
     pub path: PathBuf,
     /// Size of the file in bytes.
     pub size: u64,
-    /// Whether it is columnar, and not a journal.
+    /// Whether the file is columnar; otherwise it is a journal.
     pub is_columnar: bool,
 }
 
-/// A segment as it was read.
+/// What was read from a segment.
 #[derive(Debug, Default, PartialEq)]
 pub struct SegmentContent {
-    /// Its entries.
+    /// The readable entries, in sequence, with an [`EntriesLost`](crate::RecordedEvent::EntriesLost) for each damaged
+    /// place.
     pub entries: Vec<Entry>,
-    /// Bytes at the end of a journal that are no complete entry.
+    /// Bytes of an incomplete frame at the end of a journal.
     pub torn_bytes: usize,
-    /// Bytes within a journal that are damaged; a loss stands in their place among the entries.
+    /// Number of damaged bytes in a journal.
     pub damaged_bytes: usize,
-    /// Whether the entries are known to be as they were written.
+    /// Whether a checksum confirms the entries.
     pub integrity: Integrity,
 }
 
-/// The file of a journal.
+/// Returns the path of the journal with this number.
 pub(crate) fn journal_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{number:08}.{JOURNAL_EXTENSION}"))
 }
 
-/// The file of a journal once it is columnar.
+/// Returns the path of the columnar file that a journal is converted to.
 pub(crate) fn columnar_path(journal: &Path) -> PathBuf {
     journal.with_extension(COLUMNAR_EXTENSION)
 }
 
-/// The segments of a folder in sequence. Columnar files that are not complete are left out: their journals are there.
+/// Lists the segments of a folder in sequence. Incomplete columnar files are left out, since their journals still
+/// exist.
 pub fn list_segments(folder: &Path) -> io::Result<Vec<Segment>> {
     let mut segments = Vec::new();
     for file in fs::read_dir(folder)? {
-        segments.extend(to_segment(&file?));
+        segments.extend(parse_segment(&file?));
     }
     segments.sort_by_key(|segment| (segment.number, !segment.is_columnar));
-    // Both forms of one segment: its planner was killed before it could remove the journal.
+    // If a segment is there in both forms, its planner was killed before it removed the journal.
     segments.dedup_by_key(|segment| segment.number);
     Ok(segments)
 }
 
-fn to_segment(file: &fs::DirEntry) -> Option<Segment> {
+/// Identifies the segment that a file holds; `None` for other files.
+fn parse_segment(file: &fs::DirEntry) -> Option<Segment> {
     let name = file.file_name().to_string_lossy().into_owned();
     let (stem, extension) = name.split_once('.')?;
     let number = stem.parse().ok()?;
     if extension != JOURNAL_EXTENSION && extension != COLUMNAR_EXTENSION {
         return None;
     }
-    // A running planner may have made it columnar in the meantime: then it is there under its other name.
+    // The size is unknown if a running planner has converted and removed the journal by now. Its columnar file is read
+    // then.
     let size = file.metadata().map_or(0, |metadata| metadata.len());
     Some(Segment { number, path: file.path(), size, is_columnar: extension == COLUMNAR_EXTENSION })
 }
 
-/// Reads one segment.
+/// Reads all entries of a segment. Damage in a journal is no error: the intact entries around it are returned.
 pub fn read_segment(segment: &Segment) -> Result<SegmentContent, ReadError> {
     let io_error = |e| ReadError::Io(segment.path.clone(), e);
     let mut file = File::open(&segment.path).map_err(io_error)?;
@@ -89,7 +93,7 @@
     Ok(journal_content(&bytes, journal))
 }
 
-/// The entries of a journal, with those behind damaged bytes.
+/// Returns the content of a journal, including the intact entries after damaged bytes.
 fn journal_content(bytes: &[u8], journal: DecodedJournal) -> SegmentContent {
     let mut entries = journal.entries;
     if journal.complete_bytes == 0 {
@@ -110,8 +114,8 @@
     columns::read_content(file).map_err(|e| ReadError::Columns(path.to_path_buf(), e))
 }
 
-/// Reads a segment of a running planner, which may have made it columnar, or removed it for its age, since the
-/// folder was listed; `None` if it was removed.
+/// Reads a segment that a running planner may have converted, or removed as too old, since the folder was listed;
+/// `None` if it was removed.
 pub(crate) fn read_live_segment(segment: &Segment) -> Result<Option<Vec<Entry>>, ReadError> {
     match read_segment(segment) {
         Ok(content) => Ok(Some(content.entries)),
@@ -126,8 +130,8 @@
     }
 }
 
-/// Makes a closed journal columnar and returns the new file. The journal is removed last, once the new file has been
-/// read back and its name is on disk; a journal with damaged bytes is left as it is.
+/// Converts a closed journal to a columnar file and returns its path. The journal is removed last, once the new file
+/// has been read back and its name is on disk. A journal with damaged bytes is not converted.
 pub fn convert_to_columns(segment: &Segment) -> Result<PathBuf, ConversionError> {
     let content = read_segment(segment)?;
     if content.damaged_bytes > 0 {
@@ -147,7 +151,7 @@
     Ok(columnar)
 }
 
-/// Writes a columnar file to disk, and compares what it reads back.
+/// Writes a columnar file to disk, and checks that it reads back the same entries.
 fn write_columns(entries: &[Entry], path: &Path) -> Result<(), ConversionError> {
     let write_error = |e| ConversionError::Write(path.to_path_buf(), e);
     let encode_error = |e| ConversionError::Encode(path.to_path_buf(), e);
@@ -155,15 +159,15 @@
     columns::write(entries, &file).map_err(encode_error)?;
     file.sync_all().map_err(write_error)?;
     let read_back = read_columns(path, File::open(path).map_err(write_error)?)?;
-    if is_same(&read_back.entries, entries).map_err(|e| encode_error(e.into()))? {
+    if have_same_encoding(&read_back.entries, entries).map_err(|e| encode_error(e.into()))? {
         Ok(())
     } else {
         Err(ConversionError::ReadBack(path.to_path_buf()))
     }
 }
 
-/// Whether entries are stored alike; a NaN is equal to itself in that.
-fn is_same(left: &[Entry], right: &[Entry]) -> Result<bool, postcard::Error> {
+/// Whether entries have the same stored form. Unlike `==`, this treats a NaN as equal to itself.
+fn have_same_encoding(left: &[Entry], right: &[Entry]) -> Result<bool, postcard::Error> {
     if left.len() != right.len() {
         return Ok(false);
     }
@@ -175,7 +179,7 @@
     Ok(true)
 }
 
-/// Gives a columnar file its name, which a power cut does not take back.
+/// Gives a complete columnar file its final name, and syncs the folder so that the name survives a power cut.
 fn publish_columns(temporary: &Path, columnar: &Path) -> io::Result<()> {
     fs::rename(temporary, columnar)?;
     let folder = columnar.parent().filter(|folder| !folder.as_os_str().is_empty());
--- a/crates/event-log/src/writer.rs
+++ b/crates/event-log/src/writer.rs
@@ -1,6 +1,6 @@
-//! A recorder on a thread of its own, so that a disk that stalls does not block the planner.
+//! [`BackgroundWriter`]: runs a recorder on a separate thread, so that a stalled disk does not block the planner.
 //!
-//! What waits for the thread is limited by bytes; entries beyond that are lost, and counted in the log.
+//! The queue to the thread is limited in bytes. Entries beyond the limit are dropped, and the log has their number.
 
 use crate::entry::RecordedEvent;
 use crate::error::ConversionError;
@@ -11,17 +11,17 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Bytes that may wait for the thread: some seconds of a fleet of hundreds of proxies while all tables change.
+/// Bytes that may be queued: some seconds of entries from a fleet of hundreds of proxies while all tables change.
 const MAX_QUEUED_BYTES: usize = 32 << 20;
-/// With nothing to write, the thread retries a failed disk this often.
+/// How often the thread wakes up without new entries, to retry writes to a failed disk.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Entries of this time are written together. A killed planner loses no more, and the thread need not be woken for
-/// each iteration.
-const GATHER_INTERVAL: Duration = Duration::from_millis(100);
-/// Estimated bytes of a name or a few numbers, with their allocation.
-const FIELD_SIZE: usize = 64;
+/// Entries of this interval are written together, so that the thread need not be woken for each iteration of the event
+/// loop. A killed planner loses no more than these.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Estimated size in bytes of a name or a few numbers, including their allocation.
+const ESTIMATED_FIELD_SIZE: usize = 64;
 
-/// The entries of one iteration.
+/// The events of one iteration of the event loop.
 struct Batch {
     now: Duration,
     events: Vec<(Duration, RecordedEvent)>,
@@ -29,32 +29,32 @@
     size: usize,
 }
 
-/// The state of a log.
+/// Whether a log is being written, and what it lost.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WriterStatus {
-    /// Why nothing is recorded at the moment, if so.
+    /// Why entries are not being written or are dropped at the moment; `None` if recording works.
     pub failure: Option<String>,
-    /// Entries lost since the start.
+    /// Number of entries lost since the start.
     pub lost_entries: u64,
 }
 
-/// Passes entries to a recorder on another thread.
+/// Passes events to a [`Recorder`] on another thread.
 pub struct BackgroundWriter {
-    /// `None` once it is finished.
+    /// `None` once the writer is finished, which ends the thread.
     sender: Option<Sender<Batch>>,
     thread: Option<JoinHandle<()>>,
     max_queued_bytes: usize,
     queued_bytes: Arc<AtomicUsize>,
     recorder_status: Arc<Mutex<WriterStatus>>,
     conversion_errors: Receiver<ConversionError>,
-    /// Entries that found no room since the start.
+    /// Number of entries dropped since the start because the queue was full or the thread had ended.
     lost_entries: u64,
-    /// Those of them that the log does not mention yet.
+    /// Number of those that the log does not mention yet.
     unreported_losses: u64,
 }
 
 impl BackgroundWriter {
-    /// Starts the thread.
+    /// Starts the thread, which takes over the recorder.
     pub fn new(recorder: Recorder) -> BackgroundWriter {
         BackgroundWriter::with_limit(recorder, MAX_QUEUED_BYTES)
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds the entries of one iteration.
+    /// Queues the events of one iteration, each with its time, or drops them all if they exceed the queue's limit.
     pub fn push(&mut self, now: Duration, mut events: Vec<(Duration, RecordedEvent)>) {
         let Some((first_at, _)) = events.first() else { return };
         let first_at = *first_at;
@@ -100,7 +100,7 @@
         let count = events.len();
         match sender.send(Batch { now, events, size }) {
             Ok(()) => self.unreported_losses = 0,
-            // The thread has panicked, which shows as a failure.
+            // The thread has panicked. The unreported losses make `status` return a failure.
             Err(_) => self.count_losses(count),
         }
     }
@@ -110,27 +110,27 @@
         self.lost_entries += entries as u64;
     }
 
-    /// Estimated bytes that wait for the thread.
+    /// Returns the estimated size of the queue in bytes.
     pub(crate) fn queued_bytes(&self) -> usize {
         self.queued_bytes.load(Ordering::Relaxed)
     }
 
-    /// The state of the log.
+    /// Returns the status as of the thread's last write, with the losses on this side of the queue.
     pub fn status(&self) -> WriterStatus {
         let mut status = self.recorder_status.lock().unwrap_or_else(PoisonError::into_inner).clone();
         status.lost_entries += self.lost_entries;
         if status.failure.is_none() && self.unreported_losses > 0 {
-            status.failure = Some("the disk is slower than what happens".into());
+            status.failure = Some("the disk is too slow for the events to be recorded".into());
         }
         status
     }
 
-    /// The journals that could not be made columnar since the last call.
+    /// Returns the failed conversions of journals since the last call.
     pub fn take_conversion_errors(&mut self) -> Vec<ConversionError> {
         self.conversion_errors.try_iter().collect()
     }
 
-    /// Ends the log in order; returns the journals that could not be made columnar.
+    /// Writes what is queued, waits for the thread, and returns the failed conversions of journals.
     pub fn finish(mut self) -> Vec<ConversionError> {
         self.sender = None;
         if let Some(thread) = self.thread.take() {
@@ -140,7 +140,7 @@
     }
 }
 
-/// What the thread owns.
+/// State of the writer thread.
 struct Worker {
     recorder: Recorder,
     receiver: Receiver<Batch>,
@@ -156,7 +156,7 @@
             let mut written_bytes = 0;
             match self.receiver.recv_timeout(IDLE_INTERVAL) {
                 Ok(first) => {
-                    std::thread::sleep(GATHER_INTERVAL);
+                    std::thread::sleep(BATCH_INTERVAL);
                     for batch in std::iter::once(first).chain(self.receiver.try_iter()) {
                         now = batch.now;
                         written_bytes += batch.size;
@@ -168,13 +168,13 @@
                 Err(RecvTimeoutError::Timeout) => now += IDLE_INTERVAL,
                 Err(RecvTimeoutError::Disconnected) => {
                     let Worker { recorder, conversion_errors, .. } = self;
-                    return report(recorder.finish(now), &conversion_errors);
+                    return send_errors(recorder.finish(now), &conversion_errors);
                 }
             }
             self.recorder.write(now);
             self.queued_bytes.fetch_sub(written_bytes, Ordering::Relaxed);
             self.update_status();
-            report(self.recorder.take_conversion_errors(), &self.conversion_errors);
+            send_errors(self.recorder.take_conversion_errors(), &self.conversion_errors);
         }
     }
 
@@ -187,32 +187,32 @@
     }
 }
 
-fn report(errors: Vec<ConversionError>, receiver: &Sender<ConversionError>) {
+fn send_errors(errors: Vec<ConversionError>, sender: &Sender<ConversionError>) {
     for error in errors {
-        // The planner has ended without waiting for the thread.
-        let _ = receiver.send(error);
+        // Fails if the planner has ended without waiting for the thread.
+        let _ = sender.send(error);
     }
 }
 
-/// About how many bytes an event takes while it waits.
+/// Estimates the memory that an event takes while it is queued, in bytes.
 fn estimate_size(event: &RecordedEvent) -> usize {
     match event {
         RecordedEvent::Step { texts, sent, health_checks, log, rejections, .. } => {
             let texts = texts.iter().chain(log).chain(rejections);
-            let texts_size: usize = texts.map(|text| text.len() + FIELD_SIZE).sum();
-            texts_size + FIELD_SIZE * (2 + sent.len() + health_checks.len())
+            let texts_size: usize = texts.map(|text| text.len() + ESTIMATED_FIELD_SIZE).sum();
+            texts_size + ESTIMATED_FIELD_SIZE * (2 + sent.len() + health_checks.len())
         }
         RecordedEvent::Report { outcomes, arrivals, .. } => {
-            FIELD_SIZE * (2 + 2 * outcomes.len() + arrivals.len())
+            ESTIMATED_FIELD_SIZE * (2 + 2 * outcomes.len() + arrivals.len())
         }
-        RecordedEvent::ClassOutcomes { outcomes, .. } => FIELD_SIZE * (2 + 3 * outcomes.len()),
-        RecordedEvent::WarmStart { hints } => FIELD_SIZE * (2 + hints.len()),
+        RecordedEvent::ClassOutcomes { outcomes, .. } => ESTIMATED_FIELD_SIZE * (2 + 3 * outcomes.len()),
+        RecordedEvent::WarmStart { hints } => ESTIMATED_FIELD_SIZE * (2 + hints.len()),
         RecordedEvent::EndpointsListed { servers, removed, .. } => {
-            FIELD_SIZE * (2 + 4 * servers.len() + removed.len())
+            ESTIMATED_FIELD_SIZE * (2 + 4 * servers.len() + removed.len())
         }
         RecordedEvent::PlannerStarted { fleet, .. } | RecordedEvent::Reconfigured { fleet, .. } => {
-            FIELD_SIZE * 2 + fleet.len()
+            ESTIMATED_FIELD_SIZE * 2 + fleet.len()
         }
-        _ => FIELD_SIZE * 2,
+        _ => ESTIMATED_FIELD_SIZE * 2,
     }
 }
