--- a/crates/inventory/src/edit_history.rs
+++ b/crates/inventory/src/edit_history.rs
@@ -4,10 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Number of edits that are kept: an hour at one edit every four seconds. An older edit that is sent again counts as new.
+/// Number of edits that are kept: an hour at one edit every four seconds. An older edit that is sent again counts as
+/// new.
 pub const MAX_EDITS: usize = 1024;
-/// Time after which a decided edit needs no further updates. Updates are published once a second, and the rest allows for
-/// the update channel: a server that no update was about by then did not change.
+/// Time after which a decided edit needs no further updates. Updates are published once a second, and the rest allows
+/// for the update channel: a server that no update was about by then did not change.
 pub const PUBLICATION_TIMEOUT: Duration = Duration::from_millis(1250);
 
 /// Result of looking up an edit's id.
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -12,15 +12,16 @@
 /// Name of the file in the folder that is locked.
 const LOCK_FILE: &str = "lock";
 
-/// An exclusive lock on a folder, released when dropped. Without it, two planners on one folder would each undo what the
-/// other accepted.
+/// An exclusive lock on a folder, released when dropped. Without it, two planners on one folder would each undo what
+/// the other accepted.
 #[derive(Debug)]
 pub struct FolderLock {
     _file: File,
 }
 
 impl FolderLock {
-    /// Locks a folder, creating it if needed. Fails with [`io::ErrorKind::AddrInUse`] if another process holds the lock.
+    /// Locks a folder, creating it if needed. Fails with [`io::ErrorKind::AddrInUse`] if another process holds the
+    /// lock.
     pub fn acquire(folder: &Path) -> io::Result<FolderLock> {
         fs::create_dir_all(folder)?;
         let file =
@@ -51,8 +52,8 @@
         Ok(Folder { path: path.to_path_buf(), open_files: BTreeMap::new(), is_read_only: false })
     }
 
-    /// Opens an existing folder for reading. Renames succeed without effect, so that recovery can report a corrupt snapshot;
-    /// creating and removing files fails.
+    /// Opens an existing folder for reading. Renames succeed without effect, so that recovery can report a corrupt
+    /// snapshot; creating and removing files fails.
     pub fn open_read_only(path: &Path) -> io::Result<Folder> {
         fs::read_dir(path)?;
         Ok(Folder { path: path.to_path_buf(), open_files: BTreeMap::new(), is_read_only: true })
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -106,8 +106,8 @@
         Ok(())
     }
 
-    /// Copies a damaged journal that has intact entries after the damage. They cannot be applied, since an earlier entry
-    /// is lost, and without a copy they would be pruned with the journal.
+    /// Copies a damaged journal that has intact entries after the damage. They cannot be applied, since an earlier
+    /// entry is lost, and without a copy they would be pruned with the journal.
     fn keep_damaged_journal(&mut self, file: &str, entries: usize) -> Result<(), StoreError> {
         let broken_name = format!("{file}.broken");
         let bytes = self.disk.read(file)?;
--- a/crates/store/src/tests/damage.rs
+++ b/crates/store/src/tests/damage.rs
@@ -26,8 +26,8 @@
     (store.disk, opened)
 }
 
-/// Guards against a changed byte that is read as different state, and against confirmed entries that are dropped without
-/// a note or pruned together with the damaged journal.
+/// Guards against a changed byte that is read as different state, and against confirmed entries that are dropped
+/// without a note or pruned together with the damaged journal.
 #[test]
 fn a_changed_byte_is_reported_and_the_entries_after_it_are_copied() {
     let disk = written_disk();
--- a/crates/store/src/tests/durability.rs
+++ b/crates/store/src/tests/durability.rs
@@ -72,8 +72,9 @@
         assert!(unconfirmed.starts_with(rest), "{case}: {state:?} for {confirmed:?} and {unconfirmed:?}");
     }
 
-    /// Asserts the same after each power cut that is possible now: any subset of the unsynced name changes survives, any
-    /// number of one file's unsynced bytes, and none or all of those of the other files. Returns the number of cases.
+    /// Asserts the same after each power cut that is possible now: any subset of the unsynced name changes survives,
+    /// any number of one file's unsynced bytes, and none or all of those of the other files. Returns the number of
+    /// cases.
     fn assert_durable_after_all_power_cuts(&self, operation: usize) -> usize {
         let mut cases = 0;
         for changes in 0..1u32 << self.disk.unsynced_changes.len() {
@@ -122,7 +123,8 @@
 }
 
 proptest! {
-    /// Some operations fail half way while the machine keeps running (a full disk, a failed sync); then the power is cut.
+    /// Some operations fail half way while the machine keeps running (a full disk, a failed sync); then the power is
+    /// cut.
     #[test]
     fn faults_lose_nothing_that_was_confirmed(
         batches in prop::collection::vec(1usize..4, 1..25),
