--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -50,8 +50,8 @@
     size: u64,
 }
 
-/// Writes a log. If the disk fails, entries are buffered up to a limit and dropped beyond that; the log then has an
-/// entry with the number of lost ones.
+/// Writes a log. A failing disk does not block the planner: entries are buffered up to a limit and dropped beyond that,
+/// and the log then has an entry with the number of lost ones.
 pub struct Recorder {
     folder: PathBuf,
     config: RecorderConfig,
--- a/crates/event-log/src/segment.rs
+++ b/crates/event-log/src/segment.rs
@@ -34,7 +34,7 @@
     /// The readable entries, in sequence, with an [`EntriesLost`](crate::RecordedEvent::EntriesLost) for each damaged
     /// place.
     pub entries: Vec<Entry>,
-    /// Bytes of an incomplete frame at the end of a journal.
+    /// Bytes of an incomplete frame or header at the end of a journal.
     pub torn_bytes: usize,
     /// Number of damaged bytes in a journal.
     pub damaged_bytes: usize,
