--- a/crates/replay/src/estimate/blocks.rs
+++ b/crates/replay/src/estimate/blocks.rs
@@ -1,6 +1,6 @@
 //! Totals of outcomes over blocks of time.
 
-use super::{BlockRequests, Flow, Outcomes};
+use super::{BlockRequests, Outcomes, RequestCounts};
 
 /// Attempts of one class.
 #[derive(Debug, Clone, Copy, Default)]
@@ -16,7 +16,7 @@
     /// Recorded attempts.
     pub recorded_attempts: f64,
     /// The class's requests.
-    pub flow: Flow,
+    pub requests: RequestCounts,
 }
 
 impl ClassTotals {
@@ -29,7 +29,7 @@
             squared_weights: weight * weight * attempts,
             recorded_in_time: in_time,
             recorded_attempts: attempts,
-            flow: Flow::default(),
+            requests: RequestCounts::default(),
         }
     }
 
@@ -44,20 +44,23 @@
         self.squared_weights += other.squared_weights;
         self.recorded_in_time += other.recorded_in_time;
         self.recorded_attempts += other.recorded_attempts;
-        self.flow.add(&other.flow);
+        self.requests.add(&other.requests);
     }
 
     /// The share of requests that were admitted and answered in time; `None` without an attempt.
     pub fn recorded_service(&self) -> Option<f64> {
-        let is_known = self.recorded_attempts > 0.0 && self.flow.arrived > 0.0;
-        is_known
-            .then(|| self.flow.recorded / self.flow.arrived * self.recorded_in_time / self.recorded_attempts)
+        let is_known = self.recorded_attempts > 0.0 && self.requests.arrived > 0.0;
+        is_known.then(|| {
+            self.requests.recorded_admitted / self.requests.arrived * self.recorded_in_time
+                / self.recorded_attempts
+        })
     }
 
     /// The share of requests that would have been admitted and answered in time.
     pub fn changed_service(&self) -> Option<f64> {
-        let is_known = self.attempts > 0.0 && self.flow.arrived > 0.0;
-        is_known.then(|| self.flow.changed / self.flow.arrived * self.in_time / self.attempts)
+        let is_known = self.attempts > 0.0 && self.requests.arrived > 0.0;
+        is_known
+            .then(|| self.requests.changed_admitted / self.requests.arrived * self.in_time / self.attempts)
     }
 }
 
--- a/crates/replay/src/estimate/mod.rs
+++ b/crates/replay/src/estimate/mod.rs
@@ -39,20 +39,20 @@
 
 /// Requests of a class at a proxy over some time.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Flow {
+pub struct RequestCounts {
     /// Requests that arrived.
     pub arrived: f64,
     /// Those that the recorded admission rate admitted.
-    pub recorded: f64,
+    pub recorded_admitted: f64,
     /// Those that the other admission rate would have admitted.
-    pub changed: f64,
+    pub changed_admitted: f64,
 }
 
-impl Flow {
-    fn add(&mut self, other: &Flow) {
+impl RequestCounts {
+    fn add(&mut self, other: &RequestCounts) {
         self.arrived += other.arrived;
-        self.recorded += other.recorded;
-        self.changed += other.changed;
+        self.recorded_admitted += other.recorded_admitted;
+        self.changed_admitted += other.changed_admitted;
     }
 }
 
@@ -81,7 +81,7 @@
     /// Shares of the tables that would have been in force.
     pub changed_shares: &'a Shares,
     /// The class's requests.
-    pub flow: Flow,
+    pub requests: RequestCounts,
 }
 
 /// Requests of one block.
@@ -109,7 +109,7 @@
     /// By block, server and class.
     outcomes: BTreeMap<(u64, String, usize), ClassTotals>,
     requests: BTreeMap<u64, BlockRequests>,
-    flows: BTreeMap<(u64, usize), Flow>,
+    class_requests: BTreeMap<(u64, usize), RequestCounts>,
     /// By proxy and class.
     histories: BTreeMap<(String, usize), ShareHistory>,
     /// By block and server.
@@ -178,7 +178,7 @@
             priority_weights,
             outcomes: BTreeMap::new(),
             requests: BTreeMap::new(),
-            flows: BTreeMap::new(),
+            class_requests: BTreeMap::new(),
             histories: BTreeMap::new(),
             loads: BTreeMap::new(),
         }
@@ -196,7 +196,7 @@
             let totals = self.outcomes.entry((block, server.clone(), report.class)).or_default();
             totals.add(&ClassTotals::weighted(*outcomes, weight));
         }
-        self.flows.entry((block, report.class)).or_default().add(&report.flow);
+        self.class_requests.entry((block, report.class)).or_default().add(&report.requests);
         self.add_loads(block, report);
     }
 
@@ -210,8 +210,12 @@
         let requests = self.requests.entry(block).or_default();
         requests.total += attempts;
         // A higher admission rate brings more to all servers.
-        let flow = &report.flow;
-        let growth = if flow.recorded > 0.0 { flow.changed / flow.recorded } else { 1.0 };
+        let counts = &report.requests;
+        let growth = if counts.recorded_admitted > 0.0 {
+            counts.changed_admitted / counts.recorded_admitted
+        } else {
+            1.0
+        };
         for (server, share) in report.changed_shares {
             let was_attempted = report.outcomes.get(server).is_some_and(|outcomes| outcomes.attempts > 0);
             let had_share = report.recorded_shares.get(server).is_some_and(|share| *share > 0.0);
@@ -235,9 +239,9 @@
                 block.classes[*class].add(&totals.scaled(curve.correction(*class, &load)));
             }
         }
-        for ((key, class), flow) in &self.flows {
+        for ((key, class), counts) in &self.class_requests {
             if let Some(block) = blocks.get_mut(key) {
-                block.classes[*class].flow = *flow;
+                block.classes[*class].requests = *counts;
             }
         }
         blocks
@@ -266,8 +270,8 @@
         for (class, priority_weight) in self.priority_weights.iter().enumerate() {
             let totals = blocks::sum_class(blocks, class);
             if let Some(service) = class_service(&totals) {
-                earned += priority_weight * totals.flow.arrived * service;
-                offered += priority_weight * totals.flow.arrived;
+                earned += priority_weight * totals.requests.arrived * service;
+                offered += priority_weight * totals.requests.arrived;
             }
         }
         (offered > 0.0).then(|| earned / offered)
@@ -300,7 +304,7 @@
             let totals = blocks::sum_class(blocks, class);
             ClassService {
                 class: name.clone(),
-                requests: totals.flow.arrived,
+                requests: totals.requests.arrived,
                 recorded: totals.recorded_service().unwrap_or(0.0),
                 changed: if has_estimate { totals.changed_service() } else { None },
             }
--- a/crates/replay/src/tests/estimate.rs
+++ b/crates/replay/src/tests/estimate.rs
@@ -1,9 +1,12 @@
-use crate::estimate::{Estimate, Flow, IntervalEstimate, Outcomes, ReportedOutcomes, Service, Shares};
+use crate::estimate::{
+    Estimate, IntervalEstimate, Outcomes, ReportedOutcomes, RequestCounts, Service, Shares,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Without an admission rate all requests are admitted.
-const FLOW: Flow = Flow { arrived: 100.0, recorded: 100.0, changed: 100.0 };
+const ALL_ADMITTED: RequestCounts =
+    RequestCounts { arrived: 100.0, recorded_admitted: 100.0, changed_admitted: 100.0 };
 const REPORT_COUNT: u64 = 60;
 
 fn shares(of: &[(&str, f64)]) -> Shares {
@@ -29,7 +32,7 @@
     outcomes: &'a BTreeMap<String, Outcomes>,
     recorded_shares: &'a Shares,
     changed_shares: &'a Shares,
-    flow: Flow,
+    requests: RequestCounts,
 }
 
 fn add_report(estimate: &mut Estimate, report: &ReportAt) {
@@ -40,7 +43,7 @@
         outcomes: report.outcomes,
         recorded_shares: report.recorded_shares,
         changed_shares: report.changed_shares,
-        flow: report.flow,
+        requests: report.requests,
     });
 }
 
@@ -49,11 +52,11 @@
     outcomes: &BTreeMap<String, Outcomes>,
     recorded_shares: &Shares,
     changed_shares: &Shares,
-    flow: Flow,
+    requests: RequestCounts,
 ) -> Service {
     let mut estimate = one_class();
     for second in 0..REPORT_COUNT {
-        let report = ReportAt { second, class: 0, outcomes, recorded_shares, changed_shares, flow };
+        let report = ReportAt { second, class: 0, outcomes, recorded_shares, changed_shares, requests };
         add_report(&mut estimate, &report);
     }
     estimate.service(1)
@@ -72,7 +75,7 @@
     // Given
     let outcomes = outcomes(&[("a", 50, 50), ("b", 50, 10)]);
     let recorded = shares(&[("a", 0.5), ("b", 0.5)]);
-    let service_with = |changed: &Shares| service_of_a_minute(&outcomes, &recorded, changed, FLOW);
+    let service_with = |changed: &Shares| service_of_a_minute(&outcomes, &recorded, changed, ALL_ADMITTED);
 
     // When
     let unchanged = service_with(&recorded);
@@ -100,7 +103,8 @@
     for second in 0..REPORT_COUNT {
         for (class, outcomes) in [&late, &in_time].into_iter().enumerate() {
             let (recorded_shares, changed_shares) = (&recorded, &changed);
-            let report = ReportAt { second, class, outcomes, recorded_shares, changed_shares, flow: FLOW };
+            let report =
+                ReportAt { second, class, outcomes, recorded_shares, changed_shares, requests: ALL_ADMITTED };
             add_report(&mut estimate, &report);
         }
     }
@@ -135,9 +139,9 @@
 
     // When
     let swapped = shares(10.0 / 300.0, 40.0 / 300.0);
-    let swapped = service_of_a_minute(&outcomes, &recorded, &swapped, FLOW);
+    let swapped = service_of_a_minute(&outcomes, &recorded, &swapped, ALL_ADMITTED);
     let beyond_record = shares(0.0, 50.0 / 300.0);
-    let beyond_record = service_of_a_minute(&outcomes, &recorded, &beyond_record, FLOW);
+    let beyond_record = service_of_a_minute(&outcomes, &recorded, &beyond_record, ALL_ADMITTED);
 
     // Then
     let estimate = swapped.changed.unwrap();
@@ -151,9 +155,9 @@
     // Given
     let outcomes = outcomes(&[("a", 50, 50), ("b", 50, 30)]);
     let shares = shares(&[("a", 0.5), ("b", 0.5)]);
-    let service_with = |changed: f64| {
-        let flow = Flow { arrived: 100.0, recorded: 100.0, changed };
-        service_of_a_minute(&outcomes, &shares, &shares, flow)
+    let service_with = |changed_admitted: f64| {
+        let requests = RequestCounts { arrived: 100.0, recorded_admitted: 100.0, changed_admitted };
+        service_of_a_minute(&outcomes, &shares, &shares, requests)
     };
 
     // When
@@ -184,7 +188,8 @@
             _ => (&in_time, &one_server),
         };
         let (recorded_shares, changed_shares) = (shares, shares);
-        let report = ReportAt { second, class: 0, outcomes, recorded_shares, changed_shares, flow: FLOW };
+        let report =
+            ReportAt { second, class: 0, outcomes, recorded_shares, changed_shares, requests: ALL_ADMITTED };
         add_report(&mut estimate, &report);
     }
 
--- a/crates/replay/src/what_if/outcome_feed.rs
+++ b/crates/replay/src/what_if/outcome_feed.rs
@@ -2,7 +2,7 @@
 
 use super::admission::TokenBucket;
 use super::Side;
-use crate::estimate::{Estimate, Flow, Outcomes, ReportedOutcomes, Shares};
+use crate::estimate::{Estimate, Outcomes, ReportedOutcomes, RequestCounts, Shares};
 use crate::{time_of, MICROSECONDS_PER_SECOND};
 use runloom_event_log::entry::{RecordedArrivals, RecordedClassOutcome, RecordedOutcome};
 use runloom_event_log::{Entry, RecordedEvent};
@@ -80,10 +80,14 @@
         let of_class = arrivals.iter().filter(|arrivals| arrivals.class == report.name);
         let arrived = of_class.map(|arrivals| arrivals.requests as f64).sum();
         let buckets = self.buckets.entry((report.proxy.to_string(), report.class)).or_default();
-        let flow = Flow {
+        let counts = RequestCounts {
             arrived,
-            recorded: buckets.recorded.admit(report.admission_rate(recorded), arrived, report.seconds),
-            changed: buckets.changed.admit(report.admission_rate(changed), arrived, report.seconds),
+            recorded_admitted: buckets.recorded.admit(
+                report.admission_rate(recorded),
+                arrived,
+                report.seconds,
+            ),
+            changed_admitted: buckets.changed.admit(report.admission_rate(changed), arrived, report.seconds),
         };
         let of_class = outcomes.iter().filter(|outcome| outcome.class == report.name);
         let outcomes: BTreeMap<String, Outcomes> = of_class
@@ -99,7 +103,7 @@
                 outcomes: &outcomes,
                 recorded_shares: &old,
                 changed_shares: &new,
-                flow,
+                requests: counts,
             });
         }
     }
@@ -130,7 +134,11 @@
             outcomes: &outcomes,
             recorded_shares: &old,
             changed_shares: &new,
-            flow: Flow { arrived: attempts, recorded: attempts, changed: attempts },
+            requests: RequestCounts {
+                arrived: attempts,
+                recorded_admitted: attempts,
+                changed_admitted: attempts,
+            },
         });
     }
 }
