--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -1,6 +1,6 @@
-//! Replay with the recorded settings: the commands of each step are compared with the recorded ones.
+//! Replay with the recorded settings, which compares the commands of each step with the recorded ones.
 
-use crate::{parse_fleet, seconds_of, start_session, take_step, time_of, ReplayError};
+use crate::{parse_fleet, seconds_of, start_session, take_recorded_step, time_of, ReplayError};
 use runloom_control_session::recording::replay_event;
 use runloom_control_session::ControlSession;
 use runloom_event_log::entry::SentUpdate;
@@ -8,10 +8,10 @@
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 
-/// Where a replay first issued other commands.
+/// The first step at which a replay and the event log differ.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Difference {
-    /// Steps before it that were the same.
+    /// How many steps before it were the same.
     #[serde(rename = "turns")]
     pub equal_steps: u64,
     /// Seconds since the planner's start.
@@ -20,29 +20,29 @@
     /// What differs.
     #[serde(rename = "what")]
     pub description: String,
-    /// The likely cause: another build, entries that were lost.
+    /// The likely cause: lost entries, another build, or a changed controller.
     #[serde(rename = "why")]
     pub cause: String,
 }
 
-/// What a replay came to.
+/// The result of a replay.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct ReplaySummary {
-    /// Entries that were replayed.
+    /// Entries that were replayed, without the planner's start.
     pub entries: u64,
-    /// Steps among them.
+    /// Steps among the entries.
     #[serde(rename = "turns")]
     pub steps: u64,
-    /// Recorded messages of these steps.
+    /// Messages that the event log has for these steps.
     pub messages: u64,
-    /// SHA-256 over all messages of the replay: recipient, number and text.
+    /// SHA-256 over all messages of the replay, each with its recipient, number and text; in hexadecimal.
     pub digest: String,
-    /// The first difference, if there is one.
+    /// The first difference; `None` if the replay issued the recorded commands throughout.
     #[serde(rename = "first")]
     pub first_difference: Option<Difference>,
 }
 
-/// A replay in progress, entry by entry.
+/// A replay in progress, which is given one entry at a time.
 pub struct Replay {
     session: ControlSession,
     summary: ReplaySummary,
@@ -53,10 +53,10 @@
 }
 
 impl Replay {
-    /// Starts from a log's first entry, the planner's start. `build` is this program's, to explain a difference.
+    /// Starts from the first entry of a log, the planner's start. `build` is this program's, to explain a difference.
     ///
     /// # Errors
-    /// Fails if the entry is no start, or its fleet is invalid.
+    /// Fails if the entry is not a planner's start, or its fleet is invalid.
     pub fn new(first: &Entry, build: &str) -> Result<Replay, ReplayError> {
         let RecordedEvent::PlannerStarted { build: recorded_build, .. } = &first.event else {
             return Err(ReplayError::NoStart);
@@ -100,18 +100,24 @@
             }
             RecordedEvent::EntriesLost { entries } => {
                 self.has_gap = true;
-                Ok(Some(format!("{entries} entries were lost when the disk was full")))
+                Ok(Some(format!("{entries} entries were lost because the disk was full or too slow")))
             }
             event => {
                 let is_known = replay_event(&mut self.session, time_of(entry), event);
-                Ok((!is_known).then(|| format!("{} of {} is not known", event.kind(), event.name())))
+                Ok((!is_known).then(|| {
+                    format!(
+                        "the {} entry of {:?} names an unknown proxy or server, or a malformed address",
+                        event.kind(),
+                        event.name()
+                    )
+                }))
             }
         }
     }
 
     fn replay_step(&mut self, entry: &Entry, recorded_messages: usize) -> Option<String> {
         self.session.step(time_of(entry));
-        let replayed = take_step(&mut self.session);
+        let replayed = take_recorded_step(&mut self.session);
         self.summary.steps += 1;
         self.summary.messages += recorded_messages as u64;
         if let Some(RecordedEvent::Step { texts, sent, .. }) = &replayed {
@@ -122,15 +128,15 @@
 
     fn likely_cause(&self) -> String {
         if self.has_gap {
-            "the record has a gap".into()
+            "the record has a gap: entries were lost".into()
         } else if self.recorded_build != self.build {
-            format!("it was recorded by {}, this is {}", self.recorded_build, self.build)
+            format!("it was recorded by {}, this build is {}", self.recorded_build, self.build)
         } else {
-            "same build: the decisions were changed without a new version, or the record was".into()
+            "same build: the controller was changed without a new version, or the record was edited".into()
         }
     }
 
-    /// Ends the replay.
+    /// Ends the replay and returns its result, with the digest.
     #[must_use]
     pub fn finish(mut self) -> ReplaySummary {
         self.summary.digest = self.hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
@@ -141,7 +147,7 @@
 /// Replays a complete log, up to the first difference.
 ///
 /// # Errors
-/// Fails if the log does not begin with a start, or a recorded fleet is invalid.
+/// Fails if the log does not begin with a planner's start, or a recorded fleet is invalid.
 pub fn replay(entries: &[Entry], build: &str) -> Result<ReplaySummary, ReplayError> {
     let (first, rest) = entries.split_first().ok_or(ReplayError::NoStart)?;
     let mut replay = Replay::new(first, build)?;
@@ -155,13 +161,13 @@
 
 fn hash_messages(hash: &mut Sha256, texts: &[String], sent: &[SentUpdate]) {
     for update in sent {
-        // Neither names nor texts contain a line break, so that it separates them.
+        // Neither names nor texts contain a line break, so that a line break separates them unambiguously.
         let text = texts.get(update.text_index as usize).map_or("", String::as_str);
         hash.update(format!("{} {}\n{text}\n", update.proxy, update.number));
     }
 }
 
-/// What two steps differ in, if they do. How long they took does not count.
+/// Describes the first difference between a recorded and a replayed step. How long they took does not count.
 fn describe_difference(recorded: &RecordedEvent, replayed: Option<&RecordedEvent>) -> Option<String> {
     let RecordedEvent::Step { texts, sent, health_checks, log, rejections, .. } = recorded else {
         return None;
@@ -175,18 +181,18 @@
         ..
     }) = replayed
     else {
-        return Some("a turn in which the decisions were not asked".into());
+        return Some("the replay did not ask the controller for commands in this turn".into());
     };
     let recorded_messages = Messages { sent, texts };
     let replayed_messages = Messages { sent: replayed_sent, texts: replayed_texts };
     if let Some(difference) = recorded_messages.describe_difference(&replayed_messages) {
         Some(difference)
     } else if health_checks != replayed_health_checks {
-        Some("other probes".into())
+        Some("other health checks".into())
     } else if rejections != replayed_rejections {
-        Some("other refusals".into())
+        Some("other commands were rejected".into())
     } else if log != replayed_log {
-        Some("another log".into())
+        Some("other log lines".into())
     } else {
         None
     }
@@ -204,17 +210,20 @@
     }
 
     fn describe_difference(&self, replayed: &Messages) -> Option<String> {
-        for (old, new) in self.sent.iter().zip(replayed.sent) {
-            let (number, proxy) = (old.number, &old.proxy);
-            if (proxy, number) != (&new.proxy, new.number) {
-                return Some(format!("message {number} to {proxy} is now {} to {}", new.number, new.proxy));
+        for (recorded_update, replayed_update) in self.sent.iter().zip(replayed.sent) {
+            let (number, proxy) = (recorded_update.number, &recorded_update.proxy);
+            if (proxy, number) != (&replayed_update.proxy, replayed_update.number) {
+                return Some(format!(
+                    "message {number} to {proxy} was recorded, message {} to {} was replayed",
+                    replayed_update.number, replayed_update.proxy
+                ));
             }
-            if self.text(old) != replayed.text(new) {
+            if self.text(recorded_update) != replayed.text(replayed_update) {
                 return Some(format!("message {number} to {proxy} has another text"));
             }
         }
         let (recorded_count, replayed_count) = (self.sent.len(), replayed.sent.len());
         (recorded_count != replayed_count)
-            .then(|| format!("{recorded_count} messages are now {replayed_count}"))
+            .then(|| format!("{recorded_count} messages were recorded, {replayed_count} were replayed"))
     }
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,4 +1,4 @@
-//! Replay of an event log in its own time and without sockets.
+//! Replay of an event log with its recorded times and without sockets.
 //!
 //! With the same settings and build, the commands are the same byte for byte ([`exact`]). With other settings, a replay
 //! shows which commands would have been issued, which rules would have been broken, and an estimate of service with its
@@ -22,24 +22,24 @@
 /// Why an event log cannot be replayed.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ReplayError {
-    /// Its first entry is not a start.
+    /// It has no entries, or its first entry is not a planner's start.
     #[error("the record does not begin with a planner's start")]
     NoStart,
     /// A recorded or given `<fleet>` is invalid.
-    #[error("the fleet cannot be read: {0}")]
+    #[error("the <fleet> configuration is invalid: {0}")]
     InvalidFleet(String),
 }
 
-/// Reads a `<fleet>` element as an event log or a file has it.
+/// Parses a `<fleet>` element, as event logs and configuration files contain it.
 ///
 /// # Errors
-/// Returns [`ReplayError::InvalidFleet`] with the path of the element that is invalid.
+/// Returns [`ReplayError::InvalidFleet`] if the text is not well-formed XML, or with the path of an invalid element.
 pub fn parse_fleet(text: &str) -> Result<Fleet, ReplayError> {
     let element = Element::parse(text).map_err(|e| ReplayError::InvalidFleet(e.reason))?;
     Fleet::read(&element).map_err(|e| ReplayError::InvalidFleet(format!("{}: {}", e.path, e.reason)))
 }
 
-/// The control session as it was at the start of a log, or with another fleet or seed.
+/// A control session in the state at the start of a log, with the recorded fleet and seed unless others are given.
 pub(crate) fn start_session(
     entries: &[Entry],
     other_fleet: Option<&Fleet>,
@@ -59,8 +59,9 @@
     Ok(session)
 }
 
-/// What the session recorded of its last call, if that was a step in which the controller was asked.
-pub(crate) fn take_step(session: &mut ControlSession) -> Option<RecordedEvent> {
+/// Takes the events that the session recorded and returns the last one, if it is a step. There is none if the session
+/// did not ask the controller for commands.
+pub(crate) fn take_recorded_step(session: &mut ControlSession) -> Option<RecordedEvent> {
     let recorded = session.recorded_events.as_mut()?;
     let (_, event) = std::mem::take(recorded).pop()?;
     matches!(event, RecordedEvent::Step { .. }).then_some(event)
--- a/crates/replay/src/what_if/mod.rs
+++ b/crates/replay/src/what_if/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::estimate::Service;
 use crate::rule_tracker::RuleTracker;
-use crate::{parse_fleet, seconds_of, start_session, take_step, time_of, ReplayError};
+use crate::{parse_fleet, seconds_of, start_session, take_recorded_step, time_of, ReplayError};
 use outcome_feed::OutcomeFeed;
 use runloom_control_session::recording::replay_event;
 use runloom_control_session::ControlSession;
@@ -152,7 +152,8 @@
 
     fn step(&mut self, now: Duration, ack_delays: &AckDelays) {
         self.session.step(now);
-        let Some(RecordedEvent::Step { texts, sent, rejections, .. }) = take_step(&mut self.session) else {
+        let Some(RecordedEvent::Step { texts, sent, rejections, .. }) = take_recorded_step(&mut self.session)
+        else {
             return;
         };
         self.rejected += rejections.len() as u64;
