--- a/crates/replay/src/estimate/blocks.rs
+++ b/crates/replay/src/estimate/blocks.rs
@@ -1,26 +1,26 @@
-//! Totals of outcomes over blocks of time.
+//! Totals of outcomes in blocks of time.
 
 use super::{BlockRequests, Outcomes, RequestCounts};
 
-/// Attempts of one class.
+/// Totals of one class: its attempts, weighted and as recorded, and its requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ClassTotals {
     /// Weighted attempts in time.
     pub in_time: f64,
     /// Weighted attempts.
     pub attempts: f64,
-    /// Squares of the weights, for the number of unweighted attempts that these are worth.
+    /// Sum of the squared weights, for the effective number of attempts.
     pub squared_weights: f64,
     /// Recorded attempts in time.
     pub recorded_in_time: f64,
     /// Recorded attempts.
     pub recorded_attempts: f64,
-    /// The class's requests.
+    /// Requests that arrived and were admitted.
     pub requests: RequestCounts,
 }
 
 impl ClassTotals {
-    /// Recorded outcomes, each attempt counted `weight` times.
+    /// Totals of recorded outcomes, with `weight` for each attempt.
     pub fn weighted(outcomes: Outcomes, weight: f64) -> ClassTotals {
         let (attempts, in_time) = (outcomes.attempts as f64, outcomes.in_time as f64);
         ClassTotals {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The same with the weighted attempts in time multiplied, up to all attempts.
+    /// A copy with the weighted attempts in time multiplied by a factor, and at most all weighted attempts.
     pub fn scaled(&self, factor: f64) -> ClassTotals {
         ClassTotals { in_time: (self.in_time * factor).min(self.attempts), ..*self }
     }
@@ -47,7 +47,7 @@
         self.requests.add(&other.requests);
     }
 
-    /// The share of requests that were admitted and answered in time; `None` without an attempt.
+    /// The share (0 to 1) of requests that were admitted and answered in time; `None` without an attempt or a request.
     pub fn recorded_service(&self) -> Option<f64> {
         let is_known = self.recorded_attempts > 0.0 && self.requests.arrived > 0.0;
         is_known.then(|| {
@@ -56,7 +56,8 @@
         })
     }
 
-    /// The share of requests that would have been admitted and answered in time.
+    /// The share (0 to 1) of requests that would have been admitted and answered in time; `None` without an attempt
+    /// or a request.
     pub fn changed_service(&self) -> Option<f64> {
         let is_known = self.attempts > 0.0 && self.requests.arrived > 0.0;
         is_known
@@ -64,11 +65,12 @@
     }
 }
 
-/// One block of time.
+/// Totals of one block of time.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Block {
-    /// Totals by class.
+    /// Totals by index of the class.
     pub classes: Vec<ClassTotals>,
+    /// Requests of all classes.
     pub requests: BlockRequests,
 }
 
@@ -81,7 +83,7 @@
     sum
 }
 
-/// The share (0 to 1) of requests whose outcome is known.
+/// The share (0 to 1) of requests whose outcome under the other tables is known; 0 without requests.
 pub(super) fn support(blocks: &[Block]) -> f64 {
     let (mut known, mut total) = (0.0, 0.0);
     for block in blocks {
--- a/crates/replay/src/estimate/interval.rs
+++ b/crates/replay/src/estimate/interval.rs
@@ -1,4 +1,4 @@
-//! The interval of an estimate.
+//! The interval of an estimate, from the bootstrap and the number of attempts.
 
 use super::blocks::{Block, ClassTotals};
 use super::{Estimate, IntervalEstimate, CONFIDENCE};
@@ -6,19 +6,20 @@
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use statrs::statistics::Statistics;
 
-/// Samples of the bootstrap.
+/// Number of bootstrap samples.
 const BOOTSTRAP_SAMPLES: usize = 400;
-/// Attempts in time that are added, and as many late ones, so that a log without a late answer is not taken for certain
-/// (Agresti and Coull).
+/// Attempts in time that are added, and as many late ones (Agresti and Coull): without them a log without a late answer
+/// would have a variance of 0.
 const ADDED_ATTEMPTS: f64 = 2.0;
-/// Stands for the sum of squared weights where that is 0.
+/// Lower limit of the sum of squared weights, which is a divisor.
 const MIN_SQUARED_WEIGHTS: f64 = 1e-9;
-/// Used where the distribution cannot be made.
+/// The quantile that is used if Student's t distribution cannot be constructed.
 const DEFAULT_T_QUANTILE: f64 = 2.0;
 
 impl Estimate {
-    /// The interval for the outcome of another such period: the variance by resampling blocks with replacement, once for
-    /// the estimate and once for the period, and at least that of so many attempts.
+    /// The interval that is to contain the outcome of another such period. The variance is that of resampled blocks,
+    /// and at least that of the number of attempts. It counts twice: once for the estimate and once for the other
+    /// period.
     pub(super) fn interval(&self, blocks: &[Block], value: f64, seed: u64) -> IntervalEstimate {
         let variance = self.bootstrap_variance(blocks, value, seed).max(attempt_variance(blocks, value));
         let deviation = (2.0 * variance).sqrt();
@@ -32,18 +33,19 @@
         }
     }
 
+    /// Variance of the service over resamples of the blocks, drawn with replacement.
     fn bootstrap_variance(&self, blocks: &[Block], value: f64, seed: u64) -> f64 {
         let mut rng = WyRand::new_seed(seed);
-        let mut draw_sample = || {
+        let mut resampled_service = || {
             let sample: Vec<Block> =
                 blocks.iter().map(|_| blocks[rng.generate_range(0..blocks.len())].clone()).collect();
             self.service_of(&sample, ClassTotals::changed_service).unwrap_or(value)
         };
-        (0..BOOTSTRAP_SAMPLES).map(|_| draw_sample()).collect::<Vec<f64>>().variance()
+        (0..BOOTSTRAP_SAMPLES).map(|_| resampled_service()).collect::<Vec<f64>>().variance()
     }
 }
 
-/// The variance that the number of attempts leaves, as the unweighted number that they are worth (Kish).
+/// The variance of a share that is estimated from so many attempts, by their effective number (Kish).
 fn attempt_variance(blocks: &[Block], value: f64) -> f64 {
     let totals = || blocks.iter().flat_map(|block| &block.classes);
     let attempts: f64 = totals().map(|totals| totals.attempts).sum();
--- a/crates/replay/src/estimate/mod.rs
+++ b/crates/replay/src/estimate/mod.rs
@@ -1,9 +1,9 @@
-//! Service under tables that were not in force, estimated from the outcomes under those that were.
+//! Estimates the service under tables that were not in force from the outcomes under those that were.
 //!
-//! Importance weighting, normalised by its own weights (Swaminathan and Joachims, "The Self-Normalized Estimator for
-//! Counterfactual Learning", NIPS 2015, after Horvitz and Thompson), by class, and corrected for load by what the log's
-//! other servers did at that load. Intervals: the bootstrap over blocks of time (Efron and Tibshirani, 1993), widened to
-//! contain the outcome of another such period and not only its mean.
+//! Uses importance weighting, normalised by its own weights (Swaminathan and Joachims, "The Self-Normalized Estimator
+//! for Counterfactual Learning", NIPS 2015, after Horvitz and Thompson), by class, and corrected for load by what the
+//! log's other servers did at that load. Intervals: the bootstrap over blocks of time (Efron and Tibshirani, 1993),
+//! widened to contain the outcome of another such period and not only its mean.
 
 mod blocks;
 mod interval;
@@ -18,33 +18,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Blocks of the bootstrap: longer than the time over which one second affects the next.
-const BLOCK: Duration = Duration::from_secs(5);
-/// Below this share of requests with a known outcome there is no estimate.
+/// Duration of a block of the bootstrap, longer than the time over which one second affects the next.
+const BLOCK_DURATION: Duration = Duration::from_secs(5);
+/// An estimate needs at least this share of requests with a known outcome.
 const MIN_SUPPORT: f64 = 0.8;
-/// An attempt counts at most this many times, so that one alone does not decide; it biases towards the record.
+/// Upper limit of an attempt's importance weight. It keeps single attempts from dominating the estimate, and biases the
+/// estimate towards the record.
 const MAX_ATTEMPT_WEIGHT: f64 = 10.0;
-/// The estimate is valid while no server would get more than this many times its recorded load, in which its latencies
-/// are its own; beyond it only where the log shows the effect of such a load.
+/// The estimate is valid while no server would get more than this many times its recorded load: up to there the
+/// recorded latencies of a server hold. Beyond, it is valid only where the log shows the effect of such a load.
 const MAX_LOAD_RATIO: f64 = 1.5;
-/// Requests a second by which an idle server's load may grow without effect.
+/// Requests a second by which a server's load may exceed that ratio; so few have no effect on an idle server.
 const NEGLIGIBLE_LOAD_PER_SECOND: f64 = 10.0;
-/// An interval of fewer blocks would be too narrow.
+/// Blocks that an estimate needs; the interval of fewer would be too narrow.
 const MIN_BLOCKS: usize = 4;
-/// The share of such periods whose outcome the interval is to contain.
+/// The share (0 to 1) of such periods whose outcome the interval is to contain.
 const CONFIDENCE: f64 = 0.95;
 
-/// Shares (0 to 1) of the servers in a proxy's tables, by name.
+/// Shares (0 to 1) of the requests that a proxy's tables give to each server, by the server's name.
 pub type Shares = BTreeMap<String, f64>;
 
-/// Requests of a class at a proxy over some time.
+/// Numbers of requests of a class at a proxy over some time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RequestCounts {
     /// Requests that arrived.
     pub arrived: f64,
-    /// Those that the recorded admission rate admitted.
+    /// Those that the recorded admission rate admits.
     pub recorded_admitted: f64,
-    /// Those that the other admission rate would have admitted.
+    /// Those that the admission rate under the other settings admits.
     pub changed_admitted: f64,
 }
 
@@ -56,23 +57,23 @@
     }
 }
 
-/// Attempts of a proxy at one server.
+/// Outcomes of a proxy's attempts at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Outcomes {
-    /// All attempts that ended.
+    /// Attempts that ended.
     pub attempts: u64,
-    /// Those that succeeded within the latency objective.
+    /// Those of them that succeeded within the latency objective.
     pub in_time: u64,
 }
 
-/// What one proxy reported of one class.
+/// What a proxy reported of one class, with the tables that were in force on both sides.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportedOutcomes<'a> {
-    /// Time of the report.
+    /// Time of the report since the planner's start.
     pub at: Duration,
     /// The proxy's name.
     pub proxy: &'a str,
-    /// Index of the class.
+    /// Index of the class, in the order given to [`Estimate::new`].
     pub class: usize,
     /// Outcomes by server.
     pub outcomes: &'a BTreeMap<String, Outcomes>,
@@ -80,11 +81,11 @@
     pub recorded_shares: &'a Shares,
     /// Shares of the tables that would have been in force.
     pub changed_shares: &'a Shares,
-    /// The class's requests.
+    /// Requests of the class in the time that the report covers.
     pub requests: RequestCounts,
 }
 
-/// Requests of one block.
+/// Requests of one block, all classes together.
 #[derive(Debug, Clone, Copy, Default)]
 struct BlockRequests {
     /// Those whose outcome under the other tables is known.
@@ -92,7 +93,7 @@
     total: f64,
 }
 
-/// Requests of a server in one block.
+/// Requests that a server gets in one block.
 #[derive(Debug, Clone, Copy, Default)]
 struct ServerLoad {
     /// By the recorded tables.
@@ -101,14 +102,16 @@
     changed: f64,
 }
 
-/// Collects outcomes and estimates service.
+/// Collects reported outcomes, and estimates service from them.
 #[derive(Debug)]
 pub struct Estimate {
     class_names: Vec<String>,
     priority_weights: Vec<f64>,
     /// By block, server and class.
     outcomes: BTreeMap<(u64, String, usize), ClassTotals>,
+    /// By block.
     requests: BTreeMap<u64, BlockRequests>,
+    /// By block and class.
     class_requests: BTreeMap<(u64, usize), RequestCounts>,
     /// By proxy and class.
     histories: BTreeMap<(String, usize), ShareHistory>,
@@ -116,18 +119,18 @@
     loads: BTreeMap<(u64, String), ServerLoad>,
 }
 
-/// Service of one class.
+/// Service of one class, over the same time as [`Service::recorded`].
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ClassService {
     /// The class's name.
     pub class: String,
-    /// Its requests.
+    /// Requests of the class that arrived.
     #[serde(rename = "queries")]
     pub requests: f64,
-    /// As recorded.
+    /// Service (0 to 1) as recorded.
     #[serde(rename = "was")]
     pub recorded: f64,
-    /// Under the other settings.
+    /// Service (0 to 1) under the other settings; `None` if unknown.
     #[serde(rename = "would")]
     pub changed: Option<f64>,
 }
@@ -151,18 +154,19 @@
 }
 
 /// Service: the share (0 to 1) of the arrived requests that were admitted and answered within their latency objective,
-/// with classes by their priority weights.
+/// weighted by the priority weights of their classes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Service {
     /// As recorded, over the time in which the estimate is valid, or over all time if it never is.
     #[serde(rename = "was")]
     pub recorded: f64,
-    /// Under the other settings, with an interval that is to contain 95% of such periods; `None` if unknown.
+    /// Under the other settings, with an interval that is to contain the outcome of 95% of such periods; `None` if
+    /// unknown.
     #[serde(rename = "would")]
     pub changed: Option<IntervalEstimate>,
-    /// The share of requests whose outcome is known from the log.
+    /// The share (0 to 1) of requests whose outcome under the other settings is known from the log.
     pub support: f64,
-    /// Seconds up to which the estimate is valid.
+    /// The estimate is valid up to this many seconds after the planner's start.
     #[serde(rename = "carries")]
     pub valid_seconds: f64,
     /// Service by class.
@@ -170,7 +174,7 @@
 }
 
 impl Estimate {
-    /// Starts without outcomes. Classes are given by name, with their priority weights.
+    /// An estimate without outcomes. `classes` are names and priority weights.
     pub fn new(classes: Vec<(String, f64)>) -> Estimate {
         let (class_names, priority_weights) = classes.into_iter().unzip();
         Estimate {
@@ -186,12 +190,12 @@
 
     /// Adds a proxy's report of one class.
     pub fn add_report(&mut self, report: &ReportedOutcomes) {
-        let block = report.at.as_secs() / BLOCK.as_secs();
+        let block = report.at.as_secs() / BLOCK_DURATION.as_secs();
         let history = self.histories.entry((report.proxy.to_string(), report.class)).or_default();
         history.record(report.at, report.recorded_shares, report.changed_shares);
         for (server, outcomes) in report.outcomes {
-            // Attempts that end late, as failures do, were sent by earlier tables: without the history, failures would be
-            // left out and successes kept.
+            // Attempts that end late, as failures do, were sent by earlier tables. Without the history, failures
+            // would be left out while successes count.
             let weight = history.weight(server);
             let totals = self.outcomes.entry((block, server.clone(), report.class)).or_default();
             totals.add(&ClassTotals::weighted(*outcomes, weight));
@@ -200,8 +204,8 @@
         self.add_loads(block, report);
     }
 
-    /// Adds the requests by the shares and not by the attempts: attempts before the first commands were not made by a
-    /// planner's tables.
+    /// Adds the requests of a report to the servers' loads, by the shares in the tables. The attempts at each
+    /// server do not count here, since those before the first commands were not made by a planner's tables.
     fn add_loads(&mut self, block: u64, report: &ReportedOutcomes) {
         let attempts: f64 = report.outcomes.values().map(|outcomes| outcomes.attempts as f64).sum();
         for (server, share) in report.recorded_shares {
@@ -209,7 +213,7 @@
         }
         let requests = self.requests.entry(block).or_default();
         requests.total += attempts;
-        // A higher admission rate brings more to all servers.
+        // A higher admission rate brings more requests to all servers.
         let counts = &report.requests;
         let growth = if counts.recorded_admitted > 0.0 {
             counts.changed_admitted / counts.recorded_admitted
@@ -225,7 +229,7 @@
         }
     }
 
-    /// The blocks, with each server's share in time moved to the load that it would have had.
+    /// Totals by block, with each server's share of attempts in time corrected for the load that it would have had.
     fn blocks(&self, curve: &LoadCurve) -> BTreeMap<u64, Block> {
         let new_block = |requests: &BlockRequests| Block {
             classes: vec![ClassTotals::default(); self.class_names.len()],
@@ -247,7 +251,7 @@
         blocks
     }
 
-    /// Service of each block, under the other settings only where the estimate is valid.
+    /// Service of each block; under the other settings only where the estimate is valid.
     pub fn timeline(&self) -> Vec<ServiceEstimatePoint> {
         let curve = LoadCurve::new(self);
         let first_invalid = self.first_invalid_block(&curve);
@@ -255,7 +259,7 @@
             let block = std::slice::from_ref(block);
             let is_valid = *key < first_invalid;
             ServiceEstimatePoint {
-                seconds: (key * BLOCK.as_secs()) as f64,
+                seconds: (key * BLOCK_DURATION.as_secs()) as f64,
                 recorded: self.service_of(block, ClassTotals::recorded_service).unwrap_or(0.0),
                 changed: is_valid.then(|| self.service_of(block, ClassTotals::changed_service)).flatten(),
             }
@@ -263,21 +267,21 @@
         self.blocks(&curve).iter().map(point).collect()
     }
 
-    /// Service over some blocks. Classes count by their priority weights and arrived requests; each class is normalised
-    /// by itself.
+    /// Service (0 to 1) over some blocks: the mean over the classes, weighted by priority weight and arrived
+    /// requests. Each class is normalised by itself.
     fn service_of(&self, blocks: &[Block], class_service: fn(&ClassTotals) -> Option<f64>) -> Option<f64> {
-        let (mut earned, mut offered) = (0.0, 0.0);
+        let (mut weighted_service, mut total_weight) = (0.0, 0.0);
         for (class, priority_weight) in self.priority_weights.iter().enumerate() {
             let totals = blocks::sum_class(blocks, class);
             if let Some(service) = class_service(&totals) {
-                earned += priority_weight * totals.requests.arrived * service;
-                offered += priority_weight * totals.requests.arrived;
+                weighted_service += priority_weight * totals.requests.arrived * service;
+                total_weight += priority_weight * totals.requests.arrived;
             }
         }
-        (offered > 0.0).then(|| earned / offered)
+        (total_weight > 0.0).then(|| weighted_service / total_weight)
     }
 
-    /// Estimates service. `seed` is that of the resampling.
+    /// Estimates service over the time in which the estimate is valid. `seed` is that of the bootstrap.
     pub fn service(&self, seed: u64) -> Service {
         let curve = LoadCurve::new(self);
         let first_invalid = self.first_invalid_block(&curve);
@@ -294,7 +298,7 @@
             recorded: self.service_of(covered, ClassTotals::recorded_service).unwrap_or(0.0),
             changed: value.map(|value| self.interval(&valid, value, seed)),
             support,
-            valid_seconds: (first_invalid.min(end) * BLOCK.as_secs()) as f64,
+            valid_seconds: (first_invalid.min(end) * BLOCK_DURATION.as_secs()) as f64,
             classes: self.class_services(covered, value.is_some()),
         }
     }
@@ -312,13 +316,13 @@
         self.class_names.iter().enumerate().map(class_service).collect()
     }
 
-    /// The first block in which a server would have had far more load than it had, and more than any server whose
-    /// outcomes are known: from there on its latencies are unknown.
+    /// The first block in which a server would have had far more load than it had, and a load whose effect the log does
+    /// not show: from there on its latencies are unknown. [`u64::MAX`] if there is none.
     fn first_invalid_block(&self, curve: &LoadCurve) -> u64 {
-        let negligible = NEGLIGIBLE_LOAD_PER_SECOND * BLOCK.as_secs_f64();
+        let negligible = NEGLIGIBLE_LOAD_PER_SECOND * BLOCK_DURATION.as_secs_f64();
         let is_unknown = |load: &ServerLoad| {
             let exceeds = load.changed > MAX_LOAD_RATIO * load.recorded + negligible;
-            exceeds && !(load.recorded > 0.0 && curve.knows(load.changed))
+            exceeds && !(load.recorded > 0.0 && curve.covers(load.changed))
         };
         let first = self.loads.iter().find(|(_, load)| is_unknown(load));
         first.map_or(u64::MAX, |((block, _), _)| *block)
--- a/crates/replay/src/estimate/share_history.rs
+++ b/crates/replay/src/estimate/share_history.rs
@@ -1,14 +1,14 @@
-//! The tables of the last seconds.
+//! Shares in the tables of the last seconds, for attempts that end after the tables have changed.
 
 use super::{Shares, MAX_ATTEMPT_WEIGHT};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// An attempt that ends at a server which is out of the table was sent while it was in; no deadline is much longer than
-/// this, and earlier tables say nothing of now.
+/// How long past shares are kept. An attempt may end after its server left the table that it was sent by, but no
+/// deadline is much longer than this; older tables no longer matter.
 const MAX_ATTEMPT_DURATION: Duration = Duration::from_secs(5);
 
-/// Shares on both sides that held for some time.
+/// Shares that were in force on both sides at the same time.
 #[derive(Debug)]
 struct PastShares {
     last_seen: Duration,
@@ -16,12 +16,12 @@
     changed: Shares,
 }
 
-/// Shares of the last seconds at one proxy for one class, the newest last.
+/// Shares of the last seconds at one proxy for one class; the newest are last.
 #[derive(Debug, Default)]
 pub(super) struct ShareHistory(VecDeque<PastShares>);
 
 impl ShareHistory {
-    /// Adds the shares of now, and drops those that are too old.
+    /// Adds the current shares, and drops those older than [`MAX_ATTEMPT_DURATION`].
     pub fn record(&mut self, now: Duration, recorded: &Shares, changed: &Shares) {
         let newest = self.0.back_mut();
         match newest.filter(|past| past.recorded == *recorded && past.changed == *changed) {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// How many times as often the other tables would have sent to a server, by the newest tables that had it; 0 if none
-    /// did.
+    /// Importance weight of an attempt at a server: its share in the changed tables over that in the recorded ones,
+    /// by the newest tables in which it had a recorded share; 0 if there are none, and at most [`MAX_ATTEMPT_WEIGHT`].
     pub fn weight(&self, server: &str) -> f64 {
         let ratio = self.0.iter().rev().find_map(|past| {
             let recorded = past.recorded.get(server).copied().filter(|share| *share > 0.0)?;
