--- a/crates/replay/src/what_if/mod.rs
+++ b/crates/replay/src/what_if/mod.rs
@@ -1,4 +1,5 @@
-//! Replay with other settings: which commands would have been issued, which rules would have been broken, and service.
+//! Replay with other settings, which shows the commands that would have been issued, the rules that would have been
+//! broken, and an estimate of service.
 
 mod admission;
 mod outcome_feed;
@@ -20,25 +21,26 @@
 use std::time::Duration;
 use timeline::{server_shares, Timeline};
 
-/// Acknowledgement delay of a proxy that acknowledged nothing in the log.
+/// Assumed acknowledgement delay of a proxy that acknowledged nothing in the log.
 const DEFAULT_ACK_DELAY: Duration = Duration::from_millis(20);
-/// Seed of the estimate's resampling: the same log gives the same interval.
+/// Seed of the estimate's bootstrap. It is fixed, so that the same log gives the same interval.
 const ESTIMATE_SEED: u64 = 1;
 
 /// What differs from the recorded settings.
 #[derive(Debug, Clone, Default)]
 pub struct WhatIfSettings {
-    /// Another fleet, which holds for the whole log; recorded edits of the fleet are ignored.
+    /// Another fleet for the whole log, with which recorded edits of the fleet are ignored; `None` for the recorded
+    /// one.
     pub fleet: Option<Fleet>,
-    /// Another seed.
+    /// Another seed of the controller; `None` for the recorded one.
     pub seed: Option<u64>,
-    /// Without the safety guard.
+    /// Whether commands bypass the safety guard.
     pub is_unguarded: bool,
-    /// Replays the log up to this time only.
+    /// Ends the replay at this time since the planner's start; `None` for the whole log.
     pub until: Option<Duration>,
 }
 
-/// What one side of a comparison came to.
+/// The result of one side of a comparison.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SideSummary {
     /// Violations of rules, one sentence each.
@@ -49,7 +51,7 @@
     /// Table entries in them.
     #[serde(rename = "lines")]
     pub entries: u64,
-    /// The most table entries that were on their way at a time.
+    /// The most table entries that were in flight at a time, with the overhead of their messages.
     #[serde(rename = "lines_waiting_most")]
     pub max_queued_entries: u64,
     /// Commands that the safety guard rejected.
@@ -66,17 +68,17 @@
     /// Under the other settings.
     #[serde(rename = "would")]
     pub changed: SideSummary,
-    /// Service under both.
+    /// Service under both settings.
     pub service: Service,
-    /// Seconds of the log.
+    /// Seconds of the log that were replayed.
     pub seconds: f64,
-    /// Service over time.
+    /// Service of each block of time.
     #[serde(rename = "series")]
     pub service_timeline: Vec<ServiceEstimatePoint>,
-    /// Table entries sent so far, over time.
+    /// Table entries sent so far, once a second.
     #[serde(rename = "lines")]
     pub entries_timeline: Vec<TimelinePoint>,
-    /// Commands rejected so far, over time.
+    /// Commands rejected so far, once a second.
     #[serde(rename = "refused")]
     pub rejected_timeline: Vec<TimelinePoint>,
     /// Servers' shares of all tables at the end.
@@ -84,7 +86,7 @@
     pub server_shares: Vec<ServerShare>,
 }
 
-/// Median time that each proxy took to acknowledge a message.
+/// Median time that each proxy took to acknowledge a message, by the proxy's name.
 struct AckDelays(BTreeMap<String, Duration>);
 
 impl AckDelays {
@@ -117,30 +119,30 @@
     }
 }
 
-/// One of the two replays that are compared, and the tables as they come in force.
-pub(crate) struct Side {
+/// One of the two replays that are compared, with the tables that it puts in force.
+pub(crate) struct SideReplay {
     session: ControlSession,
     pub(crate) tracker: RuleTracker,
-    /// The fleet as recorded at this time.
+    /// The recorded fleet at the current time.
     recorded_fleet: Fleet,
-    /// The fleet that replaces it throughout.
+    /// The fleet that replaces the recorded one throughout.
     fixed_fleet: Option<Fleet>,
-    /// Numbers of the messages that will be acknowledged, by time and proxy.
+    /// Numbers of the messages that are still to be acknowledged, by time of the acknowledgement and proxy.
     pending_acks: BTreeMap<(Duration, String), u64>,
     rejected: u64,
 }
 
-impl Side {
-    fn new(entries: &[Entry], settings: &WhatIfSettings) -> Result<Side, ReplayError> {
+impl SideReplay {
+    fn new(entries: &[Entry], settings: &WhatIfSettings) -> Result<SideReplay, ReplayError> {
         let mut session = start_session(entries, settings.fleet.as_ref(), settings.seed)?;
         session.is_guarded = !settings.is_unguarded;
-        let epoch = match entries.first().map(|entry| &entry.event) {
+        let epoch_ms = match entries.first().map(|entry| &entry.event) {
             Some(RecordedEvent::PlannerStarted { epoch_ms, .. }) => *epoch_ms,
             _ => 0,
         };
-        let tracker = RuleTracker::new(session.fleet().clone(), epoch);
+        let tracker = RuleTracker::new(session.fleet().clone(), epoch_ms);
         let recorded_fleet = start_session(entries, None, None)?.fleet().clone();
-        Ok(Side {
+        Ok(SideReplay {
             session,
             tracker,
             recorded_fleet,
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Lets time pass up to `until`: acknowledgements come, and the session's timers fire.
+    /// Simulates the time up to `until`: acknowledgements arrive, and the session's timers fire.
     fn advance(&mut self, until: Duration, ack_delays: &AckDelays) {
         loop {
             let next_ack = self.pending_acks.first_key_value().map(|((at, _), _)| *at);
@@ -190,7 +192,7 @@
         let now = time_of(entry);
         self.advance(now, ack_delays);
         match &entry.event {
-            // Steps and acknowledgements are the side's own.
+            // Steps and acknowledgements are simulated on each side; lost entries cannot be replayed.
             RecordedEvent::Step { .. }
             | RecordedEvent::UpdateAcknowledged { .. }
             | RecordedEvent::EntriesLost { .. } => {}
@@ -214,26 +216,27 @@
         if let RecordedEvent::ProxyDisconnected { proxy } = event {
             self.pending_acks.retain(|(_, pending), _| pending != proxy);
         }
-        let changed = self.change_list(event).map(|event| Entry { at_us: entry.at_us, event });
+        let changed = self.list_with_fixed_fleet(event).map(|event| Entry { at_us: entry.at_us, event });
         let entry = changed.as_ref().unwrap_or(entry);
         replay_event(&mut self.session, time_of(entry), &entry.event);
         self.tracker.handle_event(entry);
     }
 
-    /// The endpoint list as it would be under the fixed fleet: recorded weights and drains contain the recorded
-    /// fleet's shares, weights and drains already.
-    fn change_list(&self, event: &RecordedEvent) -> Option<RecordedEvent> {
+    /// A recorded endpoint list as it would be under the fixed fleet; `None` without a fixed fleet or for other events.
+    /// Recorded weights and drains already include the zone shares, weights and drains of the recorded fleet, which are
+    /// replaced.
+    fn list_with_fixed_fleet(&self, event: &RecordedEvent) -> Option<RecordedEvent> {
         let fixed_fleet = self.fixed_fleet.as_ref()?;
         let RecordedEvent::EndpointsListed { is_complete, servers, removed } = event else { return None };
         let mut servers = servers.clone();
-        servers.iter_mut().for_each(|server| self.change_server(fixed_fleet, server));
+        servers.iter_mut().for_each(|server| self.apply_fixed_fleet(fixed_fleet, server));
         Some(RecordedEvent::EndpointsListed { is_complete: *is_complete, servers, removed: removed.clone() })
     }
 
-    fn change_server(&self, fixed_fleet: &Fleet, server: &mut RecordedServer) {
+    fn apply_fixed_fleet(&self, fixed_fleet: &Fleet, server: &mut RecordedServer) {
         let recorded = self.recorded_fleet.overrides.get(&server.name);
         let fixed = fixed_fleet.overrides.get(&server.name);
-        // Under an operator's weight the feed's is unknown; 1 is that of a list without weights.
+        // Where an operator set the weight, the feed's own is unknown: 1 is the weight in a list without weights.
         let feed_weight = match recorded.and_then(|entry| entry.weight) {
             Some(_) => 1.0,
             None => server.weight / self.recorded_fleet.share_of(&server.zone),
@@ -256,16 +259,16 @@
     }
 }
 
-/// Replays a log under its own settings and under others.
+/// Replays a log with its recorded settings and with others, and compares the two.
 ///
-/// On both sides each proxy acknowledges after its median recorded delay, so that they differ by their settings alone.
+/// On both sides each proxy acknowledges after its median recorded delay, so that only the settings differ.
 ///
 /// # Errors
-/// Fails if the log does not begin with a start, or a recorded fleet is invalid.
+/// Fails if the log does not begin with a planner's start, or a recorded fleet is invalid.
 pub fn compare(entries: &[Entry], settings: &WhatIfSettings) -> Result<Comparison, ReplayError> {
     let ack_delays = AckDelays::measure(entries);
-    let mut recorded = Side::new(entries, &WhatIfSettings::default())?;
-    let mut changed = Side::new(entries, settings)?;
+    let mut recorded = SideReplay::new(entries, &WhatIfSettings::default())?;
+    let mut changed = SideReplay::new(entries, settings)?;
     let mut outcomes = OutcomeFeed::new(entries, recorded.session.fleet());
     let until = settings.until.unwrap_or(Duration::MAX);
     let mut entries_timeline = Timeline::default();
--- a/crates/replay/src/what_if/outcome_feed.rs
+++ b/crates/replay/src/what_if/outcome_feed.rs
@@ -1,7 +1,7 @@
-//! Feeds the estimate with what proxies reported.
+//! Adds the proxies' reports to the service estimate.
 
 use super::admission::TokenBucket;
-use super::Side;
+use super::SideReplay;
 use crate::estimate::{Estimate, Outcomes, ReportedOutcomes, RequestCounts, Shares};
 use crate::{time_of, MICROSECONDS_PER_SECOND};
 use runloom_event_log::entry::{RecordedArrivals, RecordedClassOutcome, RecordedOutcome};
@@ -9,22 +9,22 @@
 use runloom_model::fleet::Fleet;
 use std::collections::BTreeMap;
 
-/// The class that stands for all where a log has no outcomes by class.
+/// Name of the one class that stands for all classes if a log has no outcomes by class.
 const COMBINED_CLASS: &str = "all";
 
-/// Token buckets of one proxy and class.
+/// Token buckets of one proxy and class, one for each side.
 #[derive(Default)]
 struct SideBuckets {
     recorded: TokenBucket,
     changed: TokenBucket,
 }
 
-/// Takes reports to the estimate: by class where the log has outcomes by class, else all classes as one.
+/// Adds reports to the estimate: by class if the log has outcomes by class, else with all classes as one.
 pub(super) struct OutcomeFeed {
     estimate: Estimate,
     /// Names of the classes; `None` for a log without outcomes by class.
     classes: Option<Vec<String>>,
-    /// Outcomes by class, which stand in the log before the report that they belong to.
+    /// The latest outcomes by class. In the log they precede the report that they belong to.
     class_outcomes: Vec<RecordedClassOutcome>,
     buckets: BTreeMap<(String, usize), SideBuckets>,
 }
@@ -48,8 +48,8 @@
         self.estimate
     }
 
-    /// Handles an entry that both sides have replayed.
-    pub fn handle_entry(&mut self, entry: &Entry, recorded: &Side, changed: &Side) {
+    /// Handles an entry that both sides have replayed, so that their tables are those of its time.
+    pub fn handle_entry(&mut self, entry: &Entry, recorded: &SideReplay, changed: &SideReplay) {
         match &entry.event {
             RecordedEvent::ClassOutcomes { outcomes, .. } => self.class_outcomes = outcomes.clone(),
             RecordedEvent::Report { proxy, window_us, outcomes: reported, arrivals } => {
@@ -74,8 +74,8 @@
         report: &ClassReport,
         outcomes: &[RecordedClassOutcome],
         arrivals: &[RecordedArrivals],
-        recorded: &Side,
-        changed: &Side,
+        recorded: &SideReplay,
+        changed: &SideReplay,
     ) {
         let of_class = arrivals.iter().filter(|arrivals| arrivals.class == report.name);
         let arrived = of_class.map(|arrivals| arrivals.requests as f64).sum();
@@ -94,15 +94,15 @@
             .map(|o| (o.server.clone(), Outcomes { attempts: o.attempts, in_time: o.within_objective }))
             .collect();
         let requests = BTreeMap::from([(report.name, 1.0)]);
-        let shares = |side: &Side| request_shares(side, report.proxy, &requests);
-        if let (Some(old), Some(new)) = (shares(recorded), shares(changed)) {
+        let shares = |side: &SideReplay| request_shares(side, report.proxy, &requests);
+        if let (Some(recorded_shares), Some(changed_shares)) = (shares(recorded), shares(changed)) {
             self.estimate.add_report(&ReportedOutcomes {
                 at: time_of(report.entry),
                 proxy: report.proxy,
                 class: report.class,
                 outcomes: &outcomes,
-                recorded_shares: &old,
-                changed_shares: &new,
+                recorded_shares: &recorded_shares,
+                changed_shares: &changed_shares,
                 requests: counts,
             });
         }
@@ -115,13 +115,15 @@
         proxy: &str,
         outcomes: &[RecordedOutcome],
         arrivals: &[RecordedArrivals],
-        recorded: &Side,
-        changed: &Side,
+        recorded: &SideReplay,
+        changed: &SideReplay,
     ) {
         let requests: BTreeMap<&str, f64> =
             arrivals.iter().map(|arrivals| (arrivals.class.as_str(), arrivals.requests as f64)).collect();
-        let shares = |side: &Side| request_shares(side, proxy, &requests);
-        let (Some(old), Some(new)) = (shares(recorded), shares(changed)) else { return };
+        let shares = |side: &SideReplay| request_shares(side, proxy, &requests);
+        let (Some(recorded_shares), Some(changed_shares)) = (shares(recorded), shares(changed)) else {
+            return;
+        };
         let outcomes: BTreeMap<String, Outcomes> = outcomes
             .iter()
             .map(|o| (o.server.clone(), Outcomes { attempts: o.attempts, in_time: o.within_objective }))
@@ -132,8 +134,8 @@
             proxy,
             class: 0,
             outcomes: &outcomes,
-            recorded_shares: &old,
-            changed_shares: &new,
+            recorded_shares: &recorded_shares,
+            changed_shares: &changed_shares,
             requests: RequestCounts {
                 arrived: attempts,
                 recorded_admitted: attempts,
@@ -149,18 +151,19 @@
     proxy: &'a str,
     class: usize,
     name: &'a str,
-    /// The time that it covers.
+    /// The time that the report covers.
     seconds: f64,
 }
 
 impl ClassReport<'_> {
-    fn admission_rate(&self, side: &Side) -> Option<f64> {
+    fn admission_rate(&self, side: &SideReplay) -> Option<f64> {
         side.tracker.tables(self.proxy)?.admission_limit(self.name)?.rate
     }
 }
 
-/// The share of a proxy's requests that each server gets by the tables in force there; `requests` weighs the classes.
-fn request_shares(side: &Side, proxy: &str, requests: &BTreeMap<&str, f64>) -> Option<Shares> {
+/// The share (0 to 1) of a proxy's requests that each server gets by the tables in force there. `requests` are the
+/// requests by class; `None` if the proxy has no tables of a planner.
+fn request_shares(side: &SideReplay, proxy: &str, requests: &BTreeMap<&str, f64>) -> Option<Shares> {
     let tables = side.tracker.tables(proxy)?;
     let total: f64 = requests.values().sum();
     let mut shares = Shares::new();
--- a/crates/replay/src/what_if/timeline.rs
+++ b/crates/replay/src/what_if/timeline.rs
@@ -1,4 +1,4 @@
-//! Figures of both sides over time, and their servers' shares at the end.
+//! Counts and service of both sides over time, and their servers' shares at the end.
 
 use crate::rule_tracker::RuleTracker;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 
 const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
-/// A count of both sides at one second; an array of three numbers in JSON.
+/// A count of both sides at the end of a second; an array of three numbers in JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "(f64, f64, f64)")]
 pub struct TimelinePoint {
@@ -24,15 +24,15 @@
     }
 }
 
-/// Service of one block of time; an array in JSON.
+/// Service (0 to 1) of one block of time; an array of two numbers, and a third or null, in JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "(f64, f64, Option<f64>)")]
 pub struct ServiceEstimatePoint {
-    /// Seconds from the planner's start to the block's.
+    /// Seconds from the planner's start to the start of the block.
     pub seconds: f64,
     /// Under the recorded settings.
     pub recorded: f64,
-    /// Under the other settings, where the estimate is valid.
+    /// Under the other settings; `None` where the estimate is not valid.
     pub changed: Option<f64>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A server's share (0 to 1) of all tables; an array in JSON.
+/// A server's share (0 to 1) of all tables; an array of the name and two numbers in JSON.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(into = "(String, f64, f64)")]
 pub struct ServerShare {
@@ -60,14 +60,14 @@
     }
 }
 
-/// One point a second.
+/// A count of both sides over time, with one point for each second that has a record.
 #[derive(Default)]
 pub(super) struct Timeline {
     pub points: Vec<TimelinePoint>,
 }
 
 impl Timeline {
-    /// Records counts at a time in microseconds. The last record of a second is its point.
+    /// Records both counts at a time in microseconds. The last record of a second becomes its point.
     pub fn record(&mut self, at: u64, recorded: u64, changed: u64) {
         let point = TimelinePoint {
             seconds: (at / MICROSECONDS_PER_SECOND) as f64,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Each server's share of all tables in force, on both sides.
+/// Each server's share of all tables in force, on both sides, sorted by name.
 pub(super) fn server_shares(recorded: &RuleTracker, changed: &RuleTracker) -> Vec<ServerShare> {
     let recorded = recorded.server_shares();
     let changed = changed.server_shares();
