--- a/crates/replay/src/rule_tracker/mod.rs
+++ b/crates/replay/src/rule_tracker/mod.rs
@@ -1,5 +1,5 @@
-//! The tables in force at each proxy, from the messages that went out and when they were acknowledged, and which rules
-//! they break.
+//! Tracks the tables in force at each proxy, from the messages that were sent and acknowledged, and checks which rules
+//! these tables violate.
 
 mod cold_servers;
 mod proxy_state;
@@ -15,20 +15,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How often tables are checked: often enough for grace periods of seconds and for reports twice a second.
+/// Time between two checks of the tables, short enough for grace periods of seconds and for reports twice a second.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A report's window counts as no shorter than this, in seconds.
+/// Lower limit of a report's window in seconds, which is a divisor.
 const MIN_REPORT_SECONDS: f64 = 0.1;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// A server's weight counts as no lower than this.
+/// Lower limit of a server's weight, which is a divisor.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// Servers by what the endpoint list says of them.
+/// Servers as the endpoint list has them: open to requests, or closed.
 #[derive(Default)]
 struct ListedServers {
     /// Servers that drain or were removed, with the time since when.
     closed: BTreeMap<String, Duration>,
-    /// Servers that take requests, with their start in milliseconds since 1970; `None` for a warm one.
+    /// Servers that take requests, with their start in milliseconds since 1970; `None` if it is unknown, for which the
+    /// server counts as warm.
     open: BTreeMap<String, Option<u64>>,
     weights: BTreeMap<String, f64>,
 }
@@ -54,12 +55,12 @@
     }
 }
 
-/// Rates of the proxies' last reports.
+/// Rates from the latest report of each proxy.
 #[derive(Default)]
 struct ReportedRates {
-    /// Requests a second by proxy and class.
+    /// Requests a second, by proxy and class.
     arrivals: BTreeMap<(String, String), f64>,
-    /// Successful attempts a second by server and proxy.
+    /// Successful attempts a second, by server and proxy.
     successes: BTreeMap<(String, String), f64>,
 }
 
@@ -94,33 +95,33 @@
     }
 }
 
-/// Follows an event log, with the tables as they come in force, and checks the rules.
+/// Tracks the tables in force during a replay and collects the violations of rules 1, 3, 4 and 5.
 pub struct RuleTracker {
     schema: Schema,
     fleet: Fleet,
-    /// Milliseconds since 1970 at the planner's start.
-    epoch: u64,
+    /// The planner's start in milliseconds since 1970.
+    epoch_ms: u64,
     proxies: BTreeMap<String, ProxyState>,
     servers: ListedServers,
     rates: ReportedRates,
     cold_servers: ColdServerLoad,
     checked_at: Duration,
     violations: BTreeSet<String>,
-    /// The most table entries that were on their way at a time, with the messages' overhead.
+    /// The most table entries that were in flight to all proxies at a time, with the overhead of their messages.
     pub max_queued_entries: u64,
-    /// Messages so far.
+    /// Messages sent so far.
     pub messages: u64,
-    /// Table entries in them.
+    /// Table entries in these messages.
     pub entries: u64,
 }
 
 impl RuleTracker {
-    /// Starts with no proxies and servers. `epoch` is the planner's start in milliseconds since 1970.
-    pub fn new(fleet: Fleet, epoch: u64) -> RuleTracker {
+    /// A tracker without proxies and servers. `epoch_ms` is the planner's start in milliseconds since 1970.
+    pub fn new(fleet: Fleet, epoch_ms: u64) -> RuleTracker {
         RuleTracker {
             schema: Schema::root(derive_schema(PROXY_XSD, &["tables"]).unwrap_or_default()),
             fleet,
-            epoch,
+            epoch_ms,
             proxies: BTreeMap::new(),
             servers: ListedServers::default(),
             rates: ReportedRates::default(),
@@ -133,17 +134,17 @@
         }
     }
 
-    /// The violations so far, each once.
+    /// The violations so far, each text once, sorted.
     pub fn violations(&self) -> Vec<String> {
         self.violations.iter().cloned().collect()
     }
 
-    /// The tables in force at a proxy, if they are a planner's.
+    /// The tables in force at a proxy; `None` if it is unknown or has no tables of a planner.
     pub fn tables(&self, proxy: &str) -> Option<&RouteTables> {
         self.proxies.get(proxy).map(|state| &state.tables).filter(|tables| tables.is_from_planner())
     }
 
-    /// Handles an event that is no command of the planner: connections, lists and reports.
+    /// Handles the events that are not the planner's own: connections, endpoint lists and reports. Others are ignored.
     pub fn handle_event(&mut self, entry: &Entry) {
         let now = Duration::from_micros(entry.at_us);
         match &entry.event {
@@ -175,7 +176,7 @@
         self.proxies.insert(proxy.to_string(), state);
     }
 
-    /// A message went out to a proxy.
+    /// Records that a message was sent to a proxy, and checks rule 5, the limits of the update channel.
     pub fn record_sent(&mut self, now: Duration, proxy: &str, number: u64, text: &str, entries: u32) {
         self.messages += 1;
         self.entries += u64::from(entries);
@@ -191,18 +192,18 @@
         let queued = in_flight.map(|message| u64::from(message.entries) + overhead).sum();
         self.max_queued_entries = self.max_queued_entries.max(queued);
         if queued as f64 > channel.queue_limit {
-            self.violations.insert("rule 5: more lines waited than may".into());
+            self.violations.insert("rule 5: more entries were queued than the limit allows".into());
         }
     }
 
-    /// A proxy acknowledged a message: it and all before it are in force there.
+    /// Records that a proxy acknowledged a message: it and all before it are in force there.
     pub fn record_acknowledged(&mut self, proxy: &str, number: u64) {
         if let Some(state) = self.proxies.get_mut(proxy) {
             state.acknowledge(&self.schema, number);
         }
     }
 
-    /// Checks all tables in force, once an interval.
+    /// Checks rules 1, 3 and 4 for all tables in force, unless the last check was less than [`CHECK_INTERVAL`] ago.
     pub fn check_tables(&mut self, now: Duration) {
         if now < self.checked_at + CHECK_INTERVAL {
             return;
@@ -219,10 +220,10 @@
     }
 
     fn has_warm_server(&self, now: Duration) -> bool {
-        let wall_ms = self.epoch + now.as_millis() as u64;
+        let wall_ms = self.epoch_ms + now.as_millis() as u64;
         let warm_after_ms = self.fleet.warm_up.as_millis() as u64;
-        let is_warm = |started: &Option<u64>| {
-            started.is_none_or(|started| wall_ms.saturating_sub(started) >= warm_after_ms)
+        let is_warm = |started_ms: &Option<u64>| {
+            started_ms.is_none_or(|started_ms| wall_ms.saturating_sub(started_ms) >= warm_after_ms)
         };
         self.servers.open.values().any(is_warm)
     }
@@ -241,7 +242,7 @@
         total
     }
 
-    /// Each server's share (0 to 1) of the tables in force, all proxies and classes alike.
+    /// Each server's share (0 to 1) of the tables in force; all proxies and classes count the same.
     pub fn server_shares(&self) -> BTreeMap<String, f64> {
         let mut shares: BTreeMap<String, f64> = BTreeMap::new();
         let mut table_count = 0.0;
--- a/crates/replay/src/rule_tracker/proxy_state.rs
+++ b/crates/replay/src/rule_tracker/proxy_state.rs
@@ -1,4 +1,4 @@
-//! One proxy: the tables in force there, what is on its way to it, and the rules about its tables.
+//! State of one proxy: the tables in force there, the messages in flight to it, and the rules about its tables.
 
 use super::ListedServers;
 use runloom_model::fleet::Fleet;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A message that is not acknowledged yet.
+/// A message that was sent and is not acknowledged yet.
 pub(super) struct InFlightMessage {
     pub number: u64,
     pub text: String,
@@ -19,22 +19,23 @@
     pub entries: u32,
 }
 
-/// What is known of one proxy.
+/// State of one proxy, as the messages and acknowledgements show it.
 pub(super) struct ProxyState {
-    /// [`Duration::MAX`] while it is disconnected.
+    /// Time of the connection; [`Duration::MAX`] while the proxy is disconnected.
     pub connected_at: Duration,
     /// Its tables as a datastore, to which messages are applied as edits.
     data: Arc<Element>,
     pub tables: RouteTables,
+    /// Messages that are not acknowledged yet, the oldest first.
     pub in_flight: VecDeque<InFlightMessage>,
-    /// Classes without an open server, with the time since when.
+    /// Classes whose table has no open server although a warm one exists, with the time since when.
     empty_since: BTreeMap<String, Duration>,
-    /// Times of the messages within the channel's window.
+    /// Times of the messages within the window of the channel's message limit.
     recent_messages: VecDeque<Duration>,
 }
 
 impl ProxyState {
-    /// A proxy that connects for the first time.
+    /// The state of a proxy that connects for the first time.
     pub fn connected(now: Duration) -> ProxyState {
         ProxyState {
             connected_at: now,
@@ -46,18 +47,18 @@
         }
     }
 
-    /// A proxy that connects again, with the tables that it had.
+    /// The state of a proxy that connects again: it keeps its tables.
     pub fn reconnected(self, now: Duration) -> ProxyState {
         ProxyState { data: self.data, tables: self.tables, ..ProxyState::connected(now) }
     }
 
-    /// The connection ended; messages on their way are lost.
+    /// Records the end of the connection, with which the messages in flight are lost.
     pub fn disconnect(&mut self) {
         self.connected_at = Duration::MAX;
         self.in_flight.clear();
     }
 
-    /// Counts a message, and returns how many there were within a window.
+    /// Counts a message, and returns how many there were within the last `window`.
     pub fn count_message(&mut self, now: Duration, window: Duration) -> usize {
         self.recent_messages.push_back(now);
         while self.recent_messages.front().is_some_and(|at| *at + window < now) {
@@ -66,7 +67,7 @@
         self.recent_messages.len()
     }
 
-    /// Applies the messages up to a number.
+    /// Applies the messages in flight up to a number.
     pub fn acknowledge(&mut self, schema: &Schema, number: u64) {
         while self.in_flight.front().is_some_and(|message| message.number <= number) {
             let Some(message) = self.in_flight.pop_front() else { break };
@@ -109,16 +110,17 @@
             let has_open_server = entries.iter().any(|entry| !servers.closed.contains_key(&entry.server));
             let is_empty = !has_open_server && has_warm_server;
             if self.is_empty_too_long(&class.name, is_empty, now, fleet.grace.max_unserved) {
-                violations.push(format!("rule 1: {name} had no server for {}", class.name));
+                violations.push(format!("rule 1: {name} had no open server for class {}", class.name));
             }
-            if let Some(entry) = self.find_late_drain(&entries, now, fleet.grace.drain, servers) {
-                violations.push(format!("rule 3: {name} held {} past its grace", entry.server));
+            if let Some(entry) = self.find_overdue_entry(&entries, now, fleet.grace.drain, servers) {
+                violations
+                    .push(format!("rule 3: {name} kept {} beyond the drain grace period", entry.server));
             }
         }
         violations
     }
 
-    /// Rule 1: a class has no open server for longer than the grace period.
+    /// Rule 1: whether a class has had no open server for longer than the grace period.
     fn is_empty_too_long(&mut self, class: &str, is_empty: bool, now: Duration, grace: Duration) -> bool {
         if !is_empty {
             self.empty_since.remove(class);
@@ -128,18 +130,19 @@
         now > since + grace
     }
 
-    /// Rule 3: an entry of a server that closed longer than the grace period ago.
-    fn find_late_drain<'a>(
+    /// Rule 3: an entry of a server that closed more than the grace period ago; the period begins with the connection
+    /// if that is later.
+    fn find_overdue_entry<'a>(
         &self,
         entries: &'a [TableEntry],
         now: Duration,
         grace: Duration,
         servers: &ListedServers,
     ) -> Option<&'a TableEntry> {
-        let is_late = |entry: &&TableEntry| {
+        let is_overdue = |entry: &&TableEntry| {
             let closed_at = servers.closed.get(&entry.server);
             closed_at.is_some_and(|at| now > (*at).max(self.connected_at) + grace)
         };
-        entries.iter().find(is_late)
+        entries.iter().find(is_overdue)
     }
 }
--- a/crates/replay/src/tests/rule_tracker.rs
+++ b/crates/replay/src/tests/rule_tracker.rs
@@ -116,5 +116,5 @@
 #[test]
 fn a_cold_server_that_tables_overload_violates_rule_four() {
     assert_eq!(violations_with_cold_weight(0.3), Vec::<String>::new());
-    assert_eq!(violations_with_cold_weight(9.0), ["rule 4: cold would be pushed over"]);
+    assert_eq!(violations_with_cold_weight(9.0), ["rule 4: cold would be overloaded before it is warm"]);
 }
