--- a/crates/replay/src/scenario_inference/edits.rs
+++ b/crates/replay/src/scenario_inference/edits.rs
@@ -1,11 +1,11 @@
-//! Operators' edits, by the changes from each recorded fleet to the next.
+//! Infers operators' edits from the differences between each recorded fleet and the next.
 
 use super::observation::LogObservation;
 use super::{FleetChange, InferredEdit};
 use runloom_model::fleet::Fleet;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Edits with the scenario's names; drains of servers that the scenario does not have are left out.
+/// Finds the edits, with servers under the testbed's names. Drains of servers without such a name are left out.
 pub(super) fn find_edits(
     observation: &LogObservation,
     names: &BTreeMap<String, String>,
--- a/crates/replay/src/scenario_inference/faults.rs
+++ b/crates/replay/src/scenario_inference/faults.rs
@@ -1,13 +1,13 @@
-//! Faults that are not of servers, and faults that belong together.
+//! Finds faults that are not of servers, and merges faults that belong together.
 
 use super::observation::LogObservation;
 use super::{InferredFault, SIMULTANEOUS_SECONDS};
 use std::collections::BTreeSet;
 
-/// So many streams that end at about the same time are a break, and not the ends of single proxies.
+/// Streams that have to end at about the same time to count as a break; fewer may be single proxies that end.
 const MIN_BROKEN_STREAMS: usize = 3;
 
-/// Merges faults of one kind that begin and end at about the same time.
+/// Merges faults of one kind that begin and end at about the same time. Sorts them by time.
 pub(super) fn merge_simultaneous(mut faults: Vec<InferredFault>) -> Vec<InferredFault> {
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut merged: Vec<InferredFault> = vec![];
@@ -21,7 +21,8 @@
 }
 
 impl InferredFault {
-    /// Whether another fault, which does not begin earlier, is of the same kind and time.
+    /// Whether another fault, which does not begin earlier, is of the same kind and begins and ends at about the same
+    /// time.
     fn is_simultaneous(&self, other: &InferredFault) -> bool {
         self.kind == other.kind
             && other.at <= self.at + SIMULTANEOUS_SECONDS
@@ -36,12 +37,13 @@
         self.servers.extend(other.servers);
     }
 
+    /// A fault that is not one of servers, with magnitude 1.
     fn global(kind: &'static str, at: f64, duration: f64) -> InferredFault {
         InferredFault { at, kind, duration, magnitude: 1.0, servers: BTreeSet::new(), count: 1 }
     }
 }
 
-/// Faults that are not of servers.
+/// Finds planner outages, surges, stream breaks and stalled readers.
 pub(super) fn find_global_faults(observation: &LogObservation) -> Vec<InferredFault> {
     let mut found: Vec<InferredFault> = vec![];
     for outage in &observation.planner_outages {
@@ -56,6 +58,7 @@
     found
 }
 
+/// Stream breaks: at least [`MIN_BROKEN_STREAMS`] proxies that disconnect one shortly after the other.
 fn find_stream_breaks(observation: &LogObservation) -> Vec<InferredFault> {
     let mut disconnects = observation.disconnects.clone();
     disconnects.sort_by(f64::total_cmp);
@@ -68,6 +71,7 @@
     breaks.map(to_fault).collect()
 }
 
+/// Stalled readers: proxies that stop acknowledging one shortly after the other.
 fn find_stalled_readers(observation: &LogObservation) -> Vec<InferredFault> {
     let mut stalls = observation.stalls.clone();
     stalls.sort_by(|a, b| a.from.total_cmp(&b.from));
--- a/crates/replay/src/scenario_inference/mod.rs
+++ b/crates/replay/src/scenario_inference/mod.rs
@@ -1,5 +1,5 @@
-//! Infers a scenario for the testbed from an event log: sizes, traffic, edits, and the faults that the log shows, each
-//! with its servers. What a scenario cannot contain is left out, and named.
+//! Infers a scenario for the testbed from event logs: sizes, traffic, edits, and the faults that the logs show, each
+//! with its servers. What a scenario cannot contain is left out and listed.
 
 mod edits;
 mod faults;
@@ -19,27 +19,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use time_series::{median, second_start};
 
-/// Faults of one kind that begin within this many seconds of each other are one, with all their servers.
+/// Faults of one kind that begin within this many seconds of each other are merged into one, with all their servers.
 const SIMULTANEOUS_SECONDS: f64 = 1.5;
-/// A fault has to last this many seconds.
+/// Shortest failure, slowdown or surge that counts as a fault, in seconds.
 const MIN_FAULT_SECONDS: f64 = 2.0;
-/// Cores of a server whose utilization is unknown.
+/// Cores of a server if its utilization is unknown.
 const DEFAULT_CORES: usize = 2;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// A fault that the log shows.
+/// A fault that the event logs show.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InferredFault {
-    /// Seconds since the start.
+    /// Seconds since the planner's first start.
     pub at: f64,
-    /// Its kind, by the scenario's names.
+    /// Its kind, under its name in the scenario's XML.
     pub kind: &'static str,
     /// How many seconds it lasts.
     pub duration: f64,
-    /// By kind: the factor of the slowdown or of the request rate, or the share of requests that fail.
+    /// By kind: the factor of the slowdown or of the request rate, or the share (0 to 1) of requests that fail; 1 for
+    /// other kinds.
     pub magnitude: f64,
-    /// Servers by the testbed's names; empty if the fault is not of servers.
+    /// The affected servers under the testbed's names; empty if the fault is not one of servers.
     pub servers: BTreeSet<String>,
     /// How many servers or proxies it affects.
     pub count: usize,
@@ -55,50 +56,50 @@
     }
 }
 
-/// An operator's edit.
+/// An operator's edit of the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InferredEdit {
-    /// Seconds since the start.
+    /// Seconds since the planner's first start.
     pub at: f64,
     /// What it changed.
     pub change: FleetChange,
 }
 
-/// What an edit changed.
+/// A change that an operator made to the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetChange {
     /// A zone's share of the traffic.
     ZoneShare {
         /// The zone's name.
         zone: String,
-        /// Its share.
+        /// Its new share.
         share: f64,
     },
-    /// Whether a server drains.
+    /// The start or end of a server's drain.
     Drain {
-        /// The server's name.
+        /// The server under the testbed's name.
         server: String,
-        /// Whether it drains.
+        /// Whether it drains from then on.
         is_draining: bool,
     },
 }
 
-/// A scenario as inferred from an event log.
+/// A scenario that was inferred from event logs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InferredScenario {
     /// How long it lasts, in seconds.
     pub seconds: f64,
     /// Servers at the start.
     pub server_count: usize,
-    /// Proxies.
+    /// Proxies that connected at any time.
     pub proxy_count: usize,
-    /// Zones.
+    /// Zones of the servers at the start, at least 1.
     pub zone_count: usize,
-    /// Requests a second over all proxies.
+    /// Requests a second over all proxies, outside of surges.
     pub request_rate: f64,
-    /// Mean service time in milliseconds.
+    /// Usual latency of the servers in milliseconds, which stands for their service time.
     pub service_time_ms: f64,
-    /// Cores of a server.
+    /// Cores of each server, at least 1.
     pub cores: usize,
     /// The first recorded settings.
     pub fleet: Fleet,
@@ -106,16 +107,16 @@
     pub faults: Vec<InferredFault>,
     /// Edits in order of time.
     pub edits: Vec<InferredEdit>,
-    /// What the log shows and a scenario cannot contain.
+    /// What the logs show and a scenario cannot contain, one phrase each.
     pub omissions: Vec<String>,
 }
 
-/// Infers a scenario. `starts`: the logs of one planner's starts, in order.
+/// Infers a scenario. `runs` are the event logs of one planner, one for each of its starts, in order.
 ///
 /// # Errors
-/// Fails if a log does not begin with a start, or a recorded fleet is invalid.
-pub fn infer(starts: &[Vec<Entry>]) -> Result<InferredScenario, ReplayError> {
-    let observation = LogObservation::new(starts)?;
+/// Fails if there is no log, a log does not begin with a planner's start, or a recorded fleet is invalid.
+pub fn infer(runs: &[Vec<Entry>]) -> Result<InferredScenario, ReplayError> {
+    let observation = LogObservation::new(runs)?;
     let Some((_, fleet)) = observation.fleets.first().cloned() else { return Err(ReplayError::NoStart) };
     let names = scenario_names(&observation);
     let usual_latency_us = usual_latency(&observation);
@@ -141,11 +142,11 @@
     })
 }
 
-/// Median latency of servers in seconds without failures and outside of surges, in microseconds.
+/// Median of the servers' mean latencies, over the seconds without failures and outside of surges; in microseconds.
 fn usual_latency(observation: &LogObservation) -> f64 {
     let mut latencies = vec![];
     for server in observation.servers.values() {
-        for (second, outcomes) in &server.seconds {
+        for (second, outcomes) in &server.outcomes_by_second {
             if outcomes.failures == 0 && !observation.is_surging(second_start(*second)) {
                 latencies.extend(outcomes.mean_latency());
             }
@@ -154,14 +155,15 @@
     median(latencies)
 }
 
-/// Cores of a server by Little's law: requests in service are the completion rate times the latency.
+/// Estimates the cores of a server. By Little's law the requests in service are the completion rate times the latency;
+/// divided by the utilization, they are the cores.
 ///
 /// Latency includes waiting, so that the result is too high rather than too low.
 fn infer_cores(observation: &LogObservation, usual_latency_us: f64) -> usize {
     let is_calm = |second: u64| !observation.is_surging(second_start(second));
     let utilizations = observation.utilizations.iter().filter(|(second, _)| is_calm(*second));
     let utilization = median(utilizations.map(|(_, utilization)| *utilization).collect());
-    let seconds = observation.servers.values().flat_map(|server| &server.seconds);
+    let seconds = observation.servers.values().flat_map(|server| &server.outcomes_by_second);
     let calm_seconds = seconds.filter(|(second, _)| is_calm(**second));
     let successes = median(calm_seconds.map(|(_, outcomes)| outcomes.successes() as f64).collect());
     let requests_in_service = successes * usual_latency_us / MICROSECONDS_PER_SECOND;
@@ -172,6 +174,7 @@
     }
 }
 
+/// Finds the faults of all servers, under the testbed's names. Servers without such a name are listed as omissions.
 fn find_server_faults(
     observation: &LogObservation,
     names: &BTreeMap<String, String>,
@@ -180,24 +183,24 @@
 ) -> Vec<InferredFault> {
     let mut faults = vec![];
     for (name, server) in &observation.servers {
-        let own = ServerFaultFinder { name, server, observation, usual_latency_us }.find();
+        let own_faults = ServerFaultFinder { name, server, observation, usual_latency_us }.find();
         match names.get(name) {
             Some(scenario_name) => {
                 let servers = BTreeSet::from([scenario_name.clone()]);
-                faults
-                    .extend(own.into_iter().map(|fault| InferredFault { servers: servers.clone(), ..fault }));
+                faults.extend(
+                    own_faults.into_iter().map(|fault| InferredFault { servers: servers.clone(), ..fault }),
+                );
             }
-            None if own.is_empty() => {}
+            None if own_faults.is_empty() => {}
             None => {
-                omissions
-                    .push(format!("{name}, which came in the middle of the day, had troubles of its own"));
+                omissions.push(format!("faults of {name}, which was not listed at the start"));
             }
         }
     }
     merge_simultaneous(faults)
 }
 
-/// Turns drains beside which as many new servers came into replacements.
+/// Turns a drain into a replacement if at least as many new servers were listed at about the same time.
 fn mark_replacements(
     observation: &LogObservation,
     names: &BTreeMap<String, String>,
@@ -217,6 +220,6 @@
     }
     if new_server_times.len() > replaced {
         let unexplained = new_server_times.len() - replaced;
-        omissions.push(format!("{unexplained} servers that came new and took no drained one's place"));
+        omissions.push(format!("{unexplained} new servers that replaced no drained one"));
     }
 }
--- a/crates/replay/src/scenario_inference/server_faults.rs
+++ b/crates/replay/src/scenario_inference/server_faults.rs
@@ -1,20 +1,21 @@
-//! Faults of one server.
+//! Finds the faults of one server in its listings and outcomes.
 
 use super::observation::{ListedServer, Listing, LogObservation, ServerObservation, ServerOutcomes};
-use super::time_series::{median, ranges, second_of, second_start, SecondsRange};
+use super::time_series::{join_seconds, median, second_of, second_start, SecondsRange};
 use super::{InferredFault, MIN_FAULT_SECONDS, SIMULTANEOUS_SECONDS};
 
-/// A server is slow if it takes this many times its own median latency; the spread of requests stays below.
+/// A server is slow above this many times its usual latency; the usual variation of its latency stays below.
 const SLOW_FACTOR: f64 = 1.4;
-/// A new server is slow by its age for this many seconds.
+/// Seconds after its listing in which a newly started server may be slow because it warms up.
 const WARM_UP_SECONDS: f64 = 8.0;
-/// A removed server that succeeds in so many later seconds was removed falsely.
+/// A removed server that goes on succeeding in at least this many seconds was removed falsely.
 const MIN_SECONDS_AFTER_REMOVAL: usize = 2;
-/// A crashed server that is not listed again stays down for this many seconds after the log's end.
+/// A crashed server that is not listed again is assumed to stay down until this many seconds after the log's end.
 const SECONDS_AFTER_END: f64 = 60.0;
-/// Magnitude of an error fault, at least.
+/// Smallest magnitude of an `errors` fault, as a share of requests.
 const MIN_ERROR_SHARE: f64 = 0.5;
-/// Slow times before and after a surge belong together if they end and begin within so many seconds of it.
+/// Slow times before and after a surge are joined if the first ends at most this long before the surge begins, and the
+/// second begins at most the other time after it ends; in seconds.
 const SECONDS_BEFORE_SURGE: f64 = 2.0;
 const SECONDS_AFTER_SURGE: f64 = 4.0;
 
@@ -23,14 +24,14 @@
     pub name: &'a str,
     pub server: &'a ServerObservation,
     pub observation: &'a LogObservation,
-    /// Median latency of the fleet, in microseconds.
+    /// Usual latency of all servers, in microseconds.
     pub usual_latency_us: f64,
 }
 
 impl ServerFaultFinder<'_> {
-    /// All faults of the server.
+    /// Finds all faults of the server. Failures and slow times that other faults explain do not count.
     pub fn find(&self) -> Vec<InferredFault> {
-        let mut found = self.find_by_listings();
+        let mut found = self.find_in_listings();
         let unexplained = self.find_unexplained_failures(&found);
         found.extend(unexplained);
         let slow = self.find_slow_times(&found);
@@ -42,23 +43,23 @@
         InferredFault::of_server(self.name, kind, at.max(0.0), duration, magnitude)
     }
 
-    /// Faults that show in the endpoint list.
-    fn find_by_listings(&self) -> Vec<InferredFault> {
+    /// Finds the faults that show in the endpoint list: drains, unreachable machines, false removals and crashes.
+    fn find_in_listings(&self) -> Vec<InferredFault> {
         let listings = &self.server.listings;
         let mut found = vec![];
         for (position, listing) in listings.iter().enumerate() {
             let previous = position.checked_sub(1).map(|previous| &listings[previous]);
             let later = &listings[position + 1..];
             found.extend(match listing.server {
-                Some(listed) => self.find_by_listed(listing.at, listed, previous, later),
-                None => self.find_by_removal(listing.at, previous, later),
+                Some(listed) => self.fault_of_listing(listing.at, listed, previous, later),
+                None => self.fault_of_removal(listing.at, previous, later),
             });
         }
         found
     }
 
-    /// A drain by the feed, or a restart that the list did not notice.
-    fn find_by_listed(
+    /// The fault behind a changed listing: a drain by the feed, or a restart without a removal from the list.
+    fn fault_of_listing(
         &self,
         at: f64,
         listed: ListedServer,
@@ -73,9 +74,9 @@
             let end = later.first().map_or(self.observation.end, |next| next.at);
             return Some(self.fault("drain", at, end - at, 1.0));
         }
-        // Listed throughout, with another start: the machine was unreachable.
-        let is_restarted =
-            listed.started.is_some() && previous.is_some_and(|previous| previous.started != listed.started);
+        // Listed throughout, but started anew: the machine was unreachable.
+        let is_restarted = listed.started_ms.is_some()
+            && previous.is_some_and(|previous| previous.started_ms != listed.started_ms);
         if !is_restarted {
             return None;
         }
@@ -83,8 +84,8 @@
         Some(self.fault("silent", from, at - from, 1.0))
     }
 
-    /// A false removal, or a crash; the end of a drain is neither.
-    fn find_by_removal(
+    /// The fault behind a removal: a false removal, or a crash; none at the end of a drain.
+    fn fault_of_removal(
         &self,
         at: f64,
         previous: Option<&Listing>,
@@ -107,9 +108,10 @@
         Some(self.fault("crash", from, duration, 1.0))
     }
 
-    /// Whether the server goes on succeeding after its removal.
+    /// Whether the server goes on succeeding after its removal, until `end`.
     fn succeeds_between(&self, removed_at: f64, end: f64) -> bool {
-        let seconds = self.server.seconds.iter().map(|(second, outcomes)| (second_start(*second), outcomes));
+        let seconds =
+            self.server.outcomes_by_second.iter().map(|(second, outcomes)| (second_start(*second), outcomes));
         let after_removal = seconds.take_while(|(second, _)| *second < end);
         let is_success = |(second, outcomes): &(f64, &ServerOutcomes)| {
             *second > removed_at + 1.0 && outcomes.successes() > 0
@@ -117,10 +119,10 @@
         after_removal.filter(is_success).count() >= MIN_SECONDS_AFTER_REMOVAL
     }
 
-    /// The first failing second since the last successful one before a time.
+    /// Start of the first failing second since the last successful one before a time.
     fn failure_start(&self, at: f64) -> Option<f64> {
         let last = second_of(at);
-        let seconds = &self.server.seconds;
+        let seconds = &self.server.outcomes_by_second;
         let is_success = |outcomes: &ServerOutcomes| outcomes.successes() > 0 && !outcomes.is_failing();
         let last_success = seconds.range(..last).rfind(|(_, outcomes)| is_success(outcomes));
         let from = last_success.map_or(0, |(second, _)| *second);
@@ -128,11 +130,11 @@
         first_failure.map(|(second, _)| second_start(*second))
     }
 
-    /// Times of failures that the endpoint list does not explain. Failures in a surge are due to the surge.
+    /// Finds times of failures that the endpoint list does not explain. Failures in a surge are due to the surge.
     fn find_unexplained_failures(&self, known: &[InferredFault]) -> Vec<InferredFault> {
-        let failing = self.server.seconds.iter().filter(|(_, outcomes)| outcomes.is_failing());
+        let failing = self.server.outcomes_by_second.iter().filter(|(_, outcomes)| outcomes.is_failing());
         let mut found: Vec<InferredFault> = vec![];
-        for range in ranges(failing.map(|(second, _)| *second)) {
+        for range in join_seconds(failing.map(|(second, _)| *second)) {
             if range.duration() < MIN_FAULT_SECONDS || self.observation.is_surging(range.from) {
                 continue;
             }
@@ -146,10 +148,10 @@
         found
     }
 
-    /// A server that fails while listed hangs, or answers with errors.
+    /// The fault of a server that fails while it is listed: it hangs, or answers with errors.
     fn failure_fault(&self, range: SecondsRange) -> InferredFault {
         let mut sum = ServerOutcomes::default();
-        for (_, outcomes) in self.server.seconds.range(range.whole_seconds()) {
+        for (_, outcomes) in self.server.outcomes_by_second.range(range.whole_seconds()) {
             sum.add_counts(outcomes);
         }
         let failing_share = sum.failures as f64 / sum.attempts.max(1) as f64;
@@ -162,7 +164,7 @@
         InferredFault::of_server(self.name, "errors", range.from, range.duration(), magnitude)
     }
 
-    /// Times in which the server took far longer than it usually does.
+    /// Finds times in which the server took far longer than it usually does.
     fn find_slow_times(&self, known: &[InferredFault]) -> Vec<InferredFault> {
         let usual = self.own_usual_latency();
         let is_slow = |second: u64, outcomes: &ServerOutcomes| {
@@ -171,24 +173,24 @@
             outcomes.mean_latency().is_some_and(|latency| latency > SLOW_FACTOR * usual)
                 && !self.observation.is_surging(at)
                 && !is_explained
-                && !self.is_cold(at)
+                && !self.is_warming_up(at)
         };
-        let seconds = self.server.seconds.iter();
+        let seconds = self.server.outcomes_by_second.iter();
         let slow_seconds = seconds.filter(|(second, outcomes)| is_slow(**second, outcomes));
-        let mut slow = ranges(slow_seconds.map(|(second, _)| *second));
+        let mut slow = join_seconds(slow_seconds.map(|(second, _)| *second));
         self.join_over_surges(&mut slow);
         let lasting = slow.into_iter().filter(|range| range.duration() >= MIN_FAULT_SECONDS);
         lasting.map(|range| self.slow_fault(range, usual)).collect()
     }
 
-    /// Latencies outside of surges in some seconds, in microseconds.
+    /// Mean latencies in some seconds, without those of surges; in microseconds.
     fn calm_latencies(&self, seconds: std::ops::Range<u64>) -> Vec<f64> {
-        let seconds = self.server.seconds.range(seconds);
+        let seconds = self.server.outcomes_by_second.range(seconds);
         let calm = seconds.filter(|(second, _)| !self.observation.is_surging(second_start(**second)));
         calm.filter_map(|(_, outcomes)| outcomes.mean_latency()).collect()
     }
 
-    /// The server's usual latency in microseconds; the fleet's if it was slow for most of the time.
+    /// The server's own usual latency in microseconds, or that of all servers if it was slow for most of the time.
     fn own_usual_latency(&self) -> f64 {
         let own = median(self.calm_latencies(0..u64::MAX));
         if own > SLOW_FACTOR * self.usual_latency_us {
@@ -198,15 +200,16 @@
         }
     }
 
-    /// A server that was just listed may be slow by its age.
-    fn is_cold(&self, at: f64) -> bool {
+    /// Whether the server was listed less than [`WARM_UP_SECONDS`] ago with a known start, and so may be slow.
+    fn is_warming_up(&self, at: f64) -> bool {
         self.server.listings.iter().any(|listing| {
-            let has_start = listing.server.is_some_and(|server| server.started.is_some());
+            let has_start = listing.server.is_some_and(|server| server.started_ms.is_some());
             has_start && listing.at <= at && at < listing.at + WARM_UP_SECONDS
         })
     }
 
-    /// In a surge all servers are slow: one that was before it and is after it was throughout.
+    /// Joins slow times that only a surge separates. In a surge all servers are slow, so that a server which is slow
+    /// before and after it counts as slow throughout.
     fn join_over_surges(&self, slow: &mut Vec<SecondsRange>) {
         let is_separated_by_surge = |before: &SecondsRange, after: &SecondsRange| {
             self.observation.surges.iter().any(|surge| {
--- a/crates/replay/src/scenario_inference/server_names.rs
+++ b/crates/replay/src/scenario_inference/server_names.rs
@@ -1,11 +1,12 @@
-//! Which of the testbed's servers stands for each recorded one.
+//! Assigns one of the testbed's servers to each recorded one.
 
 use super::observation::LogObservation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The testbed's name for each server of the first list.
+/// The testbed's name for each server of the first endpoint list, by its recorded name.
 ///
-/// The testbed numbers its servers and assigns zones by number; servers keep their zones as far as zones are of one size.
+/// The testbed numbers its servers and assigns them to the zones in turn. Recorded servers keep their zones as far as
+/// the zones are of equal size; the rest take the free numbers.
 pub(super) fn scenario_names(observation: &LogObservation) -> BTreeMap<String, String> {
     let server_count = observation.first_servers.len();
     let zones: BTreeSet<&str> =
@@ -33,7 +34,8 @@
     observation.servers[server].zone.as_str()
 }
 
-/// Servers of a zone in order of their numbers, where names end in one.
+/// Servers of a zone, sorted by the length of their names and then by name: those whose names differ in a number at the
+/// end come in its order.
 fn servers_of_zone<'a>(observation: &'a LogObservation, zone: &str) -> Vec<&'a String> {
     let all = observation.first_servers.iter();
     let mut servers: Vec<&String> = all.filter(|server| zone_of(observation, server) == zone).collect();
--- a/crates/replay/src/scenario_inference/xml.rs
+++ b/crates/replay/src/scenario_inference/xml.rs
@@ -1,9 +1,9 @@
-//! The scenario's XML, as the testbed reads it.
+//! Writes a scenario as the XML that the testbed reads.
 
 use super::{FleetChange, InferredEdit, InferredFault, InferredScenario};
 
 impl InferredScenario {
-    /// The scenario as XML.
+    /// The scenario as a `<day>` element with its sizes, faults and edits.
     pub fn to_xml(&self) -> String {
         let faults: String = self.faults.iter().map(fault_xml).collect();
         let edits: String =
