--- a/crates/replay/src/rule_tracker/mod.rs
+++ b/crates/replay/src/rule_tracker/mod.rs
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Checks rules 1, 3 and 4 for all tables in force, unless the last check was less than [`CHECK_INTERVAL`] ago.
+    /// Checks rules 1, 3 and 4 for all tables in force, unless the last check was less than a check interval ago.
     pub fn check_tables(&mut self, now: Duration) {
         if now < self.checked_at + CHECK_INTERVAL {
             return;
--- a/crates/replay/src/tests/estimate.rs
+++ b/crates/replay/src/tests/estimate.rs
@@ -1,10 +1,12 @@
+//! Tests of the service estimate, with reports of one proxy.
+
 use crate::estimate::{
     Estimate, IntervalEstimate, Outcomes, ReportedOutcomes, RequestCounts, Service, Shares,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Without an admission rate all requests are admitted.
+/// Requests of a report without an admission rate, so that all are admitted.
 const ALL_ADMITTED: RequestCounts =
     RequestCounts { arrived: 100.0, recorded_admitted: 100.0, changed_admitted: 100.0 };
 const REPORT_COUNT: u64 = 60;
@@ -13,7 +15,7 @@
     of.iter().map(|(server, share)| (server.to_string(), *share)).collect()
 }
 
-/// Attempts of servers, and how many of them were in time.
+/// Outcomes from each server's name, attempts, and attempts in time.
 fn outcomes(of: &[(&str, u64, u64)]) -> BTreeMap<String, Outcomes> {
     let entry = |(server, attempts, in_time): &(&str, u64, u64)| {
         (server.to_string(), Outcomes { attempts: *attempts, in_time: *in_time })
@@ -25,7 +27,7 @@
     Estimate::new(vec![("q".into(), 1.0)])
 }
 
-/// A proxy's report at a second.
+/// A report of the proxy at a second.
 struct ReportAt<'a> {
     second: u64,
     class: usize,
@@ -47,7 +49,7 @@
     });
 }
 
-/// Service of a minute with the same report each second.
+/// Estimates the service of a minute with the same report each second.
 fn service_of_a_minute(
     outcomes: &BTreeMap<String, Outcomes>,
     recorded_shares: &Shares,
@@ -91,7 +93,7 @@
     assert_eq!((far_more_load.valid_seconds, far_more_load.changed), (0.0, None));
 }
 
-/// A server is late with one class only: the estimate of the other class stays as recorded.
+/// A server is late with requests of one class only, so that only the estimate of that class differs from the record.
 #[test]
 fn classes_are_estimated_separately_and_count_by_their_priority_weights() {
     // Given
@@ -119,8 +121,8 @@
     assert!(is_close(service.classes[1].changed.unwrap(), 1.0));
 }
 
-/// Six servers take forty requests a second and are in time with half; six others take ten, all in time. More load for
-/// the others is known to make them late, though they never were; beyond all recorded loads, it is unknown.
+/// Six servers take forty requests a second and answer half in time; six others take ten and answer all in time. From
+/// the former the estimate knows that the latter would be late at forty. Beyond all recorded loads it is unknown.
 #[test]
 fn the_effect_of_a_load_is_taken_from_servers_that_had_it() {
     // Given
@@ -149,7 +151,7 @@
     assert_eq!((beyond_record.changed, beyond_record.valid_seconds), (None, 0.0));
 }
 
-/// An admission rate that would have rejected half of the requests: they count as not answered.
+/// The other admission rate rejects half of the requests, which count as not answered in time.
 #[test]
 fn requests_that_an_admission_rate_rejects_are_not_service() {
     // Given
@@ -167,12 +169,12 @@
     // Then
     assert!(is_close(half.changed.unwrap().value, 0.4));
     assert!(is_close(half.recorded, 0.8));
-    // Twice as many requests are more than servers ever had.
+    // Twice the requests would be a load that no server had.
     assert_eq!(twice.changed, None);
 }
 
-/// A server hangs and is taken out of the tables; its attempts end at their deadline, when no table has it any more.
-/// Without them, service under the recorded settings would be overestimated.
+/// A server hangs and is removed from the tables, and its attempts end at their deadline when no table has it any more.
+/// If these attempts were left out, the estimate for unchanged settings would be too high.
 #[test]
 fn attempts_that_end_after_their_server_left_the_tables_count() {
     // Given
--- a/crates/replay/src/tests/exact.rs
+++ b/crates/replay/src/tests/exact.rs
@@ -1,3 +1,5 @@
+//! Tests of the replay with the recorded settings.
+
 use super::{log_of_a_minute, recording_session, server, step_and_acknowledge, take_entries};
 use crate::exact::replay;
 use runloom_controller::EndpointUpdate;
@@ -45,7 +47,7 @@
     assert!(without_start.is_err());
 }
 
-/// Edits come three a second for an hour.
+/// About three changes of a server's weight a second for an hour.
 #[test]
 fn ten_thousand_edits_replay_to_the_same_commands() {
     // Given
--- a/crates/replay/src/tests/mod.rs
+++ b/crates/replay/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Event logs that several tests replay.
+//! Event logs that the tests replay.
 
 mod estimate;
 mod exact;
@@ -24,22 +24,23 @@
 const SERVER_COUNT: usize = 6;
 const PROXY_COUNT: usize = 4;
 const SEED: u64 = 7;
-const EPOCH: u64 = 1_000_000;
+/// The planner's start in milliseconds since 1970.
+const EPOCH_MS: u64 = 1_000_000;
 const STEP: Duration = Duration::from_millis(100);
 const STEP_COUNT: u64 = 600;
 const ACK_DELAY: Duration = Duration::from_millis(20);
-/// The step from which the late server is late, and the one at which the last server drains.
+/// The step after which the late server is late, and the one at which the last server drains.
 const LATE_FROM_STEP: u64 = 100;
 const DRAIN_STEP: u64 = 300;
 const LATE_SERVER: usize = 1;
 
-fn server(number: usize, draining: bool) -> Change {
+fn server(number: usize, is_draining: bool) -> Change {
     Change::Updated(Server {
         address: ([127, 0, 0, 1], 9000 + number as u16).into(),
         zone: zone(number).into(),
         kind: "std".into(),
         cell: 0,
-        is_draining: draining,
+        is_draining,
         weight: 1.0,
         started_ms: None,
     })
@@ -53,14 +54,14 @@
     }
 }
 
-/// A session that records, with all servers listed.
+/// A session that records its events, with all servers listed.
 fn recording_session() -> ControlSession {
-    let mut session = ControlSession::new(crate::parse_fleet(FLEET).unwrap(), SEED, EPOCH);
+    let mut session = ControlSession::new(crate::parse_fleet(FLEET).unwrap(), SEED, EPOCH_MS);
     let start = RecordedEvent::PlannerStarted {
         build: "test".into(),
         planner: "p".into(),
         seed: SEED,
-        epoch_ms: EPOCH,
+        epoch_ms: EPOCH_MS,
         fleet: FLEET.into(),
     };
     session.recorded_events = Some(vec![(Duration::ZERO, start)]);
@@ -69,7 +70,7 @@
     session
 }
 
-/// Steps the session, and acknowledges all messages after a delay.
+/// Makes a step of the session, and acknowledges all its messages after a delay.
 fn step_and_acknowledge(session: &mut ControlSession, now: Duration, ack_delay: Duration) {
     let (actions, _) = session.step(now);
     for action in actions {
@@ -79,12 +80,13 @@
     }
 }
 
+/// Takes what the session recorded since the last call, as entries of a log.
 fn take_entries(session: &mut ControlSession) -> Vec<Entry> {
     let recorded = std::mem::take(session.recorded_events.as_mut().unwrap());
     recorded.into_iter().map(|(at, event)| Entry { at_us: at.as_micros() as u64, event }).collect()
 }
 
-/// A proxy's report in the log of a minute: the late server answers all requests, but not in time.
+/// A proxy's report in the log of a minute: the late server answers all requests, but none in time once it is late.
 fn report(step: u64) -> Report {
     let outcomes = |number: usize| {
         let is_late = number == LATE_SERVER && step > LATE_FROM_STEP;
@@ -106,7 +108,7 @@
     }
 }
 
-/// The log of a minute: four proxies, and six servers of which one is late from 10 s on and one drains at 30 s.
+/// A log of a minute with four proxies, and six servers of which one is late from 10 s on and one drains from 30 s on.
 fn log_of_a_minute() -> Vec<Entry> {
     let mut session = recording_session();
     let proxies: Vec<usize> = (0..PROXY_COUNT)
--- a/crates/replay/src/tests/rule_tracker.rs
+++ b/crates/replay/src/tests/rule_tracker.rs
@@ -1,4 +1,6 @@
-use super::{log_of_a_minute, EPOCH, FLEET};
+//! Tests of the rules that the tracker checks.
+
+use super::{log_of_a_minute, EPOCH_MS, FLEET};
 use crate::rule_tracker::RuleTracker;
 use runloom_event_log::entry::{RecordedArrivals, RecordedOutcome, RecordedServer};
 use runloom_event_log::{Entry, RecordedEvent};
@@ -8,10 +10,10 @@
 const DRAIN_TIME_US: u64 = 30_000_000;
 
 fn tracker() -> RuleTracker {
-    RuleTracker::new(crate::parse_fleet(FLEET).unwrap(), EPOCH)
+    RuleTracker::new(crate::parse_fleet(FLEET).unwrap(), EPOCH_MS)
 }
 
-/// Replays an entry with the recorded commands and acknowledgements.
+/// Gives the tracker an entry, with the recorded messages and acknowledgements.
 fn track(tracker: &mut RuleTracker, entry: &Entry) {
     let now = Duration::from_micros(entry.at_us);
     tracker.handle_event(entry);
@@ -30,7 +32,7 @@
 
 #[test]
 fn tables_that_keep_a_drained_server_violate_rule_three() {
-    // Given a log with the drain, and without the messages that answer it.
+    // Given a log with the drain, but without the messages that remove the server from the tables
     let mut log = log_of_a_minute();
     log.retain(|entry| !(matches!(entry.event, RecordedEvent::Step { .. }) && entry.at_us >= DRAIN_TIME_US));
     let mut tracker = tracker();
@@ -44,7 +46,7 @@
     assert!(violations.iter().any(is_expected), "{violations:?}");
 }
 
-fn listed(name: &str, started: Option<u64>) -> RecordedServer {
+fn listed(name: &str, started_ms: Option<u64>) -> RecordedServer {
     RecordedServer {
         name: name.into(),
         address: "127.0.0.1:9".into(),
@@ -53,11 +55,11 @@
         cell: 0,
         is_draining: false,
         weight: 1.0,
-        started_ms: started,
+        started_ms,
     }
 }
 
-/// A proxy with thirty requests a second, a warm server that succeeds with ten of them, and a cold one.
+/// Events of a proxy with thirty requests a second, a warm server that answers ten of them, and a cold one.
 fn events_with_a_cold_server() -> [RecordedEvent; 3] {
     let outcome = RecordedOutcome {
         server: "warm".into(),
@@ -77,7 +79,7 @@
         },
         RecordedEvent::EndpointsListed {
             is_complete: true,
-            servers: vec![listed("warm", None), listed("cold", Some(EPOCH))],
+            servers: vec![listed("warm", None), listed("cold", Some(EPOCH_MS))],
             removed: vec![],
         },
         RecordedEvent::Report {
@@ -89,7 +91,7 @@
     ]
 }
 
-/// A message with both servers in the table, and the cold one at a weight.
+/// A message whose table has the warm server at weight 1 and the cold one at `cold_weight`.
 fn message_with_cold_weight(cold_weight: f64) -> UpdateMessage {
     let entry = |weight| EntryEdit { address: "127.0.0.1:9".into(), weight };
     let entries = [("warm".to_string(), entry(1.0)), ("cold".to_string(), entry(cold_weight))];
@@ -98,7 +100,7 @@
     UpdateMessage { tables: [(1, table)].into(), assignments, ..Default::default() }
 }
 
-/// Violations while the cold server has a weight beside the warm one's of 1.
+/// Violations some seconds after the message is acknowledged.
 fn violations_with_cold_weight(cold_weight: f64) -> Vec<String> {
     let mut tracker = tracker();
     for event in events_with_a_cold_server() {
@@ -111,8 +113,8 @@
     tracker.violations()
 }
 
-/// Ten requests a second are a warm server's capacity: a cold one bears eight at its start, and thirteen some seconds
-/// later.
+/// A warm server was seen to serve ten requests a second; a cold one may be sent eight at its start, and thirteen some
+/// seconds later.
 #[test]
 fn a_cold_server_that_tables_overload_violates_rule_four() {
     assert_eq!(violations_with_cold_weight(0.3), Vec::<String>::new());
--- a/crates/replay/src/tests/scenario_inference.rs
+++ b/crates/replay/src/tests/scenario_inference.rs
@@ -1,3 +1,5 @@
+//! Test of the scenario that is inferred from two runs of a planner.
+
 use super::log_of_a_minute;
 use crate::scenario_inference::{infer, InferredFault};
 use runloom_event_log::RecordedEvent;
@@ -9,14 +11,14 @@
 #[test]
 fn faults_are_inferred_in_order_even_if_the_wall_clock_was_set_back() {
     // Given
-    let first_start = log_of_a_minute();
-    let mut second_start = log_of_a_minute();
-    if let RecordedEvent::PlannerStarted { epoch_ms, .. } = &mut second_start[0].event {
+    let first_run = log_of_a_minute();
+    let mut second_run = log_of_a_minute();
+    if let RecordedEvent::PlannerStarted { epoch_ms, .. } = &mut second_run[0].event {
         *epoch_ms -= 500_000;
     }
 
     // When
-    let inferred = infer(&[first_start, second_start]).unwrap();
+    let inferred = infer(&[first_run, second_run]).unwrap();
 
     // Then
     let first_of =
--- a/crates/replay/src/tests/what_if.rs
+++ b/crates/replay/src/tests/what_if.rs
@@ -1,8 +1,10 @@
+//! Tests of the comparison of recorded settings with others, and of its HTML page.
+
 use super::{log_of_a_minute, FLEET};
 use crate::what_if::{compare, WhatIfSettings};
 
 #[test]
-fn the_recorded_settings_on_both_sides_come_to_the_same() {
+fn the_recorded_settings_on_both_sides_give_the_same_result() {
     // Given
     let log = log_of_a_minute();
 
@@ -15,10 +17,14 @@
     assert!((estimate.value - same.service.recorded).abs() < 1e-9, "{same:?}");
     assert!(estimate.lower <= estimate.value && estimate.value <= estimate.upper, "{same:?}");
     assert!(same.service.support > 0.999);
-    assert_eq!(compare(&log, &WhatIfSettings::default()).unwrap(), same, "twice the same");
+    assert_eq!(
+        compare(&log, &WhatIfSettings::default()).unwrap(),
+        same,
+        "a second comparison gives the same"
+    );
 }
 
-/// Zone b at half of its weight: its late server s1 gets less, and service would have been higher.
+/// Zone b gets half of its share and with it the late server s1 fewer requests, so that service would have been higher.
 #[test]
 fn other_settings_change_the_estimate_and_not_the_recorded_side() {
     // Given
