--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -59,7 +59,7 @@
     }
 
     fn flush(&mut self) {
-        let bytes = self.session.output(usize::MAX);
+        let bytes = self.session.take_output(usize::MAX);
         self.event_loop.write(self.connection, &bytes);
     }
 
@@ -103,7 +103,7 @@
     fn receive(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, ClientError> {
         let events = self.session.receive(bytes).map_err(|error| ClientError::Ended(error.to_string()))?;
         for event in &events {
-            if let SessionEvent::Notified(notification) = event {
+            if let SessionEvent::Notification(notification) = event {
                 self.notifications.push_back(notification.clone());
             }
         }
@@ -152,7 +152,7 @@
             return Ok(self.notifications.remove(index).unwrap_or_default());
         }
         let notification = self.wait_for(|event| match event {
-            SessionEvent::Notified(notification) if is_wanted(notification) => Some(notification.clone()),
+            SessionEvent::Notification(notification) if is_wanted(notification) => Some(notification.clone()),
             _ => None,
         })?;
         self.notifications.clear();
--- a/crates/daemon/src/commands/edit.rs
+++ b/crates/daemon/src/commands/edit.rs
@@ -6,7 +6,7 @@
 use crate::wall_ms;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
-use runloom_netconf::NOTIFY;
+use runloom_netconf::NOTIFICATION;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -83,7 +83,7 @@
     let config = change.config()?;
     let mut client = connection.open()?;
     if is_waiting {
-        client.ask(Element::new(NOTIFY, "create-subscription"), None)?;
+        client.ask(Element::new(NOTIFICATION, "create-subscription"), None)?;
     }
     let id = id.or_else(|| is_waiting.then(|| format!("{}-{}", std::process::id(), wall_ms())));
     let id = id.as_deref();
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -350,9 +350,9 @@
 
     fn check_write_access(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
         for part in [FLEET_PART, ENDPOINT_LIST_PART] {
-            if !is_same_part(change.wanted, &self.accepted.data, part) {
+            if !is_same_part(change.datastore, &self.accepted.data, part) {
                 let write = [RequestedAccess::Write { part }];
-                self.access.check_any(self.now, change.who, &write).map_err(|error| vec![error])?;
+                self.access.check_any(self.now, change.client, &write).map_err(|error| vec![error])?;
             }
         }
         Ok(())
@@ -364,7 +364,7 @@
         match &self.unavailable_reason {
             Some(why) if !is_rollback => {
                 let why = format!("edits cannot be written: {why}");
-                Err(vec![RpcError::application(Tag::ResourceDenied, why).app("not-durable")])
+                Err(vec![RpcError::application(Tag::ResourceDenied, why).with_app_tag("not-durable")])
             }
             _ => Ok(()),
         }
@@ -386,9 +386,9 @@
 
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
         self.check_write_access(change)?;
-        let (fleet, endpoints) = self.validate(change.wanted)?;
+        let (fleet, endpoints) = self.validate(change.datastore)?;
         // The endpoint list needs no disk: a restarted planner uses the last list on disk until the feed connects.
-        let is_durable = fleet.is_some() || change.edit_id.is_some() || change.before.is_some();
+        let is_durable = fleet.is_some() || change.edit_id.is_some() || change.rollback_to.is_some();
         if is_durable {
             self.check_available(change)?;
         }
@@ -397,11 +397,11 @@
             // The decisions are told once it is on disk.
             self.accepted.fleet = fleet;
         }
-        self.accepted.data = change.wanted.clone();
-        self.accepted.before = change.before.cloned();
+        self.accepted.data = change.datastore.clone();
+        self.accepted.before = change.rollback_to.cloned();
         if is_durable {
             let digest = digest(change.content);
-            let id = self.edit_history.accept(change.edit_id, change.who, &digest, self.wall_ms);
+            let id = self.edit_history.accept(change.edit_id, change.client, &digest, self.wall_ms);
             self.unsaved_edit_ids.push(id);
             self.is_unsaved = true;
         }
--- a/crates/daemon/src/config_service/guard_check.rs
+++ b/crates/daemon/src/config_service/guard_check.rs
@@ -15,7 +15,7 @@
     let Some(raised) = after.raised_multiple.filter(|_| is_changed) else { return Ok(()) };
     if raised.until_ms > wall_ms + MAX_RAISE_MS || raised.until_ms <= wall_ms {
         let error = RpcError::application(Tag::InvalidValue, "a bound is raised for an hour at the most");
-        return Err(vec![error.at("/fleet/guard/until").app("guard-until")]);
+        return Err(vec![error.at("/fleet/guard/until").with_app_tag("guard-until")]);
     }
     Ok(())
 }
@@ -28,8 +28,8 @@
             "no open server would be left: one of {} has to stay",
             empties.removed_servers.join(", ")
         );
-        let error = RpcError::application(Tag::OperationFailed, why).app("empties-pool");
-        vec![error.at(format!("/fleet/server[name='{first}']")).with("bad-element", "drain")]
+        let error = RpcError::application(Tag::OperationFailed, why).with_app_tag("empties-pool");
+        vec![error.at(format!("/fleet/server[name='{first}']")).with_info("bad-element", "drain")]
     })
 }
 
--- a/crates/daemon/src/config_service/validation.rs
+++ b/crates/daemon/src/config_service/validation.rs
@@ -37,5 +37,7 @@
 
 fn violation_error(part: &Element, violation: SchemaViolation) -> RpcError {
     let path = format!("/{}//{}", part.name, violation.element);
-    RpcError::application(Tag::InvalidValue, violation.reason).at(path).with("bad-element", violation.element)
+    RpcError::application(Tag::InvalidValue, violation.reason)
+        .at(path)
+        .with_info("bad-element", violation.element)
 }
--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -9,7 +9,7 @@
 use runloom_model::PROXY as PROXY_NAMESPACE;
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
-use runloom_netconf::{BASE, NOTIFY};
+use runloom_netconf::{BASE, NOTIFICATION};
 use runloom_versioned_publisher::TopicFilter;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -69,7 +69,7 @@
                     self.handle_reply(&message_id, &reply)
                 }
             }
-            SessionEvent::Notified(event) => {
+            SessionEvent::Notification(event) => {
                 self.proxy?;
                 Report::read(&event).map(ProxyEvent::Reported)
             }
@@ -78,7 +78,7 @@
     }
 
     fn request_description(&mut self) {
-        self.session.send_rpc(Element::new(NOTIFY, "create-subscription"));
+        self.session.send_rpc(Element::new(NOTIFICATION, "create-subscription"));
         let filter = Element::new(BASE, "filter").with(Element::new(PROXY_NAMESPACE, "proxy"));
         let message_id = self.session.send_rpc(Element::new(BASE, "get").with(filter));
         self.description_request = Some(message_id);
--- a/crates/daemon/src/planner_runtime/netconf_sessions.rs
+++ b/crates/daemon/src/planner_runtime/netconf_sessions.rs
@@ -64,7 +64,7 @@
     /// Writes what the session has to send.
     fn write_netconf_output(&mut self, event_loop: &mut EventLoop, connection: ConnectionId) {
         if let Some(session) = self.netconf_session(connection) {
-            let bytes = session.output(usize::MAX);
+            let bytes = session.take_output(usize::MAX);
             event_loop.write(connection, &bytes);
         }
     }
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -7,7 +7,7 @@
 use crate::wall_text;
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
 use runloom_model::{Schema, YANG};
-use runloom_netconf::service::{Limits, Service, CAPABILITIES};
+use runloom_netconf::service::{Service, ServiceLimits, CAPABILITIES};
 use runloom_netconf::session::{Role, Rpc, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
@@ -45,7 +45,10 @@
 
 impl OperatorSessions {
     pub(super) fn new(schema: Schema) -> OperatorSessions {
-        OperatorSessions { service: Service::new(schema, Limits::default()), sessions: BTreeMap::new() }
+        OperatorSessions {
+            service: Service::new(schema, ServiceLimits::default()),
+            sessions: BTreeMap::new(),
+        }
     }
 
     pub(super) fn connections(&self) -> impl Iterator<Item = ConnectionId> + '_ {
@@ -110,8 +113,8 @@
         } else if core.config.has_write_in_flight() {
             operator.required_batch = core.edit_batches.submitted;
         }
-        operator.is_closing |= answer.close;
-        for killed in answer.kill {
+        operator.is_closing |= answer.closes_session;
+        for killed in answer.killed_sessions {
             self.kill(core, event_loop, killed);
         }
     }
--- a/crates/daemon/src/planner_runtime/proxy_session.rs
+++ b/crates/daemon/src/planner_runtime/proxy_session.rs
@@ -42,7 +42,7 @@
     pub(super) fn can_send(&self) -> bool {
         match self {
             ProxySession::CallHome(_) => true,
-            ProxySession::Subscriber(session) => session.session.available_messages() > 0,
+            ProxySession::Subscriber(session) => session.session.send_quota() > 0,
         }
     }
 
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -167,7 +167,7 @@
         if let Some(ProxySession::Subscriber(mut subscriber)) = self.sessions.remove(&connection) {
             tracing::warn!(proxy = %subscriber.holder.name, "another connection of this proxy took over");
             subscriber.session.take_over(event_loop.now());
-            event_loop.write(connection, &subscriber.session.output());
+            event_loop.write(connection, &subscriber.session.take_output());
             event_loop.finish(connection);
         } else {
             event_loop.abort(connection);
@@ -293,7 +293,7 @@
         let Some(ProxySession::Subscriber(subscriber)) = self.sessions.get_mut(&connection) else {
             return self.write_netconf_output(event_loop, connection);
         };
-        event_loop.write(connection, &subscriber.session.output());
+        event_loop.write(connection, &subscriber.session.take_output());
         if let Some(reason) = subscriber.close_reason() {
             self.finish(core, event_loop, connection, reason);
         }
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -25,7 +25,7 @@
 use runloom_model::proxy_settings::{ProxySettings, TableDelivery};
 use runloom_model::schema_derivation::derive_schema;
 use runloom_model::{Schema, PROXY_XSD};
-use runloom_netconf::service::{Limits, Service};
+use runloom_netconf::service::{Service, ServiceLimits};
 use runloom_proxy::balancer::SelectionMethod;
 use runloom_proxy::circuit_breaker::CircuitBreakerConfig;
 use runloom_proxy::{AttemptOutcome, Proxy, ProxyConfig, RequestAction};
@@ -89,7 +89,7 @@
         };
         let (listener, address) = event_loop.listen(settings.listen_address, Security::Plain, limits)?;
         let schema = Schema::root(derive_schema(PROXY_XSD, &["tables"]).map_err(ProxyStartError::Schema)?);
-        let service = Service::new(schema, Limits::default());
+        let service = Service::new(schema, ServiceLimits::default());
         let now = event_loop.now();
         let security = planner_security(&settings, &tls);
         tracing::info!(forwarder = %settings.name, listen = %address, "forwarder started");
--- a/crates/daemon/src/proxy_runtime/datastore.rs
+++ b/crates/daemon/src/proxy_runtime/datastore.rs
@@ -50,8 +50,8 @@
     }
 
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        self.accepted = Some(read_tables(change.wanted)?);
-        self.running = change.wanted.clone();
+        self.accepted = Some(read_tables(change.datastore)?);
+        self.running = change.datastore.clone();
         Ok(())
     }
 
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -146,8 +146,8 @@
     pub(super) fn write_planner(&mut self, event_loop: &mut EventLoop) {
         let Some(session) = &mut self.planner_link.session else { return };
         let bytes = match &mut session.protocol {
-            PlannerProtocol::Netconf { session, .. } => session.output(usize::MAX),
-            PlannerProtocol::Mqtt(client) => client.output(),
+            PlannerProtocol::Netconf { session, .. } => session.take_output(usize::MAX),
+            PlannerProtocol::Mqtt(client) => client.take_output(),
         };
         event_loop.write(session.connection, &bytes);
     }
--- a/crates/daemon/tests/changed_bytes.rs
+++ b/crates/daemon/tests/changed_bytes.rs
@@ -66,7 +66,7 @@
 
 fn read_rpc(bytes: &[u8]) -> Option<String> {
     let mut framing = Deframer::new(MAX_NETCONF_BYTES);
-    framing.use_chunks();
+    framing.use_chunked_framing();
     framing.push(bytes);
     let message = framing.next_message().ok().flatten()?;
     let element = Element::parse(std::str::from_utf8(&message).ok()?).ok()?;
@@ -95,7 +95,7 @@
 
     let info = ProxyInfo::default();
     let mut client = Client::new(Duration::ZERO, "p", "f1", &info, TableFormat::Weights, vec![]);
-    count_outcomes("mqtt connect", &client.output(), &BYTE_CHANGES, read_connect);
+    count_outcomes("mqtt connect", &client.take_output(), &BYTE_CHANGES, read_connect);
 }
 
 /// Guards against a damaged settings file that ends the program instead of being named.
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes the bytes to be written.
-    pub fn output(&mut self) -> Vec<u8> {
+    pub fn take_output(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.output)
     }
 
--- a/crates/mqtt/src/session/publications.rs
+++ b/crates/mqtt/src/session/publications.rs
@@ -51,7 +51,7 @@
     }
 
     /// How many more messages the proxy accepts now.
-    pub fn available_messages(&self) -> usize {
+    pub fn send_quota(&self) -> usize {
         if !self.is_connected || self.end.is_some() {
             return 0;
         }
@@ -61,7 +61,7 @@
     /// Publishes a part of an update, as [`crate::body::encode`] writes it, under a number that the proxy's answer
     /// returns. False: the proxy accepts no more messages now.
     pub fn publish(&mut self, now: Duration, number: u64, topic: Topic, body: Arc<[u8]>) -> bool {
-        if self.available_messages() == 0 {
+        if self.send_quota() == 0 {
             return false;
         }
         let Ok(packet_id) = self.connection.acquire_packet_id() else { return false };
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -98,7 +98,7 @@
     let (mut session, mut proxy) = (Session::new(ZERO, "p", "f1"), Proxy::new());
     let hello = proxy.connect("f1");
     assert_eq!(session.receive(ZERO, &hello), vec![SessionEvent::Connected(ProxyInfo::default())]);
-    proxy.receive(&session.output());
+    proxy.receive(&session.take_output());
     assert!(
         matches!(proxy.received.pop(), Some(GenericPacket::V5_0Connack(a)) if a.reason_code() == ConnectReasonCode::Success)
     );
@@ -126,7 +126,7 @@
         let hello = hello.build().unwrap();
 
         let events = session.receive(ZERO, &proxy.send(hello));
-        proxy.receive(&session.output());
+        proxy.receive(&session.take_output());
 
         let Some(GenericPacket::V5_0Connack(answer)) = proxy.received.pop() else { panic!("no answer") };
         let is_success = code == ConnectReasonCode::Success;
@@ -165,7 +165,7 @@
         vec![SessionEvent::Subscribed { filters: vec![all, one], held: vec![(TABLE, held(7, 12))] }]
     );
     assert!(all.matches(TABLE) && one.matches(TABLE) && !one.matches(Topic { table: 4, ..TABLE }));
-    proxy.receive(&session.output());
+    proxy.receive(&session.take_output());
     let Some(GenericPacket::V5_0Suback(answer)) = proxy.received.pop() else { panic!("no answer") };
     assert_eq!(answer.reason_codes(), filters.map(|(_, code)| code));
     assert_eq!(topics::parse_filter("p", "f1", "$share/g/runloom/p/f1/#"), Err(FilterError::Shared));
@@ -178,7 +178,7 @@
     assert_eq!(events, vec![SessionEvent::Report(b"{}".to_vec())]);
     for other in ["runloom/p/f2/report", "runloom/p/f1/weights/3", "x"] {
         assert_eq!(session.receive(ZERO, &proxy.publish(other, false)), vec![]);
-        proxy.receive(&session.output());
+        proxy.receive(&session.take_output());
         let code = match proxy.received.pop() {
             Some(GenericPacket::V5_0Puback(answer)) => answer.reason_code(),
             other => panic!("{other:?}"),
@@ -186,7 +186,7 @@
         assert_eq!((code, session.end()), (Some(PubackReasonCode::NotAuthorized), None), "{other}");
     }
     assert_eq!(session.receive(ZERO, &proxy.publish("runloom/p/f1/report", true)), vec![]);
-    proxy.receive(&session.output());
+    proxy.receive(&session.take_output());
     assert!(matches!(proxy.received.pop(), Some(GenericPacket::V5_0Disconnect(d))
         if d.reason_code() == Some(DisconnectReasonCode::RetainNotSupported)));
     assert!(session.end().is_some());
@@ -266,7 +266,7 @@
             count += 1;
         }
         assert_eq!((count, session.messages_in_flight()), (parts, parts), "round {round}");
-        let bytes = session.output();
+        let bytes = session.take_output();
         bytes.chunks(7).for_each(|chunk| _ = proxy.receive(chunk));
         let mut pubacks = vec![];
         for packet in std::mem::take(&mut proxy.received) {
@@ -300,7 +300,7 @@
         changes: [entry(1, 1)].into(),
     };
     assert!(publish(&mut session, 44, &part));
-    proxy.receive(&session.output());
+    proxy.receive(&session.take_output());
     let Some(GenericPacket::V5_0Publish(message)) = proxy.received.pop() else { panic!("no message") };
     let puback = proxy.acknowledge(message.packet_id().unwrap(), PubackReasonCode::PayloadFormatInvalid);
     assert_eq!(session.receive(ZERO, &puback), vec![SessionEvent::Rejected(44, TABLE)]);
@@ -316,7 +316,7 @@
 ) -> (Vec<SessionEvent>, Vec<ClientEvent>) {
     let (mut events, mut client_events) = (vec![], vec![]);
     loop {
-        let (to_session, to_client) = (client.output(), session.output());
+        let (to_session, to_client) = (client.take_output(), session.take_output());
         if to_session.is_empty() && to_client.is_empty() {
             return (events, client_events);
         }
@@ -403,7 +403,7 @@
         Client::new(ZERO, planner, name, &ProxyInfo::default(), TableFormat::Subsets, vec![])
     };
     let mut silent = new("p", "f1");
-    silent.output();
+    silent.take_output();
     let at = silent.next_wakeup().unwrap();
     silent.handle_timeout(at);
     assert_eq!(silent.end(), Some(&ConnectionEnd::TimedOut));
@@ -413,9 +413,9 @@
     let at = responsive.next_wakeup().unwrap();
     assert!(at < session.next_wakeup().unwrap());
     responsive.handle_timeout(at);
-    session.receive(at, &responsive.output());
+    session.receive(at, &responsive.take_output());
     assert!(session.next_wakeup().unwrap() > at + Duration::from_secs(10));
-    responsive.receive(at, &session.output());
+    responsive.receive(at, &session.take_output());
     responsive.handle_timeout(at + Duration::from_secs(6));
     assert_eq!(responsive.end(), None);
     // A report that is not acknowledged: drains no longer reach the proxy.
@@ -440,7 +440,7 @@
             exchange(&mut Session::new(ZERO, "p", "f1"), &mut client, 99);
         }
         bytes.chunks(cut).for_each(|chunk| _ = client.receive(ZERO, chunk));
-        prop_assert!(client.output().len() < 4096);
+        prop_assert!(client.take_output().len() < 4096);
         let _ = report::decode(&bytes);
     }
 
@@ -454,7 +454,7 @@
                 prop_assert!(!matches!(events, SessionEvent::Acknowledged(_)));
             }
         }
-        prop_assert!(session.output().len() < 4096);
+        prop_assert!(session.take_output().len() < 4096);
     }
 
     /// A granted filter matches no topic but the proxy's own tables, by the protocol's own rules.
--- a/crates/netconf/src/edit.rs
+++ b/crates/netconf/src/edit.rs
@@ -49,7 +49,7 @@
 
 /// What came of an edit.
 #[derive(Debug, Clone)]
-pub struct Applied {
+pub struct EditOutcome {
     /// The edited datastore; the former one if the edit ended with an error.
     pub tree: Arc<Element>,
     /// One error for each top node that could not be applied.
@@ -63,7 +63,7 @@
     config: &Element,
     default: Operation,
     error_option: ErrorOption,
-) -> Applied {
+) -> EditOutcome {
     let mut tree = target.clone();
     let mut errors = Vec::new();
     for top in &config.children {
@@ -73,12 +73,12 @@
             Err(error) => {
                 errors.push(error);
                 if error_option == ErrorOption::StopOnError {
-                    return Applied { tree: target.clone(), errors };
+                    return EditOutcome { tree: target.clone(), errors };
                 }
             }
         }
     }
-    Applied { tree, errors }
+    EditOutcome { tree, errors }
 }
 
 fn operation_of(node: &Element, path: &str, inherited: Operation) -> Result<Operation, RpcError> {
@@ -91,8 +91,8 @@
 fn bad_operation(node: &Element, path: &str, name: &str) -> RpcError {
     RpcError::protocol(Tag::BadAttribute, format!("unknown operation {name}"))
         .at(path)
-        .with("bad-attribute", "operation")
-        .with("bad-element", node.name.clone())
+        .with_info("bad-attribute", "operation")
+        .with_info("bad-element", node.name.clone())
 }
 
 fn data_exists(node: &Element, path: &str) -> RpcError {
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -115,19 +115,19 @@
     }
 
     /// Sets the application's tag.
-    pub fn app(mut self, tag: &str) -> Self {
+    pub fn with_app_tag(mut self, tag: &str) -> Self {
         self.app_tag = Some(tag.to_string());
         self
     }
 
     /// Adds a child of `<error-info>`.
-    pub fn with(mut self, name: &'static str, text: impl Into<String>) -> Self {
+    pub fn with_info(mut self, name: &'static str, text: impl Into<String>) -> Self {
         self.info.push((name, text.into()));
         self
     }
 
     /// Writes `<rpc-error>`.
-    pub fn element(&self) -> Element {
+    pub fn to_element(&self) -> Element {
         let mut error = Element::new(BASE, "rpc-error")
             .with_leaf("error-type", self.layer.name())
             .with_leaf("error-tag", self.tag.name())
--- a/crates/netconf/src/framing.rs
+++ b/crates/netconf/src/framing.rs
@@ -14,16 +14,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
     /// A message is larger than the limit.
-    TooBig,
+    MessageTooLarge,
     /// A chunk's header is malformed.
-    BadChunk,
+    MalformedChunkHeader,
 }
 
 impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            FramingError::TooBig => "a message is larger than allowed",
-            FramingError::BadChunk => "a chunk's head is malformed",
+            FramingError::MessageTooLarge => "a message is larger than allowed",
+            FramingError::MalformedChunkHeader => "a chunk's head is malformed",
         })
     }
 }
@@ -65,7 +65,7 @@
     }
 
     /// Switches to chunked framing from the next message on.
-    pub fn use_chunks(&mut self) {
+    pub fn use_chunked_framing(&mut self) {
         self.is_chunked = true;
     }
 
@@ -95,7 +95,7 @@
         let Some(offset) = windows.position(|window| window == END_OF_MESSAGE) else {
             self.searched = self.input.len();
             let is_too_big = self.input.len() > self.max_message_bytes + END_OF_MESSAGE.len();
-            return if is_too_big { Err(FramingError::TooBig) } else { Ok(None) };
+            return if is_too_big { Err(FramingError::MessageTooLarge) } else { Ok(None) };
         };
         let end = start + offset;
         let rest = self.input.split_off(end + END_OF_MESSAGE.len());
@@ -103,7 +103,7 @@
         message.truncate(end);
         self.searched = 0;
         if message.len() > self.max_message_bytes {
-            return Err(FramingError::TooBig);
+            return Err(FramingError::MessageTooLarge);
         }
         Ok(Some(message))
     }
@@ -139,7 +139,7 @@
         let available = &self.input[start..];
         let taken = remaining.min(available.len());
         if self.message.len() + taken > self.max_message_bytes {
-            return Err(FramingError::TooBig);
+            return Err(FramingError::MessageTooLarge);
         }
         self.message.extend_from_slice(&available[..taken]);
         self.position = match remaining - taken {
@@ -162,13 +162,13 @@
 fn parse_header(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
     let available = bytes.len().min(CHUNK_START.len());
     if bytes[..available] != CHUNK_START[..available] {
-        return Err(FramingError::BadChunk);
+        return Err(FramingError::MalformedChunkHeader);
     }
     let rest = &bytes[available..];
     match rest {
         [] => Ok(None),
         [b'#', rest @ ..] => parse_end_of_chunks(rest),
-        [b'0', ..] => Err(FramingError::BadChunk),
+        [b'0', ..] => Err(FramingError::MalformedChunkHeader),
         _ => parse_chunk_size(rest),
     }
 }
@@ -178,7 +178,7 @@
     match rest {
         [] => Ok(None),
         [b'\n', ..] => Ok(Some(ChunkHeader { length: CHUNK_START.len() + 2, size: None })),
-        _ => Err(FramingError::BadChunk),
+        _ => Err(FramingError::MalformedChunkHeader),
     }
 }
 
@@ -186,16 +186,17 @@
 fn parse_chunk_size(rest: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
     let digits = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
     if digits > MAX_SIZE_DIGITS {
-        return Err(FramingError::BadChunk);
+        return Err(FramingError::MalformedChunkHeader);
     }
     match rest.get(digits) {
         None => Ok(None),
         Some(b'\n') if digits > 0 => {
-            let text = std::str::from_utf8(&rest[..digits]).map_err(|_| FramingError::BadChunk)?;
-            let size: u32 = text.parse().map_err(|_| FramingError::BadChunk)?;
+            let text =
+                std::str::from_utf8(&rest[..digits]).map_err(|_| FramingError::MalformedChunkHeader)?;
+            let size: u32 = text.parse().map_err(|_| FramingError::MalformedChunkHeader)?;
             Ok(Some(ChunkHeader { length: CHUNK_START.len() + digits + 1, size: Some(size as usize) }))
         }
-        Some(_) => Err(FramingError::BadChunk),
+        Some(_) => Err(FramingError::MalformedChunkHeader),
     }
 }
 
--- a/crates/netconf/src/lib.rs
+++ b/crates/netconf/src/lib.rs
@@ -18,7 +18,7 @@
 /// The namespace of messages and of the `operation` attribute.
 pub const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 /// The namespace of `<create-subscription>` and `<notification>` (RFC 5277).
-pub const NOTIFY: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
+pub const NOTIFICATION: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
 /// The namespace of `<get-schema>` (RFC 6022).
 pub const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
 /// The namespace of the `edit-id` attribute of `<rpc>`. RFC 6241, section 4.1: a client may add attributes to `<rpc>`,
--- a/crates/netconf/src/schema.rs
+++ b/crates/netconf/src/schema.rs
@@ -67,7 +67,7 @@
             None => Ok(()),
             Some(key) => Err(RpcError::protocol(Tag::MissingElement, format!("the key <{key}> is missing"))
                 .at(path)
-                .with("bad-element", key.clone())),
+                .with_info("bad-element", key.clone())),
         }
     }
 
@@ -86,11 +86,11 @@
         let is_foreign = !child.ns.is_empty() && self.children.iter().all(|known| known.ns != child.ns);
         let error = if is_foreign && !self.children.is_empty() {
             RpcError::protocol(Tag::UnknownNamespace, format!("unknown namespace {}", child.ns))
-                .with("bad-namespace", child.ns.to_string())
+                .with_info("bad-namespace", child.ns.to_string())
         } else {
             RpcError::protocol(Tag::UnknownElement, format!("<{}> is not known here", child.name))
         };
-        error.at(format!("{path}/{}", child.name)).with("bad-element", child.name.clone())
+        error.at(format!("{path}/{}", child.name)).with_info("bad-element", child.name.clone())
     }
 
     /// The XPath of an instance of this node below `parent`, with the keys of list entries.
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -16,7 +16,7 @@
 use crate::filter::select;
 use crate::session::Rpc;
 use crate::tree::Element;
-use crate::{BASE, EDIT_HISTORY, MONITORING, NOTIFY};
+use crate::{BASE, EDIT_HISTORY, MONITORING, NOTIFICATION};
 use commit::ConfirmedCommit;
 use datastore::{read_datastore, Datastore};
 use rate_limit::EditRateLimit;
@@ -41,34 +41,34 @@
 
 /// The reply to one `<rpc>`.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct Reply {
     /// Content of the `<rpc-reply>`.
     pub content: Vec<Element>,
     /// The session is to be closed once this is written.
-    pub close: bool,
+    pub closes_session: bool,
     /// Other sessions to be ended at once.
-    pub kill: Vec<SessionId>,
+    pub killed_sessions: Vec<SessionId>,
 }
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct ServiceLimits {
     /// Sessions at a time: operators, tools and feeds are few.
     pub max_sessions: usize,
     /// Edits of each session a second, and as many at once: twice what one core parses and commits.
     pub edits_per_second: f64,
 }
 
-impl Default for Limits {
+impl Default for ServiceLimits {
     fn default() -> Self {
-        Limits { max_sessions: 64, edits_per_second: 4000.0 }
+        ServiceLimits { max_sessions: 64, edits_per_second: 4000.0 }
     }
 }
 
 /// A client's session.
 #[derive(Debug)]
 struct ClientSession {
-    who: String,
+    client: String,
     /// The filter of its subscription to notifications, if it has one; `Some(None)` for all of them.
     subscription: Option<Option<Element>>,
     edit_rate_limit: EditRateLimit,
@@ -89,7 +89,7 @@
 struct Request<'a> {
     now: Duration,
     session: SessionId,
-    who: &'a str,
+    client: &'a str,
     operation: &'a Element,
     edit_id: Option<&'a str>,
 }
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub struct Service {
     schema: Schema,
-    limits: Limits,
+    limits: ServiceLimits,
     sessions: BTreeMap<SessionId, ClientSession>,
     last_session: SessionId,
     /// The candidate datastore, if it differs from the running one.
@@ -130,7 +130,7 @@
 
 impl Service {
     /// A server for datastores of this schema.
-    pub fn new(schema: Schema, limits: Limits) -> Self {
+    pub fn new(schema: Schema, limits: ServiceLimits) -> Self {
         Service {
             schema,
             limits,
@@ -143,12 +143,12 @@
     }
 
     /// Opens a session for a client of this name; `None` if there are too many.
-    pub fn open_session(&mut self, who: &str, now: Duration) -> Option<SessionId> {
+    pub fn open_session(&mut self, client: &str, now: Duration) -> Option<SessionId> {
         if self.sessions.len() >= self.limits.max_sessions {
             return None;
         }
         let session = ClientSession {
-            who: who.into(),
+            client: client.into(),
             subscription: None,
             edit_rate_limit: EditRateLimit::new(self.limits.edits_per_second, now),
         };
@@ -189,35 +189,35 @@
     }
 
     /// Answers one `<rpc>` of a session.
-    pub fn handle(&mut self, now: Duration, session: SessionId, rpc: &Rpc, host: &mut dyn Host) -> Answer {
-        let mut answer = Answer::default();
-        let content = self.answer(now, session, rpc, host, &mut answer);
-        answer.content = content.unwrap_or_else(|errors| errors.iter().map(RpcError::element).collect());
-        answer
+    pub fn handle(&mut self, now: Duration, session: SessionId, rpc: &Rpc, host: &mut dyn Host) -> Reply {
+        let mut reply = Reply::default();
+        let content = self.handle_operation(now, session, rpc, host, &mut reply);
+        reply.content = content.unwrap_or_else(|errors| errors.iter().map(RpcError::to_element).collect());
+        reply
     }
 
-    fn answer(
+    fn handle_operation(
         &mut self,
         now: Duration,
         session: SessionId,
         rpc: &Rpc,
         host: &mut dyn Host,
-        answer: &mut Answer,
+        reply: &mut Reply,
     ) -> ReplyContent {
         let operation = rpc.operation();
-        let Some(client) = self.sessions.get(&session) else {
+        let Some(client_session) = self.sessions.get(&session) else {
             return Err(not_supported("a session that ended"));
         };
-        let who = client.who.clone();
+        let client = client_session.client.clone();
         if operation.name == "close-session" {
-            answer.close = true;
+            reply.closes_session = true;
             return ok();
         }
-        host.authorize(&who, access_of(operation)).map_err(|error| vec![error])?;
-        let edit_id = rpc.rpc.attribute(EDIT_HISTORY, "edit-id");
-        let request = Request { now, session, who: &who, operation, edit_id };
+        host.authorize(&client, access_of(operation)).map_err(|error| vec![error])?;
+        let edit_id = rpc.element.attribute(EDIT_HISTORY, "edit-id");
+        let request = Request { now, session, client: &client, operation, edit_id };
         if operation.is(BASE, "kill-session") {
-            return self.kill_session(&request, answer);
+            return self.kill_session(&request, reply);
         }
         self.perform(&request, host)
     }
@@ -228,7 +228,7 @@
             (BASE, "get") => self.get(operation, host),
             (BASE, "get-config") => self.get_config(operation, host),
             (MONITORING, "get-schema") => retrieval::get_schema(operation, host),
-            (NOTIFY, "create-subscription") => self.create_subscription(request),
+            (NOTIFICATION, "create-subscription") => self.create_subscription(request),
             (BASE, "lock") => self.lock(request),
             (BASE, "unlock") => self.unlock(request),
             (BASE, "discard-changes") => self.discard_changes(request),
@@ -238,7 +238,7 @@
             (BASE, "delete-config") => delete_config(operation),
             (BASE, "commit") => self.commit(request, host),
             (BASE, "cancel-commit") => self.cancel_commit(request, host),
-            (BASE | MONITORING | NOTIFY, name) => Err(not_supported(name)),
+            (BASE | MONITORING | NOTIFICATION, name) => Err(not_supported(name)),
             (ns, name) => Err(unknown_operation(ns, name)),
         }
     }
@@ -252,5 +252,5 @@
 
 fn unknown_operation(ns: &str, name: &str) -> Vec<RpcError> {
     let error = RpcError::protocol(Tag::UnknownNamespace, format!("<{name}> of {ns} is not known"));
-    vec![error.with("bad-element", name).with("bad-namespace", ns)]
+    vec![error.with_info("bad-element", name).with_info("bad-namespace", ns)]
 }
--- a/crates/netconf/src/service/commit.rs
+++ b/crates/netconf/src/service/commit.rs
@@ -23,7 +23,7 @@
     persist_id: Option<String>,
     times_out_at: Duration,
     /// What to roll back to.
-    before: Arc<Element>,
+    rollback_datastore: Arc<Element>,
 }
 
 impl ConfirmedCommit {
@@ -48,7 +48,7 @@
 }
 
 fn wrong_persist_id(reason: &str) -> Vec<RpcError> {
-    vec![RpcError::protocol(Tag::InvalidValue, reason).with("bad-element", "persist-id")]
+    vec![RpcError::protocol(Tag::InvalidValue, reason).with_info("bad-element", "persist-id")]
 }
 
 fn read_confirm_timeout(operation: &Element) -> Result<Duration, Vec<RpcError>> {
@@ -59,7 +59,7 @@
         }
         _ => {
             let error = RpcError::protocol(Tag::InvalidValue, "confirm-timeout takes 1 to 86400 seconds");
-            Err(vec![error.with("bad-element", "confirm-timeout")])
+            Err(vec![error.with_info("bad-element", "confirm-timeout")])
         }
     }
 }
@@ -84,19 +84,20 @@
         let timeout = read_confirm_timeout(request.operation)?;
         let is_confirmed = request.operation.child("confirmed").is_some();
         let running = host.running();
-        let before = self.confirmed_commit.as_ref().map_or(&running, |commit| &commit.before).clone();
+        let rollback_datastore =
+            self.confirmed_commit.as_ref().map_or(&running, |commit| &commit.rollback_datastore).clone();
         if self.candidate.is_some() || is_confirmed {
-            let wanted = self.candidate.as_ref().unwrap_or(&running);
-            let Request { who, edit_id, .. } = *request;
-            let before = is_confirmed.then_some(&before);
-            host.commit(&Change { who, edit_id, content: &content, wanted, before })?;
+            let datastore = self.candidate.as_ref().unwrap_or(&running);
+            let Request { client, edit_id, .. } = *request;
+            let rollback_to = is_confirmed.then_some(&rollback_datastore);
+            host.commit(&Change { client, edit_id, content: &content, datastore, rollback_to })?;
         }
         self.candidate = None;
         self.confirmed_commit = is_confirmed.then(|| ConfirmedCommit {
             session: request.session,
             persist_id: request.operation.text_of("persist").map(str::to_string),
             times_out_at: request.now + timeout,
-            before,
+            rollback_datastore,
         });
         if !is_confirmed {
             host.confirmed_commit_ended();
@@ -145,9 +146,14 @@
 
     /// Rolls back to what was before a confirmed commit.
     pub(super) fn roll_back(&mut self, host: &mut dyn Host) {
-        if let Some(ConfirmedCommit { before, .. }) = self.confirmed_commit.take() {
-            let change =
-                Change { who: ROLLBACK_CLIENT, edit_id: None, content: "", wanted: &before, before: None };
+        if let Some(ConfirmedCommit { rollback_datastore, .. }) = self.confirmed_commit.take() {
+            let change = Change {
+                client: ROLLBACK_CLIENT,
+                edit_id: None,
+                content: "",
+                datastore: &rollback_datastore,
+                rollback_to: None,
+            };
             // The former datastore was valid when it was committed; the host logs it if it is rejected now.
             let _ = host.commit(&change);
             host.confirmed_commit_ended();
@@ -159,7 +165,7 @@
         match &self.confirmed_commit {
             Some(commit) if !commit.ends_with(session) => {
                 let error = RpcError::protocol(Tag::InUse, "a confirmed commit is not yet confirmed");
-                Err(vec![error.with("session-id", commit.session.to_string())])
+                Err(vec![error.with_info("session-id", commit.session.to_string())])
             }
             _ => Ok(()),
         }
--- a/crates/netconf/src/service/datastore.rs
+++ b/crates/netconf/src/service/datastore.rs
@@ -27,14 +27,14 @@
 pub(super) fn read_datastore(operation: &Element, parameter: &str) -> Result<Datastore, Vec<RpcError>> {
     let Some(named) = operation.child(parameter).and_then(|element| element.children.first()) else {
         let error = RpcError::protocol(Tag::MissingElement, format!("<{parameter}> is missing"));
-        return Err(vec![error.with("bad-element", parameter)]);
+        return Err(vec![error.with_info("bad-element", parameter)]);
     };
     match named.name.as_str() {
         "running" => Ok(Datastore::Running),
         "candidate" => Ok(Datastore::Candidate),
         other => {
             let error = RpcError::protocol(Tag::InvalidValue, format!("there is no datastore {other}"));
-            Err(vec![error.with("bad-element", other)])
+            Err(vec![error.with_info("bad-element", other)])
         }
     }
 }
--- a/crates/netconf/src/service/edit_config.rs
+++ b/crates/netconf/src/service/edit_config.rs
@@ -2,7 +2,7 @@
 
 use super::datastore::{empty_datastore, read_datastore, Datastore};
 use super::{ok, Change, EditLookup, Host, ReplyContent, Request, Service};
-use crate::edit::{apply, Applied, ErrorOption, Operation};
+use crate::edit::{apply, EditOutcome, ErrorOption, Operation};
 use crate::error::{RpcError, Tag};
 use crate::tree::Element;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
 
 fn unknown_value(parameter: &'static str) -> Vec<RpcError> {
     let error = RpcError::protocol(Tag::InvalidValue, format!("<{parameter}> has an unknown value"));
-    vec![error.with("bad-element", parameter)]
+    vec![error.with_info("bad-element", parameter)]
 }
 
 /// Whether this edit was accepted before; an id that was used for another edit is an error.
@@ -57,7 +57,7 @@
         Some(EditLookup::Repeated) => Ok(true),
         Some(EditLookup::Conflicting) => {
             let error = RpcError::application(Tag::OperationFailed, "this edit-id stands for another edit");
-            Err(vec![error.app("edit-id-reused").with("bad-attribute", "edit-id")])
+            Err(vec![error.with_app_tag("edit-id-reused").with_info("bad-attribute", "edit-id")])
         }
     }
 }
@@ -77,13 +77,13 @@
         let options = EditOptions::read(operation, target)?;
         let Some(config) = operation.child("config") else {
             let error = RpcError::protocol(Tag::MissingElement, "<config> is missing");
-            return Err(vec![error.with("bad-element", "config")]);
+            return Err(vec![error.with_info("bad-element", "config")]);
         };
         let content = operation.to_text();
         if target == Datastore::Running && is_repeated(request, &content, host)? {
             return ok();
         }
-        let Applied { tree, errors } = self.apply_edit(&options, config, host);
+        let EditOutcome { tree, errors } = self.apply_edit(&options, config, host);
         if !errors.is_empty() && options.error_option == ErrorOption::StopOnError {
             return Err(errors);
         }
@@ -95,7 +95,7 @@
         }
     }
 
-    fn apply_edit(&self, options: &EditOptions, config: &Element, host: &dyn Host) -> Applied {
+    fn apply_edit(&self, options: &EditOptions, config: &Element, host: &dyn Host) -> EditOutcome {
         if options.default_operation == Operation::Replace {
             // RFC 6241, section 7.2: a default of replace applies to the complete datastore.
             let base = empty_datastore();
@@ -110,18 +110,18 @@
         request: &Request,
         options: &EditOptions,
         content: &str,
-        wanted: Arc<Element>,
+        datastore: Arc<Element>,
         host: &mut dyn Host,
     ) -> Result<(), Vec<RpcError>> {
         if options.test_option == TestOption::TestOnly {
-            return host.validate_datastore(&wanted);
+            return host.validate_datastore(&datastore);
         }
         match options.target {
             Datastore::Candidate => {
-                self.candidate = Some(wanted);
+                self.candidate = Some(datastore);
                 Ok(())
             }
-            Datastore::Running => self.commit_running(request, content, &wanted, host),
+            Datastore::Running => self.commit_running(request, content, &datastore, host),
         }
     }
 
@@ -129,12 +129,12 @@
         &self,
         request: &Request,
         content: &str,
-        wanted: &Arc<Element>,
+        datastore: &Arc<Element>,
         host: &mut dyn Host,
     ) -> Result<(), Vec<RpcError>> {
         self.check_no_confirmed_commit(request.session)?;
-        let Request { who, edit_id, .. } = *request;
-        host.commit(&Change { who, edit_id, content, wanted, before: None })
+        let Request { client, edit_id, .. } = *request;
+        host.commit(&Change { client, edit_id, content, datastore, rollback_to: None })
     }
 
     pub(super) fn copy_config(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
@@ -142,14 +142,14 @@
         let operation = request.operation;
         let target = read_datastore(operation, "target")?;
         self.check_unlocked(target, request.session)?;
-        let wanted = self.source_contents(operation, host)?;
+        let datastore = self.source_contents(operation, host)?;
         if target == Datastore::Candidate {
-            self.candidate = Some(wanted);
+            self.candidate = Some(datastore);
             return ok();
         }
         let content = operation.to_text();
         if !is_repeated(request, &content, host)? {
-            self.commit_running(request, &content, &wanted, host)?;
+            self.commit_running(request, &content, &datastore, host)?;
         }
         ok()
     }
--- a/crates/netconf/src/service/host.rs
+++ b/crates/netconf/src/service/host.rs
@@ -30,15 +30,15 @@
 #[derive(Debug)]
 pub struct Change<'a> {
     /// Name of the client.
-    pub who: &'a str,
+    pub client: &'a str,
     /// The client's id for it, if it gave one.
     pub edit_id: Option<&'a str>,
     /// The operation as it came, by which a repeated edit is recognised.
     pub content: &'a str,
     /// The complete datastore with the change.
-    pub wanted: &'a Arc<Element>,
+    pub datastore: &'a Arc<Element>,
     /// What to roll back to if nobody confirms the change; `None`: it is final.
-    pub before: Option<&'a Arc<Element>>,
+    pub rollback_to: Option<&'a Arc<Element>>,
 }
 
 /// The owner of the datastores.
@@ -48,7 +48,7 @@
     /// Operational state for `<get>`: top nodes.
     fn state(&mut self) -> Vec<Element>;
     /// Validates a complete datastore without changing anything.
-    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>>;
+    fn validate_datastore(&mut self, datastore: &Arc<Element>) -> Result<(), Vec<RpcError>>;
     /// Accepts a change: once this returns `Ok`, it outlasts the process.
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>>;
     /// A confirmed commit was confirmed, or was rolled back by a commit of the former datastore.
@@ -56,7 +56,7 @@
     /// Looks an edit up in the edit history. Empty content matches every edit of the id.
     fn lookup_edit(&self, edit_id: &str, content: &str) -> EditLookup;
     /// Decides whether a client may do something.
-    fn authorize(&mut self, who: &str, access: Access) -> Result<(), RpcError>;
+    fn authorize(&mut self, client: &str, access: Access) -> Result<(), RpcError>;
     /// The models for `<get-schema>`: identifier, version, text.
     fn schemas(&self) -> &[(&'static str, &'static str, &'static str)];
 }
--- a/crates/netconf/src/service/locks.rs
+++ b/crates/netconf/src/service/locks.rs
@@ -1,7 +1,7 @@
 //! `<lock>`, `<unlock>` and `<kill-session>` (RFC 6241, sections 7.5, 7.6 and 7.9).
 
 use super::datastore::{read_datastore, Datastore};
-use super::{ok, Answer, ReplyContent, Request, Service, SessionId};
+use super::{ok, Reply, ReplyContent, Request, Service, SessionId};
 use crate::error::{RpcError, Tag};
 
 /// The holder that the RFC names where no NETCONF session holds a lock.
@@ -9,7 +9,7 @@
 
 fn lock_denied(holder: SessionId, reason: &str) -> Vec<RpcError> {
     let error = RpcError::protocol(Tag::LockDenied, reason);
-    vec![error.with("session-id", holder.to_string())]
+    vec![error.with_info("session-id", holder.to_string())]
 }
 
 impl Service {
@@ -23,7 +23,7 @@
             Some(holder) if *holder != session => {
                 let reason = format!("{datastore} is locked by session {holder}");
                 let error = RpcError::protocol(Tag::InUse, reason);
-                Err(vec![error.with("session-id", holder.to_string())])
+                Err(vec![error.with_info("session-id", holder.to_string())])
             }
             _ => Ok(()),
         }
@@ -59,16 +59,16 @@
         ok()
     }
 
-    pub(super) fn kill_session(&mut self, request: &Request, answer: &mut Answer) -> ReplyContent {
+    pub(super) fn kill_session(&mut self, request: &Request, reply: &mut Reply) -> ReplyContent {
         let killed = request.operation.text_of("session-id").and_then(|text| text.parse().ok());
         match killed {
             Some(other) if other != request.session && self.sessions.contains_key(&other) => {
-                answer.kill.push(other);
+                reply.killed_sessions.push(other);
                 ok()
             }
             _ => {
                 let error = RpcError::protocol(Tag::InvalidValue, "no such other session");
-                Err(vec![error.with("bad-element", "session-id")])
+                Err(vec![error.with_info("bad-element", "session-id")])
             }
         }
     }
--- a/crates/netconf/src/service/rate_limit.rs
+++ b/crates/netconf/src/service/rate_limit.rs
@@ -40,6 +40,6 @@
             return Ok(());
         }
         let error = RpcError::protocol(Tag::ResourceDenied, "too many edits a second; try again shortly");
-        Err(vec![error.app("edits-per-second")])
+        Err(vec![error.with_app_tag("edits-per-second")])
     }
 }
--- a/crates/netconf/src/service/retrieval.rs
+++ b/crates/netconf/src/service/retrieval.rs
@@ -25,9 +25,10 @@
             schemas = schemas.with(schema.with_leaf("version", version).with_leaf("format", "yang"));
         }
         let mut sessions = Element::new(MONITORING, "sessions");
-        for (id, client) in &self.sessions {
+        for (id, client_session) in &self.sessions {
             let session = Element::new(MONITORING, "session").with_leaf("session-id", id);
-            let session = session.with_leaf("transport", "netconf-tls").with_leaf("username", &client.who);
+            let session =
+                session.with_leaf("transport", "netconf-tls").with_leaf("username", &client_session.client);
             sessions = sessions.with(session);
         }
         Element::new(MONITORING, "netconf-state").with(schemas).with(sessions)
@@ -42,7 +43,7 @@
         let operation = request.operation;
         if operation.text_of("stream").is_some_and(|stream| stream != "NETCONF") {
             let error = RpcError::application(Tag::InvalidValue, "there is only the stream NETCONF");
-            return Err(vec![error.with("bad-element", "stream")]);
+            return Err(vec![error.with_info("bad-element", "stream")]);
         }
         if operation.child("startTime").is_some() {
             return Err(not_supported("replay of notifications"));
@@ -63,7 +64,7 @@
         }
     }
     let error = RpcError::application(Tag::InvalidValue, format!("no schema {wanted}"));
-    Err(vec![error.with("bad-element", "identifier")])
+    Err(vec![error.with_info("bad-element", "identifier")])
 }
 
 /// `<data>` by the operation's `<filter>`, subtree or XPath.
@@ -84,7 +85,7 @@
         }
         other => {
             let error = RpcError::protocol(Tag::BadAttribute, format!("unknown kind of filter {other}"));
-            Err(vec![error.with("bad-attribute", "type").with("bad-element", "filter")])
+            Err(vec![error.with_info("bad-attribute", "type").with_info("bad-element", "filter")])
         }
     }
 }
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -3,11 +3,11 @@
 use crate::error::{Layer, RpcError, Tag};
 use crate::framing::{frame, Deframer, FramingError};
 use crate::tree::Element;
-use crate::{BASE, BASE_1_0, BASE_1_1, EDIT_HISTORY, NOTIFY};
+use crate::{BASE, BASE_1_0, BASE_1_1, EDIT_HISTORY, NOTIFICATION};
 use std::fmt;
 use std::sync::Arc;
 
-/// Limits of a session.
+/// ServiceLimits of a session.
 #[derive(Debug, Clone, Copy)]
 pub struct SessionLimits {
     /// Bytes of one message: a fleet of 600 proxies and as many servers takes some 400 KB as XML.
@@ -40,28 +40,28 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rpc {
     /// The `<rpc>` itself, with its operation as its only child.
-    pub rpc: Element,
+    pub element: Element,
 }
 
 impl Rpc {
     /// The `message-id` attribute.
     pub fn message_id(&self) -> &str {
-        self.rpc.attribute("", "message-id").unwrap_or_default()
+        self.element.attribute("", "message-id").unwrap_or_default()
     }
 
     /// The operation.
     pub fn operation(&self) -> &Element {
-        &self.rpc.children[0]
+        &self.element.children[0]
     }
 
     /// What is wrong with the `<rpc>` around the operation, if anything is.
     fn check(&self) -> Result<(), RpcError> {
-        if self.rpc.attribute("", "message-id").is_none() {
+        if self.element.attribute("", "message-id").is_none() {
             return Err(RpcError::new(Layer::Rpc, Tag::MissingAttribute, "an <rpc> needs a message-id")
-                .with("bad-attribute", "message-id")
-                .with("bad-element", "rpc"));
+                .with_info("bad-attribute", "message-id")
+                .with_info("bad-element", "rpc"));
         }
-        if self.rpc.children.len() != 1 {
+        if self.element.children.len() != 1 {
             let message = "an <rpc> holds one operation";
             return Err(RpcError::new(Layer::Rpc, Tag::MissingElement, message));
         }
@@ -77,7 +77,7 @@
         /// Its capabilities.
         capabilities: Vec<String>,
         /// The session's number, if the other side is the server.
-        session: Option<u32>,
+        session_id: Option<u32>,
     },
     /// A request.
     Rpc(Rpc),
@@ -89,7 +89,7 @@
         reply: Element,
     },
     /// A notification: its element beside `<eventTime>`.
-    Notified(Element),
+    Notification(Element),
 }
 
 /// Why a session has to end.
@@ -187,8 +187,8 @@
 
     fn reject_framing(&mut self, error: FramingError) -> SessionError {
         let tag = match error {
-            FramingError::TooBig => Tag::TooBig,
-            FramingError::BadChunk => Tag::MalformedMessage,
+            FramingError::MessageTooLarge => Tag::TooBig,
+            FramingError::MalformedChunkHeader => Tag::MalformedMessage,
         };
         self.send_rpc_error(tag, &error.to_string());
         SessionError::Framing(error)
@@ -216,8 +216,8 @@
         if !element.is(BASE, "hello") {
             return Err(SessionError::MissingHello);
         }
-        let session = element.text_of("session-id").map(|text| text.parse::<u32>());
-        match (self.role, &session) {
+        let session_id = element.text_of("session-id").map(|text| text.parse::<u32>());
+        match (self.role, &session_id) {
             (Role::Server { .. }, Some(_)) => {
                 return Err(SessionError::UnexpectedSessionId);
             }
@@ -234,25 +234,25 @@
         }
         self.is_chunked = has(BASE_1_1);
         if self.is_chunked {
-            self.deframer.use_chunks();
+            self.deframer.use_chunked_framing();
         }
         self.is_open = true;
-        Ok(SessionEvent::Open { capabilities, session: session.and_then(Result::ok) })
+        Ok(SessionEvent::Open { capabilities, session_id: session_id.and_then(Result::ok) })
     }
 
     /// Handles a message to a server.
     fn handle_request(&mut self, element: Element) -> Option<SessionEvent> {
         if !element.is(BASE, "rpc") {
             let error = RpcError::new(Layer::Rpc, Tag::UnknownElement, "only <rpc> is understood here")
-                .with("bad-element", element.name);
-            self.send(&Element::new(BASE, "rpc-reply").with(error.element()));
+                .with_info("bad-element", element.name);
+            self.send(&Element::new(BASE, "rpc-reply").with(error.to_element()));
             return None;
         }
-        let rpc = Rpc { rpc: element };
+        let rpc = Rpc { element };
         match rpc.check() {
             Ok(()) => Some(SessionEvent::Rpc(rpc)),
             Err(error) => {
-                self.reply(&rpc, vec![error.element()]);
+                self.reply(&rpc, vec![error.to_element()]);
                 None
             }
         }
@@ -262,14 +262,14 @@
     fn send_rpc_error(&mut self, tag: Tag, reason: &str) {
         if self.is_open && matches!(self.role, Role::Server { .. }) {
             let error = RpcError::new(Layer::Rpc, tag, reason);
-            self.send(&Element::new(BASE, "rpc-reply").with(error.element()));
+            self.send(&Element::new(BASE, "rpc-reply").with(error.to_element()));
         }
     }
 
     /// Answers an `<rpc>`, with its attributes returned as they came.
     pub fn reply(&mut self, rpc: &Rpc, content: Vec<Element>) {
         let mut reply = Element::new(BASE, "rpc-reply");
-        reply.attributes = rpc.rpc.attributes.clone();
+        reply.attributes = rpc.element.attributes.clone();
         reply.children = content.into_iter().map(Arc::new).collect();
         self.send(&reply);
     }
@@ -305,7 +305,8 @@
 
     /// Sends a notification (RFC 5277); `time` in the format of RFC 3339.
     pub fn notify(&mut self, time: &str, event: Element) {
-        let notification = Element::new(NOTIFY, "notification").with_leaf("eventTime", time).with(event);
+        let notification =
+            Element::new(NOTIFICATION, "notification").with_leaf("eventTime", time).with(event);
         self.send(&notification);
     }
 
@@ -314,7 +315,7 @@
     }
 
     /// Takes bytes to be written, at most `max_bytes`.
-    pub fn output(&mut self, max_bytes: usize) -> Vec<u8> {
+    pub fn take_output(&mut self, max_bytes: usize) -> Vec<u8> {
         if self.output.len() <= max_bytes {
             return std::mem::take(&mut self.output);
         }
@@ -356,9 +357,9 @@
         let message_id = element.attribute("", "message-id").unwrap_or_default().to_string();
         return Ok(Some(SessionEvent::Reply { message_id, reply: element }));
     }
-    if element.is(NOTIFY, "notification") {
+    if element.is(NOTIFICATION, "notification") {
         let event = element.children.iter().find(|child| child.name != "eventTime");
-        return Ok(event.map(|event| SessionEvent::Notified((**event).clone())));
+        return Ok(event.map(|event| SessionEvent::Notification((**event).clone())));
     }
     Err(SessionError::UnexpectedMessage(element.name))
 }
--- a/crates/netconf/src/tree.rs
+++ b/crates/netconf/src/tree.rs
@@ -1,6 +1,6 @@
 //! Messages and data as trees of elements. Children are shared: a changed tree costs only the path to the change.
 
-use crate::{BASE, EDIT_HISTORY, MONITORING, NOTIFY};
+use crate::{BASE, EDIT_HISTORY, MONITORING, NOTIFICATION};
 use std::borrow::Cow;
 use std::sync::Arc;
 use uppsala::{PullEvent, PullParser};
@@ -51,8 +51,15 @@
 }
 
 /// Namespaces that are frequent, and therefore not copied.
-const FREQUENT_NAMESPACES: [&str; 7] =
-    [BASE, NOTIFY, MONITORING, EDIT_HISTORY, "urn:runloom:fleet", "urn:runloom:proxy", "urn:runloom:state"];
+const FREQUENT_NAMESPACES: [&str; 7] = [
+    BASE,
+    NOTIFICATION,
+    MONITORING,
+    EDIT_HISTORY,
+    "urn:runloom:fleet",
+    "urn:runloom:proxy",
+    "urn:runloom:state",
+];
 
 fn namespace(ns: &str) -> Namespace {
     match FREQUENT_NAMESPACES.iter().find(|frequent| **frequent == ns) {
--- a/crates/netconf/src/xpath.rs
+++ b/crates/netconf/src/xpath.rs
@@ -8,7 +8,7 @@
 
 fn invalid_xpath(reason: impl std::fmt::Display) -> RpcError {
     let error = RpcError::protocol(Tag::InvalidValue, format!("the XPath cannot be used: {reason}"));
-    error.with("bad-attribute", "select")
+    error.with_info("bad-attribute", "select")
 }
 
 /// The top nodes that hold what the expression selects. Prefixes are not resolved: names are local names.
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -5,7 +5,7 @@
 use runloom_netconf::error::RpcError;
 use runloom_netconf::framing::{frame, Deframer, FramingError};
 use runloom_netconf::schema::{NodeKind, Schema};
-use runloom_netconf::service::{Access, Answer, Change, EditLookup, Host, Limits, Service};
+use runloom_netconf::service::{Access, Change, EditLookup, Host, Reply, Service, ServiceLimits};
 use runloom_netconf::session::{Role, Rpc, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
@@ -61,8 +61,8 @@
         Ok(())
     }
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
-        self.validate_datastore(change.wanted)?;
-        self.running = change.wanted.clone();
+        self.validate_datastore(change.datastore)?;
+        self.running = change.datastore.clone();
         self.commits += 1;
         if let Some(id) = change.edit_id {
             self.edit_history.insert(id.into(), change.content.into());
@@ -92,25 +92,25 @@
 
 impl Server {
     fn new() -> (Server, u32, u32) {
-        let mut service = Service::new(schema(), Limits { max_sessions: 2, edits_per_second: 100.0 });
+        let mut service = Service::new(schema(), ServiceLimits { max_sessions: 2, edits_per_second: 100.0 });
         let now = Duration::from_secs(1);
         let (a, b) = (service.open_session("a", now).unwrap(), service.open_session("b", now).unwrap());
         let host = MemoryHost { running: Arc::new(Element::new("", "data")), ..MemoryHost::default() };
         (Server { service, host, now }, a, b)
     }
 
-    fn send(&mut self, session: u32, operation: &str) -> Answer {
+    fn send(&mut self, session: u32, operation: &str) -> Reply {
         self.send_with_id(session, operation, "")
     }
 
-    fn send_with_id(&mut self, session: u32, operation: &str, edit_id: &str) -> Answer {
+    fn send_with_id(&mut self, session: u32, operation: &str, edit_id: &str) -> Reply {
         let text = format!(
             "<rpc xmlns='{BASE}' xmlns:nc='{BASE}' xmlns:l='urn:runloom:ledger' message-id='1' l:edit-id='{edit_id}'>\
              {operation}</rpc>"
         );
         let mut rpc = Element::parse(&text).unwrap();
         rpc.attributes.retain(|a| a.name != "edit-id" || !edit_id.is_empty());
-        self.service.handle(self.now, session, &Rpc { rpc }, &mut self.host)
+        self.service.handle(self.now, session, &Rpc { element: rpc }, &mut self.host)
     }
 
     /// Top nodes of the running datastore.
@@ -124,7 +124,7 @@
     }
 }
 
-fn outcome(answer: &Answer) -> String {
+fn outcome(answer: &Reply) -> String {
     let first = &answer.content[0];
     first.text_of("error-tag").unwrap_or(&first.name).to_string()
 }
@@ -150,7 +150,7 @@
         let mut bytes = Vec::new();
         messages.iter().for_each(|m| frame(m, chunked, &mut bytes));
         let mut deframer = Deframer::new(1000);
-        if chunked { deframer.use_chunks(); }
+        if chunked { deframer.use_chunked_framing(); }
         let (mut got, mut rest, mut cut) = (Vec::new(), &bytes[..], cuts.iter().cycle());
         while !rest.is_empty() {
             let (head, tail) = rest.split_at((*cut.next().unwrap()).min(rest.len()));
@@ -209,23 +209,27 @@
 fn malformed_chunks_are_rejected_and_endless_messages_limited() {
     for bad in ["x", "\n#0\n", "\n#x\n", "\n#12345678901\n", "\n#4294967296\n", "\n##x", "\n#5", "\n#-1\n"] {
         let mut deframer = Deframer::new(100);
-        deframer.use_chunks();
+        deframer.use_chunked_framing();
         deframer.push(bad.as_bytes());
         let got = deframer.next_message();
-        assert_eq!(got, if bad == "\n#5" { Ok(None) } else { Err(FramingError::BadChunk) }, "{bad:?}");
+        assert_eq!(
+            got,
+            if bad == "\n#5" { Ok(None) } else { Err(FramingError::MalformedChunkHeader) },
+            "{bad:?}"
+        );
     }
     // Chunks that never end, and a message that never ends.
     for chunked in [true, false] {
         let mut deframer = Deframer::new(1000);
         if chunked {
-            deframer.use_chunks();
+            deframer.use_chunked_framing();
         }
         let error = (0..10_000).find_map(|_| {
             deframer.push(if chunked { b"\n#3\nabc" } else { b"abcdefg" });
             assert!(deframer.buffered_bytes() < 1100);
             deframer.next_message().err()
         });
-        assert_eq!(error, Some(FramingError::TooBig));
+        assert_eq!(error, Some(FramingError::MessageTooLarge));
     }
 }
 
@@ -242,9 +246,9 @@
              </capabilities></hello>]]>]]>"
         );
         session.receive(hello.as_bytes()).unwrap();
-        session.output(usize::MAX);
+        session.take_output(usize::MAX);
         assert!(session.receive(format!("{bad}]]>]]>").as_bytes()).is_err(), "{bad}");
-        let reply = String::from_utf8(session.output(usize::MAX)).unwrap();
+        let reply = String::from_utf8(session.take_output(usize::MAX)).unwrap();
         assert!(reply.contains("<error-tag>malformed-message</error-tag>"), "{reply}");
     }
 }
@@ -275,16 +279,16 @@
 fn both_sides_use_chunks_after_their_hellos() {
     let mut server = Session::new(Role::Server { id: 9 }, &[], SessionLimits::default());
     let mut client = Session::new(Role::Client, &[], SessionLimits::default());
-    server.receive(&client.output(usize::MAX)).unwrap();
-    let events = client.receive(&server.output(usize::MAX)).unwrap();
-    assert!(matches!(&events[0], SessionEvent::Open { session: Some(9), .. }));
+    server.receive(&client.take_output(usize::MAX)).unwrap();
+    let events = client.receive(&server.take_output(usize::MAX)).unwrap();
+    assert!(matches!(&events[0], SessionEvent::Open { session_id: Some(9), .. }));
     let id = client.send_rpc_with_id(Element::new(BASE, "get"), Some("e1"));
-    let bytes = client.output(usize::MAX);
+    let bytes = client.take_output(usize::MAX);
     assert!(bytes.starts_with(b"\n#"));
     let events = server.receive(&bytes).unwrap();
     let SessionEvent::Rpc(rpc) = &events[0] else { panic!("{events:?}") };
     server.reply(rpc, vec![Element::new(BASE, "ok")]);
-    let reply = server.output(usize::MAX);
+    let reply = server.take_output(usize::MAX);
     assert!(String::from_utf8_lossy(&reply).contains("edit-id=\"e1\""), "attributes come back");
     let events = client.receive(&reply).unwrap();
     assert!(matches!(&events[0], SessionEvent::Reply { message_id, .. } if *message_id == id));
--- a/crates/testbed/src/benchmarks/edit_throughput.rs
+++ b/crates/testbed/src/benchmarks/edit_throughput.rs
@@ -8,7 +8,7 @@
 use runloom_daemon::tls_credentials::CertificateHolder;
 use runloom_inventory::edit_history::EditHistory;
 use runloom_model::FLEET;
-use runloom_netconf::service::{Limits, Service};
+use runloom_netconf::service::{Service, ServiceLimits};
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
 use std::sync::Arc;
@@ -39,12 +39,13 @@
     let mut config = ConfigService::new(data.clone(), EditHistory::default()).map_err(|e| e.to_string())?;
     config.register_client(&CertificateHolder { name: "feed".into(), ..CertificateHolder::default() });
     let schema = schema().map_err(|e| e.to_string())?;
-    let mut service = Service::new(schema, Limits { edits_per_second: 1e9, ..Limits::default() });
+    let mut service =
+        Service::new(schema, ServiceLimits { edits_per_second: 1e9, ..ServiceLimits::default() });
     let id = service.open_session("feed", Duration::ZERO).ok_or("no session")?;
     let mut near = Session::new(Role::Client, &[], SessionLimits::default());
     let mut far = Session::new(Role::Server { id }, &[], SessionLimits::default());
-    far.receive(&near.output(usize::MAX)).map_err(|e| e.to_string())?;
-    near.receive(&far.output(usize::MAX)).map_err(|e| e.to_string())?;
+    far.receive(&near.take_output(usize::MAX)).map_err(|e| e.to_string())?;
+    near.receive(&far.take_output(usize::MAX)).map_err(|e| e.to_string())?;
     let messages: Vec<Vec<u8>> =
         (0..count).map(|number| edit_message(&mut near, datastore_part, number)).collect();
     let mut accepted = 0u32;
@@ -55,7 +56,7 @@
             let answer = service.handle(Duration::ZERO, id, &rpc, &mut config);
             accepted += u32::from(answer.content.first().is_some_and(|element| element.name == "ok"));
             far.reply(&rpc, answer.content);
-            far.output(usize::MAX);
+            far.take_output(usize::MAX);
         }
     }
     if accepted != count {
@@ -74,5 +75,5 @@
     let edit = edit_config("running", Element::new(FLEET, datastore_part).with(server));
     let id = (datastore_part == "fleet").then(|| format!("e{number}"));
     session.send_rpc_with_id(edit, id.as_deref());
-    session.output(usize::MAX)
+    session.take_output(usize::MAX)
 }
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -126,8 +126,8 @@
         let mut session = Session::new(Duration::ZERO, "p", &proxy_name(proxy));
         let mut client = client;
         for _ in 0..2 {
-            session.receive(Duration::ZERO, &client.output());
-            client.receive(Duration::ZERO, &session.output());
+            session.receive(Duration::ZERO, &client.take_output());
+            client.receive(Duration::ZERO, &session.take_output());
         }
         Subscription { session, client }
     }
@@ -140,7 +140,7 @@
                 self.client.acknowledge(now, packet_id);
             }
         }
-        self.client.output()
+        self.client.take_output()
     }
 }
 
@@ -236,7 +236,7 @@
             }
         }
         if self.transport == Transport::Published {
-            let outputs = self.subscriptions.iter_mut().map(|(proxy, s)| (*proxy, s.session.output()));
+            let outputs = self.subscriptions.iter_mut().map(|(proxy, s)| (*proxy, s.session.take_output()));
             sent.subscriber_bytes.extend(outputs);
         }
         sent.totals.bytes += sent.subscriber_bytes.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
--- a/crates/testbed/tests/access_control.rs
+++ b/crates/testbed/tests/access_control.rs
@@ -51,7 +51,7 @@
         if client.end().is_some() {
             return false;
         }
-        let bytes = client.output();
+        let bytes = client.take_output();
         event_loop.write(conn, &bytes);
     }
     panic!("neither connected nor rejected");
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -91,7 +91,7 @@
                 _ => {}
             }
         }
-        let bytes = self.client.output();
+        let bytes = self.client.take_output();
         self.event_loop.write(self.conn, &bytes);
     }
 
