--- a/crates/netconf/src/edit.rs
+++ b/crates/netconf/src/edit.rs
@@ -1,4 +1,4 @@
-//! `<edit-config>`: RFC 6241, section 7.2. The edited tree shares what an edit leaves unchanged.
+//! `<edit-config>` (RFC 6241, section 7.2). The edited tree shares unchanged subtrees with the original.
 
 pub use crate::schema::{NodeKind, Schema};
 
@@ -7,25 +7,25 @@
 use crate::BASE;
 use std::sync::Arc;
 
-/// What an edit does to a node.
+/// The `operation` of an edit on a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
-    /// Creates it, or merges it with what is there.
+    /// Creates the node, or merges it into the existing one.
     Merge,
-    /// Creates it, or replaces what is there.
+    /// Creates the node, or replaces the existing one.
     Replace,
-    /// Creates it; it must not exist.
+    /// Creates the node; fails if it exists.
     Create,
-    /// Deletes it; it must exist.
+    /// Deletes the node; fails if it does not exist.
     Delete,
-    /// Deletes it if it exists.
+    /// Deletes the node if it exists.
     Remove,
-    /// Only as the default: nodes without an operation of their own stay unchanged.
+    /// Leaves the node itself unchanged; fails if it does not exist. Valid only as the default operation.
     None,
 }
 
 impl Operation {
-    /// Reads the `operation` attribute.
+    /// Parses the value of an `operation` attribute; `None` if it is unknown.
     fn parse(name: &str) -> Option<Operation> {
         Some(match name {
             "merge" => Operation::Merge,
@@ -38,25 +38,25 @@
     }
 }
 
-/// What follows an error in one of the top nodes.
+/// How an edit proceeds after an error in one of the top-level nodes (`<error-option>`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorOption {
-    /// The edit ends, and nothing of it is applied.
+    /// Stops, and applies no part of the edit.
     StopOnError,
-    /// The other top nodes are applied.
+    /// Applies the remaining top-level nodes.
     ContinueOnError,
 }
 
-/// What came of an edit.
+/// The result of an edit.
 #[derive(Debug, Clone)]
 pub struct EditOutcome {
-    /// The edited datastore; the former one if the edit ended with an error.
+    /// The edited datastore, or the original one if the edit stopped on an error.
     pub tree: Arc<Element>,
-    /// One error for each top node that could not be applied.
+    /// One error for each top-level node that could not be applied.
     pub errors: Vec<RpcError>,
 }
 
-/// Applies `<config>` to a datastore. `default` is the operation of nodes that name none.
+/// Applies `<config>` to a datastore. `default` is the operation of top-level nodes without an `operation` attribute.
 pub fn apply(
     schema: &Schema,
     target: &Arc<Element>,
@@ -81,14 +81,14 @@
     EditOutcome { tree, errors }
 }
 
-fn operation_of(node: &Element, path: &str, inherited: Operation) -> Result<Operation, RpcError> {
+fn read_operation(node: &Element, path: &str, inherited: Operation) -> Result<Operation, RpcError> {
     match node.attribute(BASE, "operation") {
         None => Ok(inherited),
-        Some(name) => Operation::parse(name).ok_or_else(|| bad_operation(node, path, name)),
+        Some(name) => Operation::parse(name).ok_or_else(|| invalid_operation_attribute(node, path, name)),
     }
 }
 
-fn bad_operation(node: &Element, path: &str, name: &str) -> RpcError {
+fn invalid_operation_attribute(node: &Element, path: &str, name: &str) -> RpcError {
     RpcError::protocol(Tag::BadAttribute, format!("unknown operation {name}"))
         .at(path)
         .with_info("bad-attribute", "operation")
@@ -125,7 +125,7 @@
     Ok(target)
 }
 
-/// The edit of one node.
+/// The edit of one node of a datastore.
 struct NodeEdit<'a> {
     parent_schema: &'a Schema,
     schema: &'a Schema,
@@ -134,9 +134,9 @@
 }
 
 impl NodeEdit<'_> {
-    /// Returns the changed parent; `None`: it stays as it is.
+    /// Returns the changed parent, or `None` if it remains unchanged.
     fn apply(&self, parent: &Arc<Element>, inherited: Operation) -> Result<Option<Arc<Element>>, RpcError> {
-        let operation = operation_of(self.node, self.path, inherited)?;
+        let operation = read_operation(self.node, self.path, inherited)?;
         self.schema.check_keys(self.node, self.path)?;
         let is_same = |child: &Arc<Element>| self.schema.is_same_instance(child, self.node);
         let position = parent.children.iter().position(is_same);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The parent with `child` at a position, or inserted where the schema's order has it.
+    /// Returns the parent with `child` put at `position`, or inserted in schema order if there is no position.
     fn put(&self, parent: &Element, position: Option<usize>, child: Arc<Element>) -> Option<Arc<Element>> {
         let mut parent = parent.clone();
         match position {
@@ -178,20 +178,21 @@
         }
         let target = match position {
             Some(position) => parent.children[position].clone(),
-            // Nodes below may still name operations of their own.
+            // Nodes below may have their own operations, so the new node starts empty and they are merged into it.
             None => Arc::new(Element { attributes: vec![], ..self.node.without_children() }),
         };
         merge_children(self.schema, &target, self.node, Operation::Merge, self.path)
     }
 
-    /// The existing node with the operations below applied. Keys identify the entry and change nothing.
+    /// Applies the operations below this node to the existing node. Keys only identify the entry.
     fn edit_below(&self, existing: &Arc<Element>) -> Result<Arc<Element>, RpcError> {
         let children = self.node.children.iter().filter(|child| !self.schema.is_key(child));
         let below = Element { children: children.cloned().collect(), ..Element::default() };
         merge_children(self.schema, existing, &below, Operation::None, self.path)
     }
 
-    /// The node as new data: without `operation` attributes, and without what is deleted below it.
+    /// Builds the node as new data: without `operation` attributes, and with the operations below it applied to an
+    /// empty node.
     fn new_node(&self) -> Result<Arc<Element>, RpcError> {
         let mut created = Element { attributes: vec![], ..self.node.without_children() };
         if self.schema.is_leaf() {
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -1,18 +1,18 @@
-//! `<rpc-error>`: RFC 6241, section 4.3 and appendix A.
+//! `<rpc-error>` (RFC 6241, section 4.3 and appendix A).
 
 use crate::tree::Element;
 use crate::BASE;
 
-/// The layer in which an error occurred, its `error-type`.
+/// The protocol layer in which an error occurred, sent as `<error-type>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Layer {
-    /// Secure transport.
+    /// The secure transport.
     Transport,
-    /// Messages.
+    /// The message layer: `<rpc>` and its attributes.
     Rpc,
-    /// Operations.
+    /// The operations.
     Protocol,
-    /// Content.
+    /// The content of the data models.
     Application,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The `error-tag`s of appendix A that are used here.
+/// The values of `<error-tag>` from appendix A that this implementation uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tag {
     InUse,
@@ -75,46 +75,46 @@
     }
 }
 
-/// One `<rpc-error>`. Its severity is always `error`: the RFC defines no warning.
+/// One `<rpc-error>`. Its severity is always `error`, since the RFC defines no warnings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RpcError {
-    /// The layer.
+    /// The layer in which it occurred.
     pub layer: Layer,
-    /// The condition.
+    /// The error condition.
     pub tag: Tag,
-    /// The condition in the application's terms, `<error-app-tag>`.
+    /// The application-specific condition, sent as `<error-app-tag>`.
     pub app_tag: Option<String>,
-    /// The absolute path of the node that caused it.
+    /// The absolute XPath of the node that caused it, sent as `<error-path>`.
     pub path: Option<String>,
-    /// The message for people.
+    /// The human-readable text, sent as `<error-message>`.
     pub message: String,
-    /// The children of `<error-info>`, by name and text, such as `bad-element` or `session-id`.
+    /// The children of `<error-info>` as name and text, such as `bad-element` or `session-id`.
     pub info: Vec<(&'static str, String)>,
 }
 
 impl RpcError {
-    /// An error without path and further information.
+    /// An error without path, application tag and `<error-info>`.
     pub fn new(layer: Layer, tag: Tag, message: impl Into<String>) -> Self {
         RpcError { layer, tag, app_tag: None, path: None, message: message.into(), info: vec![] }
     }
 
-    /// An error in the content.
+    /// An error of the application layer.
     pub fn application(tag: Tag, message: impl Into<String>) -> Self {
         RpcError::new(Layer::Application, tag, message)
     }
 
-    /// An error in an operation.
+    /// An error of the protocol layer.
     pub fn protocol(tag: Tag, message: impl Into<String>) -> Self {
         RpcError::new(Layer::Protocol, tag, message)
     }
 
-    /// Sets the path of the node that caused it.
+    /// Sets the XPath of the node that caused the error.
     pub fn at(mut self, path: impl Into<String>) -> Self {
         self.path = Some(path.into());
         self
     }
 
-    /// Sets the application's tag.
+    /// Sets `<error-app-tag>`.
     pub fn with_app_tag(mut self, tag: &str) -> Self {
         self.app_tag = Some(tag.to_string());
         self
@@ -126,7 +126,7 @@
         self
     }
 
-    /// Writes `<rpc-error>`.
+    /// The error as an `<rpc-error>` element.
     pub fn to_element(&self) -> Element {
         let mut error = Element::new(BASE, "rpc-error")
             .with_leaf("error-type", self.layer.name())
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -1,15 +1,16 @@
-//! Subtree filters: RFC 6241, section 6.
+//! Subtree filters (RFC 6241, section 6).
 
 use crate::tree::Element;
 use std::sync::Arc;
 
-/// Selects by a `<filter>` from `data`, a root whose children are the models' top nodes.
+/// Applies a `<filter>` to `data`, a root whose children are the models' top-level nodes. Returns the root with the
+/// selected nodes.
 pub fn select(data: &Element, filter: &Element) -> Element {
     let children = data.children.iter().filter_map(|top| select_matching(top, &filter.children));
     Element { children: children.collect(), ..data.without_children() }
 }
 
-/// The union of what the filter nodes that match a node select of it.
+/// Merges the selections of all filter nodes that match `node`; `None` if nothing is selected.
 fn select_matching<'a>(
     node: &Element,
     filters: impl IntoIterator<Item = &'a Arc<Element>>,
@@ -19,7 +20,8 @@
     selections.reduce(|selected, other| union(selected, &other)).map(Arc::new)
 }
 
-/// Compares name, namespace (none in the filter matches any) and the attributes that the filter names.
+/// Whether a filter node matches a node by name, namespace and attributes. A filter node without a namespace matches
+/// any namespace; attributes that it does not name are ignored.
 fn matches(filter: &Element, node: &Element) -> bool {
     let has = |attribute: &crate::tree::Attribute| {
         node.attribute(&attribute.ns, &attribute.name) == Some(attribute.value.as_str())
@@ -29,15 +31,15 @@
         && filter.attributes.iter().all(has)
 }
 
-/// Section 6.2.5: a leaf of the filter with a text.
+/// Whether a filter node is a content match node (section 6.2.5): a leaf with text.
 fn is_content_match(filter: &Element) -> bool {
     filter.children.is_empty() && !filter.text.is_empty()
 }
 
-/// What a filter node that matches a node selects of it.
+/// The part of `node` that a matching filter node selects; `None` if nothing is selected.
 fn select_node(node: &Element, filter: &Element) -> Option<Element> {
     if filter.children.is_empty() {
-        // A selection node selects everything below; a content match node compares.
+        // A selection node selects the whole subtree; a content match node requires the same text.
         let is_selected = filter.text.is_empty() || filter.text == node.text;
         return is_selected.then(|| node.clone());
     }
@@ -59,11 +61,11 @@
         select_matching(child, others.iter().copied())
     };
     let children: Vec<Arc<Element>> = node.children.iter().filter_map(select_child).collect();
-    // A containment node without selected children is left out.
+    // A containment node is omitted if none of its children is selected.
     (!children.is_empty()).then(|| Element { children, ..node.without_children() })
 }
 
-/// Two selections of one node, in one.
+/// Merges two selections of the same node.
 fn union(mut selected: Element, other: &Element) -> Element {
     for child in &other.children {
         if !selected.children.contains(child) {
--- a/crates/netconf/src/framing.rs
+++ b/crates/netconf/src/framing.rs
@@ -1,21 +1,21 @@
-//! The two framings of RFC 6242: end-of-message, used for `<hello>` and base:1.0, and chunked.
+//! The two framings of RFC 6242: end-of-message framing for `<hello>` and base:1.0, and chunked framing for base:1.1.
 
 use std::error::Error;
 use std::fmt;
 
-/// End-of-message framing, section 4.3.
+/// The delimiter of end-of-message framing (section 4.3).
 const END_OF_MESSAGE: &[u8] = b"]]>]]>";
-/// Chunked framing, section 4.2: each chunk's header starts with this.
+/// The start of each chunk header in chunked framing (section 4.2).
 const CHUNK_START: &[u8] = b"\n#";
-/// Digits of a chunk's size: section 4.2 allows up to 4,294,967,295.
+/// Maximum number of digits of a chunk size: section 4.2 allows up to 4,294,967,295.
 const MAX_SIZE_DIGITS: usize = 10;
 
-/// Why the stream cannot be read any further.
+/// Why no further message can be read from the stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
-    /// A message is larger than the limit.
+    /// A message exceeds the size limit.
     MessageTooLarge,
-    /// A chunk's header is malformed.
+    /// A chunk header is malformed.
     MalformedChunkHeader,
 }
 
@@ -30,29 +30,29 @@
 
 impl Error for FramingError {}
 
-/// Where in a chunked message the stream is.
+/// The read position within a chunked message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ChunkPosition {
-    /// Before a chunk's header, or within it.
+    /// Before or within a chunk header.
     Header,
-    /// Within a chunk of which this many bytes are still to come.
+    /// Within a chunk's data, with this many bytes of it still to read.
     Data(usize),
 }
 
-/// Splits a stream of bytes into messages. It holds one unfinished message, and what was pushed behind it.
+/// Splits a byte stream into messages. It buffers one incomplete message and the bytes pushed after it.
 #[derive(Debug)]
 pub struct Deframer {
     is_chunked: bool,
     max_message_bytes: usize,
     input: Vec<u8>,
-    /// Bytes of `input` that were searched for the end of a message.
+    /// Number of bytes of `input` already searched for the end-of-message delimiter.
     searched: usize,
     message: Vec<u8>,
     position: ChunkPosition,
 }
 
 impl Deframer {
-    /// A deframer that starts with end-of-message framing, as every session does.
+    /// Creates a deframer that starts with end-of-message framing, as every session does.
     pub fn new(max_message_bytes: usize) -> Self {
         Deframer {
             is_chunked: false,
@@ -64,22 +64,22 @@
         }
     }
 
-    /// Switches to chunked framing from the next message on.
+    /// Switches to chunked framing, starting with the next message.
     pub fn use_chunked_framing(&mut self) {
         self.is_chunked = true;
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Bytes that it holds.
+    /// Number of buffered bytes, including the data of an incomplete chunked message.
     pub fn buffered_bytes(&self) -> usize {
         self.input.len() + self.message.len()
     }
 
-    /// The next complete message, if there is one.
+    /// Removes and returns the next complete message; `None` if more bytes are needed.
     pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         if self.is_chunked {
             self.next_chunked_message()
@@ -89,7 +89,7 @@
     }
 
     fn next_delimited_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
-        // The delimiter may have come in two pieces.
+        // The delimiter may be split between two reads.
         let start = self.searched.saturating_sub(END_OF_MESSAGE.len() - 1);
         let mut windows = self.input[start..].windows(END_OF_MESSAGE.len());
         let Some(offset) = windows.position(|window| window == END_OF_MESSAGE) else {
@@ -134,7 +134,8 @@
         Ok(message)
     }
 
-    /// Adds what there is of a chunk's data, from offset `start` of the input, to the message. Returns how much it was.
+    /// Moves the available data of the current chunk, from offset `start` of the input, to the message. Returns the
+    /// number of bytes moved.
     fn take_data(&mut self, start: usize, remaining: usize) -> Result<usize, FramingError> {
         let available = &self.input[start..];
         let taken = remaining.min(available.len());
@@ -150,15 +151,15 @@
     }
 }
 
-/// A chunk's header.
+/// A parsed chunk header, or the end-of-chunks marker.
 struct ChunkHeader {
-    /// Bytes of the header itself.
+    /// Length of the header itself in bytes.
     length: usize,
-    /// Bytes of the chunk; `None`: the message ends here.
+    /// Size of the chunk in bytes; `None` for the end-of-chunks marker.
     size: Option<usize>,
 }
 
-/// Reads the header at the front of `bytes`; `None`: it is not complete yet.
+/// Parses the header at the start of `bytes`; `None` if it is incomplete.
 fn parse_header(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
     let available = bytes.len().min(CHUNK_START.len());
     if bytes[..available] != CHUNK_START[..available] {
@@ -173,7 +174,7 @@
     }
 }
 
-/// Reads what follows `\n##`.
+/// Parses the rest of an end-of-chunks marker, which follows `\n##`.
 fn parse_end_of_chunks(rest: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
     match rest {
         [] => Ok(None),
@@ -182,7 +183,7 @@
     }
 }
 
-/// Reads the size that follows `\n#`, and the line's end.
+/// Parses the chunk size that follows `\n#`, and the newline after it.
 fn parse_chunk_size(rest: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
     let digits = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
     if digits > MAX_SIZE_DIGITS {
@@ -200,7 +201,7 @@
     }
 }
 
-/// Appends a framed message to `out`.
+/// Appends a message to `out` with chunked or end-of-message framing.
 pub fn frame(message: &str, is_chunked: bool, out: &mut Vec<u8>) {
     if is_chunked {
         out.extend_from_slice(format!("\n#{}\n", message.len()).as_bytes());
--- a/crates/netconf/src/schema.rs
+++ b/crates/netconf/src/schema.rs
@@ -1,36 +1,36 @@
-//! Schemas: what a model allows, as far as an edit needs it.
+//! Schemas of the data models, as far as edits need them: node kinds, list keys and the order of children.
 
 use crate::error::{RpcError, Tag};
 use crate::tree::Element;
 
-/// What a node of the model is.
+/// The kind of a schema node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NodeKind {
-    /// It holds other nodes.
+    /// A node with child nodes, which occurs at most once.
     Container,
-    /// An entry of a list, with the leaves that are its key.
+    /// A list entry, identified by the key leaves of these names.
     List(Vec<String>),
-    /// A leaf that may occur several times, identified by its text.
+    /// A leaf that may occur several times; its instances are identified by their text.
     LeafList,
-    /// It holds a text.
+    /// A node with text, which occurs at most once.
     Leaf,
 }
 
-/// A node of a model: enough to identify list entries, and to reject unknown nodes.
+/// A schema node: enough to identify list entries, keep children in order and reject unknown nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schema {
-    /// Its namespace.
+    /// Its XML namespace.
     pub ns: String,
-    /// Its name.
+    /// Its local name.
     pub name: String,
-    /// What it is.
+    /// Its kind.
     pub kind: NodeKind,
-    /// The nodes that it may hold, in order.
+    /// The schemas of its children, in the order that the data keeps.
     pub children: Vec<Schema>,
 }
 
 impl Schema {
-    /// A root over the top nodes of one or more models.
+    /// A root whose children are the top-level nodes of one or more models.
     pub fn root(children: Vec<Schema>) -> Self {
         Schema { ns: String::new(), name: "data".into(), kind: NodeKind::Container, children }
     }
@@ -44,12 +44,12 @@
         matches!(self.kind, NodeKind::Leaf | NodeKind::LeafList)
     }
 
-    /// Whether a child is part of the list entry's key.
+    /// Whether a child is one of the list's key leaves.
     pub(crate) fn is_key(&self, child: &Element) -> bool {
         matches!(&self.kind, NodeKind::List(keys) if keys.contains(&child.name))
     }
 
-    /// Whether two nodes are the same instance of this one.
+    /// Whether two elements denote the same instance of this schema node.
     pub(crate) fn is_same_instance(&self, node: &Element, other: &Element) -> bool {
         node.name == other.name
             && node.ns == other.ns
@@ -60,7 +60,7 @@
             }
     }
 
-    /// Fails if a list entry lacks a part of its key.
+    /// Fails if a key leaf of a list entry is missing or empty.
     pub(crate) fn check_keys(&self, node: &Element, path: &str) -> Result<(), RpcError> {
         let NodeKind::List(keys) = &self.kind else { return Ok(()) };
         match keys.iter().find(|key| node.text_of(key).is_none_or(str::is_empty)) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Position at which a new child keeps the order of the schema.
+    /// The position at which to insert a new child: in schema order, after existing siblings of the same name.
     pub(crate) fn insert_position(&self, parent: &Element, child: &Element) -> usize {
         let rank = |element: &Element| {
             self.children.iter().position(|known| known.name == element.name && known.ns == element.ns)
@@ -81,7 +81,7 @@
         last_before.map_or(0, |last| last + 1)
     }
 
-    /// The error for a child that this node does not allow.
+    /// The error for a child that the schema does not allow below this node.
     pub(crate) fn unknown_child(&self, child: &Element, path: &str) -> RpcError {
         let is_foreign = !child.ns.is_empty() && self.children.iter().all(|known| known.ns != child.ns);
         let error = if is_foreign && !self.children.is_empty() {
@@ -93,7 +93,7 @@
         error.at(format!("{path}/{}", child.name)).with_info("bad-element", child.name.clone())
     }
 
-    /// The XPath of an instance of this node below `parent`, with the keys of list entries.
+    /// The XPath of an instance of this node below the path `parent`, with key predicates for list entries.
     pub(crate) fn path_of(&self, node: &Element, parent: &str) -> String {
         let mut path = format!("{parent}/{}", node.name);
         if let NodeKind::List(keys) = &self.kind {
--- a/crates/netconf/src/tree.rs
+++ b/crates/netconf/src/tree.rs
@@ -1,57 +1,58 @@
-//! Messages and data as trees of elements. Children are shared: a changed tree costs only the path to the change.
+//! Messages and data as element trees. Children are shared, so that a change copies only the path from the root to it.
 
 use crate::{BASE, EDIT_HISTORY, MONITORING, NOTIFICATION};
 use std::borrow::Cow;
 use std::sync::Arc;
 use uppsala::{PullEvent, PullParser};
 
-/// Levels of a message, more than any model here has.
+/// Maximum nesting depth of a document; all models in use are less deep.
 pub const MAX_DEPTH: u32 = 32;
-/// Elements of a message: more than the largest list of servers and proxies needs (600 x 12 leaves, twice).
+/// Maximum number of elements in a document: more than the largest lists of servers and proxies need (600 x 12 leaves,
+/// twice).
 pub const MAX_ELEMENTS: usize = 60_000;
 
-/// A namespace.
+/// A namespace URI; empty for none. Common ones are borrowed instead of allocated.
 pub type Namespace = Cow<'static, str>;
 
-/// An attribute.
+/// An attribute of an element.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attribute {
     /// Its namespace; empty for none.
     pub ns: Namespace,
     /// Its local name.
     pub name: String,
-    /// Its value.
+    /// Its value, unescaped.
     pub value: String,
 }
 
-/// One element.
+/// An XML element with its subtree.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Element {
     /// Its namespace; empty for none.
     pub ns: Namespace,
     /// Its local name.
     pub name: String,
-    /// Its attributes.
+    /// Its attributes, in order.
     pub attributes: Vec<Attribute>,
     /// Its child elements.
     pub children: Vec<Arc<Element>>,
-    /// Its text without the space around it; empty where there are children.
+    /// Its text without surrounding whitespace; empty if it has children.
     pub text: String,
 }
 
-/// Why a text cannot be read as a tree.
+/// Why a text cannot be parsed, and where.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError {
-    /// What is wrong.
+    /// A description of the error.
     pub reason: String,
-    /// The line, from 1.
+    /// The line, counted from 1; 0 if it is unknown.
     pub line: usize,
-    /// The column in bytes, from 1.
+    /// The column in bytes, counted from 1; 0 if it is unknown.
     pub column: usize,
 }
 
-/// Namespaces that are frequent, and therefore not copied.
-const FREQUENT_NAMESPACES: [&str; 7] = [
+/// Common namespaces, which elements borrow to avoid an allocation each.
+const COMMON_NAMESPACES: [&str; 7] = [
     BASE,
     NOTIFICATION,
     MONITORING,
@@ -62,42 +63,42 @@
 ];
 
 fn namespace(ns: &str) -> Namespace {
-    match FREQUENT_NAMESPACES.iter().find(|frequent| **frequent == ns) {
-        Some(frequent) => Cow::Borrowed(*frequent),
+    match COMMON_NAMESPACES.iter().find(|common| **common == ns) {
+        Some(common) => Cow::Borrowed(*common),
         None => Cow::Owned(ns.to_string()),
     }
 }
 
 impl Element {
-    /// An element without content.
+    /// An element without attributes, children and text.
     pub fn new(ns: &str, name: &str) -> Self {
         Element { ns: namespace(ns), name: name.to_string(), ..Element::default() }
     }
 
-    /// An element with a text.
+    /// An element with text and nothing else.
     pub fn leaf(ns: &str, name: &str, text: impl ToString) -> Self {
         Element { text: text.to_string(), ..Element::new(ns, name) }
     }
 
-    /// Adds a child.
+    /// Appends a child.
     pub fn with(mut self, child: Element) -> Self {
         self.children.push(Arc::new(child));
         self
     }
 
-    /// Adds a child of the same namespace with a text.
+    /// Appends a child with text, in the namespace of this element.
     pub fn with_leaf(self, name: &str, text: impl ToString) -> Self {
         let child = Element { ns: self.ns.clone(), ..Element::leaf("", name, text) };
         self.with(child)
     }
 
-    /// Adds an attribute.
+    /// Appends an attribute; an empty `ns` means no namespace.
     pub fn with_attribute(mut self, ns: &str, name: &str, value: &str) -> Self {
         self.attributes.push(Attribute { ns: namespace(ns), name: name.into(), value: value.into() });
         self
     }
 
-    /// The element with its attributes and text, but no children.
+    /// A copy of the element with its attributes and text, but without children.
     pub(crate) fn without_children(&self) -> Element {
         Element {
             ns: self.ns.clone(),
@@ -108,34 +109,34 @@
         }
     }
 
-    /// Whether it has this namespace and name.
+    /// Whether the element has this namespace and local name.
     pub fn is(&self, ns: &str, name: &str) -> bool {
         self.name == name && self.ns == ns
     }
 
-    /// The value of an attribute.
+    /// The value of the attribute with this namespace and local name.
     pub fn attribute(&self, ns: &str, name: &str) -> Option<&str> {
         let found = self.attributes.iter().find(|attribute| attribute.name == name && attribute.ns == ns);
         found.map(|attribute| attribute.value.as_str())
     }
 
-    /// The first child of that name, whatever its namespace.
+    /// The first child with this local name, in any namespace.
     pub fn child(&self, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.name == name).map(|child| &**child)
     }
 
-    /// The children of that name, whatever their namespace.
+    /// All children with this local name, in any namespace.
     pub fn named<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Arc<Element>> + 'a {
         self.children.iter().filter(move |child| child.name == name)
     }
 
-    /// The text of the first child of that name.
+    /// The text of the first child with this local name, in any namespace.
     pub fn text_of(&self, name: &str) -> Option<&str> {
         self.child(name).map(|child| child.text.as_str())
     }
 
-    /// Reads one document. Document types and entities other than the five of XML are rejected; depth and number of
-    /// elements are limited.
+    /// Parses a document. Document type declarations and entities other than the five predefined ones are rejected;
+    /// depth and number of elements are limited by [`MAX_DEPTH`] and [`MAX_ELEMENTS`].
     pub fn parse(text: &str) -> Result<Element, ParseError> {
         let mut parser =
             PullParser::new(text).with_max_depth(MAX_DEPTH).with_forbid_dtd(true).with_forbid_entities(true);
@@ -164,12 +165,12 @@
         builder.root.ok_or_else(|| error_at(text, text.len(), "no element"))
     }
 
-    /// Appends it as XML, with namespaces declared where they change.
+    /// Appends the element to `out` as XML, with namespaces declared where they change.
     pub fn write(&self, out: &mut String) {
         self.write_in("", out);
     }
 
-    /// Appends it as XML inside an element of namespace `outer`.
+    /// Appends the element to `out` as XML, to be placed inside an element of namespace `outer`.
     pub fn write_in(&self, outer: &str, out: &mut String) {
         out.push('<');
         out.push_str(&self.name);
@@ -197,14 +198,14 @@
         out.push('>');
     }
 
-    /// Returns it as XML.
+    /// Returns the element as compact XML.
     pub fn to_text(&self) -> String {
         let mut out = String::new();
         self.write(&mut out);
         out
     }
 
-    /// Returns it as XML, indented by two spaces, for people and files.
+    /// Returns the element as XML indented by two spaces, for display and files.
     pub fn to_pretty(&self) -> String {
         let mut out = String::new();
         self.write_pretty("", 0, &mut out);
@@ -232,7 +233,7 @@
 }
 
 impl Attribute {
-    /// Appends it; `index` makes the prefix of its namespace unique within the element.
+    /// Appends the attribute to `out`; `index` makes its namespace prefix unique within the element.
     fn write(&self, index: usize, out: &mut String) {
         if self.ns.is_empty() {
             out.push_str(&format!(" {}=\"", self.name));
@@ -244,11 +245,11 @@
     }
 }
 
-/// Builds a tree out of a parser's events.
+/// Builds an element tree from parser events.
 #[derive(Default)]
 struct TreeBuilder {
-    /// Elements whose end has not come yet, the outermost first.
-    open: Vec<Element>,
+    /// Elements whose end tag has not been read yet, outermost first.
+    open_elements: Vec<Element>,
     root: Option<Element>,
     element_count: usize,
 }
@@ -259,27 +260,28 @@
         if self.element_count > MAX_ELEMENTS {
             return Err("too many elements");
         }
-        self.open.push(element);
+        self.open_elements.push(element);
         Ok(())
     }
 
     fn text(&mut self, content: &str) {
-        if let Some(element) = self.open.last_mut() {
+        if let Some(element) = self.open_elements.last_mut() {
             element.text.push_str(content);
         }
     }
 
     fn end(&mut self) {
-        let Some(mut element) = self.open.pop() else { return };
+        let Some(mut element) = self.open_elements.pop() else { return };
         trim_text(&mut element);
-        match self.open.last_mut() {
+        match self.open_elements.last_mut() {
             Some(parent) => parent.children.push(Arc::new(element)),
             None => self.root = Some(element),
         }
     }
 }
 
-/// Space between elements is layout, and no model here has text beside elements.
+/// Removes whitespace around text, and all text beside child elements: no model in use has mixed content, so that such
+/// text is indentation.
 fn trim_text(element: &mut Element) {
     if !element.children.is_empty() {
         element.text.clear();
@@ -308,7 +310,7 @@
     ParseError { reason, line, column }
 }
 
-/// Appends a text or attribute value, escaped; characters that XML 1.0 does not allow become question marks.
+/// Appends text or an attribute value in escaped form. Characters that XML 1.0 does not allow are replaced by `?`.
 pub fn escape(text: &str, out: &mut String) {
     for c in text.chars() {
         match c {
--- a/crates/netconf/src/xpath.rs
+++ b/crates/netconf/src/xpath.rs
@@ -1,4 +1,4 @@
-//! XPath filters (RFC 6241, section 8.9).
+//! XPath filters of `<get>` and `<get-config>` (RFC 6241, section 8.9).
 
 use crate::error::{RpcError, Tag};
 use crate::tree::Element;
@@ -11,10 +11,11 @@
     error.with_info("bad-attribute", "select")
 }
 
-/// The top nodes that hold what the expression selects. Prefixes are not resolved: names are local names.
+/// Selects nodes by an XPath expression. Each selected node is returned with its ancestors and descendants. Namespace
+/// prefixes are not resolved: the expression uses local names.
 pub(crate) fn select_by_xpath(data: &Element, expression: &str) -> Result<Element, RpcError> {
     let mut text = String::new();
-    without_namespaces(data).write(&mut text);
+    strip_namespaces(data).write(&mut text);
     let mut document = uppsala::parse(&text).map_err(invalid_xpath)?;
     document.prepare_xpath();
     let root = document.document_element().ok_or_else(|| invalid_xpath("empty"))?;
@@ -24,14 +25,15 @@
     };
     let selected = nodes.into_iter().filter_map(|node| {
         let path = path_from_root(&document, root, node);
-        let (first, below) = path.split_first()?;
+        let (first, rest) = path.split_first()?;
         let top = data.children.get(*first)?;
-        Some(Arc::new(only_path(top, below)))
+        Some(Arc::new(prune_to_path(top, rest)))
     });
     Ok(Element { children: selected.collect(), ..Element::new("", "data") })
 }
 
-/// Positions among the children on the way from the root to a node. They are the same in the tree with namespaces.
+/// The child index at each level on the path from the root to a node. The indices also apply to the tree with
+/// namespaces.
 fn path_from_root(document: &Document, root: NodeId, node: NodeId) -> Vec<usize> {
     let mut path = Vec::new();
     let mut current = node;
@@ -44,19 +46,19 @@
     path
 }
 
-fn without_namespaces(element: &Element) -> Element {
+fn strip_namespaces(element: &Element) -> Element {
     Element {
         ns: "".into(),
         name: element.name.clone(),
         attributes: vec![],
-        children: element.children.iter().map(|child| Arc::new(without_namespaces(child))).collect(),
+        children: element.children.iter().map(|child| Arc::new(strip_namespaces(child))).collect(),
         text: element.text.clone(),
     }
 }
 
-/// The node with nothing below it but the path to one descendant, and all that is below that.
-fn only_path(node: &Element, path: &[usize]) -> Element {
+/// A copy of the node that keeps, below it, only the path to one descendant and that descendant's subtree.
+fn prune_to_path(node: &Element, path: &[usize]) -> Element {
     let next = path.split_first().and_then(|(first, rest)| Some((node.children.get(*first)?, rest)));
     let Some((child, rest)) = next else { return node.clone() };
-    Element { children: vec![Arc::new(only_path(child, rest))], ..node.without_children() }
+    Element { children: vec![Arc::new(prune_to_path(child, rest))], ..node.without_children() }
 }
