--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -1,5 +1,6 @@
-//! A NETCONF server's operations over datastores that its [`Host`] keeps: RFC 6241 with the capabilities
-//! writable-running, candidate, confirmed-commit, rollback-on-error and validate; RFC 5277; `<get-schema>` of RFC 6022.
+//! The operations of a NETCONF server, whose datastores are owned by its [`Host`]: RFC 6241 with the capabilities
+//! writable-running, candidate, confirmed-commit, rollback-on-error, validate and xpath; notifications of RFC 5277;
+//! `<get-schema>` of RFC 6022.
 
 mod commit;
 mod datastore;
@@ -24,7 +25,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Capabilities of this server, beside the base.
+/// The capabilities of this server beyond the base capabilities.
 pub const CAPABILITIES: [&str; 8] = [
     "urn:ietf:params:netconf:capability:writable-running:1.0",
     "urn:ietf:params:netconf:capability:candidate:1.0",
@@ -36,26 +37,27 @@
     "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring?module=ietf-netconf-monitoring&revision=2010-10-04",
 ];
 
-/// Number of a session.
+/// The session-id (RFC 6241, section 8.1); never 0.
 pub type SessionId = u32;
 
-/// The reply to one `<rpc>`.
+/// The reply to an `<rpc>`, and its effect on sessions.
 #[derive(Debug, Default)]
 pub struct Reply {
-    /// Content of the `<rpc-reply>`.
+    /// The children of `<rpc-reply>`.
     pub content: Vec<Element>,
-    /// The session is to be closed once this is written.
+    /// Whether the session is to be closed once the reply is sent.
     pub closes_session: bool,
-    /// Other sessions to be ended at once.
+    /// Other sessions, to be closed immediately.
     pub killed_sessions: Vec<SessionId>,
 }
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceLimits {
-    /// Sessions at a time: operators, tools and feeds are few.
+    /// Maximum number of concurrent sessions. Operators, tools and feeds are few.
     pub max_sessions: usize,
-    /// Edits of each session a second, and as many at once: twice what one core parses and commits.
+    /// Rate and burst size of the edits of each session, per second. The default is twice what one core can parse and
+    /// commit.
     pub edits_per_second: f64,
 }
 
@@ -69,7 +71,8 @@
 #[derive(Debug)]
 struct ClientSession {
     client: String,
-    /// The filter of its subscription to notifications, if it has one; `Some(None)` for all of them.
+    /// The filter of its subscription to notifications: `None` without a subscription, `Some(None)` for one without a
+    /// filter.
     subscription: Option<Option<Element>>,
     edit_rate_limit: EditRateLimit,
 }
@@ -84,7 +87,7 @@
     }
 }
 
-/// One operation of a client.
+/// An operation that a client requests.
 #[derive(Debug, Clone, Copy)]
 struct Request<'a> {
     now: Duration,
@@ -94,18 +97,18 @@
     edit_id: Option<&'a str>,
 }
 
-/// A server.
+/// A NETCONF server: its sessions, locks, candidate datastore and confirmed commit.
 #[derive(Debug)]
 pub struct Service {
     schema: Schema,
     limits: ServiceLimits,
     sessions: BTreeMap<SessionId, ClientSession>,
-    last_session: SessionId,
+    last_session_id: SessionId,
     /// The candidate datastore, if it differs from the running one.
     candidate: Option<Arc<Element>>,
-    /// The session that holds the lock of each datastore.
+    /// The session that holds the lock of each locked datastore.
     locks: BTreeMap<Datastore, SessionId>,
-    /// A commit that waits for its confirmation.
+    /// The commit that awaits confirmation, if any.
     confirmed_commit: Option<ConfirmedCommit>,
 }
 
@@ -119,8 +122,8 @@
     vec![RpcError::protocol(Tag::OperationNotSupported, format!("{what} is not supported"))]
 }
 
-/// What an operation does to the datastores and sessions.
-fn access_of(operation: &Element) -> Access {
+/// The access that a client needs for an operation.
+fn required_access(operation: &Element) -> Access {
     match operation.name.as_str() {
         "kill-session" => Access::Kill,
         "get" | "get-config" | "get-schema" | "create-subscription" | "validate" => Access::Read,
@@ -129,20 +132,20 @@
 }
 
 impl Service {
-    /// A server for datastores of this schema.
+    /// Creates a server for datastores of this schema.
     pub fn new(schema: Schema, limits: ServiceLimits) -> Self {
         Service {
             schema,
             limits,
             sessions: BTreeMap::new(),
-            last_session: 0,
+            last_session_id: 0,
             candidate: None,
             locks: BTreeMap::new(),
             confirmed_commit: None,
         }
     }
 
-    /// Opens a session for a client of this name; `None` if there are too many.
+    /// Opens a session for the client of this name; `None` if the limit on sessions is reached.
     pub fn open_session(&mut self, client: &str, now: Duration) -> Option<SessionId> {
         if self.sessions.len() >= self.limits.max_sessions {
             return None;
@@ -152,43 +155,44 @@
             subscription: None,
             edit_rate_limit: EditRateLimit::new(self.limits.edits_per_second, now),
         };
-        self.last_session += 1;
-        self.sessions.insert(self.last_session, session);
-        Some(self.last_session)
+        self.last_session_id += 1;
+        self.sessions.insert(self.last_session_id, session);
+        Some(self.last_session_id)
     }
 
-    /// Closes a session: its locks are released, and its confirmed commit is rolled back if no other can confirm it.
+    /// Closes a session. Releases its locks, discards the candidate if the session had locked it, and rolls back its
+    /// confirmed commit if no other session can confirm it.
     pub fn close_session(&mut self, session: SessionId, host: &mut dyn Host) {
         self.sessions.remove(&session);
         if self.locks.get(&Datastore::Candidate) == Some(&session) {
             self.candidate = None;
         }
         self.locks.retain(|_, holder| *holder != session);
-        if self.confirmed_commit.as_ref().is_some_and(|commit| commit.ends_with(session)) {
+        if self.confirmed_commit.as_ref().is_some_and(|commit| commit.is_bound_to(session)) {
             self.roll_back(host);
         }
     }
 
-    /// When [`Service::handle_timeout`] is to be called.
+    /// When to call [`Service::handle_timeout`]; `None` if no confirmed commit is pending.
     pub fn next_wakeup(&self) -> Option<Duration> {
         self.confirmed_commit.as_ref().map(ConfirmedCommit::times_out_at)
     }
 
-    /// Rolls a confirmed commit back that nobody confirmed in time.
+    /// Rolls back a confirmed commit that was not confirmed in time.
     pub fn handle_timeout(&mut self, now: Duration, host: &mut dyn Host) {
         if self.next_wakeup().is_some_and(|at| now >= at) {
             self.roll_back(host);
         }
     }
 
-    /// The sessions that subscribe to an event, by their filters.
+    /// The sessions whose subscription selects an event.
     pub fn subscribers(&self, event: &Element) -> Vec<SessionId> {
         let root = Element::new("", "data").with(event.clone());
         let subscribers = self.sessions.iter().filter(|(_, session)| session.is_subscribed_to(&root));
         subscribers.map(|(id, _)| *id).collect()
     }
 
-    /// Answers one `<rpc>` of a session.
+    /// Performs the operation of an `<rpc>` and returns the reply.
     pub fn handle(&mut self, now: Duration, session: SessionId, rpc: &Rpc, host: &mut dyn Host) -> Reply {
         let mut reply = Reply::default();
         let content = self.handle_operation(now, session, rpc, host, &mut reply);
@@ -213,16 +217,16 @@
             reply.closes_session = true;
             return ok();
         }
-        host.authorize(&client, access_of(operation)).map_err(|error| vec![error])?;
+        host.authorize(&client, required_access(operation)).map_err(|error| vec![error])?;
         let edit_id = rpc.element.attribute(EDIT_HISTORY, "edit-id");
         let request = Request { now, session, client: &client, operation, edit_id };
         if operation.is(BASE, "kill-session") {
             return self.kill_session(&request, reply);
         }
-        self.perform(&request, host)
+        self.dispatch(&request, host)
     }
 
-    fn perform(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
+    fn dispatch(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
         let operation = request.operation;
         match (&*operation.ns, operation.name.as_str()) {
             (BASE, "get") => self.get(operation, host),
--- a/crates/netconf/src/service/commit.rs
+++ b/crates/netconf/src/service/commit.rs
@@ -8,21 +8,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// RFC 6241, section 8.4.5.1: how long a confirmed commit waits unless the client says otherwise.
+/// Timeout of a confirmed commit without `<confirm-timeout>` (RFC 6241, section 8.4.5.1).
 const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
-/// Longest time, in seconds, that a confirmed commit may wait.
+/// Maximum value of `<confirm-timeout>`.
 const MAX_CONFIRM_TIMEOUT_SECONDS: u64 = 86_400;
-/// Name of the client under which a confirmed commit is rolled back.
+/// Client name under which the rollback of a confirmed commit is committed.
 const ROLLBACK_CLIENT: &str = "confirmed-commit";
 
-/// A commit that waits for its confirmation.
+/// A commit that awaits confirmation.
 #[derive(Debug)]
 pub(super) struct ConfirmedCommit {
     pub(super) session: SessionId,
-    /// By which other sessions can confirm it.
+    /// The `<persist>` value, by which other sessions can confirm or cancel it.
     persist_id: Option<String>,
     times_out_at: Duration,
-    /// What to roll back to.
+    /// The running datastore before the commit, or before the first of several unconfirmed ones.
     rollback_datastore: Arc<Element>,
 }
 
@@ -31,23 +31,23 @@
         self.times_out_at
     }
 
-    /// Whether it is rolled back when this session ends.
-    pub(super) fn ends_with(&self, session: SessionId) -> bool {
+    /// Whether it is rolled back when this session ends: the session requested it, without `<persist>`.
+    pub(super) fn is_bound_to(&self, session: SessionId) -> bool {
         self.session == session && self.persist_id.is_none()
     }
 
-    /// Whether a session may cancel it with this persist-id.
+    /// Whether `<cancel-commit>` of this session with this persist-id may cancel it.
     fn may_be_cancelled(&self, session: SessionId, persist_id: Option<&str>) -> bool {
         persist_id == self.persist_id.as_deref() && (persist_id.is_some() || self.session == session)
     }
 
-    /// Whether a session may confirm it with this persist-id.
+    /// Whether `<commit>` of this session with this persist-id may confirm it.
     fn may_be_confirmed(&self, session: SessionId, persist_id: Option<&str>) -> bool {
-        self.ends_with(session) || persist_id == self.persist_id.as_deref()
+        self.is_bound_to(session) || persist_id == self.persist_id.as_deref()
     }
 }
 
-fn wrong_persist_id(reason: &str) -> Vec<RpcError> {
+fn invalid_persist_id(reason: &str) -> Vec<RpcError> {
     vec![RpcError::protocol(Tag::InvalidValue, reason).with_info("bad-element", "persist-id")]
 }
 
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn commit(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
-        self.limit_edits(request)?;
+        self.take_edit_token(request)?;
         self.check_unlocked(Datastore::Running, request.session)?;
         self.check_unlocked(Datastore::Candidate, request.session)?;
         self.check_persist_id(request)?;
@@ -109,15 +109,15 @@
         let persist_id = request.operation.text_of("persist-id");
         match &self.confirmed_commit {
             Some(commit) if !commit.may_be_confirmed(request.session, persist_id) => {
-                Err(wrong_persist_id("the confirmed commit has another persist-id"))
+                Err(invalid_persist_id("the confirmed commit has another persist-id"))
             }
-            None if persist_id.is_some() => Err(wrong_persist_id("no confirmed commit waits")),
+            None if persist_id.is_some() => Err(invalid_persist_id("no confirmed commit waits")),
             _ => Ok(()),
         }
     }
 
-    /// Whether this commit was accepted before. Its content is the candidate: once that is committed, a repeated commit
-    /// finds none, and is recognised by its id alone.
+    /// Whether this commit was accepted before. The content of a commit is the candidate. Once it is committed there is
+    /// none, so that a repeated commit is recognized by its edit-id alone.
     fn is_repeated_commit(
         &self,
         request: &Request,
@@ -135,7 +135,7 @@
         match &self.confirmed_commit {
             None => Err(vec![RpcError::protocol(Tag::OperationFailed, "no confirmed commit waits")]),
             Some(commit) if !commit.may_be_cancelled(request.session, persist_id) => {
-                Err(wrong_persist_id("the confirmed commit has another persist-id"))
+                Err(invalid_persist_id("the confirmed commit has another persist-id"))
             }
             Some(_) => {
                 self.roll_back(host);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Rolls back to what was before a confirmed commit.
+    /// Restores the running datastore from before the confirmed commit.
     pub(super) fn roll_back(&mut self, host: &mut dyn Host) {
         if let Some(ConfirmedCommit { rollback_datastore, .. }) = self.confirmed_commit.take() {
             let change = Change {
@@ -154,16 +154,17 @@
                 datastore: &rollback_datastore,
                 rollback_to: None,
             };
-            // The former datastore was valid when it was committed; the host logs it if it is rejected now.
+            // The previous datastore was valid when it was committed. If it is rejected now, the host logs it.
             let _ = host.commit(&change);
             host.confirmed_commit_ended();
         }
     }
 
-    /// Fails while a confirmed commit waits that a direct edit would overwrite, though it may yet be rolled back.
+    /// Fails while a confirmed commit is pending that is not bound to this session: its rollback would undo a direct
+    /// edit of the running datastore.
     pub(super) fn check_no_confirmed_commit(&self, session: SessionId) -> Result<(), Vec<RpcError>> {
         match &self.confirmed_commit {
-            Some(commit) if !commit.ends_with(session) => {
+            Some(commit) if !commit.is_bound_to(session) => {
                 let error = RpcError::protocol(Tag::InUse, "a confirmed commit is not yet confirmed");
                 Err(vec![error.with_info("session-id", commit.session.to_string())])
             }
--- a/crates/netconf/src/service/datastore.rs
+++ b/crates/netconf/src/service/datastore.rs
@@ -1,4 +1,4 @@
-//! The datastores, and how an operation names one.
+//! The datastores, and the parameters of operations that name them.
 
 use super::{Host, Service};
 use crate::edit::{apply, ErrorOption, Operation};
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A datastore (RFC 6241, section 5.1).
+/// A configuration datastore (RFC 6241, section 5.1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Datastore {
     Candidate,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The datastore that `<target>` or `<source>` names.
+/// Reads the datastore that the parameter `<target>` or `<source>` of an operation names.
 pub(super) fn read_datastore(operation: &Element, parameter: &str) -> Result<Datastore, Vec<RpcError>> {
     let Some(named) = operation.child(parameter).and_then(|element| element.children.first()) else {
         let error = RpcError::protocol(Tag::MissingElement, format!("<{parameter}> is missing"));
@@ -45,6 +45,7 @@
 }
 
 impl Service {
+    /// The contents of a datastore; an unchanged candidate has those of the running datastore.
     pub(super) fn contents(&self, datastore: Datastore, host: &dyn Host) -> Arc<Element> {
         match (&self.candidate, datastore) {
             (Some(candidate), Datastore::Candidate) => candidate.clone(),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// What `<source>` names: a datastore, or a `<config>` as a complete one.
+    /// The contents of `<source>`: of the datastore that it names, or an inline `<config>` as a complete datastore.
     pub(super) fn source_contents(
         &self,
         operation: &Element,
--- a/crates/netconf/src/service/edit_config.rs
+++ b/crates/netconf/src/service/edit_config.rs
@@ -7,14 +7,15 @@
 use crate::tree::Element;
 use std::sync::Arc;
 
-/// `<test-option>`: whether the edit is applied. Tests that precede it are done in any case.
+/// `<test-option>`: whether the edit is applied. The value `set` has the same effect as `test-then-set`, because the
+/// tests before an edit cannot be skipped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TestOption {
     TestThenSet,
     TestOnly,
 }
 
-/// Parameters of `<edit-config>`.
+/// The parameters of `<edit-config>` other than `<config>`.
 struct EditOptions {
     target: Datastore,
     default_operation: Operation,
@@ -35,7 +36,7 @@
             "test-only" => TestOption::TestOnly,
             _ => return Err(unknown_value("test-option")),
         };
-        // An edit that stops on an error is rolled back, too: it is applied as a whole, or not at all.
+        // stop-on-error also rolls back: the edit is applied completely or not at all.
         let error_option = match operation.text_of("error-option").unwrap_or("stop-on-error") {
             "stop-on-error" | "rollback-on-error" => ErrorOption::StopOnError,
             "continue-on-error" => ErrorOption::ContinueOnError,
@@ -50,7 +51,7 @@
     vec![error.with_info("bad-element", parameter)]
 }
 
-/// Whether this edit was accepted before; an id that was used for another edit is an error.
+/// Whether this edit was accepted before, by its edit-id. Fails if the id was used for another edit.
 pub(super) fn is_repeated(request: &Request, content: &str, host: &dyn Host) -> Result<bool, Vec<RpcError>> {
     match request.edit_id.map(|id| host.lookup_edit(id, content)) {
         None | Some(EditLookup::New) => Ok(false),
@@ -70,7 +71,7 @@
     }
 
     pub(super) fn edit_config(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
-        self.limit_edits(request)?;
+        self.take_edit_token(request)?;
         let operation = request.operation;
         let target = read_datastore(operation, "target")?;
         self.check_unlocked(target, request.session)?;
@@ -97,7 +98,7 @@
 
     fn apply_edit(&self, options: &EditOptions, config: &Element, host: &dyn Host) -> EditOutcome {
         if options.default_operation == Operation::Replace {
-            // RFC 6241, section 7.2: a default of replace applies to the complete datastore.
+            // RFC 6241, section 7.2: the default operation `replace` replaces the complete datastore.
             let base = empty_datastore();
             return apply(&self.schema, &base, config, Operation::Merge, options.error_option);
         }
@@ -138,7 +139,7 @@
     }
 
     pub(super) fn copy_config(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
-        self.limit_edits(request)?;
+        self.take_edit_token(request)?;
         let operation = request.operation;
         let target = read_datastore(operation, "target")?;
         self.check_unlocked(target, request.session)?;
--- a/crates/netconf/src/service/locks.rs
+++ b/crates/netconf/src/service/locks.rs
@@ -4,7 +4,7 @@
 use super::{ok, Reply, ReplyContent, Request, Service, SessionId};
 use crate::error::{RpcError, Tag};
 
-/// The holder that the RFC names where no NETCONF session holds a lock.
+/// The session-id in a `lock-denied` error if no NETCONF session holds the lock (RFC 6241, appendix A).
 const NO_SESSION: SessionId = 0;
 
 fn lock_denied(holder: SessionId, reason: &str) -> Vec<RpcError> {
@@ -13,7 +13,7 @@
 }
 
 impl Service {
-    /// Fails where another session holds the lock.
+    /// Fails if another session holds the lock of the datastore.
     pub(super) fn check_unlocked(
         &self,
         datastore: Datastore,
@@ -53,7 +53,7 @@
         }
         self.locks.remove(&datastore);
         if datastore == Datastore::Candidate {
-            // RFC 6241, section 8.3.5.2: what is not committed is discarded with the lock.
+            // RFC 6241, section 8.3.5.2: releasing the lock discards uncommitted changes.
             self.candidate = None;
         }
         ok()
--- a/crates/netconf/src/service/rate_limit.rs
+++ b/crates/netconf/src/service/rate_limit.rs
@@ -1,10 +1,10 @@
-//! The rate of edits that one session may send.
+//! The rate limit on the edits of a session.
 
 use super::{not_supported, Request, Service};
 use crate::error::{RpcError, Tag};
 use std::time::Duration;
 
-/// A token bucket that holds one second's worth of edits.
+/// A token bucket whose capacity is one second's worth of edits.
 #[derive(Debug)]
 pub(super) struct EditRateLimit {
     tokens: f64,
@@ -16,7 +16,7 @@
         EditRateLimit { tokens: edits_per_second, refilled_at: now }
     }
 
-    /// Takes a token. False: there is none.
+    /// Takes a token; false if the bucket is empty.
     fn try_take(&mut self, edits_per_second: f64, now: Duration) -> bool {
         let elapsed_seconds = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + elapsed_seconds * edits_per_second).min(edits_per_second);
@@ -30,8 +30,8 @@
 }
 
 impl Service {
-    /// Counts an edit of a session, and rejects it if there are too many.
-    pub(super) fn limit_edits(&mut self, request: &Request) -> Result<(), Vec<RpcError>> {
+    /// Counts an edit against the rate limit of its session; fails if the limit is exceeded.
+    pub(super) fn take_edit_token(&mut self, request: &Request) -> Result<(), Vec<RpcError>> {
         let edits_per_second = self.limits.edits_per_second;
         let Some(session) = self.sessions.get_mut(&request.session) else {
             return Err(not_supported("an ended session"));
--- a/crates/netconf/src/service/retrieval.rs
+++ b/crates/netconf/src/service/retrieval.rs
@@ -17,7 +17,7 @@
         filtered_data(&data, operation)
     }
 
-    /// `<netconf-state>` (RFC 6022, section 2).
+    /// `<netconf-state>` (RFC 6022, section 2), with the schemas and sessions.
     fn netconf_state(&self, host: &dyn Host) -> Element {
         let mut schemas = Element::new(MONITORING, "schemas");
         for (identifier, version, _) in host.schemas() {
@@ -56,18 +56,19 @@
 }
 
 pub(super) fn get_schema(operation: &Element, host: &dyn Host) -> ReplyContent {
-    let wanted = operation.text_of("identifier").unwrap_or_default();
-    let wanted_version = operation.text_of("version");
-    for (identifier, version, text) in host.schemas() {
-        if *identifier == wanted && wanted_version.is_none_or(|wanted| wanted == *version) {
+    let identifier = operation.text_of("identifier").unwrap_or_default();
+    let requested_version = operation.text_of("version");
+    for (schema_identifier, version, text) in host.schemas() {
+        if *schema_identifier == identifier && requested_version.is_none_or(|requested| requested == *version)
+        {
             return Ok(vec![Element::leaf(MONITORING, "data", text)]);
         }
     }
-    let error = RpcError::application(Tag::InvalidValue, format!("no schema {wanted}"));
+    let error = RpcError::application(Tag::InvalidValue, format!("no schema {identifier}"));
     Err(vec![error.with_info("bad-element", "identifier")])
 }
 
-/// `<data>` by the operation's `<filter>`, subtree or XPath.
+/// The reply's `<data>`: all of it, or what the operation's subtree or XPath `<filter>` selects.
 fn filtered_data(data: &Element, operation: &Element) -> ReplyContent {
     let selected = match operation.child("filter") {
         None => data.clone(),
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -1,4 +1,5 @@
-//! One side of one session, free of I/O: bytes in and events out, messages in and bytes out.
+//! One side of a session as a state machine without I/O: it turns received bytes into events, and messages to send into
+//! bytes.
 
 use crate::error::{Layer, RpcError, Tag};
 use crate::framing::{frame, Deframer, FramingError};
@@ -10,11 +11,12 @@
 /// ServiceLimits of a session.
 #[derive(Debug, Clone, Copy)]
 pub struct SessionLimits {
-    /// Bytes of one message: a fleet of 600 proxies and as many servers takes some 400 KB as XML.
+    /// Maximum size of a received message. A fleet of 600 proxies and as many servers takes about 400 KB as XML.
     pub max_message_bytes: usize,
-    /// Bytes that the other side has not read yet, past which the session ends: two of the largest messages.
+    /// Maximum size of unsent output, past which the session is to end. The default is two messages of maximum size.
     pub max_unsent_bytes: usize,
-    /// Events returned at once; further messages wait in the buffer, so that sessions get fair shares.
+    /// Maximum number of events returned by one call. Further messages stay in the buffer, so that one session cannot
+    /// starve the others.
     pub max_events: usize,
 }
 
@@ -27,34 +29,34 @@
 /// Which side of a session this is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// The side that answers.
+    /// The side that receives and answers requests.
     Server {
-        /// The session's number, sent in `<hello>`.
+        /// The session-id, sent in `<hello>`.
         id: u32,
     },
-    /// The side that asks.
+    /// The side that sends requests.
     Client,
 }
 
-/// An `<rpc>` that came, with all its attributes, which the reply returns.
+/// A received `<rpc>`. Its attributes are kept, because the reply returns them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rpc {
-    /// The `<rpc>` itself, with its operation as its only child.
+    /// The `<rpc>` element, with the operation as its only child.
     pub element: Element,
 }
 
 impl Rpc {
-    /// The `message-id` attribute.
+    /// The `message-id` attribute, which the reply repeats.
     pub fn message_id(&self) -> &str {
         self.element.attribute("", "message-id").unwrap_or_default()
     }
 
-    /// The operation.
+    /// The requested operation, such as `<get>`.
     pub fn operation(&self) -> &Element {
         &self.element.children[0]
     }
 
-    /// What is wrong with the `<rpc>` around the operation, if anything is.
+    /// Fails if the message-id is missing, or if there is not exactly one operation.
     fn check(&self) -> Result<(), RpcError> {
         if self.element.attribute("", "message-id").is_none() {
             return Err(RpcError::new(Layer::Rpc, Tag::MissingAttribute, "an <rpc> needs a message-id")
@@ -69,45 +71,45 @@
     }
 }
 
-/// What came from the other side.
+/// A message received from the peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// The other side's `<hello>`: the session is open.
+    /// The peer's `<hello>`: the session is open.
     Open {
-        /// Its capabilities.
+        /// The peer's capabilities.
         capabilities: Vec<String>,
-        /// The session's number, if the other side is the server.
+        /// The session-id, if the peer is the server.
         session_id: Option<u32>,
     },
-    /// A request.
+    /// A request; only servers receive it.
     Rpc(Rpc),
-    /// A reply.
+    /// A reply; only clients receive it.
     Reply {
-        /// The request's message-id.
+        /// The message-id of the request; empty if the reply has none.
         message_id: String,
-        /// The `<rpc-reply>`.
+        /// The `<rpc-reply>` element.
         reply: Element,
     },
-    /// A notification: its element beside `<eventTime>`.
+    /// A notification's event: the element beside `<eventTime>`. Only clients receive it.
     Notification(Element),
 }
 
-/// Why a session has to end.
+/// A fatal error, after which the session has to end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SessionError {
     /// The stream cannot be split into messages.
     Framing(FramingError),
-    /// A message is not well-formed XML, with the reason.
+    /// A message cannot be parsed as XML; contains the reason and position.
     MalformedMessage(String),
-    /// The first message is no `<hello>`.
+    /// The first message is not `<hello>`.
     MissingHello,
-    /// A client's `<hello>` has a session-id (RFC 6241, section 8.1).
+    /// A client's `<hello>` has a session-id, which RFC 6241, section 8.1, forbids.
     UnexpectedSessionId,
-    /// A server's `<hello>` has no session-id.
+    /// A server's `<hello>` has no session-id, or one that is not a 32-bit number.
     MissingSessionId,
-    /// The two sides have no base capability in common.
+    /// The peer supports neither base:1.0 nor base:1.1.
     NoCommonBase,
-    /// A server sent an element of this name that is neither reply nor notification.
+    /// A server sent an element of this name, which is neither a reply nor a notification.
     UnexpectedMessage(String),
 }
 
@@ -116,18 +118,18 @@
         match self {
             SessionError::Framing(error) => write!(f, "{error}"),
             SessionError::MalformedMessage(reason) => write!(f, "malformed message: {reason}"),
-            SessionError::MissingHello => write!(f, "no <hello> at the start"),
-            SessionError::UnexpectedSessionId => write!(f, "a client's <hello> with a session-id"),
-            SessionError::MissingSessionId => write!(f, "a <hello> without a session-id"),
-            SessionError::NoCommonBase => write!(f, "no base capability in common"),
-            SessionError::UnexpectedMessage(name) => write!(f, "unexpected <{name}>"),
+            SessionError::MissingHello => write!(f, "the first message is not <hello>"),
+            SessionError::UnexpectedSessionId => write!(f, "the client's <hello> has a session-id"),
+            SessionError::MissingSessionId => write!(f, "the server's <hello> has no valid session-id"),
+            SessionError::NoCommonBase => write!(f, "the peer supports neither base:1.0 nor base:1.1"),
+            SessionError::UnexpectedMessage(name) => write!(f, "the server sent an unexpected <{name}>"),
         }
     }
 }
 
 impl std::error::Error for SessionError {}
 
-/// One side of a session.
+/// One side of a session, as server or client.
 #[derive(Debug)]
 pub struct Session {
     role: Role,
@@ -140,7 +142,7 @@
 }
 
 impl Session {
-    /// Starts one side: its `<hello>` is in the output at once.
+    /// Starts a session and puts its `<hello>` into the output. `capabilities` are added to the base capabilities.
     pub fn new(role: Role, capabilities: &[&str], limits: SessionLimits) -> Self {
         let mut output = Vec::new();
         frame(&hello(role, capabilities).to_text(), false, &mut output);
@@ -155,19 +157,19 @@
         }
     }
 
-    /// Whether the other side's `<hello>` came.
+    /// Whether the peer's `<hello>` was received.
     pub fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// Takes in received bytes. After an error the session is over; the output, which then holds an `<rpc-error>` at
-    /// most, may still be written.
+    /// Handles received bytes. After an error the session is over; the remaining output, to which an `<rpc-error>` may
+    /// have been added, may still be sent.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, SessionError> {
         self.deframer.push(bytes);
         self.receive_buffered()
     }
 
-    /// Returns events of messages that are still in the buffer.
+    /// Handles messages that are still in the buffer, up to [`SessionLimits::max_events`].
     pub fn receive_buffered(&mut self) -> Result<Vec<SessionEvent>, SessionError> {
         let mut events = Vec::new();
         while events.len() < self.limits.max_events {
@@ -180,7 +182,7 @@
         Ok(events)
     }
 
-    /// Whether this many events may have left further messages in the buffer.
+    /// Whether a call that returned this many events may have left further messages in the buffer.
     pub fn may_have_more(&self, event_count: usize) -> bool {
         event_count >= self.limits.max_events
     }
@@ -198,7 +200,7 @@
         let element = match parse_message(message) {
             Ok(element) => element,
             Err(reason) => {
-                // RFC 6241, appendix A: nothing that follows a malformed message can be trusted.
+                // After malformed-message (RFC 6241, appendix A) nothing that follows can be trusted.
                 self.send_rpc_error(Tag::MalformedMessage, &reason);
                 return Err(SessionError::MalformedMessage(reason));
             }
@@ -240,7 +242,7 @@
         Ok(SessionEvent::Open { capabilities, session_id: session_id.and_then(Result::ok) })
     }
 
-    /// Handles a message to a server.
+    /// Handles a message received by a server. An invalid `<rpc>` is answered here and yields no event.
     fn handle_request(&mut self, element: Element) -> Option<SessionEvent> {
         if !element.is(BASE, "rpc") {
             let error = RpcError::new(Layer::Rpc, Tag::UnknownElement, "only <rpc> is understood here")
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Sends an error that belongs to no request.
+    /// Sends an error that refers to no request. Only the server of an open session sends one.
     fn send_rpc_error(&mut self, tag: Tag, reason: &str) {
         if self.is_open && matches!(self.role, Role::Server { .. }) {
             let error = RpcError::new(Layer::Rpc, tag, reason);
@@ -266,7 +268,7 @@
         }
     }
 
-    /// Answers an `<rpc>`, with its attributes returned as they came.
+    /// Sends the reply to an `<rpc>`, with the attributes of the request.
     pub fn reply(&mut self, rpc: &Rpc, content: Vec<Element>) {
         let mut reply = Element::new(BASE, "rpc-reply");
         reply.attributes = rpc.element.attributes.clone();
@@ -274,12 +276,12 @@
         self.send(&reply);
     }
 
-    /// Sends an operation and returns its message-id.
+    /// Sends an operation in an `<rpc>`. Returns the message-id, by which the reply is matched.
     pub fn send_rpc(&mut self, operation: Element) -> String {
         self.send_rpc_with_id(operation, None)
     }
 
-    /// Sends an operation with an id for the edit history, and returns its message-id.
+    /// Like [`Session::send_rpc`], with an id by which the server's edit history recognizes a repeated edit.
     pub fn send_rpc_with_id(&mut self, operation: Element, edit_id: Option<&str>) -> String {
         let message_id = self.next_message_id();
         let mut rpc = Element::new(BASE, "rpc").with_attribute("", "message-id", &message_id);
@@ -290,7 +292,7 @@
         message_id
     }
 
-    /// Sends an operation that is written already, so that many sessions share its text. Returns its message-id.
+    /// Sends an operation that is already serialized, so that many sessions can share its text. Returns the message-id.
     pub fn send_rpc_text(&mut self, operation: &str) -> String {
         let message_id = self.next_message_id();
         let text = format!("<rpc xmlns=\"{BASE}\" message-id=\"{message_id}\">{operation}</rpc>");
@@ -303,7 +305,7 @@
         self.last_message_id.to_string()
     }
 
-    /// Sends a notification (RFC 5277); `time` in the format of RFC 3339.
+    /// Sends a notification (RFC 5277). `time` is in the format of RFC 3339.
     pub fn notify(&mut self, time: &str, event: Element) {
         let notification =
             Element::new(NOTIFICATION, "notification").with_leaf("eventTime", time).with(event);
@@ -314,7 +316,7 @@
         frame(&message.to_text(), self.is_chunked, &mut self.output);
     }
 
-    /// Takes bytes to be written, at most `max_bytes`.
+    /// Removes and returns output to send, at most `max_bytes`.
     pub fn take_output(&mut self, max_bytes: usize) -> Vec<u8> {
         if self.output.len() <= max_bytes {
             return std::mem::take(&mut self.output);
@@ -323,12 +325,12 @@
         std::mem::replace(&mut self.output, rest)
     }
 
-    /// Whether more bytes wait for the other side to read than the limit allows.
+    /// Whether the unsent output exceeds [`SessionLimits::max_unsent_bytes`].
     pub fn is_over_unsent_limit(&self) -> bool {
         self.output.len() > self.limits.max_unsent_bytes
     }
 
-    /// Bytes that wait to be written.
+    /// Size of the output that has not been taken yet.
     pub fn unsent_bytes(&self) -> usize {
         self.output.len()
     }
@@ -351,7 +353,7 @@
     Element::parse(text).map_err(|error| format!("{} at {}:{}", error.reason, error.line, error.column))
 }
 
-/// Handles a message to a client.
+/// Handles a message received by a client.
 fn handle_response(element: Element) -> Result<Option<SessionEvent>, SessionError> {
     if element.is(BASE, "rpc-reply") {
         let message_id = element.attribute("", "message-id").unwrap_or_default().to_string();
