--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -1,4 +1,5 @@
-//! Framing, edits, filters and a server's operations; bytes split anywhere, malformed and endless input.
+//! Tests of framing, sessions, edits, filters and the server's operations, with input that is split anywhere,
+//! malformed or endless.
 
 use proptest::prelude::*;
 use runloom_netconf::edit::{apply, ErrorOption, Operation};
@@ -38,7 +39,7 @@
     applied.tree
 }
 
-/// A host in memory that rejects datastores with an item of size `bad`.
+/// A host that keeps its datastore in memory and rejects datastores with an item of size `bad`.
 #[derive(Default)]
 struct MemoryHost {
     running: Arc<Element>,
@@ -94,9 +95,10 @@
     fn new() -> (Server, u32, u32) {
         let mut service = Service::new(schema(), ServiceLimits { max_sessions: 2, edits_per_second: 100.0 });
         let now = Duration::from_secs(1);
-        let (a, b) = (service.open_session("a", now).unwrap(), service.open_session("b", now).unwrap());
+        let (first, second) =
+            (service.open_session("a", now).unwrap(), service.open_session("b", now).unwrap());
         let host = MemoryHost { running: Arc::new(Element::new("", "data")), ..MemoryHost::default() };
-        (Server { service, host, now }, a, b)
+        (Server { service, host, now }, first, second)
     }
 
     fn send(&mut self, session: u32, operation: &str) -> Reply {
@@ -108,24 +110,25 @@
             "<rpc xmlns='{BASE}' xmlns:nc='{BASE}' xmlns:l='urn:runloom:ledger' message-id='1' l:edit-id='{edit_id}'>\
              {operation}</rpc>"
         );
-        let mut rpc = Element::parse(&text).unwrap();
-        rpc.attributes.retain(|a| a.name != "edit-id" || !edit_id.is_empty());
-        self.service.handle(self.now, session, &Rpc { element: rpc }, &mut self.host)
+        let mut element = Element::parse(&text).unwrap();
+        element.attributes.retain(|a| a.name != "edit-id" || !edit_id.is_empty());
+        self.service.handle(self.now, session, &Rpc { element }, &mut self.host)
     }
 
-    /// Top nodes of the running datastore.
-    fn top_nodes(&self) -> usize {
+    /// Number of top-level nodes of the running datastore.
+    fn top_node_count(&self) -> usize {
         self.host.running.children.len()
     }
 
-    /// The reply's error tag, or `ok`.
-    fn tag(&mut self, session: u32, operation: &str) -> String {
-        outcome(&self.send(session, operation))
+    /// Sends an operation and returns the reply's error tag, or `ok`.
+    fn send_for_tag(&mut self, session: u32, operation: &str) -> String {
+        error_tag(&self.send(session, operation))
     }
 }
 
-fn outcome(answer: &Reply) -> String {
-    let first = &answer.content[0];
+/// The error tag of a reply, or the name of its first element, such as `ok`.
+fn error_tag(reply: &Reply) -> String {
+    let first = &reply.content[0];
     first.text_of("error-tag").unwrap_or(&first.name).to_string()
 }
 
@@ -141,9 +144,9 @@
 
 proptest! {
     #[test]
-    fn messages_are_complete_however_the_bytes_are_split(
+    fn messages_are_reassembled_however_the_bytes_are_split(
         messages in proptest::collection::vec("[ -~\n]{0,80}", 1..6),
-        cuts in proptest::collection::vec(1usize..9, 1..60),
+        chunk_sizes in proptest::collection::vec(1usize..9, 1..60),
         chunked: bool,
     ) {
         let messages: Vec<String> = messages.into_iter().map(|m| m.replace("]]>]]>", "") + "x").collect();
@@ -151,9 +154,9 @@
         messages.iter().for_each(|m| frame(m, chunked, &mut bytes));
         let mut deframer = Deframer::new(1000);
         if chunked { deframer.use_chunked_framing(); }
-        let (mut got, mut rest, mut cut) = (Vec::new(), &bytes[..], cuts.iter().cycle());
+        let (mut got, mut rest, mut sizes) = (Vec::new(), &bytes[..], chunk_sizes.iter().cycle());
         while !rest.is_empty() {
-            let (head, tail) = rest.split_at((*cut.next().unwrap()).min(rest.len()));
+            let (head, tail) = rest.split_at((*sizes.next().unwrap()).min(rest.len()));
             deframer.push(head);
             while let Some(message) = deframer.next_message().unwrap() {
                 got.push(String::from_utf8(message).unwrap());
@@ -165,7 +168,7 @@
     }
 
     #[test]
-    fn a_session_handles_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), opened: bool) {
+    fn arbitrary_bytes_neither_panic_nor_fill_the_output(bytes in proptest::collection::vec(any::<u8>(), 0..400), opened: bool) {
         let mut session = Session::new(Role::Server { id: 1 }, &[], SessionLimits { max_message_bytes: 300, ..SessionLimits::default() });
         if opened {
             let hello = format!("<hello xmlns='{BASE}'><capabilities><capability>urn:ietf:params:netconf:base:1.1\
@@ -177,27 +180,27 @@
         }
     }
 
-    /// Random edits of a list, compared with a map to which the RFC's rules are applied.
+    /// Applies random operations to a list and, by the rules of RFC 6241, section 7.2, to a map, and compares the two.
     #[test]
-    fn edits_of_a_list_have_the_effect_of_edits_of_a_map(
+    fn edits_of_a_list_match_a_reference_map(
         steps in proptest::collection::vec((0usize..5, 0u8..6, 0u8..9), 1..60),
     ) {
         let (mut tree, mut map) = (data(""), BTreeMap::<u8, u8>::new());
         for (operation, name, size) in steps {
-            let word = ["merge", "replace", "create", "delete", "remove"][operation];
-            let item = format!("<item nc:operation='{word}'><name>n{name}</name><size>{size}</size></item>");
+            let operation = ["merge", "replace", "create", "delete", "remove"][operation];
+            let item = format!("<item nc:operation='{operation}'><name>n{name}</name><size>{size}</size></item>");
             let applied = apply(&schema(), &tree, &top(&item), Operation::Merge, ErrorOption::StopOnError);
             let exists = map.contains_key(&name);
-            let is_rejected = (word == "create" && exists) || (word == "delete" && !exists);
+            let is_rejected = (operation == "create" && exists) || (operation == "delete" && !exists);
             prop_assert_eq!(!applied.errors.is_empty(), is_rejected);
-            match word {
+            match operation {
                 _ if is_rejected => {}
                 "delete" | "remove" => _ = map.remove(&name),
                 _ => _ = map.insert(name, size),
             }
             tree = applied.tree;
-            let item = |e: &Arc<Element>| (e.text_of("name").unwrap().to_string(), e.text_of("size").unwrap().to_string());
-            let mut got: Vec<_> = tree.children.iter().flat_map(|t| t.named("item")).map(item).collect();
+            let fields = |e: &Arc<Element>| (e.text_of("name").unwrap().to_string(), e.text_of("size").unwrap().to_string());
+            let mut got: Vec<_> = tree.children.iter().flat_map(|t| t.named("item")).map(fields).collect();
             got.sort();
             let want: Vec<_> = map.iter().map(|(n, s)| (format!("n{n}"), s.to_string())).collect();
             prop_assert_eq!(got, want);
@@ -206,7 +209,7 @@
 }
 
 #[test]
-fn malformed_chunks_are_rejected_and_endless_messages_limited() {
+fn malformed_chunk_headers_and_endless_messages_are_rejected() {
     for bad in ["x", "\n#0\n", "\n#x\n", "\n#12345678901\n", "\n#4294967296\n", "\n##x", "\n#5", "\n#-1\n"] {
         let mut deframer = Deframer::new(100);
         deframer.use_chunked_framing();
@@ -218,7 +221,7 @@
             "{bad:?}"
         );
     }
-    // Chunks that never end, and a message that never ends.
+    // A message of endless chunks, and one without an end-of-message delimiter.
     for chunked in [true, false] {
         let mut deframer = Deframer::new(1000);
         if chunked {
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn malformed_messages_end_the_session_with_malformed_message() {
+fn malformed_messages_end_the_session_with_a_malformed_message_error() {
     let deep = "<a>".repeat(100);
     let entities = "<!DOCTYPE x [<!ENTITY a 'aaaa'><!ENTITY b '&a;&a;'>]><rpc>&b;</rpc>";
     for bad in
@@ -255,11 +258,11 @@
 
 #[test]
 fn an_invalid_hello_ends_the_session() {
-    let with = |inner: &str| format!("<hello xmlns='{BASE}'>{inner}</hello>]]>]]>");
+    let hello = |inner: &str| format!("<hello xmlns='{BASE}'>{inner}</hello>]]>]]>");
     let base = "<capabilities><capability>urn:ietf:params:netconf:base:1.1</capability></capabilities>";
     for bad in [
-        with(""),
-        with(&format!("{base}<session-id>4</session-id>")),
+        hello(""),
+        hello(&format!("{base}<session-id>4</session-id>")),
         "<hello/>]]>]]>".into(),
         "<rpc/>]]>]]>".into(),
     ] {
@@ -271,12 +274,12 @@
         );
     }
     assert!(Session::new(Role::Client, &[], SessionLimits::default())
-        .receive(with(base).as_bytes())
+        .receive(hello(base).as_bytes())
         .is_err());
 }
 
 #[test]
-fn both_sides_use_chunks_after_their_hellos() {
+fn both_sides_use_chunked_framing_after_hello() {
     let mut server = Session::new(Role::Server { id: 9 }, &[], SessionLimits::default());
     let mut client = Session::new(Role::Client, &[], SessionLimits::default());
     server.receive(&client.take_output(usize::MAX)).unwrap();
@@ -289,14 +292,17 @@
     let SessionEvent::Rpc(rpc) = &events[0] else { panic!("{events:?}") };
     server.reply(rpc, vec![Element::new(BASE, "ok")]);
     let reply = server.take_output(usize::MAX);
-    assert!(String::from_utf8_lossy(&reply).contains("edit-id=\"e1\""), "attributes come back");
+    assert!(
+        String::from_utf8_lossy(&reply).contains("edit-id=\"e1\""),
+        "the reply has the attributes of the request"
+    );
     let events = client.receive(&reply).unwrap();
     assert!(matches!(&events[0], SessionEvent::Reply { message_id, .. } if *message_id == id));
 }
 
 #[test]
-fn errors_have_the_tags_of_the_rfc() {
-    let (mut server, a, _) = Server::new();
+fn rejected_operations_have_the_error_tags_of_the_rfc() {
+    let (mut server, session, _) = Server::new();
     let cases = [
         (edit("running", ITEM), "ok"),
         (edit("running", "<item nc:operation='create'><name>x</name></item>"), "data-exists"),
@@ -321,33 +327,33 @@
             .into(), "invalid-value"),
     ];
     for (operation, tag) in cases {
-        assert_eq!(server.tag(a, &operation), tag, "{operation}");
+        assert_eq!(server.send_for_tag(session, &operation), tag, "{operation}");
     }
-    let answer = server.send(a, &edit("running", "<item nc:operation='delete'><name>y</name></item>"));
-    assert_eq!(answer.content[0].text_of("error-path"), Some("/top/item[name='y']"));
+    let reply = server.send(session, &edit("running", "<item nc:operation='delete'><name>y</name></item>"));
+    assert_eq!(reply.content[0].text_of("error-path"), Some("/top/item[name='y']"));
 }
 
 #[test]
-fn a_failed_edit_changes_nothing_unless_it_continues_on_error() {
+fn a_failed_edit_changes_nothing_without_continue_on_error() {
     let (mut server, session, _) = Server::new();
-    let one_fails = format!("{ITEM}<item nc:operation='delete'><name>y</name></item>");
-    assert_eq!(server.tag(session, &edit("running", &one_fails)), "data-missing");
+    let failing_edit = format!("{ITEM}<item nc:operation='delete'><name>y</name></item>");
+    assert_eq!(server.send_for_tag(session, &edit("running", &failing_edit)), "data-missing");
     assert_eq!((server.host.commits, server.host.running.children.len()), (0, 0));
 
     let continue_on_error =
         "<edit-config><target><running/></target><error-option>continue-on-error</error-option><config>\
         <top xmlns='urn:test'><first>1</first></top><odd xmlns='urn:test'/></config></edit-config>";
-    assert_eq!(server.tag(session, continue_on_error), "unknown-element");
+    assert_eq!(server.send_for_tag(session, continue_on_error), "unknown-element");
     assert_eq!(server.host.running.children[0].text_of("first"), Some("1"));
 }
 
 #[test]
-fn an_edit_with_default_operation_none_needs_an_existing_node() {
+fn default_operation_none_requires_an_existing_node() {
     let (mut server, session, _) = Server::new();
     let none =
         edit("running", ITEM).replace("<config>", "<default-operation>none</default-operation><config>");
 
-    assert_eq!(server.tag(session, &none), "data-missing");
+    assert_eq!(server.send_for_tag(session, &none), "data-missing");
 }
 
 #[test]
@@ -355,108 +361,112 @@
     let (mut server, session, _) = Server::new();
     let test_only = edit("running", ITEM).replace("<config>", "<test-option>test-only</test-option><config>");
 
-    assert_eq!((server.tag(session, &test_only).as_str(), server.host.commits), ("ok", 0));
+    assert_eq!((server.send_for_tag(session, &test_only).as_str(), server.host.commits), ("ok", 0));
 }
 
 #[test]
 fn a_changed_candidate_cannot_be_locked_until_it_is_discarded() {
     let (mut server, first, second) = Server::new();
-    assert_eq!(server.tag(first, &edit("candidate", ITEM)), "ok");
+    assert_eq!(server.send_for_tag(first, &edit("candidate", ITEM)), "ok");
     assert_eq!(server.host.commits, 0);
-    assert_eq!(server.tag(second, LOCK_CANDIDATE), "lock-denied");
+    assert_eq!(server.send_for_tag(second, LOCK_CANDIDATE), "lock-denied");
 
     server.send(first, "<discard-changes/>");
 
-    assert_eq!(server.tag(second, LOCK_CANDIDATE), "ok");
+    assert_eq!(server.send_for_tag(second, LOCK_CANDIDATE), "ok");
 }
 
 #[test]
-fn a_locked_candidate_is_reserved_for_its_session_and_discarded_with_it() {
+fn a_locked_candidate_is_reserved_for_its_session_and_discarded_when_it_closes() {
     let (mut server, first, second) = Server::new();
-    assert_eq!(server.tag(second, LOCK_CANDIDATE), "ok");
-    assert_eq!(server.tag(first, &edit("candidate", ITEM)), "in-use");
-    assert_eq!(server.tag(first, "<commit/>"), "in-use");
-    assert_eq!(server.tag(second, &edit("candidate", ITEM)), "ok");
+    assert_eq!(server.send_for_tag(second, LOCK_CANDIDATE), "ok");
+    assert_eq!(server.send_for_tag(first, &edit("candidate", ITEM)), "in-use");
+    assert_eq!(server.send_for_tag(first, "<commit/>"), "in-use");
+    assert_eq!(server.send_for_tag(second, &edit("candidate", ITEM)), "ok");
 
     server.service.close_session(second, &mut server.host);
 
-    assert_eq!(server.tag(first, "<commit/>"), "ok");
-    assert_eq!(server.host.commits, 0, "the candidate is discarded with the lock's session");
+    assert_eq!(server.send_for_tag(first, "<commit/>"), "ok");
+    assert_eq!(server.host.commits, 0, "closing the session that holds the lock discards the candidate");
 }
 
 #[test]
-fn an_invalid_candidate_is_rejected_when_it_is_validated_or_committed() {
+fn an_invalid_candidate_is_rejected_by_validate_and_commit() {
     let (mut server, session, _) = Server::new();
     let invalid = edit("candidate", "<item><name>x</name><size>bad</size></item>");
-    assert_eq!(server.tag(session, &invalid), "ok");
+    assert_eq!(server.send_for_tag(session, &invalid), "ok");
 
-    assert_eq!(server.tag(session, "<validate><source><candidate/></source></validate>"), "invalid-value");
-    assert_eq!(server.tag(session, "<commit/>"), "invalid-value");
+    assert_eq!(
+        server.send_for_tag(session, "<validate><source><candidate/></source></validate>"),
+        "invalid-value"
+    );
+    assert_eq!(server.send_for_tag(session, "<commit/>"), "invalid-value");
 }
 
 #[test]
 fn a_confirmed_commit_is_rolled_back_after_its_timeout() {
     let (mut server, session, _) = Server::new();
     server.send(session, &edit("candidate", ITEM));
-    assert_eq!(server.tag(session, CONFIRMED_COMMIT), "ok");
-    assert_eq!(server.top_nodes(), 1);
+    assert_eq!(server.send_for_tag(session, CONFIRMED_COMMIT), "ok");
+    assert_eq!(server.top_node_count(), 1);
 
     let times_out_at = server.service.next_wakeup().unwrap();
     server.service.handle_timeout(times_out_at, &mut server.host);
 
-    assert_eq!(server.top_nodes(), 0);
+    assert_eq!(server.top_node_count(), 0);
 }
 
 #[test]
-fn a_confirmed_commit_is_rolled_back_with_its_session_and_blocks_others_until_then() {
+fn a_confirmed_commit_blocks_other_sessions_and_is_rolled_back_when_its_session_closes() {
     let (mut server, first, second) = Server::new();
     server.send(first, &edit("candidate", ITEM));
     server.send(first, CONFIRMED_COMMIT);
-    assert_eq!(server.tag(second, &edit("running", ITEM)), "in-use");
+    assert_eq!(server.send_for_tag(second, &edit("running", ITEM)), "in-use");
 
     server.service.close_session(first, &mut server.host);
 
-    assert_eq!(server.top_nodes(), 0);
+    assert_eq!(server.top_node_count(), 0);
 }
 
 #[test]
-fn a_confirmed_commit_with_a_persist_id_outlives_its_session() {
+fn a_confirmed_commit_with_a_persist_id_survives_the_close_of_its_session() {
     let (mut server, first, second) = Server::new();
     server.send(first, &edit("candidate", ITEM));
     server.send(first, "<commit><confirmed/><persist>p</persist></commit>");
 
     server.service.close_session(first, &mut server.host);
 
-    assert_eq!(server.top_nodes(), 1);
-    assert_eq!(server.tag(second, "<commit><persist-id>q</persist-id></commit>"), "invalid-value");
-    assert_eq!(server.tag(second, "<commit><persist-id>p</persist-id></commit>"), "ok");
-    assert_eq!((server.top_nodes(), server.service.next_wakeup()), (1, None));
+    assert_eq!(server.top_node_count(), 1);
+    assert_eq!(server.send_for_tag(second, "<commit><persist-id>q</persist-id></commit>"), "invalid-value");
+    assert_eq!(server.send_for_tag(second, "<commit><persist-id>p</persist-id></commit>"), "ok");
+    assert_eq!((server.top_node_count(), server.service.next_wakeup()), (1, None));
 }
 
 #[test]
 fn an_edit_repeated_with_its_id_takes_effect_once() {
     let (mut server, first, second) = Server::new();
     let item = edit("running", "<item nc:operation='create'><name>x</name></item>");
-    assert_eq!(outcome(&server.send_with_id(first, &item, "e1")), "ok");
-    assert_eq!(outcome(&server.send_with_id(second, &item, "e1")), "ok");
+    assert_eq!(error_tag(&server.send_with_id(first, &item, "e1")), "ok");
+    assert_eq!(error_tag(&server.send_with_id(second, &item, "e1")), "ok");
 
     let other = server.send_with_id(second, &edit("running", ITEM), "e1");
     assert_eq!(other.content[0].text_of("error-app-tag"), Some("edit-id-reused"));
 
     server.send(first, &edit("candidate", "<item><name>z</name></item>"));
-    assert_eq!(outcome(&server.send_with_id(first, "<commit/>", "e2")), "ok");
-    assert_eq!(outcome(&server.send_with_id(second, "<commit/>", "e2")), "ok");
+    assert_eq!(error_tag(&server.send_with_id(first, "<commit/>", "e2")), "ok");
+    assert_eq!(error_tag(&server.send_with_id(second, "<commit/>", "e2")), "ok");
     assert_eq!(server.host.commits, 2);
 }
 
 #[test]
 fn filters_select_by_name_content_and_xpath() {
-    let (mut server, a, _) = Server::new();
+    let (mut server, session, _) = Server::new();
     server.host.running =
         data("<first>1</first><item><name>x</name><size>1</size></item><item><name>y</name></item>");
     let mut got = |filter: &str| {
-        let answer = server.send(a, &format!("<get-config><source><running/></source>{filter}</get-config>"));
-        answer.content[0].children.first().map(|t| t.children.len())
+        let reply =
+            server.send(session, &format!("<get-config><source><running/></source>{filter}</get-config>"));
+        reply.content[0].children.first().map(|t| t.children.len())
     };
     assert_eq!(got(""), Some(3));
     assert_eq!(got("<filter/>"), None);
@@ -468,11 +478,13 @@
 }
 
 #[test]
-fn sessions_and_edits_are_limited() {
-    let (mut server, a, _) = Server::new();
+fn sessions_and_edit_rates_are_limited() {
+    let (mut server, session, _) = Server::new();
     assert_eq!(server.service.open_session("c", server.now), None);
-    let rejected = (0..150).filter(|_| server.tag(a, &edit("running", ITEM)) == "resource-denied").count();
+    let rejected = (0..150)
+        .filter(|_| server.send_for_tag(session, &edit("running", ITEM)) == "resource-denied")
+        .count();
     assert_eq!(rejected, 50);
     server.now += Duration::from_secs(1);
-    assert_eq!(server.tag(a, &edit("running", ITEM)), "ok");
+    assert_eq!(server.send_for_tag(session, &edit("running", ITEM)), "ok");
 }
