--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -26,7 +26,7 @@
     HeldVersion { epoch, version }
 }
 
-/// A proxy's side, with the library's client.
+/// A proxy's side of a connection, based on the library's client.
 struct Proxy {
     connection: Connection<role::Client>,
     received: Vec<GenericPacket<u16>>,
@@ -67,13 +67,13 @@
         self.send(v5_0::Connect::builder().client_id(name).unwrap().clean_start(true).build().unwrap())
     }
 
-    fn subscribe(&mut self, filters: &[&str], holds: Option<&str>) -> Vec<u8> {
+    fn subscribe(&mut self, filters: &[&str], held: Option<&str>) -> Vec<u8> {
         let entry = |f: &&str| SubEntry::new(*f, SubOpts::new().set_qos(Qos::AtLeastOnce)).unwrap();
         let id = self.connection.acquire_packet_id().unwrap();
-        let held = holds.map(|h| Property::from(UserProperty::new("holds", h).unwrap()));
+        let properties = held.map(|held| Property::from(UserProperty::new("holds", held).unwrap()));
         let packet = v5_0::Subscribe::builder()
             .entries(filters.iter().map(entry).collect::<Vec<_>>())
-            .props(held.into_iter().collect::<Vec<_>>())
+            .props(properties.into_iter().collect::<Vec<_>>())
             .packet_id(id);
         self.send(packet.build().unwrap())
     }
@@ -93,11 +93,11 @@
     session.publish(ZERO, number, part.topic, body::encode(part).into())
 }
 
-/// A session and a proxy, connected.
+/// A session and a proxy that are connected.
 fn connected_pair() -> (Session, Proxy) {
     let (mut session, mut proxy) = (Session::new(ZERO, "p", "f1"), Proxy::new());
-    let hello = proxy.connect("f1");
-    assert_eq!(session.receive(ZERO, &hello), vec![SessionEvent::Connected(ProxyInfo::default())]);
+    let connect = proxy.connect("f1");
+    assert_eq!(session.receive(ZERO, &connect), vec![SessionEvent::Connected(ProxyInfo::default())]);
     proxy.receive(&session.take_output());
     assert!(
         matches!(proxy.received.pop(), Some(GenericPacket::V5_0Connack(a)) if a.reason_code() == ConnectReasonCode::Success)
@@ -110,22 +110,22 @@
 }
 
 #[test]
-fn another_name_than_the_certificates_and_a_will_are_rejected() {
+fn a_client_id_other_than_the_certificates_name_and_a_will_are_rejected() {
     let cases = [
         ("f2", false, ConnectReasonCode::ClientIdentifierNotValid),
         ("f1", true, ConnectReasonCode::NotAuthorized),
         ("", false, ConnectReasonCode::Success),
         ("f1", false, ConnectReasonCode::Success),
     ];
-    for (name, will, code) in cases {
+    for (client_id, has_will, code) in cases {
         let (mut session, mut proxy) = (Session::new(ZERO, "p", "f1"), Proxy::new());
-        let mut hello = v5_0::Connect::builder().client_id(name).unwrap().clean_start(true);
-        if will {
-            hello = hello.will_message("runloom/p/f1/report", "x", Qos::AtMostOnce, false).unwrap();
+        let mut connect = v5_0::Connect::builder().client_id(client_id).unwrap().clean_start(true);
+        if has_will {
+            connect = connect.will_message("runloom/p/f1/report", "x", Qos::AtMostOnce, false).unwrap();
         }
-        let hello = hello.build().unwrap();
+        let connect = connect.build().unwrap();
 
-        let events = session.receive(ZERO, &proxy.send(hello));
+        let events = session.receive(ZERO, &proxy.send(connect));
         proxy.receive(&session.take_output());
 
         let Some(GenericPacket::V5_0Connack(answer)) = proxy.received.pop() else { panic!("no answer") };
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_proxy_subscribes_to_its_own_tables_and_other_filters_are_rejected_with_a_reason() {
+fn a_proxy_subscribes_to_its_own_tables_and_other_filters_are_rejected_with_a_reason_code() {
     use SubackReasonCode as Code;
     let (mut session, mut proxy) = connected_pair();
     let filters = [
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_packet_ahead_of_connect_is_rejected() {
+fn a_packet_before_connect_is_rejected() {
     let (mut session, (_, mut proxy)) = (Session::new(ZERO, "p", "f1"), connected_pair());
 
     let events = session.receive(ZERO, &proxy.subscribe(&["runloom/p/f1/#"], None));
@@ -243,22 +243,22 @@
     assert!(matches!(session.end(), Some(ConnectionEnd::Rejected(_))), "{:?}", session.end());
 }
 
-/// A table is sent in parts, in chunks of bytes, applied complete, and acknowledged; a proxy that connects again
-/// resumes from what it holds; one that cannot use a message says so.
+/// A table is sent in several parts, split into chunks of bytes, and acknowledged. A proxy that reconnects resumes from
+/// the version that it holds, and one that cannot apply a part rejects it.
 #[test]
-fn tables_are_sent_in_parts_acknowledged_and_resumed() {
+fn table_updates_are_sent_in_parts_acknowledged_rejected_and_resumed() {
     let mut publisher = Publisher::new(9);
     publisher.apply(TABLE, (0..300).map(|k| entry(k, 1)).collect());
     let mut reader = UpdateReader::default();
     for (round, parts) in [(0, 3), (1, 1)] {
         let (mut session, mut proxy) = connected_pair();
-        let holds = reader
+        let held_property = reader
             .held_version(TABLE)
             .map(|held| format!("runloom/p/f1/weights/3 {} {}", held.epoch, held.version));
-        let events = session.receive(ZERO, &proxy.subscribe(&["runloom/p/f1/#"], holds.as_deref()));
-        let SessionEvent::Subscribed { held: holds, .. } = &events[0] else { panic!("{events:?}") };
+        let events = session.receive(ZERO, &proxy.subscribe(&["runloom/p/f1/#"], held_property.as_deref()));
+        let SessionEvent::Subscribed { held: received, .. } = &events[0] else { panic!("{events:?}") };
         let publisher_session = publisher.connect("f1");
-        let held = holds.first().map(|(_, held)| *held);
+        let held = received.first().map(|(_, held)| *held);
         assert!(publisher.subscribe("f1", TABLE, held));
         let mut count = 0;
         while let Some((number, part)) = publisher.next_part(ZERO, "f1") {
@@ -304,11 +304,11 @@
     let Some(GenericPacket::V5_0Publish(message)) = proxy.received.pop() else { panic!("no message") };
     let puback = proxy.acknowledge(message.packet_id().unwrap(), PubackReasonCode::PayloadFormatInvalid);
     assert_eq!(session.receive(ZERO, &puback), vec![SessionEvent::Rejected(44, TABLE)]);
-    // The session does not limit what is sent: the publisher does.
+    // The session itself does not limit the messages in flight; the publisher does.
     assert!((0..MAX_IN_FLIGHT).all(|k| publish(&mut session, 50 + k as u64, &part)));
 }
 
-/// Exchanges all output of both sides, in chunks, until neither has more.
+/// Exchanges the output of both sides in chunks until neither has any left. Returns the events of each side.
 fn exchange(
     session: &mut Session,
     client: &mut Client,
@@ -327,23 +327,23 @@
 
 #[test]
 fn client_and_session_exchange_bytes_in_chunks_of_any_size() {
-    for cut in [1, 2, 3, 7, 4096] {
-        let hello = ProxyInfo { zone: "z1".into(), request_rate: 2.5, has_no_table: true };
-        let holds =
+    for chunk_size in [1, 2, 3, 7, 4096] {
+        let info = ProxyInfo { zone: "z1".into(), request_rate: 2.5, has_no_table: true };
+        let resumed =
             vec![(TABLE, held(7, 12)), (Topic { kind: TopicKind::Assignments, table: 0 }, held(7, 3))];
-        let mut client = Client::new(ZERO, "p", "f1", &hello, TableFormat::Weights, holds.clone());
+        let mut client = Client::new(ZERO, "p", "f1", &info, TableFormat::Weights, resumed.clone());
         let mut session = Session::new(ZERO, "p", "f1");
-        let (events, client_events) = exchange(&mut session, &mut client, cut);
+        let (events, client_events) = exchange(&mut session, &mut client, chunk_size);
         assert_eq!(
             (&events[0], client_events.as_slice()),
-            (&SessionEvent::Connected(hello), &[ClientEvent::Connected][..])
+            (&SessionEvent::Connected(info), &[ClientEvent::Connected][..])
         );
         let SessionEvent::Subscribed { filters, held: received } = &events[1] else { panic!("{events:?}") };
         let covers = |kind| filters.iter().any(|filter| filter.matches(Topic { kind, table: 9 }));
         let subscribed =
             [TopicKind::Weights, TopicKind::Ejections, TopicKind::Assignments, TopicKind::Subset].map(covers);
-        assert_eq!((received, subscribed), (&holds, [true, true, true, false]));
-        // A proxy's assignments are its table 0, whatever the planner's number.
+        assert_eq!((received, subscribed), (&resumed, [true, true, true, false]));
+        // The topic of a proxy's assignments has table number 0, whatever number the planner uses.
         let topic = Topic { kind: TopicKind::Assignments, table: 44 };
         let change = Change { key: Key::Assignment("q".into()), value: Some("1".into()) };
         let part = UpdatePart {
@@ -356,7 +356,7 @@
             changes: [change].into(),
         };
         assert!(publish(&mut session, 5, &part) && publish(&mut session, 6, &part));
-        let (_, client_events) = exchange(&mut session, &mut client, cut);
+        let (_, client_events) = exchange(&mut session, &mut client, chunk_size);
         let [ClientEvent::Part { packet_id: first, part: received }, ClientEvent::Part { packet_id: second, .. }] =
             &client_events[..]
         else {
@@ -365,23 +365,27 @@
         assert_eq!((received.topic.table, &received.changes), (0, &part.changes));
         client.acknowledge(ZERO, *first);
         client.reject(ZERO, *second);
-        let met = ServerOutcomes {
+        let outcomes = ServerOutcomes {
             server: "s1".into(),
             attempts: 3,
             load: vec![1.0, f64::NAN],
             ..ServerOutcomes::default()
         };
-        let report = Report { window: Duration::from_millis(500), outcomes: vec![met], arrivals: vec![] };
+        let report =
+            Report { window: Duration::from_millis(500), outcomes: vec![outcomes], arrivals: vec![] };
         client.send_report(ZERO, report::encode(&report));
-        let (events, _) = exchange(&mut session, &mut client, cut);
-        let [SessionEvent::Acknowledged(5), SessionEvent::Rejected(6, lacks), SessionEvent::Report(body)] =
+        let (events, _) = exchange(&mut session, &mut client, chunk_size);
+        let [SessionEvent::Acknowledged(5), SessionEvent::Rejected(6, rejected), SessionEvent::Report(body)] =
             &events[..]
         else {
             panic!("{events:?}")
         };
-        let read = report::decode(body).unwrap();
-        assert_eq!((*lacks, read.outcomes[0].attempts, read.outcomes[0].load[1].is_nan()), (topic, 3, true));
-        // No more reports at a time than the planner accepts.
+        let decoded = report::decode(body).unwrap();
+        assert_eq!(
+            (*rejected, decoded.outcomes[0].attempts, decoded.outcomes[0].load[1].is_nan()),
+            (topic, 3, true)
+        );
+        // The client sends no more unacknowledged reports than the planner accepts.
         let sent = (0..20)
             .take_while(|_| {
                 client.can_report() && {
@@ -392,13 +396,13 @@
             .count();
         assert_eq!(sent, 4);
         client.disconnect(ZERO);
-        exchange(&mut session, &mut client, cut);
+        exchange(&mut session, &mut client, chunk_size);
         assert_eq!(session.end(), Some(&ConnectionEnd::Disconnected));
     }
 }
 
 #[test]
-fn a_client_sends_pings_and_ends_when_the_planner_is_silent_or_rejects_it() {
+fn a_client_sends_pings_and_ends_if_the_planner_is_silent_or_rejects_it() {
     let new = |planner: &str, name: &str| {
         Client::new(ZERO, planner, name, &ProxyInfo::default(), TableFormat::Subsets, vec![])
     };
@@ -409,7 +413,7 @@
     assert_eq!(silent.end(), Some(&ConnectionEnd::TimedOut));
     let (mut session, mut responsive) = (Session::new(ZERO, "p", "f1"), new("p", "f1"));
     exchange(&mut session, &mut responsive, 9);
-    // Its ping is due before the planner's timeout, and extends it.
+    // The client's ping is due before the planner's timeout, and extends it.
     let at = responsive.next_wakeup().unwrap();
     assert!(at < session.next_wakeup().unwrap());
     responsive.handle_timeout(at);
@@ -418,7 +422,7 @@
     responsive.receive(at, &session.take_output());
     responsive.handle_timeout(at + Duration::from_secs(6));
     assert_eq!(responsive.end(), None);
-    // A report that is not acknowledged: drains no longer reach the proxy.
+    // The client must not stay connected if a report is not acknowledged, since drains may no longer reach the proxy.
     responsive.send_report(at, vec![]);
     responsive.handle_timeout(at + Duration::from_secs(1));
     assert_eq!(responsive.end(), None);
@@ -432,32 +436,32 @@
 }
 
 proptest! {
-    /// Whatever bytes a planner sends: no panic.
+    /// Arbitrary bytes from a planner, before or after the subscription, must not cause a panic.
     #[test]
-    fn any_bytes_are_handled_by_a_client(bytes in prop::collection::vec(any::<u8>(), 0..300), greeted: bool, cut in 1usize..40) {
+    fn any_bytes_are_handled_by_a_client(bytes in prop::collection::vec(any::<u8>(), 0..300), is_connected: bool, chunk_size in 1usize..40) {
         let mut client = Client::new(ZERO, "p", "f1", &ProxyInfo::default(), TableFormat::Weights, vec![]);
-        if greeted {
+        if is_connected {
             exchange(&mut Session::new(ZERO, "p", "f1"), &mut client, 99);
         }
-        bytes.chunks(cut).for_each(|chunk| _ = client.receive(ZERO, chunk));
+        bytes.chunks(chunk_size).for_each(|chunk| _ = client.receive(ZERO, chunk));
         prop_assert!(client.take_output().len() < 4096);
         let _ = report::decode(&bytes);
     }
 
-    /// Whatever bytes come, before `CONNECT` or after: no panic, and nothing is acknowledged.
+    /// Arbitrary bytes from a proxy, before or after `CONNECT`, must not cause a panic or acknowledge anything.
     #[test]
-    fn any_bytes_are_handled_by_a_session(bytes in prop::collection::vec(any::<u8>(), 0..300), greeted: bool, cut in 1usize..40) {
-        let mut session = if greeted { connected_pair().0 } else { Session::new(ZERO, "p", "f1") };
-        for chunk in bytes.chunks(cut) {
-            for events in session.receive(ZERO, chunk) {
-                // Nothing was published to be acknowledged.
-                prop_assert!(!matches!(events, SessionEvent::Acknowledged(_)));
+    fn any_bytes_are_handled_by_a_session(bytes in prop::collection::vec(any::<u8>(), 0..300), is_connected: bool, chunk_size in 1usize..40) {
+        let mut session = if is_connected { connected_pair().0 } else { Session::new(ZERO, "p", "f1") };
+        for chunk in bytes.chunks(chunk_size) {
+            for event in session.receive(ZERO, chunk) {
+                // No message was published, so none can be acknowledged.
+                prop_assert!(!matches!(event, SessionEvent::Acknowledged(_)));
             }
         }
         prop_assert!(session.take_output().len() < 4096);
     }
 
-    /// A granted filter matches no topic but the proxy's own tables, by the protocol's own rules.
+    /// Compares granted filters with the matching rules of MQTT: they match the proxy's own tables and no other topic.
     #[test]
     fn a_granted_filter_matches_only_the_proxys_own_tables(
         levels in prop::collection::vec(prop_oneof![
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -1,6 +1,7 @@
-//! MQTT topics and bodies, byte for byte as they were before the code was renamed.
+//! Guards the wire format: topics and message bodies must match the snapshots byte for byte, because proxies in any
+//! language read and write them.
 //!
-//! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
+//! `UPDATE_SNAPSHOTS=1` overwrites the snapshots.
 
 use runloom_model::report::{ClassArrivals, ClassOutcomes, Report, ServerOutcomes};
 use runloom_mqtt::{body, report, topics};
@@ -8,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn assert_unchanged(name: &str, seen: &str) {
+fn assert_matches_snapshot(name: &str, output: &str) {
     let path = format!("tests/snapshots/{name}");
     if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
-        std::fs::write(&path, seen).unwrap();
+        std::fs::write(&path, output).unwrap();
     }
-    assert_eq!(seen, std::fs::read_to_string(&path).unwrap(), "{path}");
+    assert_eq!(output, std::fs::read_to_string(&path).unwrap(), "{path}");
 }
 
 fn change(key: Key, value: Option<&str>) -> Change {
@@ -21,8 +22,8 @@
 }
 
 #[test]
-fn tables_and_their_topics_are_as_they_were() {
-    let mut seen = String::new();
+fn table_updates_and_their_topics_match_the_snapshot() {
+    let mut output = String::new();
     for kind in [
         TopicKind::Weights,
         TopicKind::Subset,
@@ -38,35 +39,35 @@
             change(Key::AdmissionLimit("lookup".into()), Some("12.5 unrun")),
             change(Key::Assignment("order".into()), Some("3")),
         ];
-        for from in [None, Some(4)] {
+        for base_version in [None, Some(4)] {
             let part = UpdatePart {
                 topic,
                 epoch: 77,
-                base_version: from,
+                base_version,
                 version: 9,
                 part: 0,
                 part_count: 2,
                 changes: changes.clone().into(),
             };
-            seen += &format!(
+            output += &format!(
                 "{} {}\n",
                 topics::table_topic("p1", "f1", topic),
                 String::from_utf8(body::encode(&part)).unwrap()
             );
         }
     }
-    assert_unchanged("mqtt-tables.txt", &seen);
+    assert_matches_snapshot("mqtt-tables.txt", &output);
 }
 
 #[test]
-fn a_report_is_as_it_was() {
+fn a_report_matches_the_snapshot() {
     let class = ClassOutcomes {
         class: "lookup".into(),
         attempts: 9,
         within_objective: 7,
         latencies: BTreeMap::from([(3, 4), (12, 5)]),
     };
-    let met = |load| ServerOutcomes {
+    let outcomes = |load| ServerOutcomes {
         server: "s1".into(),
         attempts: 12,
         failures: 2,
@@ -75,9 +76,9 @@
         load,
         classes: vec![class.clone()],
     };
-    let came = ClassArrivals { class: "order".into(), requests: 30, unanswered: 1 };
-    let met = vec![met(vec![]), met(vec![0.5, f64::NAN])];
-    let sent = Report { window: Duration::from_millis(1000), outcomes: met, arrivals: vec![came] };
-    let seen = String::from_utf8(report::encode(&sent)).unwrap();
-    assert_unchanged("mqtt-report.txt", &(seen + "\n"));
+    let arrivals = ClassArrivals { class: "order".into(), requests: 30, unanswered: 1 };
+    let outcomes = vec![outcomes(vec![]), outcomes(vec![0.5, f64::NAN])];
+    let sent = Report { window: Duration::from_millis(1000), outcomes, arrivals: vec![arrivals] };
+    let output = String::from_utf8(report::encode(&sent)).unwrap();
+    assert_matches_snapshot("mqtt-report.txt", &(output + "\n"));
 }
