--- a/crates/mqtt/src/body.rs
+++ b/crates/mqtt/src/body.rs
@@ -1,17 +1,18 @@
-//! A part of a table's update as JSON, for proxies in any language. Its topic is the message's.
+//! A part of a table update as JSON, which proxies in any language can read. The topic is not in the body: it is the
+//! topic of the MQTT message.
 
 use crate::decode_error::DecodeError;
 use runloom_versioned_publisher::{Change, Key, Topic, UpdatePart, Version, MAX_CHANGES_PER_PART};
 use serde::{Deserialize, Serialize};
 
-/// Parts of one update: a table of 8,192 keys, twice what a fleet may have.
+/// Maximum number of parts of one update: enough for a table of 8,192 keys, twice as many as a fleet may have.
 const MAX_PARTS: usize = 64;
 
-/// The JSON object.
+/// The JSON object of a part.
 #[derive(Serialize, Deserialize)]
 struct PartBody {
     epoch: u64,
-    /// `None`: a snapshot.
+    /// The version that the changes apply to; `None` for a snapshot.
     #[serde(rename = "from")]
     base_version: Option<Version>,
     #[serde(rename = "to")]
@@ -22,7 +23,7 @@
     changes: Vec<ChangeBody>,
 }
 
-/// The kind of the key, its name, and the value: `None` removes the key.
+/// A change as a JSON array: the kind of the key, its name, and the value; `None` removes the key.
 #[derive(Serialize, Deserialize)]
 struct ChangeBody(KeyKind, String, Option<String>);
 
@@ -39,6 +40,7 @@
 }
 
 impl PartBody {
+    /// Whether the part numbers, the versions and the size are valid.
     fn is_consistent(&self) -> bool {
         let goes_forward = self.base_version.is_none_or(|base_version| base_version < self.version);
         self.part < self.part_count
@@ -72,7 +74,7 @@
     }
 }
 
-/// Writes a part.
+/// Encodes a part as the payload of an MQTT message.
 pub fn encode(part: &UpdatePart) -> Vec<u8> {
     let body = PartBody {
         epoch: part.epoch,
@@ -82,11 +84,11 @@
         part_count: part.part_count,
         changes: part.changes.iter().map(ChangeBody::from).collect(),
     };
-    // Numbers, strings and lists of them are always valid JSON.
+    // Numbers, strings and lists of them can always be serialized to JSON.
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// Reads what [`encode`] wrote.
+/// Decodes a payload of [`encode`] that was received on a topic.
 pub fn decode(topic: Topic, bytes: &[u8]) -> Result<UpdatePart, DecodeError> {
     let body: PartBody = serde_json::from_slice(bytes)?;
     if !body.is_consistent() {
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -1,4 +1,4 @@
-//! A proxy's side of a connection: it subscribes to its tables, acknowledges their updates, and publishes reports.
+//! The proxy's side of a connection: it subscribes to its tables, acknowledges their updates and publishes reports.
 
 use crate::connection_end::ConnectionEnd;
 use crate::proxy_info::ProxyInfo;
@@ -13,36 +13,36 @@
 use runloom_versioned_publisher::{HeldVersion, Topic, TopicKind, UpdatePart, MAX_IN_FLIGHT};
 use std::time::Duration;
 
-/// The largest packet that is accepted: a part of 128 changes with names and addresses of maximal length.
+/// The largest packet that is accepted: a part of 128 changes with names and addresses of maximum length.
 const MAX_PACKET_BYTES: u32 = 256 << 10;
 /// A ping is sent after this many seconds without another packet.
 const KEEP_ALIVE_SECONDS: u16 = 10;
-/// The planner answers a connect, a subscription and a ping within this time.
+/// Maximum time until the planner answers `CONNECT`, `SUBSCRIBE` and `PINGREQ`.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The planner acknowledges a report, or sends something else, within this time: a proxy that receives nothing must
-/// not take itself for connected, since drains no longer reach it.
+/// Maximum time until the planner acknowledges a report or sends another packet. A proxy that receives nothing must not
+/// consider itself connected, since it no longer learns of drains.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the planner sent.
+/// An event caused by the planner's packets.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClientEvent {
-    /// The subscription was granted.
+    /// The planner granted the subscription.
     Connected,
-    /// A part of a table's update, to be answered by [`Client::acknowledge`] or [`Client::reject`].
+    /// A part of a table update, to be answered with [`Client::acknowledge`] or [`Client::reject`].
     Part {
-        /// The message's packet identifier.
+        /// The packet identifier of the message.
         packet_id: u16,
-        /// The part.
+        /// The decoded part.
         part: UpdatePart,
     },
 }
 
-/// Which tables a proxy subscribes to.
+/// The kind of route tables that a proxy subscribes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableFormat {
-    /// Tables with weights.
+    /// Tables with a weight for each server.
     Weights,
-    /// Subsets of servers to select from evenly.
+    /// Subsets of servers, from which the proxy selects evenly.
     Subsets,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A connection to a planner.
+/// A proxy's connection to a planner.
 pub struct Client {
     connection: Connection<role::Client>,
     planner: String,
@@ -65,15 +65,16 @@
     held: Vec<(Topic, HeldVersion)>,
     output: Vec<u8>,
     is_subscribed: bool,
-    /// When a response is overdue.
+    /// When an awaited response is overdue; `None` if none is awaited.
     response_due_at: Option<Duration>,
-    /// When a ping is due.
+    /// When to send a ping; `None` if no ping is scheduled.
     ping_at: Option<Duration>,
     end: Option<ConnectionEnd>,
 }
 
 impl Client {
-    /// Starts a connection. `planner` is the name of the planner's certificate; `held` are the topics to resume from.
+    /// Starts a connection: puts `CONNECT` into the output. `planner` is the name in the planner's certificate; `held`
+    /// are the topics and versions to resume from.
     pub fn new(
         now: Duration,
         planner: &str,
@@ -112,12 +113,12 @@
         packet.keep_alive(KEEP_ALIVE_SECONDS).props(properties).build().ok()
     }
 
-    /// Takes the bytes to be written.
+    /// Removes and returns the bytes to send.
     pub fn take_output(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.output)
     }
 
-    /// Why the connection ended, if it did: the output is still to be written.
+    /// Why the connection ended, if it did. Remaining output is still to be sent.
     pub fn end(&self) -> Option<&ConnectionEnd> {
         self.end.as_ref()
     }
@@ -127,7 +128,7 @@
         self.is_subscribed && self.end.is_none()
     }
 
-    /// When [`Client::handle_timeout`] is to be called.
+    /// When to call [`Client::handle_timeout`]; `None` if no timer is running.
     pub fn next_wakeup(&self) -> Option<Duration> {
         [self.response_due_at, self.ping_at].into_iter().flatten().min()
     }
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Takes in received bytes.
+    /// Handles received bytes and returns the resulting events. Bytes after the end of the connection are ignored.
     pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Vec<ClientEvent> {
         let mut cursor = Cursor::new(bytes);
         let mut events = Vec::new();
@@ -159,7 +160,7 @@
         events
     }
 
-    /// Does what the protocol's state machine asks for, and returns the packets that came.
+    /// Performs the actions that the protocol library requests, and returns the packets that it received.
     fn handle_protocol_events(
         &mut self,
         now: Duration,
@@ -193,7 +194,7 @@
 
     fn handle_packet(&mut self, now: Duration, packet: GenericPacket<u16>, events: &mut Vec<ClientEvent>) {
         if self.is_subscribed {
-            // Whatever comes shows that the planner responds.
+            // Any packet shows that the planner responds.
             self.response_due_at = None;
         }
         match packet {
@@ -245,7 +246,7 @@
         Some(ClientEvent::Connected)
     }
 
-    /// A part that cannot be read is rejected at once, upon which the planner sends a snapshot.
+    /// Decodes a part. One that cannot be decoded is rejected immediately, upon which the planner sends a snapshot.
     fn handle_publish(&mut self, now: Duration, packet: &v5_0::Publish) -> Option<ClientEvent> {
         let packet_id = packet.packet_id()?;
         let topic = topics::parse_table_topic(&self.planner, &self.proxy, packet.topic_name());
@@ -258,12 +259,12 @@
         }
     }
 
-    /// Acknowledges a part that was applied, or waits for the rest of its update.
+    /// Acknowledges a part that was applied, or that is held until the rest of its update arrives.
     pub fn acknowledge(&mut self, now: Duration, packet_id: u16) {
         self.send_puback(now, packet_id, PubackReasonCode::Success);
     }
 
-    /// Rejects a part that cannot be used: the planner is to send a snapshot.
+    /// Rejects a part that cannot be applied, so that the planner sends a snapshot.
     pub fn reject(&mut self, now: Duration, packet_id: u16) {
         self.send_puback(now, packet_id, PubackReasonCode::PayloadFormatInvalid);
     }
@@ -274,13 +275,14 @@
         }
     }
 
-    /// Whether a report can be sent now: the planner limits how many it has not acknowledged.
+    /// Whether a report can be sent now: the client is connected, and the planner's limit on unacknowledged reports is
+    /// not reached.
     pub fn can_report(&self) -> bool {
         let available = self.connection.get_receive_maximum_vacancy_for_send();
         self.is_connected() && available.is_none_or(|available| available > 0)
     }
 
-    /// Sends a report, as [`crate::report::encode`] writes it.
+    /// Sends a report encoded by [`crate::report::encode`].
     pub fn send_report(&mut self, now: Duration, report: Vec<u8>) {
         let topic = topics::report_topic(&self.planner, &self.proxy);
         let Ok(packet_id) = self.connection.acquire_packet_id() else { return };
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Disconnects.
+    /// Sends `DISCONNECT` and ends the connection.
     pub fn disconnect(&mut self, now: Duration) {
         if let Ok(packet) = v5_0::Disconnect::builder().build() {
             self.send(now, packet);
--- a/crates/mqtt/src/connection_end.rs
+++ b/crates/mqtt/src/connection_end.rs
@@ -1,23 +1,23 @@
-//! Why a connection ended.
+//! The reasons for which a connection ends.
 
-/// Why a connection ended, on either side.
+/// Why a connection ended; used by both sides.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// A side disconnected in the protocol's way.
+    /// One side sent `DISCONNECT`, or the protocol library requested to close the connection.
     Disconnected,
-    /// A side broke the protocol, or asked for what it may not have; with the reason.
+    /// One side violated the protocol or requested something that is not allowed; contains the reason.
     Rejected(String),
-    /// The other side sent nothing in time.
+    /// The peer sent nothing within the time limit.
     TimedOut,
 }
 
 impl ConnectionEnd {
-    /// A rejection for a reason in words.
+    /// A rejection with a reason in words.
     pub(crate) fn rejected(reason: &str) -> ConnectionEnd {
         ConnectionEnd::Rejected(reason.to_string())
     }
 
-    /// A rejection for one of the protocol's reason codes.
+    /// A rejection with a reason code of the protocol.
     pub(crate) fn rejected_by(code: impl std::fmt::Debug) -> ConnectionEnd {
         ConnectionEnd::Rejected(format!("{code:?}"))
     }
--- a/crates/mqtt/src/decode_error.rs
+++ b/crates/mqtt/src/decode_error.rs
@@ -1,16 +1,16 @@
-//! Why a message's body cannot be read.
+//! The error of decoding a message body.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why a message's body cannot be read.
+/// Why the body of a message cannot be decoded.
 #[derive(Debug)]
 pub enum DecodeError {
-    /// It is not the JSON that is expected.
+    /// The body is not JSON, or not of the expected structure.
     Json(serde_json::Error),
-    /// Its part numbers or versions contradict each other, or a part is too large.
+    /// The part numbers or versions contradict each other, or the part has too many changes.
     InconsistentPart,
-    /// It names more servers or classes than a fleet may have.
+    /// The report lists more servers or classes than a fleet may have.
     TooManyEntries,
 }
 
@@ -18,8 +18,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             DecodeError::Json(error) => write!(f, "the body is not the expected JSON: {error}"),
-            DecodeError::InconsistentPart => write!(f, "the part's numbers are inconsistent"),
-            DecodeError::TooManyEntries => write!(f, "the report has more entries than a fleet may have"),
+            DecodeError::InconsistentPart => write!(f, "the part numbers, versions or size are inconsistent"),
+            DecodeError::TooManyEntries => {
+                write!(f, "the report lists more servers or classes than a fleet may have")
+            }
         }
     }
 }
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -1,7 +1,8 @@
-//! Both sides of an MQTT 5 connection between a planner and a proxy, free of I/O: bytes in, events out.
+//! Both sides of an MQTT 5 connection between a planner and a proxy as state machines without I/O: they take received
+//! bytes, and return events and bytes to send.
 //!
-//! The planner owns all topics. A proxy subscribes to its own tables and publishes its own reports; everything else is
-//! rejected with the protocol's reason code.
+//! The planner acts as the broker. A proxy may subscribe to its own tables and publish its own reports; everything else
+//! is rejected with a reason code of the protocol.
 
 pub mod body;
 pub mod client;
--- a/crates/mqtt/src/proxy_info.rs
+++ b/crates/mqtt/src/proxy_info.rs
@@ -1,26 +1,26 @@
-//! What a proxy reports of itself when it connects, in user properties of the `CONNECT` packet.
+//! The information that a proxy sends when it connects, as user properties of the `CONNECT` packet.
 
 use mqtt_protocol_core::mqtt::packet::{v5_0, Property, UserProperty};
 use mqtt_protocol_core::mqtt::prelude::PropertyValueAccess;
 
-/// Names of the user properties.
+// Names of the user properties.
 const ZONE: &str = "zone";
 const REQUEST_RATE: &str = "rate";
 const HAS_NO_TABLE: &str = "fresh";
 
-/// What a proxy reports of itself.
+/// The information that a proxy sends about itself.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ProxyInfo {
-    /// Its zone.
+    /// The proxy's zone; empty for none.
     pub zone: String,
-    /// Requests a second.
+    /// Requests per second that arrive at the proxy.
     pub request_rate: f64,
-    /// It holds no table of any planner.
+    /// Whether the proxy has no table from any planner.
     pub has_no_table: bool,
 }
 
 impl ProxyInfo {
-    /// Reads the properties of a `CONNECT` packet; what is missing or malformed has its default.
+    /// Reads the user properties of a `CONNECT` packet; missing and malformed ones get their default.
     pub(crate) fn read(packet: &v5_0::Connect) -> ProxyInfo {
         let request_rate = user_property(packet, REQUEST_RATE).and_then(|text| text.parse().ok());
         ProxyInfo {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Writes the properties; `None` if a value does not fit.
+    /// The user properties; `None` if a value is too long for one.
     pub(crate) fn properties(&self) -> Option<[Property; 3]> {
         Some([
             UserProperty::new(ZONE, self.zone.clone()).ok()?.into(),
--- a/crates/mqtt/src/report.rs
+++ b/crates/mqtt/src/report.rs
@@ -1,4 +1,4 @@
-//! A proxy's report as JSON, for proxies in any language.
+//! A proxy's report as JSON, which proxies in any language can write.
 
 use crate::decode_error::DecodeError;
 use runloom_model::report::{
@@ -8,12 +8,12 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Values of a load report.
+/// Maximum number of values of a server's load report; further ones are ignored.
 const MAX_LOAD_VALUES: usize = 16;
-/// Servers of a fleet.
+/// Maximum number of servers in a report: as many as a fleet may have.
 const MAX_SERVERS: usize = 4096;
 
-/// The JSON object.
+/// The JSON object of a report.
 #[derive(Serialize, Deserialize)]
 struct ReportBody {
     #[serde(rename = "span_ms")]
@@ -24,7 +24,7 @@
     arrivals: Vec<ArrivalsBody>,
 }
 
-/// Attempts at one server.
+/// Attempts at one server within the reported window.
 #[derive(Serialize, Deserialize)]
 struct OutcomesBody {
     server: String,
@@ -36,7 +36,7 @@
     mean_latency_us: u64,
     #[serde(rename = "in_time", default)]
     within_objective: u64,
-    /// The newest load report; null where a value is missing.
+    /// The server's most recent load report; null for missing values.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     load: Vec<Option<f64>>,
     #[serde(rename = "of", default, skip_serializing_if = "Vec::is_empty")]
@@ -51,12 +51,12 @@
     attempts: u64,
     #[serde(rename = "in_time")]
     within_objective: u64,
-    /// Latency buckets and their counts.
+    /// Latency buckets and the number of attempts in each.
     #[serde(rename = "took")]
     latencies: Vec<(u8, u64)>,
 }
 
-/// Requests of one class that arrived.
+/// Requests of one class that arrived within the reported window.
 #[derive(Serialize, Deserialize)]
 struct ArrivalsBody {
     class: String,
@@ -134,18 +134,19 @@
     }
 }
 
-/// Writes a report.
+/// Encodes a report as the payload of an MQTT message.
 pub fn encode(report: &Report) -> Vec<u8> {
     let body = ReportBody {
         window_ms: report.window.as_millis() as u64,
         outcomes: report.outcomes.iter().map(OutcomesBody::from).collect(),
         arrivals: report.arrivals.iter().map(ArrivalsBody::from).collect(),
     };
-    // Numbers, strings and lists of them are always valid JSON.
+    // Numbers, strings and lists of them can always be serialized to JSON.
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// Reads what [`encode`] wrote.
+/// Decodes a payload of [`encode`]. The window and latency buckets are clamped to valid values; surplus load values and
+/// classes of a server are ignored.
 pub fn decode(bytes: &[u8]) -> Result<Report, DecodeError> {
     let body: ReportBody = serde_json::from_slice(bytes)?;
     if body.outcomes.len() > MAX_SERVERS || body.arrivals.len() > MAX_CLASSES {
--- a/crates/mqtt/src/session.rs
+++ b/crates/mqtt/src/session.rs
@@ -1,5 +1,5 @@
-//! The planner's side of a connection. The proxy is known by its certificate before the first byte; what it says of
-//! itself must agree with that.
+//! The planner's side of a connection. The proxy is identified by its certificate before the first byte; the client
+//! identifier that it sends must be empty or the name in the certificate.
 
 mod connect;
 mod publications;
@@ -18,60 +18,60 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The largest packet that a proxy may send: a report on some hundreds of servers.
+/// The largest packet that a proxy may send: enough for a report on several hundred servers.
 const MAX_PACKET_BYTES: u32 = 256 << 10;
-/// Reports that are not acknowledged yet: one is usual, one more may come before the first is acknowledged.
+/// Maximum number of unacknowledged reports. One is usual, and one more may arrive before the first is acknowledged.
 const MAX_UNACKNOWLEDGED_REPORTS: u16 = 4;
-/// A proxy sends its `CONNECT` packet within this time.
+/// Maximum time until a proxy sends its `CONNECT` packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a proxy sent.
+/// An event caused by a proxy's packets.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionEvent {
-    /// It connected.
+    /// The proxy connected.
     Connected(ProxyInfo),
-    /// It subscribed to its tables.
+    /// The proxy subscribed to its tables.
     Subscribed {
-        /// Which of them.
+        /// The granted filters.
         filters: Vec<TopicFilter>,
-        /// Versions of topics that it holds.
+        /// The topics that the proxy holds, with the version of each, to resume from.
         held: Vec<(Topic, HeldVersion)>,
     },
-    /// It ended subscriptions.
+    /// The proxy ended subscriptions.
     Unsubscribed {
-        /// The filters as they were subscribed.
+        /// The filters to remove, as in the subscription.
         filters: Vec<TopicFilter>,
     },
-    /// A report, to be read by [`crate::report::decode`].
+    /// A report, to be decoded by [`crate::report::decode`].
     Report(Vec<u8>),
-    /// It applied the message of this number, or waits for the rest of its update.
+    /// The proxy applied the message of this number, or holds it until the rest of its update arrives.
     Acknowledged(u64),
-    /// It could not use the message of this number: the topic is to be sent again from a snapshot.
+    /// The proxy could not apply the message of this number: its topic is to be sent again as a snapshot.
     Rejected(u64, Topic),
 }
 
-/// A message that was published and not acknowledged yet.
+/// A published message that is not acknowledged yet.
 #[derive(Debug, Clone, Copy)]
 struct InFlightMessage {
     number: u64,
     topic: Topic,
 }
 
-/// A connection of a proxy.
+/// A planner's connection to a proxy.
 pub struct Session {
     connection: Connection<role::Server>,
     planner: String,
     proxy: String,
     is_connected: bool,
     output: Vec<u8>,
-    /// By packet identifier.
+    /// Unacknowledged messages by packet identifier.
     in_flight: BTreeMap<u16, InFlightMessage>,
     times_out_at: Option<Duration>,
     end: Option<ConnectionEnd>,
 }
 
 impl Session {
-    /// A connection that was accepted; `proxy` is the name of its certificate.
+    /// Creates the session of an accepted connection. `proxy` is the name in the proxy's certificate.
     pub fn new(now: Duration, planner: &str, proxy: &str) -> Session {
         let options = ConnectionOptions::new()
             .maximum_packet_size_recv(MAX_PACKET_BYTES)
@@ -89,22 +89,22 @@
         }
     }
 
-    /// Takes the bytes to be written.
+    /// Removes and returns the bytes to send.
     pub fn take_output(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.output)
     }
 
-    /// Why the connection ended, if it did: the output is still to be written, then the connection is closed.
+    /// Why the connection ended, if it did. Remaining output is still to be sent; then the connection is to be closed.
     pub fn end(&self) -> Option<&ConnectionEnd> {
         self.end.as_ref()
     }
 
-    /// When [`Session::handle_timeout`] is to be called if nothing comes before.
+    /// When to call [`Session::handle_timeout`] if no bytes are received before; `None` if no timer is running.
     pub fn next_wakeup(&self) -> Option<Duration> {
         self.times_out_at
     }
 
-    /// Ends the connection if the proxy has sent nothing in time.
+    /// Ends the connection if the proxy has sent nothing within the time limit.
     pub fn handle_timeout(&mut self, now: Duration) {
         if self.times_out_at.is_some_and(|at| now >= at) && self.end.is_none() {
             self.times_out_at = None;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Takes in received bytes.
+    /// Handles received bytes and returns the resulting events. Bytes after the end of the connection are ignored.
     pub fn receive(&mut self, now: Duration, bytes: &[u8]) -> Vec<SessionEvent> {
         let mut events = Vec::new();
         let mut cursor = Cursor::new(bytes);
@@ -127,7 +127,7 @@
         events
     }
 
-    /// Does what the protocol's state machine asks for, and returns the packets that came.
+    /// Performs the actions that the protocol library requests, and returns the packets that it received.
     fn handle_protocol_events(
         &mut self,
         now: Duration,
@@ -145,7 +145,7 @@
                     self.times_out_at = Some(now + Duration::from_millis(duration_ms));
                 }
                 GenericEvent::RequestTimerCancel(_) => self.times_out_at = None,
-                // The request to close comes before its reason.
+                // The library requests the close before it reports the error, which is the reason.
                 GenericEvent::NotifyError(error) if !had_ended => {
                     self.end = Some(ConnectionEnd::rejected_by(error));
                 }
@@ -162,7 +162,7 @@
     }
 
     fn handle_packet(&mut self, now: Duration, packet: GenericPacket<u16>) -> Option<SessionEvent> {
-        // The library passes other packets before `CONNECT`, and a second `CONNECT`.
+        // The library does not reject other packets before `CONNECT`, nor a second `CONNECT`.
         if matches!(packet, GenericPacket::V5_0Connect(_)) == self.is_connected {
             self.end = Some(ConnectionEnd::rejected("CONNECT comes first, and once"));
             return None;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Ends the connection with one of the protocol's reason codes.
+    /// Sends `DISCONNECT` with a reason code and ends the connection; `reason` is for [`Session::end`].
     fn disconnect(&mut self, now: Duration, code: DisconnectReasonCode, reason: &str) {
         if let Ok(packet) = v5_0::Disconnect::builder().reason_code(code).build() {
             self.send(now, packet);
@@ -197,7 +197,7 @@
         self.end = Some(ConnectionEnd::rejected(reason));
     }
 
-    /// Ends the connection because another one of the same name took over (MQTT 5, 3.1.4).
+    /// Ends the connection because another connection of the same proxy took over (MQTT 5, 3.1.4).
     pub fn take_over(&mut self, now: Duration) {
         self.disconnect(now, DisconnectReasonCode::SessionTakenOver, "another connection took over");
     }
--- a/crates/mqtt/src/session/connect.rs
+++ b/crates/mqtt/src/session/connect.rs
@@ -1,4 +1,4 @@
-//! `CONNECT`: what a proxy says of itself.
+//! `CONNECT`: the proxy's name and the information about itself.
 
 use super::{Session, SessionEvent, MAX_UNACKNOWLEDGED_REPORTS};
 use crate::connection_end::ConnectionEnd;
@@ -9,7 +9,8 @@
 use mqtt_protocol_core::mqtt::result_code::ConnectReasonCode;
 use std::time::Duration;
 
-/// A proxy that sends nothing for one and a half times this is disconnected, whatever keep-alive it asks for.
+/// Keep-alive that the planner imposes, whatever the proxy requests. A proxy that sends nothing for one and a half
+/// times as long is disconnected.
 const KEEP_ALIVE_SECONDS: u16 = 10;
 
 impl Session {
@@ -25,12 +26,13 @@
         Some(SessionEvent::Connected(ProxyInfo::read(packet)))
     }
 
+    /// The reason code for the `CONNACK` packet.
     fn connect_reason(&self, packet: &v5_0::Connect) -> ConnectReasonCode {
-        // An empty name stands for the certificate's.
+        // An empty client identifier stands for the name in the certificate.
         if !packet.client_id().is_empty() && packet.client_id() != self.proxy {
             return ConnectReasonCode::ClientIdentifierNotValid;
         }
-        // Nobody may leave a message to be sent in a proxy's name.
+        // A will message would be published in the proxy's name, which is not allowed.
         if packet.will_flag() {
             return ConnectReasonCode::NotAuthorized;
         }
@@ -40,7 +42,7 @@
     fn send_connack(&mut self, now: Duration, code: ConnectReasonCode) {
         let mut properties: Vec<Property> = vec![];
         if code == ConnectReasonCode::Success {
-            // A proxy resumes by epoch and version: the protocol's own session ends with the connection.
+            // A proxy resumes by epoch and version, so the MQTT session state expires with the connection.
             properties.extend(SessionExpiryInterval::new(0).map(Property::from));
             properties.extend(ServerKeepAlive::new(KEEP_ALIVE_SECONDS).map(Property::from));
             properties.extend(ReceiveMaximum::new(MAX_UNACKNOWLEDGED_REPORTS).map(Property::from));
--- a/crates/mqtt/src/session/publications.rs
+++ b/crates/mqtt/src/session/publications.rs
@@ -1,4 +1,4 @@
-//! `PUBLISH` and `PUBACK`: tables to the proxy, and its reports.
+//! `PUBLISH` and `PUBACK`: table updates sent to the proxy, and reports received from it.
 
 use super::{InFlightMessage, Session, SessionEvent};
 use crate::topics;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Session {
-    /// A proxy publishes its own reports and nothing else, and nothing is retained.
+    /// Accepts the proxy's own reports only; retained messages and quality of service 2 end the connection.
     pub(super) fn handle_publish(&mut self, now: Duration, packet: &v5_0::Publish) -> Option<SessionEvent> {
         let is_own_report = packet.topic_name() == topics::report_topic(&self.planner, &self.proxy);
         if packet.retain() {
@@ -50,7 +50,7 @@
         })
     }
 
-    /// How many more messages the proxy accepts now.
+    /// How many more messages can be published now: the send quota of MQTT 5, 4.9. 0 if the proxy is not connected.
     pub fn send_quota(&self) -> usize {
         if !self.is_connected || self.end.is_some() {
             return 0;
@@ -58,8 +58,8 @@
         self.connection.get_receive_maximum_vacancy_for_send().map_or(usize::MAX, usize::from)
     }
 
-    /// Publishes a part of an update, as [`crate::body::encode`] writes it, under a number that the proxy's answer
-    /// returns. False: the proxy accepts no more messages now.
+    /// Publishes a part of an update, encoded by [`crate::body::encode`]. `number` identifies it in
+    /// [`SessionEvent::Acknowledged`] and [`SessionEvent::Rejected`]. Returns false if it cannot be published now.
     pub fn publish(&mut self, now: Duration, number: u64, topic: Topic, body: Arc<[u8]>) -> bool {
         if self.send_quota() == 0 {
             return false;
@@ -75,7 +75,7 @@
         true
     }
 
-    /// Messages that are not acknowledged yet.
+    /// Number of published messages that are not acknowledged yet.
     pub fn messages_in_flight(&self) -> usize {
         self.in_flight.len()
     }
--- a/crates/mqtt/src/session/subscriptions.rs
+++ b/crates/mqtt/src/session/subscriptions.rs
@@ -1,4 +1,4 @@
-//! `SUBSCRIBE` and `UNSUBSCRIBE`: the tables that a proxy is to have.
+//! `SUBSCRIBE` and `UNSUBSCRIBE`: the tables that are sent to a proxy.
 
 use super::{Session, SessionEvent};
 use crate::topics::{self, FilterError};
@@ -8,9 +8,9 @@
 use runloom_versioned_publisher::{HeldVersion, Topic, TopicFilter};
 use std::time::Duration;
 
-/// Filters in one subscription: as many as a proxy has tables.
+/// Maximum number of filters in one subscription: as many as a proxy has tables.
 const MAX_FILTERS: usize = 33;
-/// The user property with a topic, the epoch and the version that are held of it, separated by spaces.
+/// Name of the user property for a held topic. Its value is the topic, the epoch and the version, separated by spaces.
 const HELD_PROPERTY: &str = "holds";
 
 impl Session {
@@ -72,7 +72,8 @@
     }
 }
 
-/// Whatever quality of service is asked for, at least once is granted: a table that may get lost is of no use.
+/// The reason code for one filter in `SUBACK`. Quality of service 1 (at least once) is granted whatever was requested,
+/// because a proxy needs every update of its tables.
 fn suback_reason(filter: &Result<TopicFilter, FilterError>) -> SubackReasonCode {
     match filter {
         Ok(_) => SubackReasonCode::GrantedQos1,
--- a/crates/mqtt/src/topics.rs
+++ b/crates/mqtt/src/topics.rs
@@ -1,16 +1,18 @@
-//! MQTT topics, and which of them a proxy may use: `runloom/<planner>/<proxy>/<kind>/<table>` for tables, which the
-//! planner alone publishes, and `runloom/<planner>/<proxy>/report`, which that proxy alone publishes.
+//! MQTT topics, and which of them a proxy may use. Only the planner publishes tables, on
+//! `runloom/<planner>/<proxy>/<kind>/<table>`; only the proxy publishes its reports, on
+//! `runloom/<planner>/<proxy>/report`.
 
 use runloom_versioned_publisher::{Topic, TopicFilter, TopicKind};
 
 /// The first level of all topics.
 const ROOT: &str = "runloom";
-/// Bytes of a planner's or proxy's name: as many as the settings allow.
+/// Maximum length of a planner's or proxy's name in bytes, the same as in the settings.
 const MAX_NAME_BYTES: usize = 128;
-/// Prefix of shared subscriptions (MQTT 5, 4.8.2).
+/// Prefix of the filters of shared subscriptions (MQTT 5, 4.8.2).
 const SHARED_PREFIX: &str = "$share/";
-/// A proxy has one table of assignments; its topic has this number, whatever number the planner gives it.
-const ASSIGNMENTS_NUMBER: u16 = 0;
+/// The table number in the topic of a proxy's assignments. A proxy has only one table of assignments, so that the
+/// planner's number for it is not used.
+const ASSIGNMENTS_TABLE: u16 = 0;
 
 const KINDS: [TopicKind; 5] =
     [TopicKind::Weights, TopicKind::Subset, TopicKind::Range, TopicKind::Ejections, TopicKind::Assignments];
@@ -30,12 +32,13 @@
     KINDS.into_iter().find(|kind| kind_level(*kind) == level)
 }
 
-/// Each table has one topic: numbers with leading zeros or signs are none.
+/// Parses a table number. Leading zeros and signs are rejected, so that each table has exactly one topic.
 fn parse_number(level: &str) -> Option<u16> {
     level.parse().ok().filter(|number: &u16| number.to_string() == level)
 }
 
-/// Whether a planner or proxy can be named in a topic: no separator, wildcard or control character, and not too long.
+/// Whether the name of a planner or proxy can be a topic level: not empty, not too long, and without separators,
+/// wildcards, `$` and control characters.
 pub fn is_valid_name(name: &str) -> bool {
     let is_invalid = |c: char| matches!(c, '/' | '+' | '#' | '$') || c.is_control();
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains(is_invalid)
@@ -43,11 +46,11 @@
 
 /// The topic of a proxy's table.
 pub fn table_topic(planner: &str, proxy: &str, topic: Topic) -> String {
-    let number = if topic.kind == TopicKind::Assignments { ASSIGNMENTS_NUMBER } else { topic.table };
+    let number = if topic.kind == TopicKind::Assignments { ASSIGNMENTS_TABLE } else { topic.table };
     format!("{ROOT}/{planner}/{proxy}/{}/{number}", kind_level(topic.kind))
 }
 
-/// The filter of all of a proxy's tables of one kind.
+/// The filter that matches all of a proxy's tables of one kind.
 pub fn kind_filter(planner: &str, proxy: &str, kind: TopicKind) -> String {
     format!("{ROOT}/{planner}/{proxy}/{}/+", kind_level(kind))
 }
@@ -57,7 +60,7 @@
     format!("{ROOT}/{planner}/{proxy}/report")
 }
 
-/// The table that a topic stands for, if it is one of this proxy's.
+/// Parses the name of a table topic; `None` if it is not a topic of this proxy's tables.
 pub fn parse_table_topic(planner: &str, proxy: &str, name: &str) -> Option<Topic> {
     let rest = name.strip_prefix(ROOT)?.strip_prefix('/')?.strip_prefix(planner)?.strip_prefix('/')?;
     let (kind, number) = rest.strip_prefix(proxy)?.strip_prefix('/')?.split_once('/')?;
@@ -68,15 +71,15 @@
 /// Why a filter is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FilterError {
-    /// It is no filter by the protocol's rules.
+    /// It is not a valid MQTT topic filter.
     Invalid,
-    /// It matches topics that are not the proxy's to subscribe to.
+    /// It matches topics that the proxy may not subscribe to.
     NotOwn,
-    /// Shared subscriptions would distribute one proxy's updates among several.
+    /// It is a shared subscription, which would distribute one proxy's updates among several.
     Shared,
 }
 
-/// MQTT 5, 4.7.1: `#` is the last level and alone in it, `+` is alone in its level.
+/// Whether a filter is valid by MQTT 5, 4.7.1: `#` and `+` occupy a complete level, and `#` is the last level.
 fn is_valid_filter(filter: &str) -> bool {
     let levels: Vec<&str> = filter.split('/').collect();
     let last = levels.len() - 1;
@@ -88,8 +91,8 @@
     !filter.is_empty() && levels.iter().enumerate().all(is_valid_level)
 }
 
-/// Reads a proxy's filter. Its own name and its planner's must stand there in full: a wildcard in their place would
-/// match others' tables, even if none is published now.
+/// Parses a proxy's filter. It must contain the names of the planner and the proxy: a wildcard in their place would
+/// match the tables of others, even if none is published now.
 pub fn parse_filter(planner: &str, proxy: &str, filter: &str) -> Result<TopicFilter, FilterError> {
     if filter.starts_with(SHARED_PREFIX) {
         return Err(FilterError::Shared);
@@ -99,14 +102,16 @@
     }
     let levels: Vec<&str> = filter.split('/').collect();
     match levels[..] {
-        [ROOT, its_planner, its_proxy, ref table @ ..] if its_planner == planner && its_proxy == proxy => {
+        [ROOT, filter_planner, filter_proxy, ref table @ ..]
+            if filter_planner == planner && filter_proxy == proxy =>
+        {
             parse_table_filter(table)
         }
         _ => Err(FilterError::NotOwn),
     }
 }
 
-/// Reads the levels of a filter that follow the proxy's name.
+/// Parses the levels of a filter after the proxy's name.
 fn parse_table_filter(levels: &[&str]) -> Result<TopicFilter, FilterError> {
     match levels {
         ["#"] => Ok(TopicFilter::ALL),
