--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -59,7 +59,7 @@
     }
 
     fn flush(&mut self) {
-        let bytes = self.session.output(usize::MAX);
+        let bytes = self.session.take_output(usize::MAX);
         self.event_loop.write(self.connection, &bytes);
     }
 
@@ -104,7 +104,7 @@
     fn receive(&mut self, bytes: &[u8]) -> Result<Vec<SessionEvent>, ClientError> {
         let events = self.session.receive(bytes).map_err(|error| ClientError::Ended(error.to_string()))?;
         for event in &events {
-            if let SessionEvent::Notified(notification) = event {
+            if let SessionEvent::Notification(notification) = event {
                 self.notifications.push_back(notification.clone());
             }
         }
@@ -157,7 +157,7 @@
             return Ok(self.notifications.remove(index).unwrap_or_default());
         }
         let notification = self.wait_for(|event| match event {
-            SessionEvent::Notified(notification) if matches(notification) => Some(notification.clone()),
+            SessionEvent::Notification(notification) if matches(notification) => Some(notification.clone()),
             _ => None,
         })?;
         self.notifications.clear();
--- a/crates/netconf/src/service/edit_config.rs
+++ b/crates/netconf/src/service/edit_config.rs
@@ -2,19 +2,20 @@
 
 use super::datastore::{empty_datastore, read_datastore, Datastore};
 use super::{ok, Change, EditLookup, Host, ReplyContent, Request, Service};
-use crate::edit::{apply, Applied, ErrorOption, Operation};
+use crate::edit::{apply, EditOutcome, ErrorOption, Operation};
 use crate::error::{RpcError, Tag};
 use crate::tree::Element;
 use std::sync::Arc;
 
-/// `<test-option>`: whether the edit is applied. Tests that precede it are done in any case.
+/// `<test-option>`: whether the edit is applied. The value `set` has the same effect as `test-then-set`, because the
+/// tests before an edit cannot be skipped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TestOption {
     TestThenSet,
     TestOnly,
 }
 
-/// Parameters of `<edit-config>`.
+/// The parameters of `<edit-config>` other than `<config>`.
 struct EditOptions {
     target: Datastore,
     default_operation: Operation,
@@ -35,7 +36,7 @@
             "test-only" => TestOption::TestOnly,
             _ => return Err(unknown_value("test-option")),
         };
-        // An edit that stops on an error is rolled back, too: it is applied as a whole, or not at all.
+        // stop-on-error also rolls back: the edit is applied completely or not at all.
         let error_option = match operation.text_of("error-option").unwrap_or("stop-on-error") {
             "stop-on-error" | "rollback-on-error" => ErrorOption::StopOnError,
             "continue-on-error" => ErrorOption::ContinueOnError,
@@ -47,17 +48,17 @@
 
 fn unknown_value(parameter: &'static str) -> Vec<RpcError> {
     let error = RpcError::protocol(Tag::InvalidValue, format!("<{parameter}> has an unknown value"));
-    vec![error.with("bad-element", parameter)]
+    vec![error.with_info("bad-element", parameter)]
 }
 
-/// Whether this edit was accepted before; an id that was used for another edit is an error.
+/// Whether this edit was accepted before, by its edit-id. Fails if the id was used for another edit.
 pub(super) fn is_repeated(request: &Request, content: &str, host: &dyn Host) -> Result<bool, Vec<RpcError>> {
     match request.edit_id.map(|id| host.lookup_edit(id, content)) {
         None | Some(EditLookup::New) => Ok(false),
         Some(EditLookup::Repeated) => Ok(true),
         Some(EditLookup::Conflicting) => {
             let error = RpcError::application(Tag::OperationFailed, "this edit-id stands for another edit");
-            Err(vec![error.app("edit-id-reused").with("bad-attribute", "edit-id")])
+            Err(vec![error.with_app_tag("edit-id-reused").with_info("bad-attribute", "edit-id")])
         }
     }
 }
@@ -70,20 +71,20 @@
     }
 
     pub(super) fn edit_config(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
-        self.limit_edits(request)?;
+        self.take_edit_token(request)?;
         let operation = request.operation;
         let target = read_datastore(operation, "target")?;
         self.check_unlocked(target, request.session)?;
         let options = EditOptions::read(operation, target)?;
         let Some(config) = operation.child("config") else {
             let error = RpcError::protocol(Tag::MissingElement, "<config> is missing");
-            return Err(vec![error.with("bad-element", "config")]);
+            return Err(vec![error.with_info("bad-element", "config")]);
         };
         let content = operation.to_text();
         if target == Datastore::Running && is_repeated(request, &content, host)? {
             return ok();
         }
-        let Applied { tree, errors } = self.apply_edit(&options, config, host);
+        let EditOutcome { tree, errors } = self.apply_edit(&options, config, host);
         if !errors.is_empty() && options.error_option == ErrorOption::StopOnError {
             return Err(errors);
         }
@@ -95,9 +96,9 @@
         }
     }
 
-    fn apply_edit(&self, options: &EditOptions, config: &Element, host: &dyn Host) -> Applied {
+    fn apply_edit(&self, options: &EditOptions, config: &Element, host: &dyn Host) -> EditOutcome {
         if options.default_operation == Operation::Replace {
-            // RFC 6241, section 7.2: a default of replace applies to the complete datastore.
+            // RFC 6241, section 7.2: the default operation `replace` replaces the complete datastore.
             let base = empty_datastore();
             return apply(&self.schema, &base, config, Operation::Merge, options.error_option);
         }
@@ -110,18 +111,18 @@
         request: &Request,
         options: &EditOptions,
         content: &str,
-        wanted: Arc<Element>,
+        datastore: Arc<Element>,
         host: &mut dyn Host,
     ) -> Result<(), Vec<RpcError>> {
         if options.test_option == TestOption::TestOnly {
-            return host.validate_datastore(&wanted);
+            return host.validate_datastore(&datastore);
         }
         match options.target {
             Datastore::Candidate => {
-                self.candidate = Some(wanted);
+                self.candidate = Some(datastore);
                 Ok(())
             }
-            Datastore::Running => self.commit_running(request, content, &wanted, host),
+            Datastore::Running => self.commit_running(request, content, &datastore, host),
         }
     }
 
@@ -129,27 +130,27 @@
         &self,
         request: &Request,
         content: &str,
-        wanted: &Arc<Element>,
+        datastore: &Arc<Element>,
         host: &mut dyn Host,
     ) -> Result<(), Vec<RpcError>> {
         self.check_no_confirmed_commit(request.session)?;
-        let Request { who, edit_id, .. } = *request;
-        host.commit(&Change { who, edit_id, content, wanted, before: None })
+        let Request { client, edit_id, .. } = *request;
+        host.commit(&Change { client, edit_id, content, datastore, rollback_to: None })
     }
 
     pub(super) fn copy_config(&mut self, request: &Request, host: &mut dyn Host) -> ReplyContent {
-        self.limit_edits(request)?;
+        self.take_edit_token(request)?;
         let operation = request.operation;
         let target = read_datastore(operation, "target")?;
         self.check_unlocked(target, request.session)?;
-        let wanted = self.source_contents(operation, host)?;
+        let datastore = self.source_contents(operation, host)?;
         if target == Datastore::Candidate {
-            self.candidate = Some(wanted);
+            self.candidate = Some(datastore);
             return ok();
         }
         let content = operation.to_text();
         if !is_repeated(request, &content, host)? {
-            self.commit_running(request, &content, &wanted, host)?;
+            self.commit_running(request, &content, &datastore, host)?;
         }
         ok()
     }
--- a/crates/netconf/src/service/locks.rs
+++ b/crates/netconf/src/service/locks.rs
@@ -1,19 +1,19 @@
 //! `<lock>`, `<unlock>` and `<kill-session>` (RFC 6241, sections 7.5, 7.6 and 7.9).
 
 use super::datastore::{read_datastore, Datastore};
-use super::{ok, Answer, ReplyContent, Request, Service, SessionId};
+use super::{ok, Reply, ReplyContent, Request, Service, SessionId};
 use crate::error::{RpcError, Tag};
 
-/// The holder that the RFC names where no NETCONF session holds a lock.
+/// The session-id in a `lock-denied` error if no NETCONF session holds the lock (RFC 6241, appendix A).
 const NO_SESSION: SessionId = 0;
 
 fn lock_denied(holder: SessionId, reason: &str) -> Vec<RpcError> {
     let error = RpcError::protocol(Tag::LockDenied, reason);
-    vec![error.with("session-id", holder.to_string())]
+    vec![error.with_info("session-id", holder.to_string())]
 }
 
 impl Service {
-    /// Fails where another session holds the lock.
+    /// Fails if another session holds the lock of the datastore.
     pub(super) fn check_unlocked(
         &self,
         datastore: Datastore,
@@ -23,7 +23,7 @@
             Some(holder) if *holder != session => {
                 let reason = format!("{datastore} is locked by session {holder}");
                 let error = RpcError::protocol(Tag::InUse, reason);
-                Err(vec![error.with("session-id", holder.to_string())])
+                Err(vec![error.with_info("session-id", holder.to_string())])
             }
             _ => Ok(()),
         }
@@ -53,22 +53,22 @@
         }
         self.locks.remove(&datastore);
         if datastore == Datastore::Candidate {
-            // RFC 6241, section 8.3.5.2: what is not committed is discarded with the lock.
+            // RFC 6241, section 8.3.5.2: releasing the lock discards uncommitted changes.
             self.candidate = None;
         }
         ok()
     }
 
-    pub(super) fn kill_session(&mut self, request: &Request, answer: &mut Answer) -> ReplyContent {
+    pub(super) fn kill_session(&mut self, request: &Request, reply: &mut Reply) -> ReplyContent {
         let killed = request.operation.text_of("session-id").and_then(|text| text.parse().ok());
         match killed {
             Some(other) if other != request.session && self.sessions.contains_key(&other) => {
-                answer.kill.push(other);
+                reply.killed_sessions.push(other);
                 ok()
             }
             _ => {
                 let error = RpcError::protocol(Tag::InvalidValue, "no such other session");
-                Err(vec![error.with("bad-element", "session-id")])
+                Err(vec![error.with_info("bad-element", "session-id")])
             }
         }
     }
