--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,7 +1,7 @@
 //! A NETCONF client: one session with a planner, operations one after the other, replies waited for.
 
 use crate::tls_credentials::{server_name, TlsPolicy, PLANNER};
-use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
+use runloom_event_loop::{ConnectionId, ConnectionLimits, EventLoop, IoEvent, Security};
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
@@ -44,7 +44,7 @@
     pub fn open(address: SocketAddr, tls: &TlsPolicy, timeout: Duration) -> Result<Client, ClientError> {
         let mut event_loop = EventLoop::new()?;
         let security = Security::TlsClient(tls.client_config.clone(), server_name(PLANNER));
-        let connection = event_loop.dial(address, &security, BufferLimits::default())?;
+        let connection = event_loop.dial(address, &security, ConnectionLimits::default())?;
         let mut client = Client {
             event_loop,
             connection,
--- a/crates/daemon/src/planner_runtime/health_checks.rs
+++ b/crates/daemon/src/planner_runtime/health_checks.rs
@@ -3,7 +3,7 @@
 use crate::http::MessageReader;
 use runloom_control_session::ControlSession;
 use runloom_controller::HealthCheckResult;
-use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, Security};
+use runloom_event_loop::{CloseReason, ConnectionId, ConnectionLimits, EventLoop, Security};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -55,7 +55,7 @@
     ) {
         let sent = event_loop.now();
         let connection = if self.in_flight.len() < MAX_IN_FLIGHT {
-            event_loop.dial(address, &Security::Plain, BufferLimits::default()).ok()
+            event_loop.dial(address, &Security::Plain, ConnectionLimits::default()).ok()
         } else {
             None
         };
--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -1,7 +1,7 @@
 //! The addresses at which a planner listens.
 
 use crate::tls_credentials::{server_name, TlsPolicy, PROXY};
-use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
+use runloom_event_loop::{ConnectionId, ConnectionLimits, EventLoop, Security};
 use runloom_model::fleet::Fleet;
 use runloom_model::planner_settings::PlannerSettings;
 use std::io;
@@ -66,9 +66,10 @@
             event_loop.listen(settings.operator_address, server_tls.clone(), operator_limits())?;
         let (call_home, home) =
             event_loop.listen(settings.call_home_address, client_tls, call_home_limits(fleet))?;
-        let mut listen_if_set = |address: Option<SocketAddr>, security: Security, limits: BufferLimits| {
-            address.map(|address| event_loop.listen(address, security, limits)).transpose()
-        };
+        let mut listen_if_set =
+            |address: Option<SocketAddr>, security: Security, limits: ConnectionLimits| {
+                address.map(|address| event_loop.listen(address, security, limits)).transpose()
+            };
         let subscribers = listen_if_set(settings.subscription_address, server_tls, subscriber_limits())?;
         let metrics = listen_if_set(settings.metrics_address, Security::Plain, metrics_limits())?;
         let pubsub_address = subscribers.map(|(_, address)| address);
@@ -98,29 +99,29 @@
     }
 }
 
-fn operator_limits() -> BufferLimits {
-    BufferLimits {
+fn operator_limits() -> ConnectionLimits {
+    ConnectionLimits {
         idle_timeout: Some(OPERATOR_IDLE_TIMEOUT),
         max_connections: MAX_OPERATOR_CONNECTIONS,
-        ..BufferLimits::default()
+        ..ConnectionLimits::default()
     }
 }
 
 /// A proxy that called home reports in each period.
-fn call_home_limits(fleet: &Fleet) -> BufferLimits {
+fn call_home_limits(fleet: &Fleet) -> ConnectionLimits {
     let idle_timeout = (fleet.report_period * SILENT_REPORT_PERIODS).max(MIN_PROXY_IDLE_TIMEOUT);
-    BufferLimits { idle_timeout: Some(idle_timeout), ..BufferLimits::default() }
+    ConnectionLimits { idle_timeout: Some(idle_timeout), ..ConnectionLimits::default() }
 }
 
 /// MQTT has its own keep-alive.
-fn subscriber_limits() -> BufferLimits {
-    BufferLimits { max_unsent_bytes: SUBSCRIBER_BUFFER_BYTES, ..BufferLimits::default() }
+fn subscriber_limits() -> ConnectionLimits {
+    ConnectionLimits { max_unsent_bytes: SUBSCRIBER_BUFFER_BYTES, ..ConnectionLimits::default() }
 }
 
-fn metrics_limits() -> BufferLimits {
-    BufferLimits {
+fn metrics_limits() -> ConnectionLimits {
+    ConnectionLimits {
         idle_timeout: Some(METRICS_IDLE_TIMEOUT),
         max_connections: MAX_METRICS_CONNECTIONS,
-        ..BufferLimits::default()
+        ..ConnectionLimits::default()
     }
 }
--- a/crates/daemon/src/planner_runtime/subscriber.rs
+++ b/crates/daemon/src/planner_runtime/subscriber.rs
@@ -46,7 +46,7 @@
             topic: part.topic,
             base_version: part.base_version,
             version: part.version,
-            part: part.part,
+            part: part.part_index,
         };
         self.bodies.entry(key).or_insert_with(|| body::encode(part).into()).clone()
     }
--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -61,7 +61,7 @@
 fn run_planner() -> Result<(), RuntimeError> {
     let mut event_loop = EventLoop::new()?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
-        event_loop.signal(signal)?;
+        event_loop.register_signal(signal)?;
     }
     let path = PathBuf::from(environment("EDGE_CONFIG").ok_or(RuntimeError::NoBootstrapFile)?);
     let bootstrap = read_bootstrap(&path)?;
--- a/crates/daemon/src/platform_runtime/health_checks.rs
+++ b/crates/daemon/src/platform_runtime/health_checks.rs
@@ -2,7 +2,7 @@
 
 use super::PlatformRuntime;
 use runloom_controller::HealthCheckResult;
-use runloom_event_loop::{BufferLimits, ConnectionId, Security};
+use runloom_event_loop::{ConnectionId, ConnectionLimits, Security};
 use runloom_platform_protocol::health_check::{self, HealthCheck, HealthCheckOutcome};
 use std::net::SocketAddr;
 
@@ -23,7 +23,8 @@
 
     /// Opens a connection for a health check and sends its request.
     pub(super) fn dial_health_check(&mut self, check: HealthCheck) {
-        let limits = BufferLimits { handshake_timeout: health_check::TIMEOUT * 2, ..BufferLimits::default() };
+        let limits =
+            ConnectionLimits { handshake_timeout: health_check::TIMEOUT * 2, ..ConnectionLimits::default() };
         match self.event_loop.dial(check.address, &Security::Plain, limits) {
             Ok(conn) => {
                 // What is written before the connection is established is sent with it.
--- a/crates/daemon/src/platform_runtime/list_watch.rs
+++ b/crates/daemon/src/platform_runtime/list_watch.rs
@@ -1,7 +1,7 @@
 //! The watch of the endpoint list on its connections.
 
 use super::PlatformRuntime;
-use runloom_event_loop::{BufferLimits, ConnectionId, IoEvent, Security};
+use runloom_event_loop::{ConnectionId, ConnectionLimits, IoEvent, Security};
 use runloom_platform_protocol::endpoint_list;
 
 impl PlatformRuntime {
@@ -29,7 +29,7 @@
         }
         let now = self.now();
         if self.watch.should_dial(now) {
-            let conn = self.event_loop.dial(address, &Security::Plain, BufferLimits::default()).ok();
+            let conn = self.event_loop.dial(address, &Security::Plain, ConnectionLimits::default()).ok();
             if let Some(conn) = conn {
                 let revision = self.platform.watch_revision();
                 let request = endpoint_list::watch_request(&address.to_string(), revision);
--- a/crates/daemon/src/platform_runtime/listen.rs
+++ b/crates/daemon/src/platform_runtime/listen.rs
@@ -1,7 +1,7 @@
 //! Listening on an address that the preceding process may still hold.
 
 use super::error::RuntimeError;
-use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, IoEvent, Security};
+use runloom_event_loop::{ConnectionId, ConnectionLimits, EventLoop, IoEvent, Security};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -25,10 +25,10 @@
     event_loop: &mut EventLoop,
     address: SocketAddr,
 ) -> Result<Option<BoundListener>, RuntimeError> {
-    let limits = BufferLimits {
+    let limits = ConnectionLimits {
         max_unsent_bytes: MAX_UNSENT_BYTES,
         max_connections: usize::MAX,
-        ..BufferLimits::default()
+        ..ConnectionLimits::default()
     };
     let mut has_warned = false;
     loop {
--- a/crates/daemon/src/proxy_runtime.rs
+++ b/crates/daemon/src/proxy_runtime.rs
@@ -21,7 +21,7 @@
 use planner_link::PlannerLink;
 use reports::Reporter;
 use requests::RequestsInFlight;
-use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
+use runloom_event_loop::{CloseReason, ConnectionId, ConnectionLimits, EventLoop, IoEvent, Security};
 use runloom_model::proxy_settings::{ProxySettings, TableDelivery};
 use runloom_model::schema_derivation::derive_schema;
 use runloom_model::{Schema, PROXY_XSD};
@@ -82,10 +82,10 @@
         seed: u64,
     ) -> Result<(ProxyRuntime, SocketAddr), ProxyStartError> {
         let tls = TlsPolicy::load(&settings.tls)?;
-        let limits = BufferLimits {
+        let limits = ConnectionLimits {
             idle_timeout: Some(CLIENT_IDLE_TIMEOUT),
             max_unsent_bytes: MAX_UNSENT_BYTES,
-            ..BufferLimits::default()
+            ..ConnectionLimits::default()
         };
         let (listener, address) = event_loop.listen(settings.listen_address, Security::Plain, limits)?;
         let schema = Schema::root(derive_schema(PROXY_XSD, &["tables"]).map_err(ProxyStartError::Schema)?);
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -4,7 +4,7 @@
 use super::planner_link::{PlannerProtocol, PlannerSession, MAX_REDIAL_DELAY};
 use super::{wall_seconds, ProxyRuntime};
 use crate::tls_credentials::CertificateHolder;
-use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop};
+use runloom_event_loop::{CloseReason, ConnectionId, ConnectionLimits, EventLoop};
 use runloom_model::proxy_settings::TableDelivery;
 use runloom_mqtt::client::{Client, TableFormat};
 use runloom_mqtt::ProxyInfo;
@@ -57,7 +57,7 @@
             return;
         }
         let Some(planner) = self.planner_to_dial() else { return };
-        match event_loop.dial(planner, &self.planner_link.security, BufferLimits::default()) {
+        match event_loop.dial(planner, &self.planner_link.security, ConnectionLimits::default()) {
             Ok(connection) => {
                 self.opened_connections.push(connection);
                 self.planner_link.dialing = Some(connection);
--- a/crates/daemon/src/proxy_runtime/upstream_connections.rs
+++ b/crates/daemon/src/proxy_runtime/upstream_connections.rs
@@ -2,7 +2,7 @@
 
 use super::ProxyRuntime;
 use crate::http::{serialize_response, Message, MessageReader};
-use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, Security};
+use runloom_event_loop::{CloseReason, ConnectionId, ConnectionLimits, EventLoop, Security};
 use runloom_proxy::{AttemptOutcome, RejectionReason, RequestAction, RequestId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -125,10 +125,10 @@
 
     /// Returns `None` if no socket can be opened; nothing was written then.
     fn dial_upstream(&mut self, event_loop: &mut EventLoop, address: SocketAddr) -> Option<ConnectionId> {
-        let limits = BufferLimits {
+        let limits = ConnectionLimits {
             idle_timeout: Some(IDLE_TIMEOUT),
             handshake_timeout: CONNECT_TIMEOUT,
-            ..BufferLimits::default()
+            ..ConnectionLimits::default()
         };
         let connection = event_loop.dial(address, &Security::Plain, limits).ok()?;
         self.upstreams.insert_dialed(connection, address, event_loop.now());
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -41,7 +41,7 @@
 fn event_loop() -> io::Result<EventLoop> {
     let mut event_loop = EventLoop::new()?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
-        event_loop.signal(signal)?;
+        event_loop.register_signal(signal)?;
     }
     // A write beyond a limit on file size becomes an error of that write. The flag is not read.
     signal_hook::flag::register(SIGXFSZ, Arc::default())?;
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,6 +1,6 @@
 //! One connection: its socket, its TLS state, its output buffer and its deadlines.
 
-use crate::{BufferLimits, CloseReason, ConnectionId};
+use crate::{CloseReason, ConnectionId, ConnectionLimits};
 use polling::{Event, PollMode, Poller};
 use rustls::Connection as TlsConnection;
 use std::io::{self, Read, Write};
@@ -53,7 +53,7 @@
 pub(crate) struct Connection {
     stream: TcpStream,
     tls: Option<TlsConnection>,
-    limits: BufferLimits,
+    limits: ConnectionLimits,
     origin: Origin,
     state: State,
     is_read_paused: bool,
@@ -75,7 +75,7 @@
     pub(crate) fn new(
         stream: TcpStream,
         tls: Option<TlsConnection>,
-        limits: BufferLimits,
+        limits: ConnectionLimits,
         origin: Origin,
         now: Duration,
     ) -> Connection {
--- a/crates/event-loop/src/event.rs
+++ b/crates/event-loop/src/event.rs
@@ -14,11 +14,11 @@
     Refused,
     /// TLS failed: no certificate, an unacceptable one, or no TLS at all.
     Untrusted,
-    /// Connecting or the TLS handshake exceeded [`crate::BufferLimits::handshake_timeout`].
+    /// Connecting or the TLS handshake exceeded [`crate::ConnectionLimits::handshake_timeout`].
     Slow,
-    /// Nothing was read for [`crate::BufferLimits::idle_timeout`].
+    /// Nothing was read for [`crate::ConnectionLimits::idle_timeout`].
     Idle,
-    /// More bytes than [`crate::BufferLimits::max_unsent_bytes`] waited to be written.
+    /// More bytes than [`crate::ConnectionLimits::max_unsent_bytes`] waited to be written.
     Unread,
     /// It was finished by [`crate::EventLoop::finish`], and everything is written.
     Finished,
@@ -50,6 +50,6 @@
         /// Why it ended.
         reason: CloseReason,
     },
-    /// The process received a signal that was registered with [`crate::EventLoop::signal`].
+    /// The process received a signal that was registered with [`crate::EventLoop::register_signal`].
     Signal(i32),
 }
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::{Connection, Origin, Outcome};
 use crate::listener::Listener;
-use crate::{BufferLimits, CloseReason, ConnectionId, IoEvent, Security};
+use crate::{CloseReason, ConnectionId, ConnectionLimits, IoEvent, Security};
 use hdrhistogram::Histogram;
 use polling::{Event, Events, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -129,7 +129,7 @@
         &mut self,
         address: SocketAddr,
         security: &Security,
-        limits: BufferLimits,
+        limits: ConnectionLimits,
     ) -> io::Result<ConnectionId> {
         let socket = new_socket(address)?;
         socket.set_tcp_nodelay(true)?;
@@ -148,7 +148,7 @@
     }
 
     /// Returns a signal as [`IoEvent::Signal`] from now on, instead of its default action.
-    pub fn signal(&mut self, signal: i32) -> io::Result<()> {
+    pub fn register_signal(&mut self, signal: i32) -> io::Result<()> {
         let (reader, writer) = UnixStream::pair()?;
         reader.set_nonblocking(true)?;
         signal_hook::low_level::pipe::register(signal, writer)?;
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use event::{CloseReason, ConnectionId, IoEvent};
 pub use event_loop::{EventLoop, Waker};
-pub use limits::BufferLimits;
+pub use limits::ConnectionLimits;
 pub use security::Security;
 
 #[cfg(test)]
--- a/crates/event-loop/src/limits.rs
+++ b/crates/event-loop/src/limits.rs
@@ -12,7 +12,7 @@
 
 /// Limits of a connection, or of a listener and each connection that it accepts.
 #[derive(Debug, Clone, Copy)]
-pub struct BufferLimits {
+pub struct ConnectionLimits {
     /// Bytes that may wait to be written; more closes the connection.
     pub max_unsent_bytes: usize,
     /// Bytes after which reading a connection stops until the next iteration.
@@ -25,9 +25,9 @@
     pub max_connections: usize,
 }
 
-impl Default for BufferLimits {
+impl Default for ConnectionLimits {
     fn default() -> Self {
-        BufferLimits {
+        ConnectionLimits {
             max_unsent_bytes: DEFAULT_MAX_UNSENT_BYTES,
             read_bytes_per_poll: DEFAULT_READ_BYTES_PER_POLL,
             idle_timeout: None,
--- a/crates/event-loop/src/listener.rs
+++ b/crates/event-loop/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::{Connection, Origin};
 use crate::event_loop::{new_socket, EventLoop};
-use crate::{BufferLimits, ConnectionId, IoEvent, Security};
+use crate::{ConnectionId, ConnectionLimits, IoEvent, Security};
 use polling::{Event, PollMode};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 pub(crate) struct Listener {
     socket: TcpListener,
     security: Security,
-    limits: BufferLimits,
+    limits: ConnectionLimits,
     /// Its connections that are not closed.
     connection_count: usize,
     /// Set once it accepts nobody any more.
@@ -55,7 +55,7 @@
         &mut self,
         address: SocketAddr,
         security: Security,
-        limits: BufferLimits,
+        limits: ConnectionLimits,
     ) -> io::Result<(ConnectionId, SocketAddr)> {
         let socket = new_socket(address)?;
         socket.set_reuse_address(true)?;
--- a/crates/event-loop/src/tests.rs
+++ b/crates/event-loop/src/tests.rs
@@ -97,8 +97,8 @@
 fn bytes_pass_both_ways_over_tls_with_client_certificates() {
     let TlsPeers { server, client, .. } = tls_peers();
     let mut event_loop = EventLoop::new().unwrap();
-    let (_, at) = event_loop.listen(any(), server, BufferLimits::default()).unwrap();
-    let near = event_loop.dial(at, &client, BufferLimits::default()).unwrap();
+    let (_, at) = event_loop.listen(any(), server, ConnectionLimits::default()).unwrap();
+    let near = event_loop.dial(at, &client, ConnectionLimits::default()).unwrap();
     // Written before the handshake has ended, and larger than any buffer between the two.
     let long: Vec<u8> = (0..3_000_000u32).map(|k| k as u8).collect();
     event_loop.write(near, &long);
@@ -123,8 +123,8 @@
 fn a_peer_without_certificate_or_tls_is_untrusted() {
     let TlsPeers { server, client_without_certificate, .. } = tls_peers();
     let mut event_loop = EventLoop::new().unwrap();
-    let (_, at) = event_loop.listen(any(), server, BufferLimits::default()).unwrap();
-    let near = event_loop.dial(at, &client_without_certificate, BufferLimits::default()).unwrap();
+    let (_, at) = event_loop.listen(any(), server, ConnectionLimits::default()).unwrap();
+    let near = event_loop.dial(at, &client_without_certificate, ConnectionLimits::default()).unwrap();
     let reason = until(&mut event_loop, |_, event| match event {
         IoEvent::Closed { conn, reason } if *conn != near => Some(*reason),
         _ => None,
@@ -144,17 +144,17 @@
 #[test]
 fn a_peer_that_sends_nothing_or_reads_nothing_is_disconnected() {
     let mut event_loop = EventLoop::new().unwrap();
-    let limits = BufferLimits {
+    let limits = ConnectionLimits {
         idle_timeout: Some(Duration::from_millis(50)),
         max_unsent_bytes: 1 << 20,
-        ..BufferLimits::default()
+        ..ConnectionLimits::default()
     };
     let (_, at) = event_loop.listen(any(), Security::Plain, limits).unwrap();
     let _silent = TcpStream::connect(at).unwrap();
 
     assert_eq!(until(&mut event_loop, closed), CloseReason::Idle);
 
-    let limits = BufferLimits { idle_timeout: None, ..limits };
+    let limits = ConnectionLimits { idle_timeout: None, ..limits };
     let (_, at) = event_loop.listen(any(), Security::Plain, limits).unwrap();
     let _unresponsive = TcpStream::connect(at).unwrap();
     let conn = until(&mut event_loop, opened);
@@ -170,7 +170,8 @@
 fn a_stalled_handshake_and_a_refused_connection_are_closed() {
     let TlsPeers { server, client, .. } = tls_peers();
     let mut event_loop = EventLoop::new().unwrap();
-    let limits = BufferLimits { handshake_timeout: Duration::from_millis(50), ..BufferLimits::default() };
+    let limits =
+        ConnectionLimits { handshake_timeout: Duration::from_millis(50), ..ConnectionLimits::default() };
     let (_, at) = event_loop.listen(any(), server, limits).unwrap();
     let _stalled = TcpStream::connect(at).unwrap();
 
@@ -180,7 +181,7 @@
     let refusing = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     refusing.bind(&any().into()).unwrap();
     let refusing_address = refusing.local_addr().unwrap().as_socket().unwrap();
-    event_loop.dial(refusing_address, &client, BufferLimits::default()).unwrap();
+    event_loop.dial(refusing_address, &client, ConnectionLimits::default()).unwrap();
 
     assert_eq!(until(&mut event_loop, closed), CloseReason::Refused);
 }
@@ -188,7 +189,7 @@
 #[test]
 fn a_finished_connection_delivers_what_was_written() {
     let mut event_loop = EventLoop::new().unwrap();
-    let (_, at) = event_loop.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
+    let (_, at) = event_loop.listen(any(), Security::Plain, ConnectionLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     peer.write_all(b"unread by the other side").unwrap();
     let conn = until(&mut event_loop, opened);
@@ -208,7 +209,7 @@
 #[test]
 fn a_listener_keeps_its_limit_and_a_paused_connection_is_not_read() {
     let mut event_loop = EventLoop::new().unwrap();
-    let limits = BufferLimits { max_connections: 1, ..BufferLimits::default() };
+    let limits = ConnectionLimits { max_connections: 1, ..ConnectionLimits::default() };
     let (_, at) = event_loop.listen(any(), Security::Plain, limits).unwrap();
     let mut first = TcpStream::connect(at).unwrap();
     let conn = until(&mut event_loop, opened);
@@ -238,10 +239,10 @@
 fn many_handshakes_are_spread_over_iterations() {
     let TlsPeers { server, client, .. } = tls_peers();
     let mut event_loop = EventLoop::new().unwrap();
-    let (_, at) = event_loop.listen(any(), server, BufferLimits::default()).unwrap();
+    let (_, at) = event_loop.listen(any(), server, ConnectionLimits::default()).unwrap();
     let count = 5 * DEFAULT_MAX_HANDSHAKES;
     let dialed: Vec<ConnectionId> =
-        (0..count).map(|_| event_loop.dial(at, &client, BufferLimits::default()).unwrap()).collect();
+        (0..count).map(|_| event_loop.dial(at, &client, ConnectionLimits::default()).unwrap()).collect();
     let (mut open, end) = (0, Instant::now() + Duration::from_secs(60));
     while open < 2 * dialed.len() && Instant::now() < end {
         let opened = event_loop.wait(None).unwrap();
@@ -256,7 +257,7 @@
 #[test]
 fn a_half_closed_peer_gets_what_is_written_in_the_iteration_of_its_close() {
     let mut event_loop = EventLoop::new().unwrap();
-    let (_, at) = event_loop.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
+    let (_, at) = event_loop.listen(any(), Security::Plain, ConnectionLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     peer.write_all(b"well?").unwrap();
     peer.shutdown(std::net::Shutdown::Write).unwrap();
@@ -289,7 +290,7 @@
 #[test]
 fn bytes_sent_before_a_connection_broke_are_returned_before_its_end() {
     let mut event_loop = EventLoop::new().unwrap();
-    let (_, at) = event_loop.listen(any(), Security::Plain, BufferLimits::default()).unwrap();
+    let (_, at) = event_loop.listen(any(), Security::Plain, ConnectionLimits::default()).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     let conn = until(&mut event_loop, opened);
     peer.write_all(b"last words").unwrap();
@@ -315,7 +316,8 @@
         return run_with_few_descriptors();
     };
     let mut event_loop = EventLoop::new().unwrap();
-    let (_, at) = event_loop.listen(at.parse().unwrap(), Security::Plain, BufferLimits::default()).unwrap();
+    let (_, at) =
+        event_loop.listen(at.parse().unwrap(), Security::Plain, ConnectionLimits::default()).unwrap();
     println!("listens at {at}");
     let (mut accepted, mut total, mut idle) = (Vec::new(), 0, 0);
     // For some backoffs nothing is closed, and more connections wait than can be accepted.
--- a/crates/mqtt/src/body.rs
+++ b/crates/mqtt/src/body.rs
@@ -78,7 +78,7 @@
         epoch: part.epoch,
         base_version: part.base_version,
         version: part.version,
-        part: part.part,
+        part: part.part_index,
         part_count: part.part_count,
         changes: part.changes.iter().map(ChangeBody::from).collect(),
     };
@@ -98,7 +98,7 @@
         epoch: body.epoch,
         base_version: body.base_version,
         version: body.version,
-        part: body.part,
+        part_index: body.part,
         part_count: body.part_count,
         changes: changes.into(),
     })
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -295,7 +295,7 @@
         epoch: 9,
         base_version: None,
         version: 1,
-        part: 0,
+        part_index: 0,
         part_count: 1,
         changes: [entry(1, 1)].into(),
     };
@@ -351,7 +351,7 @@
             epoch: 9,
             base_version: None,
             version: 1,
-            part: 0,
+            part_index: 0,
             part_count: 1,
             changes: [change].into(),
         };
@@ -494,7 +494,7 @@
             epoch: 3,
             base_version: Some(to - 1),
             version: to,
-            part: 0,
+            part_index: 0,
             part_count: 2,
             changes: changes.into(),
         };
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -44,7 +44,7 @@
                 epoch: 77,
                 base_version: from,
                 version: 9,
-                part: 0,
+                part_index: 0,
                 part_count: 2,
                 changes: changes.clone().into(),
             };
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -249,7 +249,7 @@
             topic: part.topic,
             base_version: part.base_version,
             version: part.version,
-            part: part.part,
+            part: part.part_index,
         };
         let body = bodies.entry(key).or_insert_with(|| body::encode(part).into()).clone();
         if let Some(subscription) = self.subscriptions.get_mut(&proxy) {
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, LogNormal};
 use runloom_daemon::http::{serialize_response, Message, MessageReader};
-use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
+use runloom_event_loop::{ConnectionId, ConnectionLimits, EventLoop, Security};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -413,6 +413,6 @@
 }
 
 fn listen(event_loop: &mut EventLoop, address: SocketAddr) -> io::Result<(ConnectionId, SocketAddr)> {
-    let limits = BufferLimits { idle_timeout: Some(IDLE_TIMEOUT), ..BufferLimits::default() };
+    let limits = ConnectionLimits { idle_timeout: Some(IDLE_TIMEOUT), ..ConnectionLimits::default() };
     event_loop.listen(address, Security::Plain, limits)
 }
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use runloom_daemon::http::{serialize_request, Message, MessageReader};
-use runloom_event_loop::{BufferLimits, ConnectionId, EventLoop, Security};
+use runloom_event_loop::{ConnectionId, ConnectionLimits, EventLoop, Security};
 use runloom_model::traffic_class::{ClassSettings, RetrySafety};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -225,7 +225,7 @@
             return Some(conn);
         }
         let address = self.proxies[proxy];
-        let conn = event_loop.dial(address, &Security::Plain, BufferLimits::default()).ok()?;
+        let conn = event_loop.dial(address, &Security::Plain, ConnectionLimits::default()).ok()?;
         let connection = ClientConnection { proxy, reader: MessageReader::responses(), request: None };
         self.connections.insert(conn, connection);
         Some(conn)
--- a/crates/testbed/tests/access_control.rs
+++ b/crates/testbed/tests/access_control.rs
@@ -10,7 +10,7 @@
 use rcgen::CertificateParams;
 use runloom_daemon::client::{edit_config, Client};
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
-use runloom_event_loop::{BufferLimits, EventLoop, IoEvent, Security};
+use runloom_event_loop::{ConnectionLimits, EventLoop, IoEvent, Security};
 use runloom_model::tls_files::TlsFiles;
 use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
 use runloom_mqtt::ProxyInfo;
@@ -32,7 +32,7 @@
     let Ok(policy) = TlsPolicy::load(credentials) else { return false };
     let mut event_loop = EventLoop::new().unwrap();
     let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER));
-    let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
+    let conn = event_loop.dial(planner.addresses.pubsub, &security, ConnectionLimits::default()).unwrap();
     let info = ProxyInfo { zone: "a".into(), request_rate: 1.0, has_no_table: true };
     let mut client = Subscription::new(event_loop.now(), "p", name, &info, TableFormat::Weights, vec![]);
     let end = Instant::now() + TIMEOUT;
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -7,7 +7,7 @@
 use help::PlannerWithOperator;
 use runloom_daemon::client::edit_config;
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
-use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
+use runloom_event_loop::{CloseReason, ConnectionId, ConnectionLimits, EventLoop, IoEvent, Security};
 use runloom_model::report::{ClassArrivals, Report, ServerOutcomes};
 use runloom_model::FLEET;
 use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
@@ -45,7 +45,7 @@
     ) -> Subscriber {
         let mut event_loop = EventLoop::new().unwrap();
         let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER));
-        let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
+        let conn = event_loop.dial(planner.addresses.pubsub, &security, ConnectionLimits::default()).unwrap();
         let has_no_table = reader.topics().next().is_none();
         let info = ProxyInfo { zone: "a".into(), request_rate: 5.0, has_no_table };
         let held = reader.held_versions();
@@ -200,7 +200,10 @@
     // Then
     let is_table = |part: &&UpdatePart| part.topic.kind == TopicKind::Weights;
     let tables: Vec<&UpdatePart> = subscriber.parts.iter().filter(is_table).collect();
-    assert!(tables[0].base_version.is_some() && tables[0].changes[0].takes_server_out(), "{tables:?}");
+    assert!(
+        tables[0].base_version.is_some() && tables[0].changes[0].takes_server_out_of_service(),
+        "{tables:?}"
+    );
     wait_until_in_force(&planner, "d", &mut subscriber);
 }
 
--- a/crates/versioned-publisher/src/lib.rs
+++ b/crates/versioned-publisher/src/lib.rs
@@ -14,7 +14,7 @@
 mod update_reader;
 
 pub use publisher::Publisher;
-pub use reconnect_queue::{ReconnectQueue, MAX_WAITING};
+pub use reconnect_queue::{ReconnectQueue, MAX_WAITING_SUBSCRIBERS};
 pub use subscriber::{MAX_IN_FLIGHT, MAX_TOPICS};
 pub use topic::{Topic, TopicFilter, TopicKind};
 pub use update::{Change, HeldVersion, Key, TableUpdate, Update, UpdatePart, Version, MAX_CHANGES_PER_PART};
--- a/crates/versioned-publisher/src/published_table.rs
+++ b/crates/versioned-publisher/src/published_table.rs
@@ -89,7 +89,7 @@
             None => self.state.keys().map(|key| self.current_value(key)).collect(),
             Some(version) => self.changes_since(version),
         };
-        changes.sort_by_key(|change| !change.takes_server_out());
+        changes.sort_by_key(|change| !change.takes_server_out_of_service());
         let update = split(&changes);
         self.updates.insert(base_version, update.clone());
         update
--- a/crates/versioned-publisher/src/publisher.rs
+++ b/crates/versioned-publisher/src/publisher.rs
@@ -165,7 +165,7 @@
             epoch: self.epoch,
             base_version: outgoing.base_version,
             version: outgoing.version,
-            part: outgoing.next_part,
+            part_index: outgoing.next_part,
             part_count: outgoing.update.len(),
             changes: outgoing.update[outgoing.next_part].clone(),
         };
--- a/crates/versioned-publisher/src/reconnect_queue.rs
+++ b/crates/versioned-publisher/src/reconnect_queue.rs
@@ -14,7 +14,7 @@
 /// No more are admitted at once than in this part of a second, however long the caller was away.
 const BURSTS_PER_SECOND: f64 = 10.0;
 /// Subscribers that wait at a time, more than a planner has proxies. Any further are rejected, and dial again.
-pub const MAX_WAITING: usize = 4096;
+pub const MAX_WAITING_SUBSCRIBERS: usize = 4096;
 
 /// Subscribers that wait to be admitted.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     /// False: too many wait.
     pub fn push(&mut self, now: Duration, name: &str, oldest_held: Option<HeldVersion>) -> bool {
         self.remove(name);
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_WAITING_SUBSCRIBERS {
             return false;
         }
         if self.waiting.is_empty() {
--- a/crates/versioned-publisher/src/subscriber.rs
+++ b/crates/versioned-publisher/src/subscriber.rs
@@ -27,7 +27,7 @@
     }
 
     fn next_takes_server_out(&self) -> bool {
-        self.update[self.next_part].first().is_some_and(Change::takes_server_out)
+        self.update[self.next_part].first().is_some_and(Change::takes_server_out_of_service)
     }
 }
 
--- a/crates/versioned-publisher/src/tests.rs
+++ b/crates/versioned-publisher/src/tests.rs
@@ -118,7 +118,8 @@
         }
         for _ in 0..count {
             let Some(sent) = self.publisher.next_part(Duration::ZERO, &format!("f{k}")) else { return };
-            let mut removals_first = sent.1.changes.iter().map(|change| !change.takes_server_out());
+            let mut removals_first =
+                sent.1.changes.iter().map(|change| !change.takes_server_out_of_service());
             assert!(removals_first.by_ref().is_sorted(), "changes that take servers out come first");
             self.peers[k].in_flight.push_back(sent);
         }
@@ -380,7 +381,7 @@
         order(&next),
         [TopicKind::Weights, TopicKind::Subset, TopicKind::Subset, TopicKind::Subset, TopicKind::Assignments]
     );
-    assert!(next[0].changes[0].takes_server_out());
+    assert!(next[0].changes[0].takes_server_out_of_service());
     let assigned = reader.held(assignments).unwrap().state[&Key::Assignment("q".into())].clone();
     assert_eq!(&*assigned, "2");
 }
--- a/crates/versioned-publisher/src/update.rs
+++ b/crates/versioned-publisher/src/update.rs
@@ -42,7 +42,7 @@
 
 impl Change {
     /// Whether it takes a server out of service: such changes stand first in every message.
-    pub fn takes_server_out(&self) -> bool {
+    pub fn takes_server_out_of_service(&self) -> bool {
         matches!((&self.key, &self.value), (Key::Entry(_), None) | (Key::Ejection(_), Some(_)))
     }
 }
@@ -59,7 +59,7 @@
     /// The version that it leads to.
     pub version: Version,
     /// Which part this is, from 0.
-    pub part: usize,
+    pub part_index: usize,
     /// How many parts the update has.
     pub part_count: usize,
     /// The part's changes.
--- a/crates/versioned-publisher/src/update_reader.rs
+++ b/crates/versioned-publisher/src/update_reader.rs
@@ -78,7 +78,7 @@
         self.epoch == part.epoch
             && self.base_version == part.base_version
             && self.version == part.version
-            && self.next_part == part.part
+            && self.next_part == part.part_index
     }
 }
 
@@ -134,7 +134,7 @@
             self.pending.remove(&part.topic);
             return ReadOutcome::NeedsSnapshot;
         }
-        if part.part == 0 {
+        if part.part_index == 0 {
             self.pending.insert(part.topic, PendingUpdate::new(part));
         }
         let pending = self.pending.remove(&part.topic).filter(|pending| pending.continues_with(part));
