--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its socket, its TLS state, its output buffer and its deadlines.
+//! One connection: its socket, TLS state, output buffer and deadlines.
 
 use crate::{CloseReason, ConnectionId, ConnectionLimits};
 use polling::{Event, PollMode, Poller};
@@ -11,14 +11,14 @@
 /// Bytes read from a plain socket at a time.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// How a connection came about.
+/// Which side opened a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Origin {
     Accepted { listener: ConnectionId },
     Dialed,
 }
 
-/// How far a connection is established.
+/// Stage of a connection's establishment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// The TCP connection is being established.
@@ -29,22 +29,22 @@
     Open,
 }
 
-/// What a connection is polled for.
+/// Readiness that a connection is polled for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Interest {
     readable: bool,
     writable: bool,
 }
 
-/// A connection was established.
+/// A connection that was just established.
 pub(crate) struct Opened {
     /// The peer's certificate (DER), if it presented one.
     pub(crate) certificate: Option<Vec<u8>>,
 }
 
-/// What reading and writing brought.
+/// Result of reading and writing a connection.
 #[derive(Default)]
-pub(crate) struct Outcome {
+pub(crate) struct IoOutcome {
     pub(crate) opened: Option<Opened>,
     pub(crate) bytes: Vec<u8>,
     pub(crate) closed: Option<CloseReason>,
@@ -57,14 +57,14 @@
     origin: Origin,
     state: State,
     is_read_paused: bool,
-    /// The peer has closed its half, and that was reported.
+    /// The peer has closed its sending half, and the close was returned as an event.
     is_half_closed: bool,
     output: Vec<u8>,
-    /// Bytes of `output` that are written.
+    /// Number of bytes at the start of `output` that are written.
     written: usize,
-    /// Set once it is being finished: when it is closed at the latest.
+    /// Set while the connection is finishing: the time at which it is closed at the latest.
     finish_deadline: Option<Duration>,
-    /// This side has closed its half.
+    /// This side has closed its sending half.
     is_shut_down: bool,
     opened_at: Duration,
     last_read_at: Duration,
@@ -105,7 +105,7 @@
         &self.stream
     }
 
-    /// The listener that accepted it.
+    /// The listener that accepted the connection; `None` if it was dialed.
     pub(crate) fn listener(&self) -> Option<ConnectionId> {
         match self.origin {
             Origin::Accepted { listener } => Some(listener),
@@ -117,7 +117,7 @@
         self.tls.is_none()
     }
 
-    /// Whether the TLS handshake is in progress, the costly part of a connection.
+    /// Whether the TLS handshake, the costly part of a connection, is in progress.
     pub(crate) fn is_handshaking(&self) -> bool {
         self.state == State::Handshaking
     }
@@ -130,7 +130,7 @@
         self.is_half_closed
     }
 
-    /// Notes that the peer has closed its half; what was written still goes out.
+    /// Marks that the peer has closed its sending half. Output that was buffered is still written.
     pub(crate) fn set_half_closed(&mut self) {
         self.is_half_closed = true;
     }
@@ -139,12 +139,12 @@
         self.is_read_paused = is_paused;
     }
 
-    /// Bytes that wait to be written.
+    /// Output bytes that are buffered and not yet written.
     pub(crate) fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Queues bytes to be written; `false` if that exceeds the limit.
+    /// Buffers bytes for writing; `false` if that would exceed the limit of unsent bytes.
     #[must_use]
     pub(crate) fn queue(&mut self, bytes: &[u8]) -> bool {
         if self.unsent_bytes() + bytes.len() > self.limits.max_unsent_bytes {
@@ -158,7 +158,8 @@
         true
     }
 
-    /// Closes it once everything is written, or at the deadline.
+    /// Closes this side once all output is written; the connection ends at the deadline at the latest. The deadline of
+    /// an earlier call stays.
     pub(crate) fn finish(&mut self, deadline: Duration) {
         self.finish_deadline.get_or_insert(deadline);
     }
@@ -173,7 +174,7 @@
             || (self.state == State::Open && self.unsent_bytes() > 0)
     }
 
-    /// Registers what it waits for with the poller, if that has changed.
+    /// Updates the poller's registration if the readiness to poll for has changed.
     pub(crate) fn update_interest(&mut self, poller: &Poller, id: ConnectionId) -> io::Result<()> {
         let interest = Interest { readable: self.wants_read(), writable: self.wants_write() };
         if self.interest == Some(interest) {
@@ -184,7 +185,7 @@
         poller.modify_with_mode(self.stream.as_fd(), event, PollMode::Level)
     }
 
-    /// Why it is to be closed at this time, if a deadline has passed.
+    /// Why the connection is to be closed, if a deadline has passed by `read_until`.
     pub(crate) fn overdue_reason(&self, read_until: Duration) -> Option<CloseReason> {
         if self.finish_deadline.is_some_and(|deadline| read_until >= deadline) {
             return Some(CloseReason::Finished);
@@ -198,8 +199,8 @@
     }
 
     /// Reads and writes what the socket is ready for.
-    pub(crate) fn handle_ready(&mut self, event: &Event, now: Duration) -> Outcome {
-        let mut outcome = Outcome::default();
+    pub(crate) fn handle_ready(&mut self, event: &Event, now: Duration) -> IoOutcome {
+        let mut outcome = IoOutcome::default();
         if self.state == State::Connecting {
             if event.writable || event.readable {
                 self.finish_connecting(&mut outcome);
@@ -218,7 +219,7 @@
         outcome
     }
 
-    fn finish_connecting(&mut self, outcome: &mut Outcome) {
+    fn finish_connecting(&mut self, outcome: &mut IoOutcome) {
         match (self.stream.take_error(), self.stream.peer_addr()) {
             (Ok(None), Ok(_)) => self.state = State::after_connecting(self.tls.is_some()),
             (Ok(None), Err(_)) => {}
@@ -229,7 +230,7 @@
         }
     }
 
-    fn finish_handshake(&mut self, outcome: &mut Outcome) {
+    fn finish_handshake(&mut self, outcome: &mut IoOutcome) {
         let Some(tls) = self.tls.as_ref().filter(|tls| self.state != State::Open && !tls.is_handshaking())
         else {
             return;
@@ -243,8 +244,9 @@
         outcome.closed = outcome.closed.or(flushed.err());
     }
 
-    /// Reads until the socket is empty or the iteration's share is reached; what is left keeps the socket ready.
-    pub(crate) fn read(&mut self, now: Duration, outcome: &mut Outcome) {
+    /// Reads until the socket is empty or `read_bytes_per_poll` is reached; bytes that are left keep the socket
+    /// readable.
+    pub(crate) fn read(&mut self, now: Duration, outcome: &mut IoOutcome) {
         let mut buffer = [0u8; READ_BUFFER_BYTES];
         while outcome.bytes.len() < self.limits.read_bytes_per_poll && outcome.closed.is_none() {
             let result = match &mut self.tls {
@@ -269,16 +271,16 @@
             }
         }
         if self.is_finishing() {
-            // The caller has finished it and expects no more input.
+            // The caller has finished the connection and expects no more input.
             outcome.bytes.clear();
             outcome.closed = outcome.closed.map(|_| CloseReason::Finished);
         }
     }
 
-    fn decrypt(&mut self, outcome: &mut Outcome) {
+    fn decrypt(&mut self, outcome: &mut IoOutcome) {
         let Some(tls) = &mut self.tls else { return };
         let Ok(state) = tls.process_new_packets() else {
-            // The alert tells the peer why.
+            // The TLS alert tells the peer the cause.
             let _ = tls.write_tls(&mut self.stream);
             let is_open = self.state == State::Open;
             outcome.closed = Some(if is_open { CloseReason::Broken } else { CloseReason::Untrusted });
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Writes what the socket takes.
+    /// Writes what the socket accepts. Closes this side if the connection is finishing and all output is written.
     pub(crate) fn flush(&mut self) -> Result<(), CloseReason> {
         if self.state == State::Connecting {
             return Ok(());
@@ -327,7 +329,7 @@
         Ok(())
     }
 
-    /// Closes this side's half, once.
+    /// Closes this side's sending half, if that has not been done.
     fn shut_down(&mut self) {
         if self.is_shut_down {
             return;
--- a/crates/event-loop/src/event.rs
+++ b/crates/event-loop/src/event.rs
@@ -1,30 +1,30 @@
-//! What the loop tells its caller.
+//! Events that the loop returns to its caller.
 
-/// Number of a connection or a listener; never used again.
+/// Identifies a connection or a listener of one loop; never reused.
 pub type ConnectionId = usize;
 
 /// Why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed it in order.
+    /// The peer closed the connection cleanly.
     Ended,
-    /// It broke.
+    /// A read or write failed, TLS data was invalid, or the peer closed before the handshake was complete.
     Broken,
-    /// It could not be established.
+    /// The TCP connection could not be established.
     Refused,
-    /// TLS failed: no certificate, an unacceptable one, or no TLS at all.
+    /// The TLS handshake failed: the peer sent no certificate, an unacceptable one, or data that is not TLS.
     Untrusted,
     /// Connecting or the TLS handshake exceeded [`crate::ConnectionLimits::handshake_timeout`].
     Slow,
     /// Nothing was read for [`crate::ConnectionLimits::idle_timeout`].
     Idle,
-    /// More bytes than [`crate::ConnectionLimits::max_unsent_bytes`] waited to be written.
+    /// Unsent output would have exceeded [`crate::ConnectionLimits::max_unsent_bytes`].
     Unread,
-    /// It was finished by [`crate::EventLoop::finish`], and everything is written.
+    /// It was closed with [`crate::EventLoop::finish`], and the peer has closed too or the linger time has passed.
     Finished,
 }
 
-/// What happened in one iteration.
+/// One event of an iteration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IoEvent {
     /// A connection is established: accepted by a listener, or dialed.
@@ -40,7 +40,7 @@
     Bytes {
         /// The connection.
         conn: ConnectionId,
-        /// The bytes, decrypted.
+        /// The bytes, after TLS decryption.
         bytes: Vec<u8>,
     },
     /// A connection ended.
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -1,6 +1,6 @@
-//! The loop itself: its connections and one iteration.
+//! The event loop: its state, the operations on connections, and one iteration.
 
-use crate::connection::{Connection, Origin, Outcome};
+use crate::connection::{Connection, IoOutcome, Origin};
 use crate::listener::Listener;
 use crate::{CloseReason, ConnectionId, ConnectionLimits, IoEvent, Security};
 use hdrhistogram::Histogram;
@@ -13,21 +13,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Connections accepted by one listener in an iteration: hundreds that connect at once must not starve the rest.
+/// Limit of connections that one listener accepts per iteration: hundreds of peers that connect at once must not starve
+/// the other connections.
 const DEFAULT_MAX_ACCEPTS: usize = 64;
-/// TLS handshakes that an iteration continues. One takes about a millisecond, and hundreds of proxies that connect at
-/// once must not delay updates and acknowledgements. The others are ready again in the next iteration.
+/// Limit of TLS handshakes that one iteration processes. One takes about a millisecond, and hundreds of proxies that
+/// connect at once must not delay updates and acknowledgements. The others are ready again in the next iteration.
 pub(crate) const DEFAULT_MAX_HANDSHAKES: usize = 12;
-/// How long a finished connection waits for the peer to close too.
+/// Time limit for a finished connection to send its output and for the peer to close too.
 const LINGER: Duration = Duration::from_secs(1);
-/// The longest duration of an iteration that is told apart, microseconds: one minute.
+/// Upper bound of recorded iteration durations, in microseconds: one minute. Longer ones are recorded as this.
 const MAX_ITERATION_MICROS: u64 = 60_000_000;
-/// Significant decimal digits of recorded durations.
+/// Significant decimal digits of recorded iteration durations.
 const ITERATION_DIGITS: u8 = 2;
-/// EINPROGRESS of Linux: a connection is being established in the background.
+/// EINPROGRESS on Linux: the connection is being established in the background.
 const EINPROGRESS: i32 = 115;
 
-/// A poll loop.
+/// An event loop. Times are durations since its creation.
 pub struct EventLoop {
     pub(crate) poller: Arc<Poller>,
     poll_events: Events,
@@ -38,22 +39,22 @@
     started: Instant,
     pub(crate) last_deadline_check: Duration,
     pub(crate) read_until: Duration,
-    /// Closed by the peer in the last iteration; what was written since still goes out.
+    /// Connections that the peer closed in the last iteration; what was written to them since is still sent.
     half_closed: Vec<ConnectionId>,
     /// Events that did not come from reading; returned by the next [`EventLoop::wait`].
     pub(crate) pending_events: Vec<IoEvent>,
     busy_since: Option<Instant>,
     /// Durations of iterations, from the end of polling to the next call of [`EventLoop::wait`]; microseconds.
     pub iteration_micros: Histogram<u64>,
-    /// TLS handshakes that an iteration continues.
+    /// Limit of TLS handshakes that one iteration processes.
     pub max_handshakes: usize,
-    /// Connections accepted by one listener in an iteration.
+    /// Limit of connections that one listener accepts per iteration.
     pub max_accepts: usize,
-    /// Connections closed at once since their listener had reached its limit.
+    /// Connections closed as soon as they were accepted, because their listener had reached its limit.
     pub rejected_connections: u64,
 }
 
-/// A pipe that becomes readable with a signal.
+/// A pipe that becomes readable when the process receives a signal.
 struct SignalPipe {
     reader: UnixStream,
     signal: i32,
@@ -66,7 +67,7 @@
 impl Waker {
     /// Ends the loop's current wait, or its next one.
     pub fn wake(&self) {
-        // A failed wake-up costs one deadline check: the loop wakes for that anyway.
+        // If this fails, the loop still wakes for its next deadline check.
         let _ = self.0.notify();
     }
 }
@@ -79,7 +80,7 @@
 }
 
 impl EventLoop {
-    /// A loop without connections, listeners and signals.
+    /// Creates a loop without connections, listeners and signals.
     pub fn new() -> io::Result<EventLoop> {
         let iteration_micros = Histogram::new_with_bounds(1, MAX_ITERATION_MICROS, ITERATION_DIGITS)
             .map_err(|error| io::Error::other(error.to_string()))?;
@@ -103,13 +104,13 @@
         })
     }
 
-    /// Time since the loop was made.
+    /// Time since the loop was created.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// When the last poll began. Input that had arrived by then was returned, a share of each connection an iteration:
-    /// a peer is late only by this time, not by time that passed unpolled.
+    /// When the last poll began. Input that had arrived by then has been returned, up to the limit for each connection.
+    /// Deadlines of peers are compared with this time, so that no peer is late because the loop did not poll.
     pub fn read_until(&self) -> Duration {
         self.read_until
     }
@@ -124,7 +125,7 @@
         self.last_id
     }
 
-    /// Dials. The result follows as [`IoEvent::Open`] or [`IoEvent::Closed`].
+    /// Starts connecting to an address. The result follows as [`IoEvent::Open`] or [`IoEvent::Closed`].
     pub fn dial(
         &mut self,
         address: SocketAddr,
@@ -147,7 +148,7 @@
         Ok(id)
     }
 
-    /// Returns a signal as [`IoEvent::Signal`] from now on, instead of its default action.
+    /// Returns this signal as [`IoEvent::Signal`] from now on, in place of its default action.
     pub fn register_signal(&mut self, signal: i32) -> io::Result<()> {
         let (reader, writer) = UnixStream::pair()?;
         reader.set_nonblocking(true)?;
@@ -159,7 +160,8 @@
         Ok(())
     }
 
-    /// Writes, now or when the peer reads. Beyond the limit of unsent bytes the connection is closed.
+    /// Writes what the socket accepts and buffers the rest. If that would exceed the limit of unsent bytes, the
+    /// connection is closed instead. Has no effect on a connection that is closed or finishing.
     pub fn write(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if connection.is_finishing() || bytes.is_empty() {
@@ -172,17 +174,18 @@
         }
     }
 
-    /// Bytes that wait to be written.
+    /// Output bytes that are buffered and not yet written.
     pub fn unsent_bytes(&self, conn: ConnectionId) -> usize {
         self.connections.get(&conn).map_or(0, Connection::unsent_bytes)
     }
 
-    /// Whether the connection exists, established or not.
+    /// Whether the connection exists; it may not be established yet.
     pub fn is_open(&self, conn: ConnectionId) -> bool {
         self.connections.contains_key(&conn)
     }
 
-    /// Pauses or resumes reading; while it is paused, the peer's bytes fill its own side.
+    /// Pauses or resumes reading. While it is paused, the peer's bytes stay in the socket buffers and the idle timeout
+    /// does not apply.
     pub fn pause_reading(&mut self, conn: ConnectionId, is_paused: bool) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.pause_reading(is_paused);
@@ -190,7 +193,8 @@
         }
     }
 
-    /// Closes a connection once everything is written.
+    /// Closes a connection once all output is written and the peer has closed too, or after the linger time. Input is
+    /// discarded from now on.
     pub fn finish(&mut self, conn: ConnectionId) {
         let deadline = self.now() + LINGER;
         if let Some(connection) = self.connections.get_mut(&conn) {
@@ -199,7 +203,7 @@
         }
     }
 
-    /// Closes a connection at once; no further event of it is returned.
+    /// Closes a connection at once and discards its unsent output; no [`IoEvent::Closed`] follows.
     pub fn abort(&mut self, conn: ConnectionId) {
         self.remove(conn);
     }
@@ -208,7 +212,7 @@
         let Some(connection) = self.connections.remove(&conn) else { return };
         let _ = self.poller.delete(connection.socket());
         if let Some(listener) = connection.listener().and_then(|id| self.listeners.get_mut(&id)) {
-            listener.note_connection_closed();
+            listener.connection_closed();
         }
     }
 
@@ -221,7 +225,7 @@
         self.remove(conn);
     }
 
-    /// Finishes the connections that the peer closed in the last iteration, or removes those with nothing to write.
+    /// Finishes connections that the peer closed in the last iteration, and removes those without unsent output.
     fn finish_half_closed(&mut self, now: Duration) {
         for conn in std::mem::take(&mut self.half_closed) {
             match self.connections.get_mut(&conn) {
@@ -239,8 +243,8 @@
         match connection.flush() {
             Ok(()) => _ = connection.update_interest(&self.poller, conn),
             Err(reason) => {
-                // What the peer sent before the connection broke counts, such as a last report.
-                let mut outcome = Outcome::default();
+                // Bytes that the peer sent before the connection broke, such as a last report, are still returned.
+                let mut outcome = IoOutcome::default();
                 connection.read(self.started.elapsed(), &mut outcome);
                 if !outcome.bytes.is_empty() {
                     self.pending_events.push(IoEvent::Bytes { conn, bytes: outcome.bytes });
@@ -250,7 +254,8 @@
         }
     }
 
-    /// One iteration: waits until something is ready, or until `until`, and returns what happened.
+    /// Runs one iteration: polls until something is ready or `until` is reached, and returns the events. Returns
+    /// without events if it woke only for a deadline check.
     pub fn wait(&mut self, until: Option<Duration>) -> io::Result<Vec<IoEvent>> {
         if let Some(since) = self.busy_since.take() {
             self.iteration_micros.saturating_record(since.elapsed().as_micros() as u64);
@@ -312,7 +317,7 @@
             events.push(IoEvent::Bytes { conn, bytes: outcome.bytes });
         }
         match outcome.closed {
-            // Half-closed: the peer may still read, and is owed the responses to what it sent.
+            // Half-closed: the peer may still read, and expects the responses to what it sent.
             Some(CloseReason::Ended) if connection.is_plain() && !connection.is_finishing() => {
                 connection.set_half_closed();
                 let _ = connection.update_interest(&self.poller, conn);
@@ -333,8 +338,8 @@
 
 impl SignalPipe {
     fn drain(&mut self) {
-        let mut sink = [0; 64];
-        while matches!(self.reader.read(&mut sink), Ok(count) if count > 0) {}
+        let mut buffer = [0; 64];
+        while matches!(self.reader.read(&mut buffer), Ok(count) if count > 0) {}
     }
 }
 
--- a/crates/event-loop/src/lib.rs
+++ b/crates/event-loop/src/lib.rs
@@ -1,8 +1,8 @@
-//! A poll loop over sockets, TLS, signals and timeouts.
+//! An event loop over TCP sockets, TLS, signals and timeouts.
 //!
-//! [`EventLoop::wait`] waits, reads a bounded share of what is ready and returns the events; its caller handles them,
-//! writes, and waits again. Plain and TLS connections look the same to the caller. A peer that does not read fills its
-//! own bounded buffer and then loses its connection; it never holds up the loop.
+//! [`EventLoop::wait`] polls, reads a limited number of bytes from each ready connection and returns the events. The
+//! caller handles them, writes, and calls it again. Plain and TLS connections look the same to the caller. Output to a
+//! peer that does not read is buffered up to a limit, and then the connection is closed; it never blocks the loop.
 
 #![warn(missing_docs)]
 
--- a/crates/event-loop/src/limits.rs
+++ b/crates/event-loop/src/limits.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-/// Four of the largest messages.
+/// Holds four of the largest messages.
 const DEFAULT_MAX_UNSENT_BYTES: usize = 8 << 20;
-/// Any ordinary message, and little against the length of an iteration.
+/// Holds any ordinary message, and takes little time compared with an iteration.
 const DEFAULT_READ_BYTES_PER_POLL: usize = 64 << 10;
-/// Three round trips over a bad network.
+/// Enough for three round trips over a bad network.
 const DEFAULT_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 const DEFAULT_MAX_CONNECTIONS: usize = 2048;
 
 /// Limits of a connection, or of a listener and each connection that it accepts.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Bytes that may wait to be written; more closes the connection.
+    /// Limit of unsent output; a write that would exceed it closes the connection.
     pub max_unsent_bytes: usize,
-    /// Bytes after which reading a connection stops until the next iteration.
+    /// Once this many bytes are read from a connection, reading stops until the next iteration.
     pub read_bytes_per_poll: usize,
-    /// A connection on which nothing is read for this long is closed; `None`: never.
+    /// A connection on which nothing is read for this long is closed; `None` disables the timeout.
     pub idle_timeout: Option<Duration>,
-    /// Time for connecting and the TLS handshake together.
+    /// Time limit for connecting and the TLS handshake together.
     pub handshake_timeout: Duration,
-    /// Connections of one listener at a time.
+    /// Limit of open connections per listener; any further one is closed as soon as it is accepted.
     pub max_connections: usize,
 }
 
--- a/crates/event-loop/src/listener.rs
+++ b/crates/event-loop/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners: accepting connections, pausing, and backing off where file descriptors run out.
+//! Listeners: accepting connections, pausing, and backing off when file descriptors run out.
 
 use crate::connection::{Connection, Origin};
 use crate::event_loop::{new_socket, EventLoop};
@@ -8,12 +8,12 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Connections that may wait in the system's queue: all proxies at once after a restart, and some.
+/// Length of the kernel's accept queue: holds all proxies that reconnect at once after a restart, with a reserve.
 const LISTEN_BACKLOG: i32 = 1024;
-/// How long a listener accepts nobody after file descriptors have run out. The waiting connections keep it ready, and
-/// trying again at once would keep the loop busy.
+/// How long a listener stops accepting after file descriptors have run out. Pending connections keep its socket
+/// readable, so that an immediate retry would keep the loop busy.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// No file descriptor or memory for one more connection: ENOMEM, ENFILE, EMFILE, ENOBUFS.
+/// Error numbers for a lack of file descriptors or memory: ENOMEM, ENFILE, EMFILE, ENOBUFS.
 const RESOURCE_ERRORS: [i32; 4] = [12, 23, 24, 105];
 
 /// A listening socket.
@@ -21,13 +21,13 @@
     socket: TcpListener,
     security: Security,
     limits: ConnectionLimits,
-    /// Its connections that are not closed.
+    /// Open connections that it accepted.
     connection_count: usize,
-    /// Set once it accepts nobody any more.
+    /// Set once it has stopped accepting for good.
     is_closed: bool,
-    /// Nobody is accepted for now; connections wait in the system's queue.
+    /// Accepting is paused by the caller; connections wait in the kernel's accept queue.
     is_paused: bool,
-    /// Nobody is accepted until then, since there was no file descriptor.
+    /// Nothing is accepted until then, because file descriptors or memory ran out.
     backoff_until: Option<Duration>,
 }
 
@@ -36,12 +36,12 @@
         !self.is_closed && !self.is_paused && self.backoff_until.is_none()
     }
 
-    pub(crate) fn note_connection_closed(&mut self) {
+    pub(crate) fn connection_closed(&mut self) {
         self.connection_count -= 1;
     }
 
-    /// Prepares an accepted socket.
-    fn open(&self, stream: TcpStream, id: ConnectionId, now: Duration) -> io::Result<Connection> {
+    /// Configures an accepted socket and creates its TLS state.
+    fn new_connection(&self, stream: TcpStream, id: ConnectionId, now: Duration) -> io::Result<Connection> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let tls = self.security.start()?;
@@ -50,7 +50,8 @@
 }
 
 impl EventLoop {
-    /// Listens. Returns the listener's number and its address, whose port is a free one if port 0 was asked for.
+    /// Starts listening on `address`. Returns the listener's id and its address, which has the assigned port if
+    /// `address` has port 0.
     pub fn listen(
         &mut self,
         address: SocketAddr,
@@ -80,7 +81,7 @@
         Ok((id, bound_address))
     }
 
-    /// Pauses or resumes accepting; while paused, connections wait in the system's queue.
+    /// Pauses or resumes accepting; while paused, connections wait in the kernel's accept queue.
     pub fn pause_accepting(&mut self, id: ConnectionId, is_paused: bool) {
         let listener = self.listeners.get_mut(&id);
         if let Some(listener) = listener.filter(|listener| listener.is_paused != is_paused) {
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Closes one listener; its connections stay.
+    /// Closes one listener; its connections stay open.
     pub fn close_listener(&mut self, id: ConnectionId) {
         if let Some(listener) = self.listeners.remove(&id).filter(|listener| !listener.is_closed) {
             let _ = self.poller.delete(&listener.socket);
         }
     }
 
-    /// Stops accepting on all listeners; their connections stay.
+    /// Stops accepting on all listeners for good; their connections stay open.
     pub fn close_listeners(&mut self) {
         for listener in self.listeners.values_mut().filter(|listener| !listener.is_closed) {
             listener.is_closed = true;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Polls a listener for connections, or no longer.
+    /// Polls a listener for new connections if it is accepting, and for nothing otherwise.
     fn update_listener_interest(&self, id: ConnectionId) {
         if let Some(listener) = self.listeners.get(&id).filter(|listener| !listener.is_closed) {
             let event = if listener.is_accepting() { Event::readable(id) } else { Event::none(id) };
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Accepts again on listeners whose backoff is over; returns when the next one is.
+    /// Resumes accepting on listeners whose backoff is over; returns when the next backoff ends.
     pub(crate) fn end_accept_backoffs(&mut self, now: Duration) -> Option<Duration> {
         let is_over =
             |listener: &Listener| listener.backoff_until.is_some_and(|backoff_until| now >= backoff_until);
@@ -125,7 +126,7 @@
         self.listeners.values().filter_map(|listener| listener.backoff_until).min()
     }
 
-    /// Accepts the connections that wait, up to the limit of an iteration.
+    /// Accepts pending connections, up to `max_accepts`.
     pub(crate) fn accept(&mut self, id: ConnectionId) {
         for _ in 0..self.max_accepts {
             let now = self.now();
@@ -138,14 +139,14 @@
                     self.update_listener_interest(id);
                     return;
                 }
-                // Nobody waits any more; other errors are tried again in the next iteration.
+                // No connection is pending; other errors are retried in the next iteration.
                 Err(_) => return,
             };
             if listener.connection_count >= listener.limits.max_connections {
                 self.rejected_connections += 1;
                 continue;
             }
-            let Ok(connection) = listener.open(stream, id, now) else { continue };
+            let Ok(connection) = listener.new_connection(stream, id, now) else { continue };
             listener.connection_count += 1;
             self.add_accepted(connection, id);
         }
@@ -164,7 +165,7 @@
             let event = IoEvent::Open { conn, listener: Some(listener), certificate: None };
             self.pending_events.push(event);
         } else {
-            // The TLS client has bytes to write at once.
+            // With call home this side is the TLS client, whose ClientHello is ready to be sent.
             self.flush(conn);
         }
     }
--- a/crates/event-loop/src/security.rs
+++ b/crates/event-loop/src/security.rs
@@ -1,28 +1,28 @@
-//! How a connection is secured.
+//! Transport security of connections: none, or TLS in either role.
 
 use rustls::pki_types::ServerName;
 use rustls::{ClientConfig, ClientConnection, Connection as TlsConnection, ServerConfig, ServerConnection};
 use std::io;
 use std::sync::Arc;
 
-/// Bytes that the TLS library may buffer: four records, enough to keep the socket busy. Everything else is buffered,
-/// and limited, outside of the library.
+/// Output that rustls may buffer per connection: four TLS records, enough to keep the socket busy. All other output is
+/// buffered, and limited, by the connection itself.
 const TLS_BUFFER_BYTES: usize = 64 << 10;
 
-/// How a connection is secured, whichever side dialed: with Call Home (RFC 8071) the side that accepts the TCP
-/// connection is the TLS client.
+/// Transport security of a connection. The TLS role does not depend on which side dialed: with call home (RFC 8071),
+/// the side that accepts the TCP connection is the TLS client.
 #[derive(Clone)]
 pub enum Security {
     /// No TLS.
     Plain,
     /// This side is the TLS server.
     TlsServer(Arc<ServerConfig>),
-    /// This side is the TLS client and expects the peer to have this name.
+    /// This side is the TLS client, and the peer's certificate must be valid for this name.
     TlsClient(Arc<ClientConfig>, ServerName<'static>),
 }
 
 impl Security {
-    /// The TLS state of a new connection; `None` for a plain one.
+    /// Creates the TLS state of a new connection; `None` for a plain one.
     pub(crate) fn start(&self) -> io::Result<Option<TlsConnection>> {
         let mut connection: TlsConnection = match self {
             Security::Plain => return Ok(None),
--- a/crates/event-loop/src/timers.rs
+++ b/crates/event-loop/src/timers.rs
@@ -4,11 +4,11 @@
 use crate::{CloseReason, ConnectionId};
 use std::time::Duration;
 
-/// How often connection deadlines are checked; idle and handshake timeouts are as coarse as this.
+/// How often connection deadlines are checked: the resolution of idle, handshake and linger timeouts.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl EventLoop {
-    /// How long the poller may wait.
+    /// How long the poller may block: until `until`, the end of an accept backoff or the next deadline check.
     pub(crate) fn poll_timeout(
         &self,
         until: Option<Duration>,
@@ -23,7 +23,7 @@
         earliest.saturating_sub(now)
     }
 
-    /// Closes the connections whose deadline has passed, at intervals.
+    /// Closes connections whose deadline has passed; does nothing between two deadline checks.
     pub(crate) fn close_overdue(&mut self) {
         let now = self.now();
         if now < self.last_deadline_check + DEADLINE_CHECK_INTERVAL {
