--- a/crates/versioned-publisher/src/lib.rs
+++ b/crates/versioned-publisher/src/lib.rs
@@ -1,9 +1,9 @@
-//! Versioned publication of tables to subscribers, free of I/O.
+//! Versioned publication of tables to subscribers, without I/O.
 //!
-//! A [`Publisher`] holds tables; each has a version, a state, and a bounded history of which keys the last versions
-//! changed. A subscriber has a position in each of its tables and a few messages in flight. What it has still to
-//! receive is computed from its position and never queued, so a slow subscriber costs no more than a fast one, and
-//! receives the latest state instead of a history. An [`UpdateReader`] is the subscriber's side.
+//! A [`Publisher`] holds tables; each has a version, a state, and a bounded history of the keys that its latest
+//! versions changed. A subscriber has a position in each of its tables and a limited number of messages in flight. What
+//! it still lacks is computed from its position and never queued: a slow subscriber costs no more than a fast one, and
+//! receives the latest state instead of each version. [`UpdateReader`] is the subscriber's side.
 
 mod published_table;
 mod publisher;
--- a/crates/versioned-publisher/src/published_table.rs
+++ b/crates/versioned-publisher/src/published_table.rs
@@ -1,11 +1,11 @@
-//! One table as it is published: its state, and which keys its last versions changed.
+//! The publisher's side of one table: its state, and the keys that its latest versions changed.
 
 use crate::update::{Change, Key, Update, Version, MAX_CHANGES_PER_PART};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// The history holds no more changes than the table has keys, for then a snapshot is shorter; small tables keep this
-/// many, which cost little.
+/// The history holds at most as many changes as the table has keys, since a snapshot is shorter than more changes.
+/// Small tables keep up to this many, which cost little.
 const MIN_HISTORY_CHANGES: usize = 64;
 
 /// The keys that one version changed.
@@ -16,7 +16,7 @@
 }
 
 impl HistoryEntry {
-    /// An entry without keys takes up memory too.
+    /// Memory cost in keys. An entry without keys takes up memory too and counts as one.
     fn cost(&self) -> usize {
         self.keys.len().max(1)
     }
@@ -27,29 +27,29 @@
 pub(crate) struct PublishedTable {
     pub(crate) version: Version,
     pub(crate) state: BTreeMap<Key, Rc<str>>,
-    /// The last versions, oldest first. The values are in the state.
+    /// The latest versions, oldest first. The values of their keys are in `state`.
     history: VecDeque<HistoryEntry>,
     history_cost: usize,
-    /// Updates to the current version, by the version that they start from; `None`: the snapshot.
+    /// Cache of updates to the current version, by the version that they start from; `None` for the snapshot.
     updates: BTreeMap<Option<Version>, Update>,
 }
 
 impl PublishedTable {
-    /// Whether the history reaches back to a version.
+    /// Whether an update from `version` can be computed: no version after it is missing from the history.
     pub(crate) fn history_reaches(&self, version: Version) -> bool {
         let oldest = self.history.front().map_or(self.version, |entry| entry.version - 1);
         version <= self.version && oldest <= version
     }
 
-    /// Applies changes. Those that change nothing make no new version.
+    /// Applies changes. There is a new version only if some value differs from the former one.
     pub(crate) fn apply(&mut self, changes: Vec<Change>) {
         let mut keys = Vec::new();
         for Change { key, value } in changes {
-            let former = match &value {
+            let previous = match &value {
                 Some(value) => self.state.insert(key.clone(), value.clone()),
                 None => self.state.remove(&key),
             };
-            if former != value {
+            if previous != value {
                 keys.push(key);
             }
         }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Replaces the state; the new version has the changes that lead there.
+    /// Replaces the state, as a change of the keys that differ.
     pub(crate) fn replace(&mut self, state: BTreeMap<Key, Rc<str>>) {
         let removed = self.state.keys().filter(|key| !state.contains_key(*key));
         let mut changes: Vec<Change> = removed.map(|key| Change { key: key.clone(), value: None }).collect();
@@ -66,7 +66,7 @@
         self.apply(changes);
     }
 
-    /// Makes a new version that changed these keys.
+    /// Adds a version in which `keys` changed, and drops the oldest history beyond its limit.
     pub(crate) fn advance(&mut self, keys: Vec<Key>) {
         self.version += 1;
         self.updates.clear();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The update from `base_version` (`None`: a snapshot) to the current version. Each key stands in it once, and
+    /// The update from `base_version` (`None` for a snapshot) to the current version. It contains each key once, and
     /// changes that take servers out of service come first.
     pub(crate) fn update_from(&mut self, base_version: Option<Version>) -> Update {
         if let Some(update) = self.updates.get(&base_version) {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Splits changes into parts. An update without changes has one part, too, which says so.
+/// Splits changes into parts. An update without changes has one empty part, which carries the new version.
 fn split(changes: &[Change]) -> Update {
     if changes.is_empty() {
         return Rc::from([Rc::from([])]);
--- a/crates/versioned-publisher/src/subscriber.rs
+++ b/crates/versioned-publisher/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! A subscriber as the publisher sees it: its position in each table, and its messages in flight.
+//! The publisher's state of one subscriber: its position in each table, and the messages in flight to it.
 
 use crate::published_table::PublishedTable;
 use crate::topic::{Topic, TopicKind};
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Messages in flight to one subscriber: one that does not acknowledge them receives no more.
+/// Limit of messages in flight to one subscriber; at the limit it receives no more until it acknowledges some.
 pub const MAX_IN_FLIGHT: usize = 8;
-/// Tables of one subscriber: one for each of 32 classes, as many again that it is no longer assigned to and still
-/// holds, ejections, and assignments.
+/// Limit of tables per subscriber: one for each of 32 traffic classes, as many that it is no longer assigned to and
+/// still holds, the ejections, and the assignments.
 pub const MAX_TOPICS: usize = 66;
 
 /// An update that is being sent.
@@ -22,35 +22,37 @@
 }
 
 impl OutgoingUpdate {
+    /// Whether a part has been sent.
     fn has_begun(&self) -> bool {
         self.next_part > 0
     }
 
-    fn next_takes_server_out(&self) -> bool {
+    fn next_part_takes_server_out_of_service(&self) -> bool {
         self.update[self.next_part].first().is_some_and(Change::takes_server_out_of_service)
     }
 }
 
-/// How far a subscriber is in one table.
+/// A subscriber's progress in one table.
 #[derive(Debug, Default)]
 pub(crate) struct Position {
-    /// The version that it acknowledged, of this epoch.
+    /// The latest version of this epoch that it acknowledged or resumed from.
     pub(crate) acknowledged: Option<Version>,
-    /// The version that it will hold once all messages in flight are applied.
+    /// The version that it will hold once all messages in flight are applied; `None`: it needs a snapshot.
     pub(crate) sent: Option<Version>,
-    /// An update that was sent in part, or is to be sent next.
+    /// An update that is partly sent, or is to be sent next.
     pub(crate) outgoing: Option<OutgoingUpdate>,
-    /// The last message before the position was reset: acknowledgements up to it say nothing of this table.
-    pub(crate) reset_at: u64,
+    /// Number of the last message before the position was reset. Acknowledgements up to it do not apply to this table.
+    pub(crate) reset_after_message: u64,
 }
 
 impl Position {
-    /// The position of a subscriber that holds `version`, or nothing.
-    pub(crate) fn at(version: Option<Version>, reset_at: u64) -> Position {
-        Position { acknowledged: version, sent: version, outgoing: None, reset_at }
+    /// The position of a subscriber that holds `version`; `None`: it holds nothing usable.
+    pub(crate) fn at(version: Option<Version>, reset_after_message: u64) -> Position {
+        Position { acknowledged: version, sent: version, outgoing: None, reset_after_message }
     }
 
-    /// The update that the subscriber lacks: from what it holds where the history reaches back, else a snapshot.
+    /// The update that the subscriber lacks: from the version that it holds if the history reaches back that far, and a
+    /// snapshot otherwise. `None` if it lacks nothing.
     pub(crate) fn missing_update(&self, table: &mut PublishedTable) -> Option<OutgoingUpdate> {
         if self.sent == Some(table.version) {
             return None;
@@ -60,8 +62,8 @@
         Some(OutgoingUpdate { base_version, version: table.version, update, next_part: 0 })
     }
 
-    /// Chooses the update to send, unless the subscriber has all of the table. One that has not begun is computed
-    /// again: an older assignment must not be sent once the table that the newest one names stands ahead of it.
+    /// Returns the update to send; `None` if the subscriber lacks nothing. An update of which no part has been sent is
+    /// computed again: an outdated assignment must not be sent after the table that the newest one names.
     pub(crate) fn prepare(&mut self, table: &mut PublishedTable) -> Option<&OutgoingUpdate> {
         let has_begun = self.outgoing.as_ref().is_some_and(OutgoingUpdate::has_begun);
         if !has_begun {
@@ -71,11 +73,12 @@
     }
 }
 
-/// The order in which tables are sent, the least first: what takes servers out of service, then tables, then
-/// assignments, since a class goes over to a table only once that is held; among equals by topic.
+/// The order in which updates are sent, the least first: those whose next part takes servers out of service, then other
+/// tables, then assignments, since a class is assigned to a table only once the subscriber holds it; among equals by
+/// topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SendPriority {
-    takes_no_server_out: bool,
+    keeps_servers_in_service: bool,
     is_assignment: bool,
     pub(crate) topic: Topic,
 }
@@ -83,26 +86,27 @@
 impl SendPriority {
     pub(crate) fn of(topic: Topic, outgoing: &OutgoingUpdate) -> SendPriority {
         SendPriority {
-            takes_no_server_out: !outgoing.next_takes_server_out(),
+            keeps_servers_in_service: !outgoing.next_part_takes_server_out_of_service(),
             is_assignment: topic.kind == TopicKind::Assignments,
             topic,
         }
     }
 }
 
-/// A message in flight.
+/// A message that is sent and not yet acknowledged.
 #[derive(Debug)]
 pub(crate) struct InFlightMessage {
     pub(crate) number: u64,
-    /// Versions that the subscriber holds with this message: of tables whose updates end in it.
+    /// Tables whose updates are complete with this message, with the versions that the subscriber then holds.
     pub(crate) completes: Vec<(Topic, Version)>,
     pub(crate) sent_at: Duration,
 }
 
-/// A subscriber's state.
+/// A connected subscriber.
 #[derive(Debug)]
 pub(crate) struct Subscriber {
-    /// Number of its session: a newer session of the same name takes over, and the old one is not heard.
+    /// Number of its current session. A newer session of the same name replaces it, and calls for the old one are
+    /// ignored.
     pub(crate) session: u64,
     pub(crate) positions: BTreeMap<Topic, Position>,
     /// Number of the last message sent.
@@ -128,13 +132,13 @@
 
     /// Makes the next update of a table a snapshot.
     pub(crate) fn reset(&mut self, topic: Topic) {
-        let reset_at = self.last_message;
+        let reset_after_message = self.last_message;
         if let Some(position) = self.positions.get_mut(&topic) {
-            *position = Position::at(None, reset_at);
+            *position = Position::at(None, reset_after_message);
         }
     }
 
-    /// Takes the oldest message in flight, if its number is `number` or lower.
+    /// Removes the oldest message in flight, if its number is at most `number`.
     pub(crate) fn take_in_flight(&mut self, number: u64) -> Option<InFlightMessage> {
         let oldest = self.in_flight.front()?;
         if oldest.number > number {
@@ -143,12 +147,13 @@
         self.in_flight.pop_front()
     }
 
-    /// Notes that a message was applied; returns the versions that the subscriber holds by that.
+    /// Records that a message was applied; returns the tables and versions that the subscriber holds because of it.
     pub(crate) fn apply_acknowledged(&mut self, message: InFlightMessage) -> Vec<(Topic, Version)> {
         let mut held = Vec::new();
         for (topic, version) in message.completes {
             let position = self.positions.get_mut(&topic);
-            if let Some(position) = position.filter(|position| position.reset_at < message.number) {
+            if let Some(position) = position.filter(|position| position.reset_after_message < message.number)
+            {
                 position.acknowledged = Some(version);
                 held.push((topic, version));
             }
@@ -156,7 +161,7 @@
         held
     }
 
-    /// Whether its oldest message has been in flight for `timeout`.
+    /// Whether its oldest message in flight was sent at least `timeout` ago.
     pub(crate) fn is_overdue(&self, now: Duration, timeout: Duration) -> bool {
         self.in_flight.front().is_some_and(|oldest| now >= oldest.sent_at + timeout)
     }
--- a/crates/versioned-publisher/src/tests.rs
+++ b/crates/versioned-publisher/src/tests.rs
@@ -11,8 +11,8 @@
     Change { key: Key::Entry(format!("s{server}")), value: weight.map(|w| w.to_string().into()) }
 }
 
-/// Connects a subscriber that holds nothing to both tables.
-fn connected(publisher: &mut Publisher, name: &str) -> u64 {
+/// Connects a subscriber that holds no table, and subscribes it to both.
+fn connect_and_subscribe(publisher: &mut Publisher, name: &str) -> u64 {
     let session = publisher.connect(name);
     for topic in TOPICS {
         assert!(publisher.subscribe(name, topic, None));
@@ -20,8 +20,13 @@
     session
 }
 
-/// Sends all messages to one subscriber, each acknowledged at once.
-fn drain(publisher: &mut Publisher, name: &str, session: u64, reader: &mut UpdateReader) -> Vec<UpdatePart> {
+/// Delivers all messages to one subscriber, which acknowledges each at once.
+fn deliver_all(
+    publisher: &mut Publisher,
+    name: &str,
+    session: u64,
+    reader: &mut UpdateReader,
+) -> Vec<UpdatePart> {
     let mut parts = vec![];
     while let Some((number, part)) = publisher.next_part(Duration::ZERO, name) {
         assert!(matches!(reader.read(&part), ReadOutcome::Applied(_) | ReadOutcome::Pending), "{part:?}");
@@ -37,10 +42,10 @@
     Apply(usize, Vec<(usize, Option<usize>)>),
     /// Sends up to this many messages to a subscriber.
     Send(usize, usize),
-    /// It receives the oldest messages in flight, and acknowledges them or not.
+    /// A subscriber receives up to this many of the oldest messages in flight, and acknowledges them or not.
     Receive(usize, usize, bool),
     Disconnect(usize),
-    /// It loses a table, which the next message that it cannot use reveals.
+    /// A subscriber loses a table, and rejects the next message that it cannot apply.
     DropTable(usize, usize),
     AdvanceUnchanged(usize),
     Connect(usize),
@@ -54,7 +59,7 @@
     prop_oneof![
         6 => (0usize..2, many).prop_map(|(t, keys)| Operation::Apply(t, keys)),
         6 => (0usize..3, 1usize..6).prop_map(|(s, n)| Operation::Send(s, n)),
-        6 => (0usize..3, 1usize..6, any::<bool>()).prop_map(|(s, n, back)| Operation::Receive(s, n, back)),
+        6 => (0usize..3, 1usize..6, any::<bool>()).prop_map(|(s, n, acks)| Operation::Receive(s, n, acks)),
         1 => (0usize..3).prop_map(Operation::Disconnect),
         1 => (0usize..3, 0usize..2).prop_map(|(s, t)| Operation::DropTable(s, t)),
         1 => (0usize..2).prop_map(Operation::AdvanceUnchanged),
@@ -63,14 +68,14 @@
     ]
 }
 
-/// A subscriber: what it holds, its session, and what is in flight to it.
+/// A simulated subscriber: its tables, its session, and the messages in flight to it.
 #[derive(Default)]
 struct Peer {
     reader: UpdateReader,
     session: Option<u64>,
     dropped_table: bool,
     in_flight: VecDeque<(u64, UpdatePart)>,
-    /// The newest epoch and version that it held of each table.
+    /// The newest version that it held of each table.
     newest: HashMap<Topic, HeldVersion>,
 }
 
@@ -79,7 +84,7 @@
 struct Model {
     publisher: Publisher,
     peers: Vec<Peer>,
-    /// All states that were published.
+    /// All states that were published, by epoch, topic and version.
     states: States,
 }
 
@@ -104,7 +109,7 @@
     fn connect(&mut self, k: usize) {
         let name = format!("f{k}");
         let peer = &mut self.peers[k];
-        // What was in flight in the old session is lost.
+        // Messages in flight in the former session are lost.
         (peer.in_flight, peer.session) = (VecDeque::new(), Some(self.publisher.connect(&name)));
         peer.reader.end_session();
         for topic in TOPICS {
@@ -118,9 +123,12 @@
         }
         for _ in 0..count {
             let Some(sent) = self.publisher.next_part(Duration::ZERO, &format!("f{k}")) else { return };
-            let mut removals_first =
+            let mut keep_servers_in_service =
                 sent.1.changes.iter().map(|change| !change.takes_server_out_of_service());
-            assert!(removals_first.by_ref().is_sorted(), "changes that take servers out come first");
+            assert!(
+                keep_servers_in_service.by_ref().is_sorted(),
+                "changes that take servers out of service come first"
+            );
             self.peers[k].in_flight.push_back(sent);
         }
         assert!(self.peers[k].in_flight.len() <= MAX_IN_FLIGHT + 1);
@@ -136,7 +144,7 @@
                     assert_eq!(Some(&held.state), self.states.get(&(held.epoch, part.topic, version)));
                     let held = peer.reader.held_version(part.topic).unwrap();
                     let newest = peer.newest.insert(part.topic, held);
-                    assert!(newest.is_none_or(|newest| newest <= held), "versions only rise");
+                    assert!(newest.is_none_or(|newest| newest <= held), "a version went back");
                 }
                 ReadOutcome::Pending => {}
                 ReadOutcome::NeedsSnapshot if peer.dropped_table => {
@@ -146,7 +154,7 @@
                 }
                 other => panic!("{other:?} {part:?}"),
             }
-            // An acknowledgement may be lost: a later one covers it.
+            // An acknowledgement may be lost: a later one includes it.
             if acknowledges {
                 let session = peer.session.unwrap();
                 self.publisher.acknowledge(&format!("f{k}"), session, number);
@@ -178,7 +186,7 @@
             }
             Operation::Connect(k) => self.connect(k),
             Operation::Restart => {
-                // Another epoch: versions start over, and so do the tables.
+                // A new epoch starts without tables, and its versions start over.
                 self.publisher = Publisher::new(self.publisher.epoch() + 1);
                 for peer in &mut self.peers {
                     (peer.session, peer.in_flight) = (None, VecDeque::new());
@@ -190,10 +198,10 @@
 }
 
 proptest! {
-    // More by the environment, PROPTEST_CASES: docs/publish.md reports a hundred thousand.
+    // PROPTEST_CASES sets another number of cases; docs/publish.md reports a run with 100,000.
     #![proptest_config(ProptestConfig::default())]
-    /// Whatever changes, disconnects, resumes and restarts come: what a subscriber holds was published, versions only
-    /// rise, and once nothing changes it holds the latest.
+    /// For any sequence of changes, disconnects, resumes and restarts, a subscriber holds only states that were
+    /// published, its versions only rise, and once nothing changes any more it holds the latest state.
     #[test]
     fn a_subscriber_holds_only_published_states_and_finally_the_latest(operations in prop::collection::vec(operation(), 1..60)) {
         let mut model = Model::new();
@@ -208,7 +216,7 @@
                 model.receive(k, MAX_IN_FLIGHT + 1, true);
                 model.send(k, MAX_IN_FLIGHT);
             }
-            // Lost acknowledgements count against the limit only until the session ends.
+            // Messages whose acknowledgements were lost count against the limit until the session ends.
             if model.peers[k].in_flight.is_empty() {
                 model.connect(k);
                 for _ in 0..200 {
@@ -216,7 +224,7 @@
                     model.receive(k, MAX_IN_FLIGHT + 1, true);
                 }
             }
-            // A table that was lost and not changed since is noticed with the next message.
+            // The loss of a table that has not changed since is detected with its next message.
             TOPICS.iter().for_each(|t| _ = model.publisher.advance_unchanged(*t));
             model.record_states();
             for _ in 0..200 {
@@ -234,32 +242,32 @@
 #[test]
 fn a_slow_subscriber_receives_the_latest_state_and_not_a_history() {
     let mut publisher = Publisher::new(1);
-    let session = connected(&mut publisher, "slow");
+    let session = connect_and_subscribe(&mut publisher, "slow");
     let mut reader = UpdateReader::default();
     publisher.apply(TOPICS[0], (0..100).map(|s| entry(s, Some(1))).collect());
-    drain(&mut publisher, "slow", session, &mut reader);
-    // Many versions while it receives nothing: of ten servers, one of which is removed in the last.
+    deliver_all(&mut publisher, "slow", session, &mut reader);
+    // Versions published while it receives nothing: they change ten servers, and the last one removes one of them.
     for k in 0..50 {
         publisher.apply(TOPICS[0], vec![entry(k % 10, Some(k + 2))]);
     }
     publisher.apply(TOPICS[0], vec![entry(3, None)]);
-    let parts = drain(&mut publisher, "slow", session, &mut reader);
+    let parts = deliver_all(&mut publisher, "slow", session, &mut reader);
     assert_eq!(parts.len(), 1);
     assert_eq!((parts[0].base_version, parts[0].changes.len()), (Some(1), 10));
     assert_eq!(parts[0].changes[0], entry(3, None), "the removal comes first");
-    // Past the history it is a snapshot, again in one part.
+    // Once the history no longer reaches back, the update is a snapshot, again in one part.
     for k in 0..300 {
         publisher.apply(TOPICS[0], vec![entry(k % 10 + 4, Some(k + 2))]);
     }
-    let parts = drain(&mut publisher, "slow", session, &mut reader);
+    let parts = deliver_all(&mut publisher, "slow", session, &mut reader);
     assert!(parts.len() == 1 && parts[0].base_version.is_none() && parts[0].changes.len() == 99);
 }
 
 #[test]
-fn a_snapshot_that_changes_while_it_is_sent_in_parts_is_completed_and_then_followed() {
+fn a_snapshot_whose_table_changes_while_it_is_sent_is_completed_and_then_updated() {
     let mut publisher = Publisher::new(1);
     publisher.apply(TOPICS[0], (0..300).map(|s| entry(s, Some(1))).collect());
-    let session = connected(&mut publisher, "f");
+    let session = connect_and_subscribe(&mut publisher, "f");
     let mut reader = UpdateReader::default();
 
     let (number, first) = publisher.next_part(Duration::ZERO, "f").unwrap();
@@ -267,7 +275,7 @@
     publisher.acknowledge("f", session, number);
     publisher.apply(TOPICS[0], vec![entry(299, None), entry(0, Some(9))]);
     assert_eq!(reader.held(TOPICS[0]), None);
-    drain(&mut publisher, "f", session, &mut reader);
+    deliver_all(&mut publisher, "f", session, &mut reader);
 
     let held = reader.held(TOPICS[0]).unwrap();
     assert_eq!((held.version, &held.state), (2, publisher.table(TOPICS[0]).unwrap().1));
@@ -277,31 +285,31 @@
 fn messages_of_an_earlier_epoch_and_of_an_earlier_session_change_nothing() {
     let mut former = Publisher::new(1);
     former.apply(TOPICS[0], vec![entry(1, Some(1))]);
-    connected(&mut former, "f");
+    connect_and_subscribe(&mut former, "f");
     let (_, retained) = former.next_part(Duration::ZERO, "f").unwrap();
     let mut publisher = Publisher::new(2);
     publisher.apply(TOPICS[0], vec![entry(2, Some(1))]);
-    let first = connected(&mut publisher, "f");
+    let first = connect_and_subscribe(&mut publisher, "f");
     let mut reader = UpdateReader::default();
-    drain(&mut publisher, "f", first, &mut reader);
+    deliver_all(&mut publisher, "f", first, &mut reader);
     let held = reader.held(TOPICS[0]).cloned();
 
     assert_eq!(reader.read(&retained), ReadOutcome::Stale);
     assert_eq!(reader.held(TOPICS[0]).cloned(), held);
 
-    let second = connected(&mut publisher, "f");
+    let second = connect_and_subscribe(&mut publisher, "f");
     let (number, _) = publisher.next_part(Duration::ZERO, "f").unwrap();
-    assert!(!publisher.disconnect("f", first), "the old session");
-    assert_eq!(publisher.acknowledge("f", first, number), vec![], "the old session");
+    assert!(!publisher.disconnect("f", first), "the former session is not open");
+    assert_eq!(publisher.acknowledge("f", first, number), vec![], "the former session is ignored");
     assert_eq!(publisher.acknowledge("f", second, number), vec![(TOPICS[0], 1)]);
 }
 
-/// After an update from a version that is not held, and after a lost part, only a snapshot helps.
+/// An update from a version that is not held, or with a missing part, cannot be applied: only a snapshot can follow.
 #[test]
 fn a_gap_needs_a_snapshot_and_a_subscriber_that_acknowledges_nothing_is_overdue() {
     let mut publisher = Publisher::new(1);
     publisher.apply(TOPICS[0], (0..300).map(|s| entry(s, Some(1))).collect());
-    let session = connected(&mut publisher, "f");
+    let session = connect_and_subscribe(&mut publisher, "f");
     let mut reader = UpdateReader::default();
     let parts: Vec<UpdatePart> =
         (0..3).map(|_| publisher.next_part(Duration::ZERO, "f").unwrap().1).collect();
@@ -321,7 +329,7 @@
         sent += std::iter::from_fn(|| publisher.next_part(Duration::from_secs(1), "f")).count();
     }
 
-    assert_eq!(sent, MAX_IN_FLIGHT, "no more than may be in flight");
+    assert_eq!(sent, MAX_IN_FLIGHT, "no more messages than may be in flight");
     assert_eq!(publisher.overdue(Duration::from_secs(3), Duration::from_secs(3)), vec![]);
     assert_eq!(
         publisher.overdue(Duration::from_secs(4), Duration::from_secs(3)),
@@ -338,27 +346,30 @@
         let oldest_held = (k % 3 > 0).then_some(HeldVersion { epoch: 1, version: 1000 - k });
         assert!(queue.push(Duration::ZERO, &format!("f{k}"), oldest_held));
     }
-    // One connects again while it waits, and one disconnects.
+    // One subscriber reconnects while it waits, and one disconnects.
     assert!(queue.push(Duration::ZERO, "f1", Some(HeldVersion { epoch: 0, version: 5 })));
     queue.remove("f2");
-    let (mut admitted, mut now, mut most) = (vec![], Duration::ZERO, 0);
+    let (mut admitted, mut now, mut max_burst) = (vec![], Duration::ZERO, 0);
     while let Some(at) = queue.next_wakeup() {
-        assert!(at <= now + grace_period, "it wakes in time");
+        assert!(at <= now + grace_period, "the next wakeup is beyond the grace period");
         now = now.max(at) + Duration::from_micros(10);
         let before = admitted.len();
         while let Some(name) = queue.admit_next(now) {
             admitted.push(name);
         }
-        most = most.max(admitted.len() - before);
+        max_burst = max_burst.max(admitted.len() - before);
     }
     assert_eq!(admitted.len(), 591);
-    assert!(now < grace_period / 2 && most <= 130, "{now:?} {most}");
-    assert!(admitted[..198].iter().all(|n| n[1..].parse::<u64>().unwrap() % 3 == 0), "nothing held: first");
-    assert_eq!((admitted[198].as_str(), admitted[199].as_str()), ("f1", "f590"), "then by age");
+    assert!(now < grace_period / 2 && max_burst <= 130, "{now:?} {max_burst}");
+    assert!(
+        admitted[..198].iter().all(|n| n[1..].parse::<u64>().unwrap() % 3 == 0),
+        "subscribers that hold nothing come first"
+    );
+    assert_eq!((admitted[198].as_str(), admitted[199].as_str()), ("f1", "f590"), "the others follow by age");
 }
 
-/// A class goes over from one table to another: the subscriber holds a table before an assignment to it, and a drain in
-/// the old table reaches it before either.
+/// When a class moves to another table, the subscriber receives that table before the assignment to it, and a drain in
+/// the former table before both.
 #[test]
 fn an_assignment_comes_after_its_table_and_a_drain_before_both() {
     let assignments = Topic { kind: TopicKind::Assignments, table: 0 };
@@ -367,16 +378,16 @@
     let mut publisher = Publisher::new(1);
     publisher.apply(TOPICS[0], (0..20).map(|s| entry(s, Some(1))).collect());
     publisher.apply(assignments, vec![assign_to(1)]);
-    let session = connected(&mut publisher, "f");
+    let session = connect_and_subscribe(&mut publisher, "f");
     assert!(publisher.subscribe("f", assignments, None));
     let mut reader = UpdateReader::default();
     let order = |parts: &[UpdatePart]| parts.iter().map(|p| p.topic.kind).collect::<Vec<_>>();
-    let first = drain(&mut publisher, "f", session, &mut reader);
+    let first = deliver_all(&mut publisher, "f", session, &mut reader);
     assert_eq!(order(&first), [TopicKind::Weights, TopicKind::Subset, TopicKind::Assignments]);
     publisher.apply(assignments, vec![assign_to(2)]);
     publisher.apply(TOPICS[1], (0..300).map(|s| entry(s, Some(1))).collect());
     publisher.apply(TOPICS[0], vec![entry(4, None)]);
-    let next = drain(&mut publisher, "f", session, &mut reader);
+    let next = deliver_all(&mut publisher, "f", session, &mut reader);
     assert_eq!(
         order(&next),
         [TopicKind::Weights, TopicKind::Subset, TopicKind::Subset, TopicKind::Subset, TopicKind::Assignments]
--- a/crates/versioned-publisher/src/topic.rs
+++ b/crates/versioned-publisher/src/topic.rs
@@ -1,35 +1,35 @@
-//! Topics: what is published, one table each.
+//! Topics: the unit of publication and subscription. Each topic is one table.
 
-/// What a table says.
+/// Content of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TopicKind {
     /// Endpoints with weights, and admission limits.
     Weights,
-    /// Endpoints to select from evenly, and admission limits.
+    /// Endpoints of equal weight, and admission limits.
     Subset,
-    /// Endpoints of a range of keys.
+    /// Endpoints that serve a range of keys.
     Range,
-    /// Servers that get no requests, whatever other tables say; there is one such table.
+    /// Ejected servers: they get no requests, whatever other tables contain. There is one such table.
     Ejections,
-    /// The table that each class of one proxy is assigned to; its number is the proxy's.
+    /// The table that each traffic class of one proxy is assigned to. Its number is the proxy's.
     Assignments,
 }
 
-/// One table, as it is published.
+/// Identifies one published table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Topic {
-    /// What it says.
+    /// The content of the table.
     pub kind: TopicKind,
-    /// Its number.
+    /// The number of the table.
     pub table: u16,
 }
 
-/// Which tables a subscriber asks for, of those that it is to have.
+/// A subscriber's selection among the tables that are meant for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TopicFilter {
-    /// Tables of this kind; `None` for all kinds.
+    /// Selects tables of this kind; `None` selects all kinds.
     pub kind: Option<TopicKind>,
-    /// The table of this number; `None` for all numbers.
+    /// Selects tables of this number; `None` selects all numbers.
     pub table: Option<u16>,
 }
 
--- a/crates/versioned-publisher/src/update.rs
+++ b/crates/versioned-publisher/src/update.rs
@@ -1,89 +1,90 @@
-//! Updates: how a table gets from one version to another.
+//! Updates: the changes that take a table from one version to another.
 
 use crate::topic::Topic;
 use std::rc::Rc;
 
-/// Number of a table's state; each change counts it up.
+/// Version of a table within an epoch, counted up from 0.
 pub type Version = u64;
 
-/// Changes in one part: some 16 KB of text, so that a slow subscriber's buffer holds no more than a few parts.
+/// Changes in one part: about 16 KB of text. Parts are this small so that what is buffered for a slow subscriber is no
+/// more than a few of them.
 pub const MAX_CHANGES_PER_PART: usize = 128;
 
-/// A version that a subscriber holds. Ordered by age, the oldest first.
+/// A version of a table that a subscriber holds. Older versions order first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeldVersion {
-    /// The epoch (start of the publisher) that the version belongs to.
+    /// The publisher's epoch that the version belongs to; a new one begins with each start of the publisher.
     pub epoch: u64,
-    /// The version.
+    /// The version within the epoch.
     pub version: Version,
 }
 
-/// What a table holds under a key.
+/// A key of a table.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
-    /// A server that gets no requests, whatever other tables say.
+    /// The name of an ejected server, which gets no requests.
     Ejection(String),
-    /// A server's entry.
+    /// The name of a server that the table has an entry for.
     Entry(String),
-    /// A class's admission limit.
+    /// The name of a traffic class that has an admission limit.
     AdmissionLimit(String),
-    /// A class; its value is the number of the table that it is assigned to.
+    /// The name of a traffic class; the value is the number of the table that it is assigned to.
     Assignment(String),
 }
 
-/// One key's new value.
+/// A new value of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The key.
+    /// The key that changes.
     pub key: Key,
-    /// Its value; `None`: it is removed.
+    /// The new value; `None` removes the key.
     pub value: Option<Rc<str>>,
 }
 
 impl Change {
-    /// Whether it takes a server out of service: such changes stand first in every message.
+    /// Whether the change removes a server's entry or ejects a server. Such changes come first in every message.
     pub fn takes_server_out_of_service(&self) -> bool {
         matches!((&self.key, &self.value), (Key::Entry(_), None) | (Key::Ejection(_), Some(_)))
     }
 }
 
-/// A message's content: a part of an update. An update is applied complete or not at all.
+/// Content of a message: one part of an update. An update is applied as a whole or not at all.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpdatePart {
-    /// The table.
+    /// The table that the update is for.
     pub topic: Topic,
     /// The publisher's epoch.
     pub epoch: u64,
-    /// The version that the update starts from; `None`: a snapshot, in place of all that was held.
+    /// The version that the update starts from; `None` for a snapshot, which replaces the whole table.
     pub base_version: Option<Version>,
-    /// The version that it leads to.
+    /// The version that the update leads to.
     pub version: Version,
-    /// Which part this is, from 0.
+    /// Index of this part within the update, from 0.
     pub part_index: usize,
-    /// How many parts the update has.
+    /// Number of parts of the update; at least 1.
     pub part_count: usize,
-    /// The part's changes.
+    /// The changes in this part.
     pub changes: Rc<[Change]>,
 }
 
-/// An update's changes, in parts.
+/// All changes of an update, split into parts.
 pub type Update = Rc<[Rc<[Change]>]>;
 
 /// A complete update of one table.
 #[derive(Debug, Clone)]
 pub struct TableUpdate {
-    /// The table.
+    /// The table that the update is for.
     pub topic: Topic,
-    /// The version that it starts from; `None`: a snapshot.
+    /// The version that the update starts from; `None` for a snapshot.
     pub base_version: Option<Version>,
-    /// The version that it leads to.
+    /// The version that the update leads to.
     pub version: Version,
-    /// Its changes.
+    /// The changes, in parts.
     pub update: Update,
 }
 
 impl TableUpdate {
-    /// All changes of the update.
+    /// Iterates over the changes of all parts, in order.
     pub fn changes(&self) -> impl Iterator<Item = &Change> {
         self.update.iter().flat_map(|part| part.iter())
     }
--- a/crates/versioned-publisher/src/update_reader.rs
+++ b/crates/versioned-publisher/src/update_reader.rs
@@ -1,34 +1,36 @@
-//! The subscriber's side: updates are applied complete, versions never go back, and a missing one is asked for.
+//! The subscriber's side: updates are applied as a whole, versions never go back within a session, and a gap requires a
+//! snapshot.
 
 use crate::topic::Topic;
 use crate::update::{Change, HeldVersion, Key, UpdatePart, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Changes that wait for the rest of their update: twice the largest table that a fleet may have.
+/// Limit of changes that are kept until their update is complete: twice the largest table that a fleet may have.
 const MAX_PENDING_CHANGES: usize = 16_384;
 
-/// What became of a part.
+/// Result of reading one part of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The update is complete: the table is at this version.
+    /// The update is complete, and the table has this version.
     Applied(Version),
-    /// More parts are to come; the table is as it was.
+    /// The update has more parts; the table is unchanged.
     Pending,
-    /// It is of an earlier epoch or version than what is held: a message that was retained, or came late.
+    /// The part is of an earlier epoch or version than the table: the message was retained, or arrived late.
     Stale,
-    /// It starts from a version that is not held, or a part is missing: a snapshot is needed.
+    /// The update starts from a version that is not held, lacks a part, or has too many changes: only a snapshot can
+    /// follow.
     NeedsSnapshot,
 }
 
-/// One table as it is held.
+/// One table as a subscriber holds it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HeldTable {
-    /// The publisher's epoch.
+    /// The publisher's epoch that the version belongs to.
     pub epoch: u64,
     /// The version within the epoch.
     pub version: Version,
-    /// What the table holds.
+    /// The values of the table's keys, as published.
     pub state: BTreeMap<Key, Rc<str>>,
 }
 
@@ -52,7 +54,7 @@
     }
 }
 
-/// An update of which some parts came.
+/// An update of which some parts have arrived.
 #[derive(Debug)]
 struct PendingUpdate {
     epoch: u64,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Whether this is the next part of the update.
+    /// Whether `part` is the next part of this update.
     fn continues_with(&self, part: &UpdatePart) -> bool {
         self.epoch == part.epoch
             && self.base_version == part.base_version
@@ -82,50 +84,50 @@
     }
 }
 
-/// All tables that a subscriber holds.
+/// All tables that a subscriber holds, and the updates that it has received in part.
 #[derive(Debug, Default)]
 pub struct UpdateReader {
     tables: BTreeMap<Topic, HeldTable>,
     pending: BTreeMap<Topic, PendingUpdate>,
-    /// Tables updated in this session: in it no version goes back. A session's first snapshot of a table is applied
-    /// whatever is held, since a planner that lost its state, or another one, may count its epochs from anywhere.
+    /// Tables updated in this session, whose versions must not go back until it ends. The first snapshot of a table in
+    /// a session is always applied, since another planner, or one that lost its state, may have lower epochs.
     updated_in_session: BTreeSet<Topic>,
 }
 
 impl UpdateReader {
-    /// A table as it is held.
+    /// The current state of a table; `None` if no update of it is complete.
     pub fn held(&self, topic: Topic) -> Option<&HeldTable> {
         self.tables.get(&topic)
     }
 
-    /// The version held of a table, for a publisher to resume from.
+    /// The version of a table that a publisher can resume from.
     pub fn held_version(&self, topic: Topic) -> Option<HeldVersion> {
         self.tables.get(&topic).map(HeldTable::held_version)
     }
 
-    /// The versions held of all tables.
+    /// The versions of all tables that are held.
     pub fn held_versions(&self) -> Vec<(Topic, HeldVersion)> {
         self.tables.iter().map(|(topic, table)| (*topic, table.held_version())).collect()
     }
 
-    /// All tables held.
+    /// The topics of all tables that are held.
     pub fn topics(&self) -> impl Iterator<Item = Topic> + '_ {
         self.tables.keys().copied()
     }
 
-    /// Drops a table that is no longer needed, or cannot be used.
+    /// Drops a table that is no longer needed or cannot be used, with any incomplete update of it.
     pub fn drop_table(&mut self, topic: Topic) {
         self.tables.remove(&topic);
         self.pending.remove(&topic);
     }
 
-    /// The session ended: updates of which parts are missing are dropped, and tables stay.
+    /// Handles the end of a session: drops incomplete updates and keeps all tables.
     pub fn end_session(&mut self) {
         self.pending.clear();
         self.updated_in_session.clear();
     }
 
-    /// Takes in a part of an update.
+    /// Reads one part of an update. The table changes only with the last part.
     pub fn read(&mut self, part: &UpdatePart) -> ReadOutcome {
         if self.is_stale(part) {
             return ReadOutcome::Stale;
@@ -154,12 +156,12 @@
     }
 
     fn is_stale(&self, part: &UpdatePart) -> bool {
-        let may_not_go_back = part.base_version.is_some() || self.updated_in_session.contains(&part.topic);
+        let must_not_go_back = part.base_version.is_some() || self.updated_in_session.contains(&part.topic);
         let offered = HeldVersion { epoch: part.epoch, version: part.version };
-        may_not_go_back && self.held_version(part.topic).is_some_and(|held| offered < held)
+        must_not_go_back && self.held_version(part.topic).is_some_and(|held| offered < held)
     }
 
-    /// Whether the version that the update starts from is held.
+    /// Whether the table is at the version that the update starts from; always true for a snapshot.
     fn has_base(&self, part: &UpdatePart) -> bool {
         let Some(version) = part.base_version else { return true };
         self.held_version(part.topic) == Some(HeldVersion { epoch: part.epoch, version })
