--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -1,25 +1,26 @@
-//! Admission of requests at a rate, by a token bucket for each traffic class.
+//! Admission control: a token bucket for each traffic class.
 
 use std::time::Duration;
 
-/// The bucket holds as many tokens as accumulate within this many seconds.
+/// Capacity of the bucket, in seconds of the admission rate.
 const BURST_SECONDS: f64 = 1.0;
-/// The bucket holds at least one request's token, however low the rate.
+/// Minimum capacity of the bucket: one request, even at the lowest rates.
 const MIN_BURST: f64 = 1.0;
-/// Longest time, in seconds, after which a rejected client is asked to come back.
+/// Longest time, in seconds, that a rejected client is asked to wait before it tries again.
 const MAX_RETRY_AFTER_SECONDS: f64 = 60.0;
 
 /// Whether a request may proceed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Admission {
     Admitted,
-    /// The rate is exhausted until `retry_after`; `None` if no request of the class is admitted at all.
+    /// The bucket is empty. `retry_after` is the time until it has a token, at most [`MAX_RETRY_AFTER_SECONDS`]; `None`
+    /// if the class admits no request at all.
     Rejected {
         retry_after: Option<Duration>,
     },
 }
 
-/// The tokens of one traffic class; each admitted request takes one.
+/// Token bucket of one traffic class; each admitted request takes one token.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -27,7 +28,7 @@
 }
 
 impl TokenBucket {
-    /// Takes a token, if there is one. `rate` is in requests a second.
+    /// Takes a token, if there is one. `rate` is in requests per second.
     pub(crate) fn admit(&mut self, now: Duration, rate: f64) -> Admission {
         if rate <= 0.0 {
             return Admission::Rejected { retry_after: None };
--- a/crates/proxy/src/balancer.rs
+++ b/crates/proxy/src/balancer.rs
@@ -3,19 +3,20 @@
 use crate::route_tables::{RouteTable, TableEntry};
 use nanorand::{Rng, WyRand};
 
-/// How an endpoint is selected.
+/// How an endpoint is selected among the candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelectionMethod {
     /// At random, in proportion to weight.
     WeightedRandom,
-    /// In rotation, evenly by weight.
+    /// In rotation, in proportion to weight.
     RoundRobin,
-    /// Two are drawn at random by weight; the one with fewer of this proxy's requests in flight is selected.
+    /// Two endpoints are drawn at random by weight, and the one with fewer of this proxy's requests in flight is
+    /// selected.
     LeastRequestsOfTwo,
 }
 
 impl SelectionMethod {
-    /// Reads the settings' name of a method. Unknown names select at random: the schema admits none.
+    /// Parses a method's name in the settings. Unknown names, which the schema does not admit, select at random.
     pub fn from_settings(name: &str) -> SelectionMethod {
         match name {
             "turns" => SelectionMethod::RoundRobin,
@@ -35,18 +36,18 @@
             return Some(*index);
         }
     }
-    // Rounding may leave a remainder behind the last entry.
+    // Rounding may leave a remainder after the last candidate.
     candidates.last().copied()
 }
 
-/// Returns a number from 0 to below 1, with the 53 bits that an `f64` holds.
+/// Returns a random number in [0, 1), with the 53 bits of precision of an `f64`.
 fn random_fraction(rng: &mut WyRand) -> f64 {
     (rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl RouteTable {
-    /// Selects the next of `candidates` (indexes of entries) by smooth weighted round robin: each earns its weight
-    /// in credit, and the one with the most credit pays for the round.
+    /// Selects one of `candidates` (indexes of entries) by smooth weighted round robin: each candidate's credit rises
+    /// by its weight, and the one with the most credit is selected and loses the total weight in credit.
     pub(crate) fn select_round_robin(&mut self, candidates: &[usize]) -> Option<usize> {
         let total_weight: f64 = candidates.iter().map(|index| self.entries[*index].weight).sum();
         for index in candidates {
--- a/crates/proxy/src/circuit_breaker.rs
+++ b/crates/proxy/src/circuit_breaker.rs
@@ -1,17 +1,18 @@
-//! Circuit breaking for one endpoint: several failures in a row take it out of selection for a while.
+//! Circuit breaker of one endpoint: consecutive failures exclude the endpoint from selection for some time.
 
 use std::time::Duration;
 
-/// When a breaker opens, and for how long.
+/// When a circuit breaker opens, and for how long.
 #[derive(Debug, Clone, Copy)]
 pub struct CircuitBreakerConfig {
-    /// Consecutive failures that open the breaker; 0 for never.
+    /// Number of consecutive failures that open the breaker; 0 disables it.
     pub failure_limit: u32,
     /// How long it stays open.
     pub open_duration: Duration,
 }
 
-/// The breaker of one endpoint. While it is open, the endpoint is selected only if all others are open too.
+/// The circuit breaker of one endpoint. While it is open, the endpoint is selected only if the breakers of all other
+/// candidates are open too.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CircuitBreaker {
     consecutive_failures: u32,
@@ -23,13 +24,13 @@
         self.open_until.is_some_and(|until| now < until)
     }
 
-    /// Closes the breaker and ends the row of failures.
+    /// Closes the breaker and resets the count of consecutive failures.
     pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.open_until = None;
     }
 
-    /// Counts a failure, and opens the breaker if it completes a row of them.
+    /// Counts a failure, and opens the breaker once the limit of consecutive failures is reached.
     pub(crate) fn record_failure(&mut self, now: Duration, config: &CircuitBreakerConfig) {
         self.consecutive_failures += 1;
         let is_enabled = config.failure_limit > 0;
--- a/crates/proxy/src/endpoint_statistics.rs
+++ b/crates/proxy/src/endpoint_statistics.rs
@@ -1,4 +1,4 @@
-//! What this proxy knows of one endpoint, and what it counts between two reports.
+//! A proxy's own state of one endpoint, and the attempts that it counts between two reports.
 
 use crate::circuit_breaker::CircuitBreaker;
 use runloom_model::report::{latency_bucket, ClassOutcomes, LatencyBuckets, ServerOutcomes};
@@ -6,30 +6,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An endpoint, as this proxy alone sees it.
+/// State of an endpoint, from this proxy's own attempts only.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Endpoint {
     pub(crate) circuit_breaker: CircuitBreaker,
-    /// This proxy's attempts in flight.
+    /// Number of this proxy's attempts in flight.
     pub(crate) in_flight: u32,
     pub(crate) statistics: EndpointStatistics,
 }
 
 impl Endpoint {
-    /// Nothing is in flight, and nothing is left to report.
+    /// Whether no attempt is in flight and none is left to report.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight == 0 && self.statistics.attempts == 0
     }
 }
 
-/// An attempt that ended, as it is counted.
+/// Result of an attempt that ended, for the statistics.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptRecord<'a> {
     pub(crate) class: usize,
     pub(crate) is_success: bool,
-    /// It succeeded within the latency objective of its class.
+    /// Whether it succeeded within the latency objective of its class, measured from the request's arrival.
     pub(crate) within_objective: bool,
     pub(crate) latency: Duration,
+    /// The load report in the response; empty if there is none.
     pub(crate) load: &'a [f64],
 }
 
@@ -39,9 +40,9 @@
     attempts: u64,
     failures: u64,
     within_objective: u64,
-    /// Sum over the successful attempts.
+    /// Sum of the latencies of successful attempts.
     total_latency: Duration,
-    /// The newest load report.
+    /// The latest load report.
     load: Vec<f64>,
     classes: BTreeMap<usize, ClassStatistics>,
 }
@@ -51,7 +52,7 @@
 struct ClassStatistics {
     attempts: u64,
     within_objective: u64,
-    /// Latencies of the successful attempts.
+    /// Latencies of successful attempts.
     latencies: LatencyBuckets,
 }
 
@@ -70,7 +71,7 @@
         self.classes.entry(attempt.class).or_default().record(attempt);
     }
 
-    /// Returns the counts for a report, if there are any, and starts over.
+    /// Returns the counts for a report and resets them; `None` if there was no attempt.
     pub(crate) fn take_report(&mut self, server: &str, classes: &[ClassSettings]) -> Option<ServerOutcomes> {
         if self.attempts == 0 {
             return None;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,6 @@
-//! The rules of the plain proxy, free of I/O: it does what its route tables say and nothing more.
+//! Request handling of the proxy, without I/O. All routing decisions follow from the published route tables.
 //!
-//! [`Proxy`] selects an endpoint for each request ([`balancer`]), skips endpoints that failed several times in a row
+//! [`Proxy`] selects an endpoint for each request ([`balancer`]), skips endpoints with several consecutive failures
 //! ([`circuit_breaker`]), admits requests at the published rate, and retries failed attempts within the published
 //! policy and the request's deadline. Its caller owns the sockets and carries out each [`RequestAction`].
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: route tables, requests in flight, and what is reported to the planner.
+//! The proxy: its route tables, its requests in flight, and the counts that it reports to the planner.
 
 use crate::admission::{Admission, TokenBucket};
 use crate::balancer::{draw_weighted, SelectionMethod};
@@ -14,34 +14,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests in flight at a time: a proxy that has more is falling behind, and holds no more in memory.
+/// Limit of requests in flight, which bounds memory: a proxy that has more is falling behind.
 pub const MAX_REQUESTS_IN_FLIGHT: usize = 4096;
-/// When a client may come back whose class has no endpoint.
+/// Retry delay for clients whose traffic class has no endpoint.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a proxy selects endpoints.
+/// Settings of endpoint selection.
 #[derive(Debug, Clone)]
 pub struct ProxyConfig {
     /// How an endpoint is selected among the candidates.
     pub selection: SelectionMethod,
-    /// When an endpoint that fails stops being a candidate.
+    /// When an endpoint that fails stops being a candidate, and for how long.
     pub circuit_breaker: CircuitBreakerConfig,
 }
 
-/// Requests since the start.
+/// Counts of requests and retries since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProxyCounts {
-    /// All that arrived.
+    /// Requests that arrived.
     pub arrived: u64,
-    /// Those that succeeded.
+    /// Requests that succeeded.
     pub succeeded: u64,
     /// Attempts after the first one of a request.
     pub retries: u64,
-    /// Rejected over the admission rate.
+    /// Requests rejected because their class was over its admission rate.
     pub over_admission_rate: u64,
-    /// Rejected without an endpoint.
+    /// Requests rejected because there was no endpoint for the first attempt.
     pub no_endpoint: u64,
-    /// Those that were sent and did not succeed.
+    /// Requests that were sent to an endpoint and did not succeed.
     pub failed: u64,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct ArrivalCounts {
     arrived: u64,
-    /// Those that were admitted and got no successful response.
+    /// Requests that were admitted and got no successful response.
     unanswered: u64,
 }
 
@@ -63,15 +63,16 @@
     tables: RouteTables,
     endpoints: BTreeMap<String, Endpoint>,
     requests: BTreeMap<RequestId, Request>,
-    /// By class.
+    /// Counts since the last report, by class.
     arrivals: Vec<ArrivalCounts>,
-    /// By class.
+    /// Admission, by class.
     token_buckets: Vec<TokenBucket>,
     counts: ProxyCounts,
 }
 
 impl Proxy {
-    /// A proxy that sends all classes to `static_endpoints`, evenly, until a planner publishes tables.
+    /// Creates a proxy that sends all classes to `static_endpoints`, with equal weights, until a planner publishes
+    /// tables.
     pub fn new(
         config: ProxyConfig,
         classes: Vec<ClassSettings>,
@@ -102,28 +103,29 @@
         self.requests.len()
     }
 
-    /// Requests since the start.
+    /// Counts of requests and retries since the start.
     pub fn counts(&self) -> ProxyCounts {
         self.counts
     }
 
-    /// Index of the class of this name.
+    /// Index of the class of this name; `None` if there is no such class.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// Puts `tables` in force. Requests in flight go on unchanged.
+    /// Puts `tables` in force. Requests in flight keep their endpoint and retry policy.
     pub fn replace_tables(&mut self, tables: RouteTables) {
         self.tables = tables;
         self.remove_unlisted_endpoints();
     }
 
+    /// Forgets endpoints that no table has any more, once they have nothing in flight and nothing to report.
     fn remove_unlisted_endpoints(&mut self) {
         let tables = &self.tables;
         self.endpoints.retain(|server, endpoint| tables.contains(server) || !endpoint.is_idle());
     }
 
-    /// Decides on a request that arrived. `id` must be new.
+    /// Decides how to handle a request that arrived. `id` must be that of no other request in flight.
     pub fn request_arrived(&mut self, now: Duration, id: RequestId, class: usize) -> RequestAction {
         self.counts.arrived += 1;
         self.arrivals[class].arrived += 1;
@@ -158,7 +160,7 @@
         let deadline = now + self.classes[class].deadline;
         let limit = self.tables.admission_limit(&self.classes[class].name);
         let retry_policy = limit.map_or(RetryPolicy::IfNotExecuted, |limit| limit.retry_policy);
-        // The policy is fixed now: tables that change meanwhile change no request in flight.
+        // The retry policy is fixed here: new tables do not change requests in flight.
         let request = Request::new(class, now, deadline, target.server.clone(), retry_policy);
         self.requests.insert(id, request);
         self.send(target, deadline)
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Selects an endpoint for a class, other than `excluded`.
+    /// Selects an endpoint for a class, other than the server `excluded`.
     fn select(&mut self, now: Duration, class: usize, excluded: Option<&str>) -> Option<TableEntry> {
         let candidates = self.candidates(now, class, excluded);
         let class_name = &self.classes[class].name;
@@ -203,7 +205,8 @@
         self.tables.entries_with_ejected(class_name).get(selected).cloned()
     }
 
-    /// Indexes of the entries that may be selected. Where all circuit breakers are open, they are disregarded.
+    /// Indexes of the entries that may be selected: neither ejected nor `excluded`, and with a circuit breaker that is
+    /// not open. If all breakers are open, they are disregarded.
     fn candidates(&self, now: Duration, class: usize, excluded: Option<&str>) -> Vec<usize> {
         let class_name = &self.classes[class].name;
         let entries = self.tables.entries_with_ejected(class_name);
@@ -238,7 +241,7 @@
     ) -> Option<RequestAction> {
         let mut request = self.requests.remove(&id)?;
         let class = &self.classes[request.class];
-        let repeats = class.retry_safety;
+        let retry_safety = class.retry_safety;
         let is_success = outcome.is_success();
         let attempt = AttemptRecord {
             class: request.class,
@@ -248,7 +251,7 @@
             load: outcome.load(),
         };
         self.record_attempt(now, &request.server, &attempt);
-        if request.may_retry(now, &outcome, repeats) {
+        if request.may_retry(now, &outcome, retry_safety) {
             if let Some(target) = self.select(now, request.class, Some(&request.server)) {
                 request.retry(now, target.server.clone());
                 let deadline = request.deadline;
@@ -265,7 +268,7 @@
         Some(RequestAction::Reject { reason: outcome.rejection_reason(), retry_after: None })
     }
 
-    /// Ends a request whose client went away or whose deadline passed. Its attempt in flight counts as failed.
+    /// Ends a request whose client disconnected or whose deadline passed. Its attempt in flight counts as failed.
     pub fn cancel_request(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let attempt = AttemptRecord {
@@ -295,7 +298,7 @@
         self.arrivals[class].unanswered += 1;
     }
 
-    /// Returns what was counted since the last report, `window` ago, and starts over.
+    /// Returns the counts since the last report, `window` ago, and resets them.
     pub fn take_report(&mut self, window: Duration) -> Report {
         let classes = &self.classes;
         let outcomes = self
--- a/crates/proxy/src/published_tables.rs
+++ b/crates/proxy/src/published_tables.rs
@@ -1,9 +1,9 @@
-//! Route tables out of what was published to the proxy topic by topic.
+//! Assembles route tables from the topics that were published to the proxy.
 //!
 //! Topics are published one at a time. A proxy puts them in force only once they are consistent: the assignments, the
-//! tables that they name and the ejections all come from the same epoch (one start of one planner). A planner that
-//! restarted publishes new tables under old numbers before the assignments that go with them; until those arrive,
-//! the former tables stay in force.
+//! tables that they name and the ejections must all be of the same epoch (one start of one planner). A restarted
+//! planner publishes new tables under numbers already in use before it publishes the assignments that belong to them;
+//! until those arrive, the former tables stay in force.
 
 use crate::route_tables::{RouteTable, RouteTables, TableEntry, TableError};
 use runloom_model::published_value::{parse_admission_limit, parse_entry};
@@ -13,17 +13,17 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The topic that assigns each class a table, as one proxy sees it.
+/// The topic that assigns each traffic class to a table. A proxy sees its own under number 0.
 pub const ASSIGNMENTS: Topic = Topic { kind: TopicKind::Assignments, table: 0 };
-/// The topic of servers that get no requests, whatever the tables say.
+/// The topic of ejected servers, which get no requests even if a table has an entry of them.
 pub const EJECTIONS: Topic = Topic { kind: TopicKind::Ejections, table: 0 };
-/// Weight of each entry of a subset, whose topic carries addresses only.
+/// Weight of each entry of a subset; the topic of a subset has addresses only.
 const SUBSET_WEIGHT: f64 = 1.0;
 
 /// A published table that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnusableTable {
-    /// Where it was published.
+    /// The topic of the table.
     pub topic: Topic,
     /// Why it cannot be used.
     pub error: TableError,
@@ -32,8 +32,8 @@
 /// Returns the tables to put in force after an update of `topic` is complete; `None` if the topics held are not
 /// consistent yet.
 ///
-/// With new assignments, tables that no class is assigned to are dropped from `reader`; not before, since a table is
-/// published ahead of the assignment that names it.
+/// Tables that no class is assigned to are dropped from `reader` only after an update of the assignments, since a table
+/// is published before the assignment that names it.
 pub fn tables_after_update(
     reader: &mut UpdateReader,
     topic: Topic,
@@ -70,7 +70,7 @@
     Ok(Some(RouteTables { tables, assignments, ejected: read_ejections(ejections), from_planner: true }))
 }
 
-/// Returns a class, and the number of the table that it is assigned to.
+/// Returns the class and the number of the table that it is assigned to.
 fn read_assignment(key: &Key, value: &str) -> Result<(String, u16), TableError> {
     let Key::Assignment(class) = key else { return Err(TableError::UnexpectedKey) };
     let number = value.parse().map_err(|_| TableError::InvalidAssignment)?;
@@ -85,7 +85,7 @@
     published.state.keys().filter_map(server).collect()
 }
 
-/// The table of a number, of weights or of a subset, if it was published in `epoch`.
+/// The table of this number, with weights or a subset, if it was published in `epoch`.
 fn table_of_epoch(reader: &UpdateReader, number: u16, epoch: u64) -> Option<(Topic, &HeldTable)> {
     [TopicKind::Weights, TopicKind::Subset].into_iter().find_map(|kind| {
         let topic = Topic { kind, table: number };
@@ -127,7 +127,7 @@
         .ok_or_else(|| TableError::MalformedAdmissionLimit { class: class.to_string() })
 }
 
-/// Tables held that no class is assigned to.
+/// Topics of the tables in `reader` that no class is assigned to.
 fn unassigned_topics(reader: &UpdateReader) -> Vec<Topic> {
     let Some(assignments) = reader.held(ASSIGNMENTS) else { return vec![] };
     let is_assigned = |table: u16| assignments.state.values().any(|value| **value == *table.to_string());
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,33 +1,33 @@
-//! One request in flight: its attempts, how they end, and what the caller does next.
+//! Requests in flight: their attempts, how these end, and what the caller does next.
 
-use crate::retry::RetryBudget;
+use crate::retry::RetryState;
 use runloom_controller::RetryPolicy;
 use runloom_model::traffic_class::RetrySafety;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Number of a request, unique within one proxy.
+/// Identifies a request within one proxy.
 pub type RequestId = u64;
 
-/// What the caller does next with a request.
+/// What the caller must do next with a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestAction {
-    /// Send it to an endpoint.
+    /// Send the request to an endpoint.
     Send {
-        /// The endpoint's name.
+        /// The name of the server.
         server: String,
-        /// Where it listens.
+        /// The address that the server listens on.
         address: SocketAddr,
-        /// When the request is given up, whatever comes of the attempt.
+        /// When the request ends, even if the attempt has not.
         deadline: Duration,
     },
-    /// Pass the endpoint's response to the client.
+    /// Send the endpoint's response to the client.
     Respond,
-    /// Reject it.
+    /// Reject the request.
     Reject {
-        /// Why.
+        /// Why the request is rejected.
         reason: RejectionReason,
-        /// When the client may come back, if that is known.
+        /// How long the client is asked to wait before it tries again, if that is known.
         retry_after: Option<Duration>,
     },
 }
@@ -35,15 +35,15 @@
 /// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// Its class has no endpoint.
+    /// The request's class has no endpoint.
     NoEndpoint,
-    /// Its class is over the admission rate.
+    /// The request's class is over its admission rate.
     AdmissionRate,
-    /// The proxy has as many requests in flight as it may.
+    /// The proxy has [`crate::MAX_REQUESTS_IN_FLIGHT`] requests in flight.
     TooManyRequests,
-    /// The attempts failed, and no further one is allowed.
+    /// The last attempt failed, and no further one is possible.
     AttemptsFailed,
-    /// The deadline passed.
+    /// The request's deadline passed.
     DeadlineExceeded,
 }
 
@@ -60,41 +60,41 @@
     }
 }
 
-/// How an attempt ended. `load` is the endpoint's load report, NaN where a value is missing.
+/// How an attempt ended. `load` is the load report in the endpoint's response, NaN where a value is missing.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptOutcome {
-    /// A response that is none of the failures below.
+    /// The endpoint responded, with none of the failures below.
     Success {
         /// The load report.
         load: Vec<f64>,
     },
-    /// The endpoint executed the request and failed.
+    /// The endpoint executed the request and responded with an error.
     ErrorResponse {
         /// The load report.
         load: Vec<f64>,
     },
-    /// The endpoint states that it did not start on the request.
+    /// The endpoint stated that it did not begin to execute the request.
     Rejected {
         /// The load report.
         load: Vec<f64>,
     },
-    /// No connection was made, so nothing was written.
+    /// No connection could be established, so nothing was written.
     ConnectionFailed,
     /// The connection closed before a byte of the request was written.
     ClosedBeforeWrite,
     /// The connection closed after some of the request was written: it may have executed.
     ClosedAfterWrite,
-    /// The deadline passed.
+    /// The request's deadline passed.
     DeadlineExceeded,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt succeeded.
+    /// Whether the attempt succeeded, so that its response goes to the client.
     pub fn is_success(&self) -> bool {
         matches!(self, AttemptOutcome::Success { .. })
     }
 
-    /// Whether the request provably did not execute.
+    /// Whether the outcome proves that this attempt did not execute the request.
     pub fn proves_not_executed(&self) -> bool {
         matches!(
             self,
@@ -104,7 +104,7 @@
         )
     }
 
-    /// The endpoint's load report; empty if none came.
+    /// The endpoint's load report; empty if there is none.
     pub fn load(&self) -> &[f64] {
         match self {
             AttemptOutcome::Success { load }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Why a request is rejected whose last attempt ended this way.
+    /// The reason to reject a request whose last attempt ended this way.
     pub fn rejection_reason(&self) -> RejectionReason {
         if *self == AttemptOutcome::DeadlineExceeded {
             RejectionReason::DeadlineExceeded
@@ -130,14 +130,14 @@
     pub(crate) class: usize,
     pub(crate) arrived_at: Duration,
     pub(crate) deadline: Duration,
-    /// The endpoint of the current attempt.
+    /// The server of the current attempt.
     pub(crate) server: String,
     pub(crate) attempt_started_at: Duration,
-    retry_budget: RetryBudget,
+    retry_state: RetryState,
 }
 
 impl Request {
-    /// A request of `class` whose first attempt goes to `server`.
+    /// Creates a request of `class` whose first attempt goes to `server`.
     pub(crate) fn new(
         class: usize,
         now: Duration,
@@ -151,7 +151,7 @@
             deadline,
             server,
             attempt_started_at: now,
-            retry_budget: RetryBudget::new(retry_policy),
+            retry_state: RetryState::new(retry_policy),
         }
     }
 
@@ -160,14 +160,14 @@
         &mut self,
         now: Duration,
         outcome: &AttemptOutcome,
-        repeats: RetrySafety,
+        retry_safety: RetrySafety,
     ) -> bool {
-        now < self.deadline && self.retry_budget.allows_retry_after(outcome, repeats)
+        now < self.deadline && self.retry_state.allows_retry_after(outcome, retry_safety)
     }
 
     /// Starts another attempt.
     pub(crate) fn retry(&mut self, now: Duration, server: String) {
-        self.retry_budget.consume();
+        self.retry_state.count_retry();
         self.server = server;
         self.attempt_started_at = now;
     }
--- a/crates/proxy/src/route_tables.rs
+++ b/crates/proxy/src/route_tables.rs
@@ -1,4 +1,4 @@
-//! Route tables as a proxy holds them, and how they are read from the datastore that a planner edits.
+//! Route tables of a proxy, and how they are read from the datastore that a planner edits.
 
 use runloom_model::table_update::{parse_retry_policy, AdmissionLimit};
 use runloom_netconf::tree::Element;
@@ -7,22 +7,22 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Weight of each endpoint where no planner set one.
-const EVEN_WEIGHT: f64 = 1.0;
-/// Number of the table that holds static endpoints.
-const STATIC_TABLE: u16 = 0;
+/// Weight of each static endpoint.
+const EQUAL_WEIGHT: f64 = 1.0;
+/// Number of the table of static endpoints.
+const STATIC_TABLE_NUMBER: u16 = 0;
 
-/// Why a table cannot be used.
+/// Why a published table cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableError {
-    /// A table's id is not a number.
+    /// A table's id is missing or not a number.
     InvalidTableId,
-    /// An entry's address cannot be parsed.
+    /// An entry's address is missing or cannot be parsed.
     InvalidAddress {
         /// The entry's server.
         server: String,
     },
-    /// An entry's weight is not a positive number.
+    /// An entry's weight is missing, or is not a positive finite number.
     InvalidWeight {
         /// The entry's server.
         server: String,
@@ -39,9 +39,9 @@
         /// The limit's class.
         class: String,
     },
-    /// The assignment of a class names no table.
+    /// The assignment of a class has no valid table number.
     InvalidAssignment,
-    /// The table holds a key of another kind of table.
+    /// The table has a key that belongs to another kind of table.
     UnexpectedKey,
 }
 
@@ -67,21 +67,21 @@
 /// One endpoint of a table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableEntry {
-    /// The endpoint's name.
+    /// The name of the server.
     pub server: String,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its share of the requests, in proportion to the other entries; above 0.
+    /// Share of the requests, relative to the weights of the other entries; above 0.
     pub weight: f64,
 }
 
-/// The endpoints of some classes, and their admission limits.
+/// One table: the endpoints for the classes that are assigned to it, and the admission limits of these classes.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RouteTable {
     pub(crate) entries: Vec<TableEntry>,
     /// By class name.
     pub(crate) admission_limits: BTreeMap<String, AdmissionLimit>,
-    /// Credit of each entry for round robin, in units of weight.
+    /// Credit of each entry for weighted round robin, in units of weight.
     pub(crate) credits: Vec<f64>,
 }
 
@@ -123,7 +123,7 @@
     Ok((class, AdmissionLimit { rate, retry_policy }))
 }
 
-/// A rate that is not finite admits nothing.
+/// Reads a rate in requests per second. A rate that is not finite or is negative admits nothing.
 fn read_admission_rate(text: &str) -> Result<f64, TableError> {
     let rate: f64 = text.parse().map_err(|_| TableError::InvalidAdmissionRate)?;
     Ok(if rate.is_finite() { rate.max(0.0) } else { 0.0 })
@@ -136,31 +136,31 @@
     Ok((class, table.ok_or(TableError::InvalidAssignment)?))
 }
 
-/// All tables that a proxy holds.
+/// All route tables of a proxy, with the assignment of classes to tables.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTables {
     pub(crate) tables: BTreeMap<u16, RouteTable>,
-    /// Class name and table.
+    /// Number of the table that each class, by name, is assigned to.
     pub(crate) assignments: BTreeMap<String, u16>,
-    /// Servers that get no requests, whatever the tables say.
+    /// Ejected servers: they get no requests, even if a table has an entry of them.
     pub(crate) ejected: BTreeSet<String>,
     pub(crate) from_planner: bool,
 }
 
 impl RouteTables {
-    /// What a proxy holds before a planner publishes anything: one table for all classes, with even weights.
+    /// The tables before a planner publishes any: one table for all classes, with equal weights.
     pub fn from_static_endpoints(classes: &[String], endpoints: &[(String, SocketAddr)]) -> RouteTables {
         let entry = |(server, address): &(String, SocketAddr)| TableEntry {
             server: server.clone(),
             address: *address,
-            weight: EVEN_WEIGHT,
+            weight: EQUAL_WEIGHT,
         };
         let table = RouteTable::new(endpoints.iter().map(entry).collect(), BTreeMap::new());
-        let assignments = classes.iter().map(|class| (class.clone(), STATIC_TABLE)).collect();
-        RouteTables { tables: [(STATIC_TABLE, table)].into(), assignments, ..RouteTables::default() }
+        let assignments = classes.iter().map(|class| (class.clone(), STATIC_TABLE_NUMBER)).collect();
+        RouteTables { tables: [(STATIC_TABLE_NUMBER, table)].into(), assignments, ..RouteTables::default() }
     }
 
-    /// Reads `<tables>`, which a planner wrote. One unusable entry makes all of it unusable.
+    /// Reads the `<tables>` element that a planner wrote. One unusable entry makes all tables unusable.
     pub fn read(element: &Element) -> Result<RouteTables, TableError> {
         let mut tables = BTreeMap::new();
         for table in element.named("table") {
@@ -177,7 +177,7 @@
         })
     }
 
-    /// Whether a planner published these tables.
+    /// Whether a planner published these tables; false for static endpoints.
     pub fn is_from_planner(&self) -> bool {
         self.from_planner
     }
@@ -190,7 +190,7 @@
         self.tables.get_mut(self.assignments.get(class)?)
     }
 
-    /// The entries of a class's table, ejected servers included.
+    /// The entries of a class's table, including ejected servers.
     pub(crate) fn entries_with_ejected(&self, class: &str) -> &[TableEntry] {
         self.table(class).map(|table| table.entries.as_slice()).unwrap_or_default()
     }
@@ -199,7 +199,7 @@
         self.ejected.contains(server)
     }
 
-    /// The entries that a class's requests may go to: those of its table, without ejected servers.
+    /// The entries that requests of a class may be sent to: those of its table, without ejected servers.
     pub fn entries(&self, class: &str) -> Vec<TableEntry> {
         let entries = self.entries_with_ejected(class).iter();
         entries.filter(|entry| !self.is_ejected(&entry.server)).cloned().collect()
--- a/crates/proxy/src/tests.rs
+++ b/crates/proxy/src/tests.rs
@@ -7,45 +7,51 @@
 use std::time::Duration;
 
 const ZERO: Duration = Duration::ZERO;
-/// Index of the only class.
+/// Index of the only traffic class.
 const CLASS: usize = 0;
-/// Random choices may deviate from the weights by what happens once in a thousand runs.
+/// Significance level of the chi-squared test: a correct selection fails it for one seed in a thousand.
 const SIGNIFICANCE: f64 = 0.001;
 
-fn class(repeats: RetrySafety) -> ClassSettings {
+fn class(retry_safety: RetrySafety) -> ClassSettings {
     ClassSettings {
         name: "q".into(),
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(500),
         deadline: Duration::from_secs(1),
-        retry_safety: repeats,
+        retry_safety,
     }
 }
 
 /// A proxy whose table 1 has servers `s0`, `s1`, ... of these weights.
-fn proxy(selection: SelectionMethod, repeats: RetrySafety, level: &str, weights: &[f64]) -> Proxy {
+fn proxy(
+    selection: SelectionMethod,
+    retry_safety: RetrySafety,
+    admission_limit: &str,
+    weights: &[f64],
+) -> Proxy {
     let circuit_breaker = CircuitBreakerConfig { failure_limit: 3, open_duration: Duration::from_secs(5) };
-    let mut proxy = Proxy::new(ProxyConfig { selection, circuit_breaker }, vec![class(repeats)], &[], 7);
-    proxy.replace_tables(tables(level, weights));
+    let mut proxy = Proxy::new(ProxyConfig { selection, circuit_breaker }, vec![class(retry_safety)], &[], 7);
+    proxy.replace_tables(tables(admission_limit, weights));
     proxy
 }
 
-fn tables(level: &str, weights: &[f64]) -> RouteTables {
-    let line = |(index, weight): (usize, &f64)| {
+fn tables(admission_limit: &str, weights: &[f64]) -> RouteTables {
+    let entry = |(index, weight): (usize, &f64)| {
         let port = index + 1;
         format!(
             "<line><server>s{index}</server><address>127.0.0.1:{port}</address><weight>{weight}</weight></line>"
         )
     };
-    let lines: String = weights.iter().enumerate().map(line).collect();
+    let entries: String = weights.iter().enumerate().map(entry).collect();
     let text = format!(
-        "<tables xmlns='urn:runloom:proxy'><table><id>1</id>{lines}{level}</table><bind><class>q</class>\
+        "<tables xmlns='urn:runloom:proxy'><table><id>1</id>{entries}{admission_limit}</table><bind><class>q</class>\
          <table>1</table></bind></tables>"
     );
     RouteTables::read(&Element::parse(&text).unwrap()).unwrap()
 }
 
-fn level(pace: &str, further_tries: &str) -> String {
+/// An admission limit of the class; `pace` is empty for no admission rate.
+fn admission_limit(pace: &str, further_tries: &str) -> String {
     format!("<level><class>q</class>{pace}<further-tries>{further_tries}</further-tries></level>")
 }
 
@@ -88,7 +94,7 @@
 }
 
 #[test]
-fn of_two_drawn_the_one_with_fewer_requests_is_selected() {
+fn the_less_loaded_of_two_drawn_endpoints_is_selected() {
     let mut proxy = proxy(SelectionMethod::LeastRequestsOfTwo, RetrySafety::Safe, "", &[1.0, 1.0]);
 
     let mut in_flight = [0u32; 2];
@@ -97,13 +103,14 @@
         in_flight[usize::from(selected_server(&action) == "s1")] += 1;
     }
 
-    // With one draw the two would be some 30 apart.
+    // With a single draw per request, the counts would differ by about 30.
     assert!(in_flight[0].abs_diff(in_flight[1]) <= 12, "{in_flight:?}");
 }
 
 #[test]
-fn three_failures_in_a_row_open_the_circuit_breaker_and_a_success_ends_the_row() {
-    let mut proxy = proxy(SelectionMethod::RoundRobin, RetrySafety::Unsafe, &level("", "none"), &[1.0, 1e-9]);
+fn three_consecutive_failures_open_the_circuit_breaker_and_a_success_resets_the_count() {
+    let mut proxy =
+        proxy(SelectionMethod::RoundRobin, RetrySafety::Unsafe, &admission_limit("", "none"), &[1.0, 1e-9]);
     let attempt = |proxy: &mut Proxy, id, outcome| {
         assert_eq!(selected_server(&proxy.request_arrived(ZERO, id, CLASS)), "s0");
         proxy.attempt_ended(ZERO, id, outcome);
@@ -121,8 +128,9 @@
 }
 
 #[test]
-fn circuit_breakers_are_disregarded_where_all_are_open() {
-    let mut proxy = proxy(SelectionMethod::WeightedRandom, RetrySafety::Unsafe, &level("", "none"), &[1.0]);
+fn circuit_breakers_are_disregarded_if_all_are_open() {
+    let mut proxy =
+        proxy(SelectionMethod::WeightedRandom, RetrySafety::Unsafe, &admission_limit("", "none"), &[1.0]);
     for id in 0..4 {
         assert_eq!(selected_server(&proxy.request_arrived(ZERO, id, CLASS)), "s0");
         proxy.attempt_ended(ZERO, id, AttemptOutcome::ClosedAfterWrite);
@@ -139,8 +147,12 @@
         (AttemptOutcome::ErrorResponse { load: vec![] }, false),
         (AttemptOutcome::DeadlineExceeded, false),
     ] {
-        let mut proxy =
-            proxy(SelectionMethod::WeightedRandom, RetrySafety::Unsafe, &level("", "unrun"), &[1.0, 1.0]);
+        let mut proxy = proxy(
+            SelectionMethod::WeightedRandom,
+            RetrySafety::Unsafe,
+            &admission_limit("", "unrun"),
+            &[1.0, 1.0],
+        );
         let first = selected_server(&proxy.request_arrived(ZERO, 1, CLASS)).to_string();
 
         let next = proxy.attempt_ended(ZERO, 1, outcome.clone()).unwrap();
@@ -155,25 +167,25 @@
 
 #[test]
 fn a_request_that_may_have_executed_is_retried_only_where_safe_and_allowed() {
-    for (repeats, further_tries, retries) in [
+    for (retry_safety, further_tries, retries) in [
         (RetrySafety::Safe, "two", 2),
         (RetrySafety::Safe, "one", 1),
         (RetrySafety::Safe, "unrun", 0),
         (RetrySafety::Keyed, "two", 0),
         (RetrySafety::Unsafe, "two", 0),
     ] {
-        let limit = level("", further_tries);
-        let mut proxy = proxy(SelectionMethod::WeightedRandom, repeats, &limit, &[1.0, 1.0, 1.0]);
+        let limit = admission_limit("", further_tries);
+        let mut proxy = proxy(SelectionMethod::WeightedRandom, retry_safety, &limit, &[1.0, 1.0, 1.0]);
         proxy.request_arrived(ZERO, 1, CLASS);
 
         while let Some(RequestAction::Send { .. }) =
             proxy.attempt_ended(ZERO, 1, AttemptOutcome::ClosedAfterWrite)
         {}
 
-        assert_eq!(proxy.counts().retries, retries, "{repeats:?} {further_tries}");
+        assert_eq!(proxy.counts().retries, retries, "{retry_safety:?} {further_tries}");
     }
-    // A proof that comes after an attempt that may have executed says nothing of that one.
-    let limit = level("", "two");
+    // Proof that the first attempt did not execute allows no retry after a second one that may have executed.
+    let limit = admission_limit("", "two");
     let mut proxy = proxy(SelectionMethod::WeightedRandom, RetrySafety::Unsafe, &limit, &[1.0, 1.0, 1.0]);
     proxy.request_arrived(ZERO, 1, CLASS);
     let after_proof = proxy.attempt_ended(ZERO, 1, AttemptOutcome::ConnectionFailed);
@@ -185,18 +197,18 @@
 #[test]
 fn the_retry_policy_of_a_request_in_flight_stays_when_tables_change() {
     let mut proxy =
-        proxy(SelectionMethod::WeightedRandom, RetrySafety::Safe, &level("", "none"), &[1.0, 1.0]);
+        proxy(SelectionMethod::WeightedRandom, RetrySafety::Safe, &admission_limit("", "none"), &[1.0, 1.0]);
     proxy.request_arrived(ZERO, 1, CLASS);
 
-    proxy.replace_tables(tables(&level("", "two"), &[1.0, 1.0]));
+    proxy.replace_tables(tables(&admission_limit("", "two"), &[1.0, 1.0]));
 
     let next = proxy.attempt_ended(ZERO, 1, AttemptOutcome::ClosedAfterWrite);
     assert!(matches!(next, Some(RequestAction::Reject { .. })));
 }
 
 #[test]
-fn requests_are_admitted_at_the_admission_rate_and_others_learn_when_to_come_back() {
-    let limit = level("<pace>10</pace>", "none");
+fn requests_are_admitted_at_the_admission_rate_and_others_get_a_retry_after() {
+    let limit = admission_limit("<pace>10</pace>", "none");
     let mut proxy = proxy(SelectionMethod::WeightedRandom, RetrySafety::Safe, &limit, &[1.0]);
 
     let mut admitted = 0;
@@ -244,12 +256,12 @@
 
 #[test]
 fn one_unusable_entry_makes_the_tables_unusable() {
-    for (line, cause) in [
+    for (entry, cause) in [
         ("<server>a</server><address>x</address><weight>1</weight>", "address"),
         ("<server>a</server><address>127.0.0.1:1</address><weight>0</weight>", "weight"),
         ("<server>a</server><address>127.0.0.1:1</address><weight>NaN</weight>", "weight"),
     ] {
-        let text = format!("<tables><table><id>1</id><line>{line}</line></table></tables>");
+        let text = format!("<tables><table><id>1</id><line>{entry}</line></table></tables>");
         let error = RouteTables::read(&Element::parse(&text).unwrap()).unwrap_err();
         assert!(error.to_string().contains(cause), "{error}");
     }
