--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -41,7 +41,7 @@
 fn event_loop() -> io::Result<EventLoop> {
     let mut event_loop = EventLoop::new()?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
-        event_loop.signal(signal)?;
+        event_loop.register_signal(signal)?;
     }
     // With a handler, a write beyond the file size limit fails instead of ending the process. The flag is not read.
     signal_hook::flag::register(SIGXFSZ, Arc::default())?;
--- a/crates/mqtt/tests/wire_snapshot.rs
+++ b/crates/mqtt/tests/wire_snapshot.rs
@@ -45,7 +45,7 @@
                 epoch: 77,
                 base_version,
                 version: 9,
-                part: 0,
+                part_index: 0,
                 part_count: 2,
                 changes: changes.clone().into(),
             };
