--- a/crates/daemon/src/commands/edit.rs
+++ b/crates/daemon/src/commands/edit.rs
@@ -4,7 +4,7 @@
 use super::error::{file_error, CommandError};
 use crate::client::{edit_config, Client, ClientError};
 use crate::wall_ms;
-use runloom_model::{FLEET, STATE};
+use runloom_model::{FLEET_NAMESPACE, STATE_NAMESPACE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::NOTIFY;
 use std::path::{Path, PathBuf};
@@ -62,14 +62,15 @@
 }
 
 fn drain_config(server: &str, is_draining: bool) -> Element {
-    let server = Element::new(FLEET, "server").with_leaf("name", server).with_leaf("drain", is_draining);
-    Element::new(FLEET, "fleet").with(server)
+    let server =
+        Element::new(FLEET_NAMESPACE, "server").with_leaf("name", server).with_leaf("drain", is_draining);
+    Element::new(FLEET_NAMESPACE, "fleet").with(server)
 }
 
 fn share_config(share: &str) -> Result<Element, CommandError> {
     let (zone, share) = share.split_once('=').ok_or(CommandError::MalformedShare)?;
-    let zone = Element::new(FLEET, "zone").with_leaf("name", zone).with_leaf("share", share);
-    Ok(Element::new(FLEET, "fleet").with(zone))
+    let zone = Element::new(FLEET_NAMESPACE, "zone").with_leaf("name", zone).with_leaf("share", share);
+    Ok(Element::new(FLEET_NAMESPACE, "fleet").with(zone))
 }
 
 /// Sends an edit under an id, if one is given, and waits until it is in force if that is wanted. An edit that is
@@ -112,7 +113,7 @@
 
 /// The edit in the planner's state, if it is in force there: an edit sent twice is notified only once.
 fn find_in_force(client: &mut Client, id: Option<&str>) -> Option<Element> {
-    let reply = client.get(Element::new(STATE, "state")).ok()?;
+    let reply = client.get(Element::new(STATE_NAMESPACE, "state")).ok()?;
     let state = reply.child("data")?.child("state")?;
     let is_in_force =
         |edit: &&Arc<Element>| edit.text_of("id") == id && edit.text_of("state") == Some("in-force");
--- a/crates/daemon/src/commands/show.rs
+++ b/crates/daemon/src/commands/show.rs
@@ -2,7 +2,7 @@
 
 use super::connection::ConnectionOptions;
 use super::error::CommandError;
-use runloom_model::{FLEET, STATE};
+use runloom_model::{FLEET_NAMESPACE, STATE_NAMESPACE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 
@@ -13,8 +13,8 @@
     edit_id: Option<&str>,
 ) -> Result<(), CommandError> {
     let filter = match subject {
-        "state" => Element::new(STATE, "state"),
-        "fleet" | "roster" => Element::new(FLEET, subject),
+        "state" => Element::new(STATE_NAMESPACE, "state"),
+        "fleet" | "roster" => Element::new(FLEET_NAMESPACE, subject),
         other => return Err(CommandError::UnknownSubject(other.to_string())),
     };
     let mut client = connection.open()?;
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -22,7 +22,7 @@
 use runloom_model::fleet::Fleet;
 use runloom_model::listed_server::ListedServer;
 use runloom_model::schema_derivation::derive_schema;
-use runloom_model::{Schema, FLEET, FLEET_XSD, YANG};
+use runloom_model::{Schema, FLEET_NAMESPACE, FLEET_XSD, YANG_MODULES};
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
@@ -172,7 +172,7 @@
     /// The endpoint list as an element, for the file that a restart reads.
     pub fn endpoint_list_element(&self) -> Element {
         let roster = part(&self.accepted.data, ENDPOINT_LIST_PART);
-        roster.map_or_else(|| Element::new(FLEET, ENDPOINT_LIST_PART), |roster| (**roster).clone())
+        roster.map_or_else(|| Element::new(FLEET_NAMESPACE, ENDPOINT_LIST_PART), |roster| (**roster).clone())
     }
 
     // Access.
@@ -318,7 +318,7 @@
         let is_unchecked =
             |entry: &&Arc<Element>| entry.name != "server" || !valid.contains(&Arc::as_ptr(entry));
         let children = fleet.children.iter().filter(is_unchecked).cloned().collect();
-        Element { children, ..Element::new(FLEET, FLEET_PART) }
+        Element { children, ..Element::new(FLEET_NAMESPACE, FLEET_PART) }
     }
 
     /// Checks that listed servers fit the fleet. With an unchanged fleet only changed entries can fail.
@@ -426,6 +426,6 @@
     }
 
     fn schemas(&self) -> &[(&'static str, &'static str, &'static str)] {
-        &YANG
+        &YANG_MODULES
     }
 }
--- a/crates/daemon/src/config_service/endpoint_list.rs
+++ b/crates/daemon/src/config_service/endpoint_list.rs
@@ -3,7 +3,7 @@
 use super::data::{endpoint_entries, ENDPOINT_LIST_PART};
 use super::validation::{invalid_value, SchemaCheck};
 use runloom_model::listed_server::ListedServer;
-use runloom_model::FLEET;
+use runloom_model::FLEET_NAMESPACE;
 use runloom_netconf::error::RpcError;
 use runloom_netconf::tree::Element;
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
     ) -> Result<EndpointListChange, Vec<RpcError>> {
         let entries = endpoint_entries(data);
         let mut changed = vec![];
-        let mut changed_elements = Element::new(FLEET, ENDPOINT_LIST_PART);
+        let mut changed_elements = Element::new(FLEET_NAMESPACE, ENDPOINT_LIST_PART);
         let mut known_count = 0;
         for element in entries {
             let known = self.elements.get(element.text_of("name").unwrap_or_default());
--- a/crates/daemon/src/planner_runtime.rs
+++ b/crates/daemon/src/planner_runtime.rs
@@ -47,7 +47,7 @@
 use runloom_identity::access::RequestedAccess;
 use runloom_inventory::edit_history::Edit;
 use runloom_model::planner_settings::PlannerSettings;
-use runloom_model::STATE;
+use runloom_model::STATE_NAMESPACE;
 use runloom_netconf::tree::Element;
 use signal_hook::consts::SIGHUP;
 use std::collections::BTreeSet;
@@ -369,7 +369,7 @@
 
 /// The notification of an edit that is in force.
 fn edit_in_force(edit: &Edit, elapsed: Duration) -> Element {
-    Element::new(STATE, "edit-in-force")
+    Element::new(STATE_NAMESPACE, "edit-in-force")
         .with_leaf("id", &edit.stored.id)
         .with_leaf("at", edit.acknowledged_count())
         .with_leaf("of", edit.proxy_count)
--- a/crates/daemon/src/planner_runtime/call_home.rs
+++ b/crates/daemon/src/planner_runtime/call_home.rs
@@ -6,7 +6,7 @@
 use runloom_distribution::{PendingProxy, Transport};
 use runloom_event_loop::{CloseReason, ConnectionId};
 use runloom_model::report::Report;
-use runloom_model::PROXY as PROXY_NAMESPACE;
+use runloom_model::PROXY_NAMESPACE;
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
 use runloom_netconf::{BASE, NOTIFY};
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -6,7 +6,7 @@
 use crate::tls_credentials::CertificateHolder;
 use crate::wall_text;
 use runloom_event_loop::{CloseReason, ConnectionId, EventLoop};
-use runloom_model::{Schema, YANG};
+use runloom_model::{Schema, YANG_MODULES};
 use runloom_netconf::service::{Limits, Service, CAPABILITIES};
 use runloom_netconf::session::{Role, Rpc, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
@@ -40,7 +40,7 @@
     let module = |(name, revision, _): &(&str, &str, &str)| {
         format!("urn:{}?module={name}&revision={revision}", name.replace('-', ":"))
     };
-    CAPABILITIES.into_iter().map(String::from).chain(YANG.iter().map(module)).collect()
+    CAPABILITIES.into_iter().map(String::from).chain(YANG_MODULES.iter().map(module)).collect()
 }
 
 impl OperatorSessions {
--- a/crates/daemon/src/planner_runtime/restore.rs
+++ b/crates/daemon/src/planner_runtime/restore.rs
@@ -9,7 +9,7 @@
 use runloom_inventory::edit_history::{EditHistory, StoredEdit};
 use runloom_inventory::{Inventory, Server};
 use runloom_model::planner_settings::PlannerSettings;
-use runloom_model::FLEET;
+use runloom_model::FLEET_NAMESPACE;
 use runloom_netconf::tree::Element;
 use runloom_store::{AcceptedEdit, AcceptedState};
 use std::io;
@@ -81,7 +81,7 @@
         tracing::warn!("a confirmed commit was never confirmed: it is rolled back");
     }
     let entries = accepted.rollback_entries.as_ref().unwrap_or(&accepted.entries);
-    let text = format!("<fleet xmlns=\"{FLEET}\">{}</fleet>", entries.concat());
+    let text = format!("<fleet xmlns=\"{FLEET_NAMESPACE}\">{}</fleet>", entries.concat());
     Element::parse(&text).map_err(|error| StartError::StoredFleet(error.reason))
 }
 
--- a/crates/daemon/src/planner_runtime/state_report.rs
+++ b/crates/daemon/src/planner_runtime/state_report.rs
@@ -7,7 +7,7 @@
 use runloom_distribution::Transport;
 use runloom_guard::Rejection;
 use runloom_inventory::edit_history::Edit;
-use runloom_model::STATE;
+use runloom_model::STATE_NAMESPACE;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 /// The `<state>` element.
 pub(super) fn state_report(core: &PlannerCore, now: Duration) -> Element {
-    let mut state = Element::new(STATE, "state")
+    let mut state = Element::new(STATE_NAMESPACE, "state")
         .with_leaf("planner", &core.name)
         .with_leaf("up-ms", now.as_millis())
         .with_leaf("joined", core.connected.len())
@@ -55,7 +55,7 @@
         }
     }
     let server_element = |server: &usize, health: &str| {
-        let element = Element::new(STATE, "server")
+        let element = Element::new(STATE_NAMESPACE, "server")
             .with_leaf("name", core.control.server_name(*server))
             .with_leaf("standing", health);
         match entries.get(server) {
@@ -77,7 +77,7 @@
             Some(Transport::Published) => "published",
             Some(Transport::Edits) | None => "edits",
         };
-        let mut element = Element::new(STATE, "proxy")
+        let mut element = Element::new(STATE_NAMESPACE, "proxy")
             .with_leaf("name", core.control.proxy_name(*proxy))
             .with_leaf("zone", &member.zone)
             .with_leaf("told", told);
@@ -91,7 +91,7 @@
 
 fn edit_element(edit: &Edit) -> Element {
     let elapsed = |at: Option<Duration>| at.map(|at| at.saturating_sub(edit.stored_at.unwrap_or(at)));
-    let mut element = Element::new(STATE, "edit")
+    let mut element = Element::new(STATE_NAMESPACE, "edit")
         .with_leaf("id", &edit.stored.id)
         .with_leaf("who", &edit.stored.author)
         .with_leaf("accepted", edit.stored.accepted_ms)
@@ -103,13 +103,14 @@
 
 fn guard(core: &PlannerCore, now: Duration) -> Element {
     let guard = core.control.guard();
-    let mut element = Element::new(STATE, "guard").with_leaf("judged", guard.validated_batches);
+    let mut element = Element::new(STATE_NAMESPACE, "guard").with_leaf("judged", guard.validated_batches);
     let raised = core.config.fleet().raised_multiple;
     if let Some(raised) = raised.filter(|raised| raised.until_ms > core.config.wall_ms) {
         element = element.with_leaf("raised-until", raised.until_ms);
     }
     for (reason, count) in guard.rejection_counts() {
-        let count = Element::new(STATE, "count").with_leaf("reason", reason).with_leaf("refused", count);
+        let count =
+            Element::new(STATE_NAMESPACE, "count").with_leaf("reason", reason).with_leaf("refused", count);
         element = element.with(count);
     }
     let rejections: Vec<&Rejection> = guard.rejections().collect();
@@ -121,7 +122,7 @@
 
 fn rejection_element(core: &PlannerCore, rejection: &Rejection, now: Duration) -> Element {
     let RejectionText { why, safe, case } = RejectionText::new(&core.control, rejection);
-    Element::new(STATE, "refusal")
+    Element::new(STATE_NAMESPACE, "refusal")
         .with_leaf("ago-ms", (CLOCK_LEAD + now).saturating_sub(rejection.at).as_millis())
         .with_leaf("reason", rejection.reason.tag())
         .with_leaf("rule", rejection.reason.rule())
--- a/crates/daemon/src/proxy_runtime/datastore.rs
+++ b/crates/daemon/src/proxy_runtime/datastore.rs
@@ -1,6 +1,6 @@
 //! The proxy's NETCONF datastore, which a planner edits: every edit is validated and applied as a whole.
 
-use runloom_model::YANG;
+use runloom_model::YANG_MODULES;
 use runloom_netconf::error::{RpcError, Tag};
 use runloom_netconf::service::{Access, Change, EditLookup, Host};
 use runloom_netconf::tree::Element;
@@ -64,7 +64,7 @@
     }
 
     fn schemas(&self) -> &[(&'static str, &'static str, &'static str)] {
-        &YANG
+        &YANG_MODULES
     }
 }
 
--- a/crates/daemon/src/proxy_runtime/table_delivery.rs
+++ b/crates/daemon/src/proxy_runtime/table_delivery.rs
@@ -4,7 +4,7 @@
 use super::planner_link::{PlannerLink, PlannerProtocol};
 use super::{AppliedUpdate, ProxyRuntime};
 use runloom_event_loop::EventLoop;
-use runloom_model::PROXY;
+use runloom_model::PROXY_NAMESPACE;
 use runloom_mqtt::client::{Client, ClientEvent};
 use runloom_netconf::session::SessionEvent;
 use runloom_netconf::tree::Element;
@@ -83,7 +83,7 @@
 
     /// What `<get>` returns.
     fn operational_state(&self) -> Element {
-        Element::new(PROXY, "proxy")
+        Element::new(PROXY_NAMESPACE, "proxy")
             .with_leaf("name", &self.settings.name)
             .with_leaf("zone", &self.settings.zone)
             .with_leaf("rate", format!("{:.3}", self.reporter.arrival_rate()))
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -87,7 +87,7 @@
     /// The holder of a certificate that TLS has verified.
     pub fn identify(&self, certificate: &[u8]) -> Result<CertificateHolder, HolderError> {
         let files = &self.credentials.files;
-        if files.uses_identities() {
+        if files.uses_spiffe_ids() {
             let svid = svid::parse(certificate)?;
             Ok(CertificateHolder::by_identity(svid, &files.rules))
         } else {
--- a/crates/daemon/src/tls_credentials/files.rs
+++ b/crates/daemon/src/tls_credentials/files.rs
@@ -88,7 +88,7 @@
 /// Reads the key. With identities, a key that others may read is rejected.
 fn read_key(files: &TlsFiles) -> Result<PrivateKeyDer<'static>, TlsError> {
     let path = &files.key;
-    if files.uses_identities() {
+    if files.uses_spiffe_ids() {
         let metadata = std::fs::metadata(path).map_err(|error| file_error(path, error))?;
         let mode = metadata.permissions().mode();
         if mode & OTHERS_MODE_MASK != 0 {
@@ -101,7 +101,7 @@
 
 fn read_own_identity(files: &TlsFiles, chain: &[CertificateDer<'static>]) -> Result<Option<Svid>, TlsError> {
     match chain.first() {
-        Some(leaf) if files.uses_identities() => {
+        Some(leaf) if files.uses_spiffe_ids() => {
             svid::parse(leaf).map(Some).map_err(|error| file_error(&files.certificate, error))
         }
         _ => Ok(None),
--- a/crates/daemon/src/tls_credentials/verifier.rs
+++ b/crates/daemon/src/tls_credentials/verifier.rs
@@ -58,7 +58,7 @@
 
     /// The authorities that may issue a certificate: those of its identity's trust domain, or with DNS names all.
     pub(super) fn authorities_for(&self, certificate: &[u8]) -> Result<Authorities, rustls::Error> {
-        let domain = if self.files.uses_identities() {
+        let domain = if self.files.uses_spiffe_ids() {
             let svid = svid::parse(certificate).map_err(|error| rustls::Error::General(error.to_string()))?;
             Some(svid.id.trust_domain().clone())
         } else {
@@ -122,7 +122,7 @@
             self.provider.signature_verification_algorithms.all,
         )?;
         // A SPIFFE identity is the only name of its certificate; the rules decide whether it is the right one.
-        if !self.files.uses_identities() {
+        if !self.files.uses_spiffe_ids() {
             verify_server_name(&parsed, name)?;
         }
         Ok(ServerCertVerified::assertion())
--- a/crates/inventory/src/inventory.rs
+++ b/crates/inventory/src/inventory.rs
@@ -51,7 +51,7 @@
         kind: listed.kind.clone(),
         cell: listed.cell,
         is_draining: listed.is_draining || overrides.is_draining,
-        weight: overrides.weight.unwrap_or(listed.weight) * fleet.share_of(&listed.zone),
+        weight: overrides.weight.unwrap_or(listed.weight) * fleet.zone_share(&listed.zone),
         started_ms: listed.started_ms,
     }
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -139,7 +139,7 @@
     }
 
     /// A zone's factor; 1 for an unknown zone.
-    pub fn share_of(&self, zone: &str) -> f64 {
+    pub fn zone_share(&self, zone: &str) -> f64 {
         self.zones.iter().find(|known| known.name == zone).map_or(1.0, |known| known.share)
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -22,19 +22,19 @@
 pub use settings_error::InvalidSettings;
 
 /// Namespace of the fleet and the endpoint list.
-pub const FLEET: &str = "urn:runloom:fleet";
+pub const FLEET_NAMESPACE: &str = "urn:runloom:fleet";
 /// Namespace of a proxy's tables and reports.
-pub const PROXY: &str = "urn:runloom:proxy";
+pub const PROXY_NAMESPACE: &str = "urn:runloom:proxy";
 /// Namespace of a planner's state.
-pub const STATE: &str = "urn:runloom:state";
+pub const STATE_NAMESPACE: &str = "urn:runloom:state";
 
-/// XSD of [`FLEET`], with the settings files.
+/// XSD of [`FLEET_NAMESPACE`], with the settings files.
 pub const FLEET_XSD: &str = include_str!("../schema/runloom-fleet.xsd");
-/// XSD of [`PROXY`].
+/// XSD of [`PROXY_NAMESPACE`].
 pub const PROXY_XSD: &str = include_str!("../schema/runloom-proxy.xsd");
 
 /// The YANG modules: identifier, revision, text.
-pub const YANG: [(&str, &str, &str); 3] = [
+pub const YANG_MODULES: [(&str, &str, &str); 3] = [
     ("runloom-fleet", "2026-12-01", include_str!("../schema/runloom-fleet.yang")),
     ("runloom-proxy", "2026-12-01", include_str!("../schema/runloom-proxy.yang")),
     ("runloom-state", "2026-12-01", include_str!("../schema/runloom-state.yang")),
--- a/crates/model/src/listed_server.rs
+++ b/crates/model/src/listed_server.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::leaf_reader::LeafReader;
 use crate::settings_error::InvalidSettings;
-use crate::FLEET;
+use crate::FLEET_NAMESPACE;
 use runloom_netconf::tree::Element;
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
 
     /// The `<server>` element.
     pub fn to_element(&self, name: &str) -> Element {
-        let mut element = Element::new(FLEET, "server")
+        let mut element = Element::new(FLEET_NAMESPACE, "server")
             .with_leaf("name", name)
             .with_leaf("address", self.address)
             .with_leaf("zone", &self.zone);
--- a/crates/model/src/planner_settings.rs
+++ b/crates/model/src/planner_settings.rs
@@ -5,7 +5,7 @@
 use crate::listed_server::ListedServer;
 use crate::settings_error::InvalidSettings;
 use crate::tls_files::TlsFiles;
-use crate::FLEET;
+use crate::FLEET_NAMESPACE;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
 fn read_initial_data(planner: &Element) -> Result<Element, InvalidSettings> {
     let fleet_element = required_child(planner, "fleet")?;
     let fleet = Fleet::read(fleet_element)?;
-    let empty = Element::new(FLEET, "roster");
+    let empty = Element::new(FLEET_NAMESPACE, "roster");
     let roster = planner.child("roster").unwrap_or(&empty);
     let servers = roster.named("server").map(|server| ListedServer::read(server));
     let servers: BTreeMap<String, ListedServer> = servers.collect::<Result<_, _>>()?;
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -1,6 +1,6 @@
 //! Reports from a proxy to a planner, as NETCONF notifications (RFC 5277).
 
-use crate::PROXY;
+use crate::PROXY_NAMESPACE;
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -83,7 +83,8 @@
 impl Report {
     /// The `<report>` element.
     pub fn to_element(&self) -> Element {
-        let mut report = Element::new(PROXY, "report").with_leaf("span-ms", self.window.as_millis());
+        let mut report =
+            Element::new(PROXY_NAMESPACE, "report").with_leaf("span-ms", self.window.as_millis());
         for outcomes in &self.outcomes {
             report = report.with(outcomes.to_element());
         }
@@ -95,7 +96,7 @@
 
     /// Reads a `<report>`; `None` for another element. Malformed outcomes and arrivals are left out.
     pub fn read(element: &Element) -> Option<Report> {
-        if !element.is(PROXY, "report") {
+        if !element.is(PROXY_NAMESPACE, "report") {
             return None;
         }
         let window_ms = number(element, "span-ms")?.clamp(MIN_WINDOW_MS, MAX_WINDOW_MS);
@@ -109,7 +110,7 @@
 
 impl ServerOutcomes {
     fn to_element(&self) -> Element {
-        let mut met = Element::new(PROXY, "met")
+        let mut met = Element::new(PROXY_NAMESPACE, "met")
             .with_leaf("server", &self.server)
             .with_leaf("tries", self.attempts)
             .with_leaf("failed", self.failures)
@@ -175,7 +176,7 @@
 
 impl ClassArrivals {
     fn to_element(&self) -> Element {
-        Element::new(PROXY, "came")
+        Element::new(PROXY_NAMESPACE, "came")
             .with_leaf("class", &self.class)
             .with_leaf("queries", self.requests)
             .with_leaf("unanswered", self.unanswered)
--- a/crates/model/src/table_update.rs
+++ b/crates/model/src/table_update.rs
@@ -1,6 +1,6 @@
 //! Table updates from a planner to a proxy: one `<edit-config>` for each message (RFC 6241, section 7.2).
 
-use crate::PROXY;
+use crate::PROXY_NAMESPACE;
 use runloom_controller::RetryPolicy;
 use runloom_netconf::tree::escape;
 use runloom_netconf::BASE;
@@ -84,7 +84,7 @@
         let mut out = String::with_capacity(MESSAGE_SIZE + ENTRY_SIZE * self.entry_count());
         out.push_str("<edit-config><target><running/></target><config>");
         // Writing to a string cannot fail.
-        let _ = write!(out, "<tables xmlns=\"{PROXY}\" xmlns:nc=\"{BASE}\"");
+        let _ = write!(out, "<tables xmlns=\"{PROXY_NAMESPACE}\" xmlns:nc=\"{BASE}\"");
         out.push_str(if self.replaces_all { " nc:operation=\"replace\">" } else { ">" });
         for (table, edit) in &self.tables {
             self.write_table(&mut out, *table, edit);
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -2,7 +2,7 @@
 use crate::schema::SchemaValidator;
 use crate::schema_derivation::derive_schema;
 use crate::table_update::{AdmissionLimit, EntryEdit, TableEdit, UpdateMessage};
-use crate::{Schema, FLEET, FLEET_XSD, PROXY_XSD, YANG};
+use crate::{Schema, FLEET_NAMESPACE, FLEET_XSD, PROXY_XSD, YANG_MODULES};
 use runloom_controller::RetryPolicy;
 use runloom_netconf::edit::{apply, ErrorOption, Operation};
 use runloom_netconf::schema::NodeKind;
@@ -20,8 +20,8 @@
 
 #[test]
 fn every_node_of_the_xsd_is_in_the_yang_module() {
-    let fleet = (FLEET_XSD, &["fleet", "roster"][..], YANG[0].2);
-    let proxy = (PROXY_XSD, &["tables"][..], YANG[1].2);
+    let fleet = (FLEET_XSD, &["fleet", "roster"][..], YANG_MODULES[0].2);
+    let proxy = (PROXY_XSD, &["tables"][..], YANG_MODULES[1].2);
     for (xsd, top_elements, yang) in [fleet, proxy] {
         let mut names = Vec::new();
         for schema in derive_schema(xsd, top_elements).unwrap() {
@@ -40,8 +40,8 @@
 #[test]
 fn keys_and_leaf_lists_are_derived() {
     let fleet = &derive_schema(FLEET_XSD, &["fleet"]).unwrap()[0];
-    assert_eq!(fleet.child(FLEET, "zone").unwrap().kind, NodeKind::List(vec!["name".into()]));
-    let load = fleet.child(FLEET, "list").unwrap().child(FLEET, "load").unwrap();
+    assert_eq!(fleet.child(FLEET_NAMESPACE, "zone").unwrap().kind, NodeKind::List(vec!["name".into()]));
+    let load = fleet.child(FLEET_NAMESPACE, "list").unwrap().child(FLEET_NAMESPACE, "load").unwrap();
     assert_eq!(load.kind, NodeKind::LeafList);
 }
 
--- a/crates/model/src/tls_files.rs
+++ b/crates/model/src/tls_files.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether certificates name their holders by SPIFFE identities.
-    pub fn uses_identities(&self) -> bool {
+    pub fn uses_spiffe_ids(&self) -> bool {
         !self.rules.is_empty()
     }
 }
--- a/crates/replay/src/scenario_inference/edits.rs
+++ b/crates/replay/src/scenario_inference/edits.rs
@@ -20,7 +20,7 @@
 }
 
 fn zone_share_changes(old: &Fleet, new: &Fleet) -> Vec<FleetChange> {
-    let changed = new.zones.iter().filter(|zone| old.share_of(&zone.name) != zone.share);
+    let changed = new.zones.iter().filter(|zone| old.zone_share(&zone.name) != zone.share);
     changed.map(|zone| FleetChange::ZoneShare { zone: zone.name.clone(), share: zone.share }).collect()
 }
 
--- a/crates/replay/src/what_if/mod.rs
+++ b/crates/replay/src/what_if/mod.rs
@@ -235,10 +235,10 @@
         // Under an operator's weight the feed's is unknown; 1 is that of a list without weights.
         let feed_weight = match recorded.and_then(|entry| entry.weight) {
             Some(_) => 1.0,
-            None => server.weight / self.recorded_fleet.share_of(&server.zone),
+            None => server.weight / self.recorded_fleet.zone_share(&server.zone),
         };
         let weight = fixed.and_then(|entry| entry.weight).unwrap_or(feed_weight);
-        server.weight = weight * fixed_fleet.share_of(&server.zone);
+        server.weight = weight * fixed_fleet.zone_share(&server.zone);
         let is_drained_by_operator = recorded.is_some_and(|entry| entry.is_draining);
         let is_drained_by_feed = server.is_draining && !is_drained_by_operator;
         server.is_draining = is_drained_by_feed || fixed.is_some_and(|entry| entry.is_draining);
--- a/crates/testbed/src/benchmarks/edit_throughput.rs
+++ b/crates/testbed/src/benchmarks/edit_throughput.rs
@@ -7,7 +7,7 @@
 use runloom_daemon::config_service::{schema, ConfigService};
 use runloom_daemon::tls_credentials::CertificateHolder;
 use runloom_inventory::edit_history::EditHistory;
-use runloom_model::FLEET;
+use runloom_model::FLEET_NAMESPACE;
 use runloom_netconf::service::{Limits, Service};
 use runloom_netconf::session::{Role, Session, SessionEvent, SessionLimits};
 use runloom_netconf::tree::Element;
@@ -32,7 +32,7 @@
         )
     };
     let listed: String = (0..SERVER_COUNT).map(server).collect();
-    format!("<data>{}<roster xmlns='{FLEET}'>{listed}</roster></data>", small_fleet_xml("a"))
+    format!("<data>{}<roster xmlns='{FLEET_NAMESPACE}'>{listed}</roster></data>", small_fleet_xml("a"))
 }
 
 fn measure_edits(client: &str, datastore_part: &str, count: u32, data: &Arc<Element>) -> BenchmarkResult {
@@ -68,10 +68,10 @@
 
 /// The bytes of an edit of one server's weight. Operators' edits have an id.
 fn edit_message(session: &mut Session, datastore_part: &str, number: u32) -> Vec<u8> {
-    let server = Element::new(FLEET, "server")
+    let server = Element::new(FLEET_NAMESPACE, "server")
         .with_leaf("name", format!("s{}", number % SERVER_COUNT))
         .with_leaf("weight", 1.0 + f64::from(number % 7));
-    let edit = edit_config("running", Element::new(FLEET, datastore_part).with(server));
+    let edit = edit_config("running", Element::new(FLEET_NAMESPACE, datastore_part).with(server));
     let id = (datastore_part == "fleet").then(|| format!("e{number}"));
     session.send_rpc_with_id(edit, id.as_deref());
     session.output(usize::MAX)
--- a/crates/testbed/src/benchmarks/fixtures.rs
+++ b/crates/testbed/src/benchmarks/fixtures.rs
@@ -1,7 +1,7 @@
 //! Scenarios and settings that several measurements share.
 
 use crate::scenario::{DeliveryMode, Scenario, ScheduledEdit};
-use runloom_model::FLEET;
+use runloom_model::FLEET_NAMESPACE;
 use std::time::Duration;
 
 /// Time before the first edit, and between edits.
@@ -62,7 +62,7 @@
 /// A `fleet` element with one zone and one class.
 pub(crate) fn small_fleet_xml(zone: &str) -> String {
     format!(
-        "<fleet xmlns='{FLEET}'><zone><name>{zone}</name></zone><class><name>q</name><payoff>1</payoff>\
+        "<fleet xmlns='{FLEET_NAMESPACE}'><zone><name>{zone}</name></zone><class><name>q</name><payoff>1</payoff>\
          <soft-limit-ms>500</soft-limit-ms><outer-limit-ms>900</outer-limit-ms><repeats>safe</repeats></class>\
          <grace><drain-ms>2000</drain-ms><bare-ms>2000</bare-ms><reply-ms>2000</reply-ms></grace>\
          <channel><lines-per-second>9000</lines-per-second><backlog>9000</backlog><overhead>4</overhead></channel>\
--- a/crates/testbed/src/benchmarks/persistence.rs
+++ b/crates/testbed/src/benchmarks/persistence.rs
@@ -8,7 +8,7 @@
 use runloom_daemon::client::Client;
 use runloom_daemon::persistence::EDITS;
 use runloom_daemon::tls_credentials::TlsPolicy;
-use runloom_model::FLEET;
+use runloom_model::FLEET_NAMESPACE;
 use runloom_netconf::tree::Element;
 use runloom_store::{list_chunks, AcceptedEdit, AcceptedState, EntrySource, Folder, StatePatch, Store};
 use std::net::SocketAddr;
@@ -173,11 +173,11 @@
     let start = Instant::now();
     let mut times_us = vec![];
     while start.elapsed() < EDITING_TIME {
-        let server = Element::new(FLEET, "server")
+        let server = Element::new(FLEET_NAMESPACE, "server")
             .with_leaf("name", format!("s{client}"))
             .with_leaf("weight", 0.5 + 0.001 * (times_us.len() % 100) as f64);
         let edit_start = Instant::now();
-        session.edit(Element::new(FLEET, "fleet").with(server), None).map_err(|e| e.to_string())?;
+        session.edit(Element::new(FLEET_NAMESPACE, "fleet").with(server), None).map_err(|e| e.to_string())?;
         times_us.push(edit_start.elapsed().as_micros() as u64);
     }
     Ok(times_us)
--- a/crates/testbed/src/management_clients.rs
+++ b/crates/testbed/src/management_clients.rs
@@ -7,7 +7,7 @@
 use runloom_daemon::tls_credentials::TlsPolicy;
 use runloom_model::listed_server::ListedServer;
 use runloom_model::tls_files::TlsFiles;
-use runloom_model::{FLEET, STATE};
+use runloom_model::{FLEET_NAMESPACE, STATE_NAMESPACE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 use std::collections::BTreeMap;
@@ -208,19 +208,19 @@
 }
 
 fn delta_edit(previous: &ServerList, list: &ServerList) -> Element {
-    let mut roster = Element::new(FLEET, "roster");
+    let mut roster = Element::new(FLEET_NAMESPACE, "roster");
     for (name, listed) in list.iter().filter(|(name, listed)| previous.get(*name) != Some(listed)) {
         roster = roster.with(listed.to_element(name).with_attribute(BASE, "operation", "replace"));
     }
     for name in previous.keys().filter(|name| !list.contains_key(*name)) {
-        let removed = Element::new(FLEET, "server").with_attribute(BASE, "operation", "remove");
+        let removed = Element::new(FLEET_NAMESPACE, "server").with_attribute(BASE, "operation", "remove");
         roster = roster.with(removed.with_leaf("name", name));
     }
     roster
 }
 
 fn snapshot_edit(list: &ServerList) -> Element {
-    let roster = Element::new(FLEET, "roster").with_attribute(BASE, "operation", "replace");
+    let roster = Element::new(FLEET_NAMESPACE, "roster").with_attribute(BASE, "operation", "replace");
     list.iter().fold(roster, |roster, (name, listed)| roster.with(listed.to_element(name)))
 }
 
@@ -324,18 +324,22 @@
 }
 
 fn fleet_edit(edit: &ScheduledEdit) -> Element {
-    let mut fleet = Element::new(FLEET, "fleet");
+    let mut fleet = Element::new(FLEET_NAMESPACE, "fleet");
     if let Some((zone, share)) = &edit.zone_share {
-        fleet = fleet.with(Element::new(FLEET, "zone").with_leaf("name", zone).with_leaf("share", share));
+        fleet = fleet
+            .with(Element::new(FLEET_NAMESPACE, "zone").with_leaf("name", zone).with_leaf("share", share));
     }
     if let Some((server, drain)) = &edit.drain {
-        fleet = fleet.with(Element::new(FLEET, "server").with_leaf("name", server).with_leaf("drain", drain));
+        fleet = fleet.with(
+            Element::new(FLEET_NAMESPACE, "server").with_leaf("name", server).with_leaf("drain", drain),
+        );
     }
     fleet
 }
 
 fn update_in_force(client: &mut Client, id: &str, outcome: &mut EditOutcome) -> Result<(), ClientError> {
-    let reply = client.get(Element::new(STATE, "state").with(Element::new(STATE, "edit")))?;
+    let reply =
+        client.get(Element::new(STATE_NAMESPACE, "state").with(Element::new(STATE_NAMESPACE, "edit")))?;
     let state = reply.child("data").and_then(|data| data.child("state"));
     let edit = state.and_then(|s| s.named("edit").find(|e| e.text_of("id") == Some(id)).cloned());
     if let Some(edit) = edit.filter(|e| e.text_of("state") == Some("in-force")) {
--- a/crates/testbed/tests/help/requests.rs
+++ b/crates/testbed/tests/help/requests.rs
@@ -1,7 +1,7 @@
 //! Edits and questions that tests send to a planner.
 
 use runloom_daemon::client::Client;
-use runloom_model::{FLEET, STATE};
+use runloom_model::{FLEET_NAMESPACE, STATE_NAMESPACE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 
@@ -17,11 +17,11 @@
 }
 
 fn fleet_with(server: Element) -> Element {
-    Element::new(FLEET, "fleet").with(server)
+    Element::new(FLEET_NAMESPACE, "fleet").with(server)
 }
 
 fn new_server(name: &str) -> Element {
-    let server = Element::new(FLEET, "server").with_attribute(BASE, "operation", "create");
+    let server = Element::new(FLEET_NAMESPACE, "server").with_attribute(BASE, "operation", "create");
     server.with_leaf("name", name)
 }
 
@@ -37,24 +37,24 @@
 
 /// An edit that sets a server's weight.
 pub fn set_weight(name: &str) -> Element {
-    fleet_with(Element::new(FLEET, "server").with_leaf("name", name).with_leaf("weight", 0.5))
+    fleet_with(Element::new(FLEET_NAMESPACE, "server").with_leaf("name", name).with_leaf("weight", 0.5))
 }
 
 /// An edit that drains a server.
 pub fn drain_server(name: &str) -> Element {
-    fleet_with(Element::new(FLEET, "server").with_leaf("name", name).with_leaf("drain", true))
+    fleet_with(Element::new(FLEET_NAMESPACE, "server").with_leaf("name", name).with_leaf("drain", true))
 }
 
 /// The feed's edit that adds servers to the endpoint list.
 pub fn list_servers(names: &[&str]) -> Element {
     let server = |name: &&str| {
-        Element::new(FLEET, "server")
+        Element::new(FLEET_NAMESPACE, "server")
             .with_leaf("name", name)
             .with_leaf("address", "127.0.0.1:9")
             .with_leaf("zone", "a")
             .with_leaf("mode", "ready")
     };
-    names.iter().map(server).fold(Element::new(FLEET, "roster"), Element::with)
+    names.iter().map(server).fold(Element::new(FLEET_NAMESPACE, "roster"), Element::with)
 }
 
 /// A part of the running configuration: `fleet` or `roster`.
@@ -70,7 +70,9 @@
 }
 
 fn read_edits(client: &mut Client) -> Element {
-    let reply = client.get(Element::new(STATE, "state").with(Element::new(STATE, "edit"))).unwrap();
+    let reply = client
+        .get(Element::new(STATE_NAMESPACE, "state").with(Element::new(STATE_NAMESPACE, "edit")))
+        .unwrap();
     reply.child("data").and_then(|data| data.child("state")).cloned().unwrap_or_default()
 }
 
--- a/crates/testbed/tests/operator_edits.rs
+++ b/crates/testbed/tests/operator_edits.rs
@@ -6,7 +6,7 @@
 use help::{PlannerWithOperator, REQUEST_TIMEOUT};
 use runloom_daemon::client::{edit_config, Client};
 use runloom_daemon::tls_credentials::TlsPolicy;
-use runloom_model::{FLEET, STATE};
+use runloom_model::{FLEET_NAMESPACE, STATE_NAMESPACE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 use runloom_testbed::issuer::Issuer;
@@ -235,13 +235,16 @@
     const TEN_MINUTES_MS: u64 = 600_000;
     const TWO_HOURS_MS: u64 = 7_200_000;
     let raise_until = |until: u64| {
-        let guard = Element::new(FLEET, "guard").with_leaf("cold-multiple", 20).with_leaf("until", until);
-        Element::new(FLEET, "fleet").with(guard)
+        let guard =
+            Element::new(FLEET_NAMESPACE, "guard").with_leaf("cold-multiple", 20).with_leaf("until", until);
+        Element::new(FLEET_NAMESPACE, "fleet").with(guard)
     };
     let now = runloom_daemon::wall_ms();
     let rejection = client.edit(raise_until(now + TWO_HOURS_MS), None).unwrap_err();
     assert!(rejection.to_string().contains("guard-until"));
     client.edit(raise_until(now + TEN_MINUTES_MS), Some("raised")).unwrap();
-    let state = client.get(Element::new(STATE, "state").with(Element::new(STATE, "guard"))).unwrap();
+    let state = client
+        .get(Element::new(STATE_NAMESPACE, "state").with(Element::new(STATE_NAMESPACE, "guard")))
+        .unwrap();
     assert!(state.to_text().contains("<raised-until>"), "{}", state.to_text());
 }
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -9,7 +9,7 @@
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER, PROXY};
 use runloom_event_loop::{BufferLimits, CloseReason, ConnectionId, EventLoop, IoEvent, Security};
 use runloom_model::report::{ClassArrivals, Report, ServerOutcomes};
-use runloom_model::FLEET;
+use runloom_model::FLEET_NAMESPACE;
 use runloom_mqtt::client::{Client, ClientEvent, TableFormat};
 use runloom_mqtt::{report, ConnectionEnd, ProxyInfo};
 use runloom_netconf::tree::Element;
@@ -320,8 +320,8 @@
     let epoch = subscriber.last_epoch();
 
     // When
-    let grace_period = Element::new(FLEET, "grace").with_leaf("drain-ms", 2500);
-    planner.client().edit(Element::new(FLEET, "fleet").with(grace_period), None).unwrap();
+    let grace_period = Element::new(FLEET_NAMESPACE, "grace").with_leaf("drain-ms", 2500);
+    planner.client().edit(Element::new(FLEET_NAMESPACE, "fleet").with(grace_period), None).unwrap();
 
     // Then
     subscriber.wait_until("another epoch", |subscriber| {
