--- a/crates/identity/src/access.rs
+++ b/crates/identity/src/access.rs
@@ -1,34 +1,36 @@
-//! Who may do what. What no rule allows is denied. Modelled on RFC 8341, with the few actions of this program.
+//! Access rules: which SPIFFE identity may do what. Access that no rule allows is denied.
+//!
+//! Modelled on NACM (RFC 8341), reduced to the operations of this program.
 
 use crate::id::{InvalidId, SpiffeId};
 use std::fmt;
 
-/// Stands for every part of the datastore.
-const ALL_PARTS: &str = "*";
-/// Ends a principal that stands for all identities one segment below.
+/// In [`Permission::Read`] and [`Permission::Write`]: every part of the datastore.
+const ANY_PART: &str = "*";
+/// Suffix of a principal that stands for all identities one path segment below.
 const CHILDREN_SUFFIX: &str = "/*";
 
-/// What a peer asks for.
+/// An operation that a peer requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestedAccess<'a> {
-    /// A planner sends commands to this process.
+    /// A planner sends table updates to this process.
     Command,
     /// A proxy connects and reports under a name.
     Connect {
-        /// The name.
+        /// The name that the proxy claims.
         name: &'a str,
     },
-    /// A part of the datastore is read.
+    /// Reads a part of the datastore.
     Read {
-        /// The part's top element.
+        /// Name of the part's top-level element.
         part: &'a str,
     },
-    /// A part of the datastore is changed.
+    /// Changes a part of the datastore.
     Write {
-        /// The part's top element.
+        /// Name of the part's top-level element.
         part: &'a str,
     },
-    /// Another's session is ended.
+    /// Ends the session of another client (`<kill-session>`).
     KillSession,
 }
 
@@ -44,20 +46,20 @@
     }
 }
 
-/// The identities that a rule is about.
+/// The identities that a rule applies to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Principal {
-    /// This identity.
+    /// Exactly this identity.
     Exact(SpiffeId),
-    /// Every identity one segment below this one: `.../proxy/*`.
+    /// Every identity one path segment below this one, written `.../proxy/*`.
     ChildrenOf(SpiffeId),
 }
 
 impl Principal {
-    /// Parses an identity, or one that ends in `/*`.
+    /// Parses a SPIFFE ID, or one followed by `/*`.
     ///
     /// # Errors
-    /// Returns why the text is no identity.
+    /// Returns why the text, without a final `/*`, is not a SPIFFE ID.
     pub fn parse(text: &str) -> Result<Principal, InvalidId> {
         match text.strip_suffix(CHILDREN_SUFFIX) {
             Some(parent) => SpiffeId::parse(parent).map(Principal::ChildrenOf),
@@ -65,7 +67,7 @@
         }
     }
 
-    fn includes(&self, id: &SpiffeId) -> bool {
+    fn matches(&self, id: &SpiffeId) -> bool {
         match self {
             Principal::Exact(exact) => exact == id,
             Principal::ChildrenOf(parent) => {
@@ -80,40 +82,40 @@
 /// What a rule allows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Permission {
-    /// To send commands.
+    /// To send table updates.
     Command,
-    /// To connect under the last segment of one's own path.
+    /// To connect as a proxy whose name is the last path segment of the identity.
     Connect,
-    /// To read parts of the datastore, by their top elements; `*` for all.
+    /// To read these parts of the datastore, by the names of their top-level elements; `*` for all.
     Read(Vec<String>),
-    /// To change and read parts of the datastore, likewise.
+    /// To change and read these parts of the datastore, named likewise.
     Write(Vec<String>),
-    /// To end others' sessions.
+    /// To end sessions of other clients.
     KillSession,
 }
 
-/// A permission of some identities.
+/// Grants one permission to one or more identities.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AccessRule {
-    /// Whom it is about.
+    /// The identities that have the permission.
     pub principal: Principal,
-    /// What it allows.
+    /// What they may do.
     pub permission: Permission,
 }
 
 /// Why access was denied. Later variants take precedence where several apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AccessDenied {
-    /// No rule is about this identity.
+    /// No rule applies to this identity.
     UnknownIdentity,
-    /// No rule about this identity allows it.
+    /// Rules apply to this identity, and none of them allows the access.
     NotAllowed,
-    /// It connects under another's name.
+    /// The identity may connect, but not under this name.
     NameMismatch,
 }
 
 impl AccessDenied {
-    /// The reason as text.
+    /// The reason as text, for error messages to the peer and for the log.
     pub fn reason(self) -> &'static str {
         match self {
             AccessDenied::UnknownIdentity => "no rule knows it",
@@ -123,17 +125,17 @@
     }
 }
 
-/// Decides by rules alone.
+/// Allows the access if at least one rule allows it; the order of the rules does not matter.
 ///
 /// # Errors
-/// Returns the most specific reason of the rules about this identity.
+/// Returns the highest-ranking reason for the denial among the rules that apply to this identity.
 pub fn check_access(
     rules: &[AccessRule],
     id: &SpiffeId,
     access: RequestedAccess,
 ) -> Result<(), AccessDenied> {
     let mut denied = AccessDenied::UnknownIdentity;
-    for rule in rules.iter().filter(|rule| rule.principal.includes(id)) {
+    for rule in rules.iter().filter(|rule| rule.principal.matches(id)) {
         match check_permission(&rule.permission, id, access) {
             Ok(()) => return Ok(()),
             Err(reason) => denied = denied.max(reason),
@@ -147,15 +149,15 @@
     id: &SpiffeId,
     access: RequestedAccess,
 ) -> Result<(), AccessDenied> {
-    let includes = |parts: &[String], part: &str| parts.iter().any(|p| p == ALL_PARTS || p == part);
+    let includes_part = |parts: &[String], part: &str| parts.iter().any(|p| p == ANY_PART || p == part);
     let is_allowed = match (permission, access) {
         (Permission::Command, RequestedAccess::Command)
         | (Permission::KillSession, RequestedAccess::KillSession) => true,
         (Permission::Connect, RequestedAccess::Connect { name }) if id.name() == Some(name) => true,
         (Permission::Connect, RequestedAccess::Connect { .. }) => return Err(AccessDenied::NameMismatch),
-        (Permission::Read(parts), RequestedAccess::Read { part }) => includes(parts, part),
+        (Permission::Read(parts), RequestedAccess::Read { part }) => includes_part(parts, part),
         (Permission::Write(parts), RequestedAccess::Read { part } | RequestedAccess::Write { part }) => {
-            includes(parts, part)
+            includes_part(parts, part)
         }
         _ => false,
     };
--- a/crates/identity/src/id.rs
+++ b/crates/identity/src/id.rs
@@ -1,41 +1,41 @@
-//! Identities by the SPIFFE-ID standard, section 2: `spiffe://`, a trust domain, a path.
+//! SPIFFE IDs (SPIFFE-ID standard, section 2): `spiffe://`, a trust domain, a path.
 //!
-//! Each identity has one spelling: texts are rejected rather than normalised.
+//! Each ID has exactly one spelling: any other text is rejected rather than normalised.
 
 use std::fmt;
 
 const SCHEME: &str = "spiffe://";
-/// The longest identity in bytes (section 2.3).
+/// The maximum length of an ID in bytes (section 2.3).
 pub const MAX_ID_BYTES: usize = 2048;
-/// The longest trust domain in bytes (section 2.1).
+/// The maximum length of a trust domain name in bytes (section 2.1).
 pub const MAX_TRUST_DOMAIN_BYTES: usize = 255;
 
-/// Why a text is no identity.
+/// Why a text is not a SPIFFE ID.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidId {
-    /// It has another scheme.
-    #[error("it does not begin with spiffe://")]
+    /// The scheme is not `spiffe`.
+    #[error("the SPIFFE ID does not begin with spiffe://")]
     Scheme,
-    /// It is longer than [`MAX_ID_BYTES`].
-    #[error("it is longer than {MAX_ID_BYTES} bytes")]
+    /// The text is longer than [`MAX_ID_BYTES`].
+    #[error("the SPIFFE ID is longer than {MAX_ID_BYTES} bytes")]
     TooLong,
-    /// Its trust domain is invalid.
-    #[error("its trust domain is empty, too long, or has other characters than a-z, 0-9, '.', '-' and '_'")]
+    /// The trust domain is empty, too long, or contains a character that is not allowed.
+    #[error("the trust domain is empty, too long, or has characters other than a-z, 0-9, '.', '-' and '_'")]
     TrustDomain,
-    /// A segment of its path is not allowed.
-    #[error("a segment of its path is empty, '.' or '..', or it ends with a slash")]
+    /// A path segment is empty, `.` or `..`; a trailing slash leaves an empty segment.
+    #[error("a path segment is empty, '.' or '..', or the path ends with a slash")]
     PathSegment,
-    /// A character of its path is not allowed.
-    #[error("its path has other characters than letters, digits, '.', '-' and '_'")]
+    /// The path contains a character that is not allowed.
+    #[error("the path has characters other than ASCII letters, digits, '.', '-' and '_'")]
     PathCharacter,
 }
 
-/// The name of a trust domain.
+/// A valid trust domain name: 1 to [`MAX_TRUST_DOMAIN_BYTES`] of `a-z`, `0-9`, `.`, `-` and `_`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TrustDomain(String);
 
 impl TrustDomain {
-    /// Parses a name.
+    /// Parses a name, without the `spiffe://` in front of it.
     ///
     /// # Errors
     /// Returns [`InvalidId::TrustDomain`] for every invalid name.
@@ -48,7 +48,7 @@
         Ok(TrustDomain(text.to_string()))
     }
 
-    /// The name.
+    /// The name as text, as it stands in a SPIFFE ID.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// A SPIFFE identity. The path is empty for that of a trust domain itself.
+/// A SPIFFE ID. Its path is empty if it identifies the trust domain itself.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SpiffeId {
     trust_domain: TrustDomain,
@@ -68,10 +68,10 @@
 }
 
 impl SpiffeId {
-    /// Parses an identity.
+    /// Parses the text of an ID, such as `spiffe://example.org/proxy/f1`.
     ///
     /// # Errors
-    /// Returns the first rule of the standard that the text breaks.
+    /// Returns the first rule of the standard that the text violates.
     pub fn parse(text: &str) -> Result<SpiffeId, InvalidId> {
         if text.len() > MAX_ID_BYTES {
             return Err(InvalidId::TooLong);
@@ -83,23 +83,23 @@
         Ok(SpiffeId { trust_domain, path: path.to_string() })
     }
 
-    /// The trust domain.
+    /// The trust domain, whose authorities issue certificates for this ID.
     pub fn trust_domain(&self) -> &TrustDomain {
         &self.trust_domain
     }
 
-    /// The path with its leading slash, or an empty text.
+    /// The path with its leading slash, or an empty string if there is none.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// The last segment of the path, which is the name of an instance.
+    /// The last path segment, which names the instance, such as `f1` in `/proxy/f1`; `None` without a path.
     pub fn name(&self) -> Option<&str> {
         self.path.rsplit_once('/').map(|(_, name)| name)
     }
 }
 
-/// Checks a path segment. There is no percent-encoding, query or fragment: their characters are not allowed.
+/// Checks a path segment. `%`, `?` and `#` are not allowed, so an ID has no percent-encoding, query or fragment.
 fn check_segment(segment: &str) -> Result<(), InvalidId> {
     if matches!(segment, "" | "." | "..") {
         return Err(InvalidId::PathSegment);
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,7 +1,8 @@
-//! SPIFFE identities, free of I/O, by the SPIFFE-ID, X509-SVID and trust bundle standards.
+//! SPIFFE identities according to the SPIFFE-ID, X509-SVID and trust bundle standards. Performs no I/O.
 //!
-//! [`id`] parses identities, [`svid`] reads them from certificates, [`bundle`] holds the authorities of trust domains,
-//! [`access`] decides who may do what, and [`certificate_status`] whether a certificate in use is still valid.
+//! [`id`] parses SPIFFE IDs, [`svid`] reads them from certificates, [`bundle`] holds the certificate authorities of each
+//! trust domain, [`access`] evaluates access rules, [`denial_log`] rate-limits the log of denied access, and
+//! [`certificate_status`] tells whether a certificate in use is still valid.
 
 pub mod access;
 pub mod bundle;
--- a/crates/identity/src/svid.rs
+++ b/crates/identity/src/svid.rs
@@ -1,50 +1,51 @@
-//! Certificates that carry an identity, by the X509-SVID standard, sections 2 to 5.
+//! Certificates that carry a SPIFFE ID (X509-SVID standard, sections 2 to 5).
 //!
-//! TLS checks that a certificate chains to a bundle; here is what the standard requires of the leaf beyond that.
+//! TLS verifies that the certificate chains to an authority of the bundle; this module checks what the standard requires
+//! of the leaf certificate in addition.
 
 use crate::id::{InvalidId, SpiffeId};
 use x509_parser::extensions::{GeneralName, X509Extension};
 use x509_parser::prelude::{FromDer, X509Certificate, X509Error};
 
-/// An identity as a certificate carries it. Times are seconds since 1970.
+/// The identity in a leaf certificate, and the certificate's validity period in seconds since 1970.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Svid {
-    /// The identity.
+    /// The SPIFFE ID in the certificate's subject alternative name.
     pub id: SpiffeId,
     /// The certificate's first valid second.
     pub not_before: i64,
     /// The certificate's last valid second.
     pub not_after: i64,
-    /// Bytes of the serial number, which differs between two certificates of one identity.
+    /// Bytes of the serial number, which tells apart two certificates of the same identity.
     pub serial: Vec<u8>,
 }
 
-/// Why a certificate carries no identity.
+/// Why a certificate is not a valid X509-SVID.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSvid {
-    /// It cannot be parsed.
+    /// It cannot be parsed, or bytes follow it.
     #[error("it is no certificate")]
     Malformed,
-    /// It has no URI, or several.
-    #[error("it has {0} URIs where one is wanted")]
+    /// Its subject alternative name has no URI, or several.
+    #[error("the certificate has {0} URIs in its subject alternative name; one is required")]
     UriCount(usize),
-    /// Its URI is no identity.
-    #[error("its URI is no identity: {0}")]
+    /// Its URI is not a SPIFFE ID.
+    #[error("the certificate's URI is not a SPIFFE ID: {0}")]
     Id(#[from] InvalidId),
-    /// Its identity is that of a trust domain.
-    #[error("it names a trust domain and no workload")]
+    /// Its SPIFFE ID has no path, and so identifies a trust domain.
+    #[error("the certificate's SPIFFE ID names a trust domain, not a workload")]
     NoPath,
-    /// It is an authority, or may sign certificates or revocation lists.
-    #[error("it may sign certificates")]
+    /// It is a CA certificate, or its key usage allows it to sign certificates or revocation lists.
+    #[error("the certificate may sign certificates or revocation lists, which a leaf must not")]
     MaySign,
-    /// It may not be used for digital signatures.
-    #[error("it may not make signatures")]
+    /// Its key usage does not allow digital signatures.
+    #[error("the certificate's key usage does not allow digital signatures")]
     NoDigitalSignature,
-    /// It may be used for one end of TLS only.
-    #[error("its extended usages leave out one end of TLS")]
+    /// Its extended key usage does not allow both TLS server and TLS client.
+    #[error("the certificate's extended key usage does not allow both TLS server and TLS client")]
     ExtendedKeyUsage,
     /// It has an unknown critical extension.
-    #[error("it has a critical extension that is not known here")]
+    #[error("the certificate has an unsupported critical extension")]
     UnknownCriticalExtension,
 }
 
@@ -54,10 +55,10 @@
     }
 }
 
-/// Parses the identity of a DER leaf certificate. Other names of the certificate do not count.
+/// Parses a DER leaf certificate and checks it against the standard. Names other than the URI are ignored.
 ///
 /// # Errors
-/// Returns the first rule of the standard that the certificate breaks.
+/// Returns the first rule of the standard that the certificate violates.
 pub fn parse(certificate: &[u8]) -> Result<Svid, InvalidSvid> {
     let (rest, certificate) = X509Certificate::from_der(certificate).map_err(|_| InvalidSvid::Malformed)?;
     if !rest.is_empty() {
@@ -66,7 +67,7 @@
     let id = parse_id(&certificate)?;
     check_key_usage(&certificate)?;
     check_extended_key_usage(&certificate)?;
-    if certificate.extensions().iter().any(is_unknown_critical) {
+    if certificate.extensions().iter().any(is_unsupported_critical) {
         return Err(InvalidSvid::UnknownCriticalExtension);
     }
     let validity = certificate.validity();
@@ -78,7 +79,7 @@
     })
 }
 
-/// Section 2: exactly one URI, which is an identity with a path.
+/// Section 2: exactly one URI, which is a SPIFFE ID with a path.
 fn parse_id(certificate: &X509Certificate) -> Result<SpiffeId, InvalidSvid> {
     let names = certificate.subject_alternative_name()?;
     let names = names.iter().flat_map(|names| &names.value.general_names);
@@ -95,7 +96,8 @@
     Ok(id)
 }
 
-/// Section 4.1: a leaf is no authority. Section 4.3: it signs neither certificates nor revocation lists.
+/// Section 4.1: a leaf is not a CA. Section 4.3: its key usage allows digital signatures, and signs neither certificates
+/// nor revocation lists.
 fn check_key_usage(certificate: &X509Certificate) -> Result<(), InvalidSvid> {
     if certificate.basic_constraints()?.is_some_and(|constraints| constraints.value.ca) {
         return Err(InvalidSvid::MaySign);
@@ -110,26 +112,26 @@
     Ok(())
 }
 
-/// Section 4.4: extended usages, if there are any, include both ends of TLS.
+/// Section 4.4: the extended key usage, if present, allows both TLS server and TLS client.
 fn check_extended_key_usage(certificate: &X509Certificate) -> Result<(), InvalidSvid> {
     let Some(usage) = certificate.extended_key_usage()? else { return Ok(()) };
-    let has_both_ends = usage.value.server_auth && usage.value.client_auth;
-    if !has_both_ends && !usage.value.any {
+    let allows_server_and_client = usage.value.server_auth && usage.value.client_auth;
+    if !allows_server_and_client && !usage.value.any {
         return Err(InvalidSvid::ExtendedKeyUsage);
     }
     Ok(())
 }
 
-fn is_unknown_critical(extension: &X509Extension) -> bool {
+fn is_unsupported_critical(extension: &X509Extension) -> bool {
     extension.critical && extension.parsed_extension().unsupported()
 }
 
-/// Whether a DER certificate is an authority that may sign certificates.
+/// Whether a DER certificate is a CA certificate that may sign certificates; false if it cannot be parsed.
 pub fn is_authority(certificate: &[u8]) -> bool {
     let Ok((_, certificate)) = X509Certificate::from_der(certificate) else { return false };
     let constraints = certificate.basic_constraints().ok().flatten();
     let usage = certificate.key_usage().ok().flatten();
-    let is_authority = constraints.is_some_and(|constraints| constraints.value.ca);
+    let is_ca = constraints.is_some_and(|constraints| constraints.value.ca);
     let may_sign = usage.is_none_or(|usage| usage.value.key_cert_sign());
-    is_authority && may_sign
+    is_ca && may_sign
 }
--- a/crates/identity/src/tests/access.rs
+++ b/crates/identity/src/tests/access.rs
@@ -21,7 +21,7 @@
     ]
 }
 
-/// Columns of the table of expected results.
+/// Columns of [`EXPECTED`].
 const ACCESSES: [RequestedAccess; 8] = [
     RequestedAccess::Command,
     RequestedAccess::Connect { name: "f1" },
@@ -33,7 +33,8 @@
     RequestedAccess::KillSession,
 ];
 
-/// What each identity may do: `o` allowed, `.` not allowed, `n` another's name, `?` unknown identity.
+/// Result of each access in [`ACCESSES`] by identity: `o` allowed, `.` not allowed, `n` name mismatch, `?` unknown
+/// identity.
 const EXPECTED: [(&str, &str); 16] = [
     ("spiffe://a/planner/p1", "o......."),
     ("spiffe://a/planner/p2", "????????"),
--- a/crates/identity/src/tests/id.rs
+++ b/crates/identity/src/tests/id.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn texts_that_only_look_like_an_identity_are_rejected() {
+fn texts_similar_to_a_spiffe_id_are_rejected() {
     // Given
     let valid =
         ["spiffe://a", "spiffe://valle.example/proxy/f-1", "spiffe://a_b.c-9/X/.y/z..", "spiffe://a/..."];
@@ -49,7 +49,7 @@
     assert_ne!(parse_id("spiffe://a/X"), parse_id("spiffe://a/x"));
 }
 
-/// The standard's grammar, written apart from the parser: it reads the path from its end.
+/// The grammar of the standard, implemented independently of the parser: it scans the path from its end.
 fn matches_grammar(text: &str) -> bool {
     let bytes = text.as_bytes();
     let Some(scheme_end) = text.find("://").filter(|end| &text[..*end] == "spiffe") else { return false };
@@ -75,7 +75,7 @@
 
 proptest! {
     #[test]
-    fn identities_are_the_texts_of_the_grammar(
+    fn exactly_the_texts_of_the_grammar_are_accepted(
         text in "(spiffe://|spiffe:/|Spiffe://)?[a-cA._%/0-]{0,24}",
     ) {
         let parsed = SpiffeId::parse(&text);
--- a/crates/identity/src/tests/mod.rs
+++ b/crates/identity/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Certificates that several tests use.
+//! Helpers shared by the tests: SPIFFE IDs, and certificates generated with `rcgen`.
 
 mod access;
 mod bundle;
@@ -16,11 +16,11 @@
     SpiffeId::parse(text).unwrap()
 }
 
-/// A self-signed leaf certificate; the signature is TLS's concern.
+/// A self-signed leaf certificate with these URIs. This crate does not verify signatures; TLS does.
 fn leaf_certificate(uris: &[&str], change: impl FnOnce(&mut CertificateParams)) -> Vec<u8> {
     let mut params = CertificateParams::new(vec!["planner.runloom".to_string()]).unwrap();
-    let to_name = |uri: &&str| SanType::URI((*uri).try_into().unwrap());
-    params.subject_alt_names.extend(uris.iter().map(to_name));
+    let to_san = |uri: &&str| SanType::URI((*uri).try_into().unwrap());
+    params.subject_alt_names.extend(uris.iter().map(to_san));
     params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
--- a/crates/identity/src/tests/svid.rs
+++ b/crates/identity/src/tests/svid.rs
@@ -5,21 +5,21 @@
 use proptest::prelude::*;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, KeyUsagePurpose};
 
-type Change = fn(&mut CertificateParams);
+type ParamsChange = fn(&mut CertificateParams);
 
-/// A certificate that is rejected.
+/// A certificate that `svid::parse` rejects with `reason`: one with these URIs, changed by `change`.
 struct InvalidCase {
     uris: &'static [&'static str],
-    change: Change,
+    change: ParamsChange,
     reason: InvalidSvid,
 }
 
 fn invalid_cases() -> [InvalidCase; 10] {
-    let unchanged: Change = |_| {};
-    let authority: Change = |params| params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    let signs_lists: Change = |params| params.key_usages.push(KeyUsagePurpose::CrlSign);
-    let agrees_on_keys: Change = |params| params.key_usages = vec![KeyUsagePurpose::KeyAgreement];
-    let one_end_only: Change = |params| _ = params.extended_key_usages.pop();
+    let unchanged: ParamsChange = |_| {};
+    let is_ca: ParamsChange = |params| params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
+    let signs_revocation_lists: ParamsChange = |params| params.key_usages.push(KeyUsagePurpose::CrlSign);
+    let key_agreement_only: ParamsChange = |params| params.key_usages = vec![KeyUsagePurpose::KeyAgreement];
+    let server_only: ParamsChange = |params| _ = params.extended_key_usages.pop();
     let case = |uris, change, reason| InvalidCase { uris, change, reason };
     [
         case(&[], unchanged, InvalidSvid::UriCount(0)),
@@ -28,17 +28,17 @@
         case(&["https://a/x"], unchanged, InvalidSvid::Id(InvalidId::Scheme)),
         case(&["spiffe://A/x"], unchanged, InvalidSvid::Id(InvalidId::TrustDomain)),
         case(&["spiffe://a"], unchanged, InvalidSvid::NoPath),
-        case(&["spiffe://a/x"], authority, InvalidSvid::MaySign),
-        case(&["spiffe://a/x"], signs_lists, InvalidSvid::MaySign),
-        case(&["spiffe://a/x"], agrees_on_keys, InvalidSvid::NoDigitalSignature),
-        case(&["spiffe://a/x"], one_end_only, InvalidSvid::ExtendedKeyUsage),
+        case(&["spiffe://a/x"], is_ca, InvalidSvid::MaySign),
+        case(&["spiffe://a/x"], signs_revocation_lists, InvalidSvid::MaySign),
+        case(&["spiffe://a/x"], key_agreement_only, InvalidSvid::NoDigitalSignature),
+        case(&["spiffe://a/x"], server_only, InvalidSvid::ExtendedKeyUsage),
     ]
 }
 
 #[test]
 fn a_leaf_certificate_carries_one_identity_and_signs_no_certificates() {
     // Given
-    let parse = |uris: &[&str], change: Change| svid::parse(&leaf_certificate(uris, change));
+    let parse = |uris: &[&str], change: ParamsChange| svid::parse(&leaf_certificate(uris, change));
     let mut with_trailing_byte = leaf_certificate(&["spiffe://a/x"], |_| {});
     with_trailing_byte.push(0);
 
@@ -47,7 +47,7 @@
 
     // Then
     assert_eq!((valid.id.name(), valid.id.trust_domain().as_str()), (Some("f1"), "a"));
-    // Usages are optional.
+    // Key usage and extended key usage are optional.
     assert!(parse(&["spiffe://a/x"], |params| params.key_usages.clear()).is_ok());
     assert!(parse(&["spiffe://a/x"], |params| params.extended_key_usages.clear()).is_ok());
     for InvalidCase { uris, change, reason } in invalid_cases() {
@@ -59,7 +59,8 @@
 }
 
 proptest! {
-    /// Neither arbitrary bytes nor a certificate with one changed byte cause a panic, and an identity that is read is one.
+    /// Neither arbitrary bytes nor a certificate with one changed byte cause a panic, and each ID that is accepted is
+    /// valid.
     #[test]
     fn arbitrary_bytes_are_rejected_without_a_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
