--- a/crates/identity/src/bundle.rs
+++ b/crates/identity/src/bundle.rs
@@ -1,5 +1,7 @@
-//! Trust bundles by the SPIFFE trust domain and bundle standard, section 4: a JWK set whose `x509-svid` keys carry the
-//! authorities of one trust domain. A document is taken completely or not at all.
+//! Trust bundles (SPIFFE trust domain and bundle standard, section 4): a JWK set whose `x509-svid` keys carry the
+//! certificate authorities of one trust domain.
+//!
+//! A document with a single invalid authority is rejected as a whole.
 
 use crate::id::TrustDomain;
 use crate::svid::is_authority;
@@ -9,39 +11,39 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The largest document in bytes; it has room for some hundreds of authorities.
+/// The maximum size of a document in bytes, enough for some hundreds of authorities.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
-/// Authorities of one trust domain: some in rotation, of several issuers.
+/// The maximum number of authorities of one trust domain, enough for several issuers with some keys in rotation each.
 const MAX_AUTHORITIES: usize = 64;
-/// The `use` of keys that carry authorities.
+/// Value of `use` on the keys that carry authorities.
 const X509_SVID_USE: &str = "x509-svid";
 
-/// Why a document is no bundle, or cannot replace the one in use.
+/// Why a document is not a valid bundle, or cannot replace the bundle in use.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidBundle {
     /// The document is larger than [`MAX_DOCUMENT_BYTES`].
-    #[error("it is larger than {MAX_DOCUMENT_BYTES} bytes")]
+    #[error("the bundle is larger than {MAX_DOCUMENT_BYTES} bytes")]
     TooLarge,
-    /// The document is no JWK set.
-    #[error("it cannot be read: {0}")]
+    /// The document is not a JWK set.
+    #[error("the bundle is not a valid JWK set: {0}")]
     Malformed(String),
-    /// An authority is invalid.
+    /// An authority is invalid, or there are too many.
     #[error("authority {index}: {reason}")]
     Authority {
-        /// Its place among the document's authorities.
+        /// Index among the keys with `use` `x509-svid`, from 0; the number of authorities if there are too many.
         index: usize,
-        /// What is wrong.
+        /// Why it is invalid.
         reason: &'static str,
     },
-    /// There is no authority. Such a bundle would end every stream, so that it is taken for a mistake.
-    #[error("it has no authority")]
+    /// The document has no authority. It would end every connection, and is therefore treated as a mistake.
+    #[error("the bundle has no authority")]
     Empty,
     /// The bundle in use has a higher sequence number.
-    #[error("its sequence number {sequence} is lower than {current}, which is held")]
+    #[error("the bundle's sequence number {sequence} is lower than {current}, that of the bundle in use")]
     Outdated {
-        /// Its sequence number.
+        /// Sequence number of the rejected bundle.
         sequence: u64,
-        /// The number of the bundle in use.
+        /// Sequence number of the bundle in use.
         current: u64,
     },
 }
@@ -52,14 +54,14 @@
     }
 }
 
-/// The authorities of one trust domain.
+/// The certificate authorities of one trust domain.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Bundle {
-    /// DER certificates.
+    /// CA certificates in DER.
     pub authorities: Vec<Vec<u8>>,
-    /// It grows with each change.
+    /// Version of the bundle, which grows with each change; `None` disables the check for outdated bundles.
     pub sequence: Option<u64>,
-    /// How often it should be read again.
+    /// How often the issuer asks that the bundle be read again; `None` if it does not say.
     pub refresh_interval: Option<Duration>,
 }
 
@@ -78,26 +80,26 @@
 }
 
 impl Key {
-    /// The DER certificate of an authority at a place among the document's.
+    /// The DER certificate of the authority; `index` is for the error.
     fn authority(&self, index: usize) -> Result<Vec<u8>, InvalidBundle> {
         let [certificate] = self.x5c.as_deref().unwrap_or_default() else {
-            return Err(InvalidBundle::authority(index, "it has not one certificate"));
+            return Err(InvalidBundle::authority(index, "x5c does not have exactly one certificate"));
         };
         let certificate = STANDARD.decode(certificate);
-        let certificate =
-            certificate.map_err(|_| InvalidBundle::authority(index, "its certificate is no base64"))?;
+        let certificate = certificate
+            .map_err(|_| InvalidBundle::authority(index, "the certificate is not valid base64"))?;
         if !is_authority(&certificate) {
-            return Err(InvalidBundle::authority(index, "its certificate is no authority's"));
+            return Err(InvalidBundle::authority(index, "not a CA certificate"));
         }
         Ok(certificate)
     }
 }
 
 impl Bundle {
-    /// Parses a document. Keys of other or no use are ignored (section 4.2.2).
+    /// Parses a document. Keys with another `use`, or none, are ignored (section 4.2.2).
     ///
     /// # Errors
-    /// Returns what is wrong with the document or one of its authorities.
+    /// Returns the first fault of the document or of one of its authorities.
     pub fn parse(document: &[u8]) -> Result<Bundle, InvalidBundle> {
         if document.len() > MAX_DOCUMENT_BYTES {
             return Err(InvalidBundle::TooLarge);
@@ -111,24 +113,24 @@
             return Err(InvalidBundle::Empty);
         }
         if authorities.len() > MAX_AUTHORITIES {
-            return Err(InvalidBundle::authority(authorities.len(), "they are too many"));
+            return Err(InvalidBundle::authority(authorities.len(), "the bundle has too many authorities"));
         }
         let refresh_interval = document.spiffe_refresh_hint.map(Duration::from_secs);
         Ok(Bundle { authorities, sequence: document.spiffe_sequence, refresh_interval })
     }
 }
 
-/// Bundles by trust domain: one's own, and those that were configured beside it.
+/// Bundles by trust domain: that of the process itself, and those of federated trust domains.
 #[derive(Debug, Clone, Default)]
 pub struct TrustStore {
     bundles: BTreeMap<TrustDomain, Bundle>,
 }
 
 impl TrustStore {
-    /// Replaces a trust domain's bundle, and returns whether it changed.
+    /// Sets or replaces a trust domain's bundle. Returns whether it differs from the one before.
     ///
     /// # Errors
-    /// Returns [`InvalidBundle::Outdated`] for a bundle that is older than the one in use: it could bring back an
+    /// Returns [`InvalidBundle::Outdated`] for a bundle that is older than the one in use, as it could restore an
     /// authority that was removed.
     pub fn insert(&mut self, trust_domain: TrustDomain, bundle: Bundle) -> Result<bool, InvalidBundle> {
         let current = self.bundles.get(&trust_domain);
@@ -142,7 +144,7 @@
         Ok(has_changed)
     }
 
-    /// The authorities of one trust domain; they are valid for its identities only.
+    /// The authorities of a trust domain, valid for its own identities only; empty if the domain is unknown.
     pub fn authorities(&self, trust_domain: &TrustDomain) -> &[Vec<u8>] {
         self.bundles.get(trust_domain).map(|bundle| bundle.authorities.as_slice()).unwrap_or_default()
     }
--- a/crates/identity/src/certificate_status.rs
+++ b/crates/identity/src/certificate_status.rs
@@ -1,39 +1,39 @@
-//! Whether a certificate in use is still valid.
+//! Whether a certificate in use is still valid: its validity period, and whether its authority is still trusted.
 
 use crate::bundle::TrustStore;
 use crate::svid::Svid;
 
-/// Seconds by which the clocks of two machines may differ when a certificate becomes valid. Its end is exact.
+/// Clock skew in seconds that is tolerated at the start of a certificate's validity. Its end is exact.
 const MAX_CLOCK_SKEW_SECONDS: i64 = 30;
-/// A certificate should be renewed when less than this part of its lifetime is left: a third.
+/// A certificate should be renewed once less than one third of its lifetime is left.
 const RENEWAL_DIVISOR: i64 = 3;
 
-/// The state of a certificate in use.
+/// The status of a certificate in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CertificateStatus {
-    /// It may be used.
+    /// The certificate may be used.
     Valid,
-    /// It may be used, and a new one should have come by now.
+    /// The certificate may be used, but should have been renewed by now.
     RenewalOverdue,
-    /// Its time is over.
+    /// Its validity period is over.
     Expired,
-    /// Its time has not come, by this clock.
+    /// Its validity period has not begun, by this machine's clock.
     NotYetValid,
-    /// Its authority is no longer in its trust domain's bundle.
+    /// Its authority is no longer in the bundle of its trust domain.
     AuthorityRemoved,
 }
 
-/// A certificate in use, with the authority that its chain ended at.
+/// A certificate in use, with the authority that its chain was verified against.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CertificateInUse {
-    /// The certificate's identity and times.
+    /// The certificate's identity and validity period.
     pub svid: Svid,
-    /// DER certificate of the authority.
+    /// CA certificate of the authority in DER.
     pub authority: Vec<u8>,
 }
 
 impl CertificateInUse {
-    /// The state at `now`, in seconds since 1970.
+    /// The status at `now`, in seconds since 1970.
     pub fn status(&self, now: i64, trust: &TrustStore) -> CertificateStatus {
         if !trust.authorities(self.svid.id.trust_domain()).contains(&self.authority) {
             CertificateStatus::AuthorityRemoved
@@ -41,30 +41,30 @@
             CertificateStatus::Expired
         } else if now + MAX_CLOCK_SKEW_SECONDS < self.svid.not_before {
             CertificateStatus::NotYetValid
-        } else if self.svid.not_after - now < self.renewal_seconds() {
+        } else if self.svid.not_after - now < self.renewal_period_seconds() {
             CertificateStatus::RenewalOverdue
         } else {
             CertificateStatus::Valid
         }
     }
 
-    /// Whether it may be used at `now`.
+    /// Whether the certificate may be used at `now`, in seconds since 1970.
     pub fn is_valid(&self, now: i64, trust: &TrustStore) -> bool {
         matches!(self.status(now, trust), CertificateStatus::Valid | CertificateStatus::RenewalOverdue)
     }
 
-    /// When the state changes next by time alone, in seconds since 1970.
+    /// When to check the status again, in seconds since 1970: at the start of the renewal period, then just after expiry.
     pub fn next_check(&self, now: i64) -> i64 {
-        let renewal = self.svid.not_after - self.renewal_seconds();
-        if now < renewal {
-            renewal
+        let renewal_start = self.svid.not_after - self.renewal_period_seconds();
+        if now < renewal_start {
+            renewal_start
         } else {
             self.svid.not_after + 1
         }
     }
 
-    /// Seconds before the end from which on a renewal is overdue.
-    fn renewal_seconds(&self) -> i64 {
+    /// Length of the renewal period before expiry, in seconds; a certificate within it is overdue for renewal.
+    fn renewal_period_seconds(&self) -> i64 {
         (self.svid.not_after - self.svid.not_before) / RENEWAL_DIVISOR
     }
 }
--- a/crates/identity/src/denial_log.rs
+++ b/crates/identity/src/denial_log.rs
@@ -1,35 +1,36 @@
-//! A log of denied access that a peer cannot flood.
+//! Rate-limits the log of denied access, so that a peer cannot flood it.
 
 use crate::access::{AccessDenied, RequestedAccess};
 use crate::id::SpiffeId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Denials of the same access get one entry in this time.
+/// Denials of the same access to the same identity get one entry within this time.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(10);
-/// Denials that are remembered. Beyond it the oldest are forgotten, and may be logged again sooner.
-const MAX_REMEMBERED_DENIALS: usize = 512;
+/// The maximum number of remembered entries. Beyond it the oldest is dropped, and the same denial may be logged again
+/// before [`REPEAT_INTERVAL`] is over.
+const MAX_REMEMBERED_ENTRIES: usize = 512;
 
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DenialEntry {
-    /// When access was denied.
+    /// When access was denied, on the clock of the caller of [`DenialLog::record`].
     pub at: Duration,
-    /// The identity.
+    /// SPIFFE ID of the peer.
     pub identity: String,
-    /// What it asked for.
+    /// The requested access, as [`RequestedAccess`] displays it.
     pub access: String,
-    /// Why it was denied.
+    /// Why it was denied, from [`AccessDenied::reason`].
     pub reason: &'static str,
-    /// Denials of the same access since the previous entry, which got no entry.
+    /// Denials of the same access since the previous entry that were counted without an entry.
     pub suppressed: u64,
 }
 
-/// A denial that was logged.
+/// The newest entry for one identity and access.
 #[derive(Debug)]
 struct LoggedDenial {
     at: Duration,
-    /// The same denials since, without an entry.
+    /// Equal denials since then, without an entry.
     suppressed: u64,
 }
 
@@ -38,12 +39,12 @@
 pub struct DenialLog {
     /// The newest entry by identity and access.
     logged: BTreeMap<(String, String), LoggedDenial>,
-    /// All denials so far.
+    /// All denials so far, logged or not.
     pub denied: u64,
 }
 
 impl DenialLog {
-    /// Records a denial. Returns the entry to log, unless the same denial was logged a short time ago.
+    /// Records a denial. Returns the entry to log; `None` if the same denial was logged less than 10 s ago.
     pub fn record(
         &mut self,
         now: Duration,
@@ -59,8 +60,8 @@
                 return None;
             }
         }
-        if self.logged.len() >= MAX_REMEMBERED_DENIALS {
-            self.forget_oldest();
+        if self.logged.len() >= MAX_REMEMBERED_ENTRIES {
+            self.remove_oldest();
         }
         let previous = self.logged.insert(key.clone(), LoggedDenial { at: now, suppressed: 0 });
         let (identity, access) = key;
@@ -73,7 +74,7 @@
         })
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let oldest = self.logged.iter().min_by_key(|(_, logged)| logged.at).map(|(key, _)| key.clone());
         if let Some(key) = oldest {
             self.logged.remove(&key);
--- a/crates/identity/src/tests/bundle.rs
+++ b/crates/identity/src/tests/bundle.rs
@@ -5,26 +5,26 @@
 use base64::Engine;
 use std::time::Duration;
 
-/// A document with authorities, and with keys of other uses.
-fn document(authorities: &[Vec<u8>], sequence: u64) -> String {
-    let authority_key = |certificate: &Vec<u8>| {
+/// A bundle document with these authorities, and with two keys that are not X.509 authorities.
+fn bundle_document(authorities: &[Vec<u8>], sequence: u64) -> String {
+    let authority_jwk = |certificate: &Vec<u8>| {
         format!(r#"{{"kty":"EC","use":"x509-svid","x5c":["{}"]}}"#, STANDARD.encode(certificate))
     };
-    let mut keys: Vec<String> = authorities.iter().map(authority_key).collect();
+    let mut keys: Vec<String> = authorities.iter().map(authority_jwk).collect();
     keys.push(r#"{"kty":"EC","use":"jwt-svid","kid":"1"}"#.into());
     keys.push(r#"{"kty":"RSA"}"#.into());
     format!(r#"{{"keys":[{}],"spiffe_sequence":{sequence},"spiffe_refresh_hint":300}}"#, keys.join(","))
 }
 
 fn parse(authorities: &[Vec<u8>], sequence: u64) -> Result<Bundle, InvalidBundle> {
-    Bundle::parse(document(authorities, sequence).as_bytes())
+    Bundle::parse(bundle_document(authorities, sequence).as_bytes())
 }
 
 #[test]
-fn a_bundle_is_taken_completely_and_never_replaced_by_an_older_one() {
+fn a_partly_invalid_bundle_is_rejected_and_an_older_one_replaces_none() {
     // Given
     let (old, new) = (authority_certificate(), authority_certificate());
-    let text = document(&[old.clone(), new.clone()], 7);
+    let text = bundle_document(&[old.clone(), new.clone()], 7);
 
     // When
     let bundle = Bundle::parse(text.as_bytes()).unwrap();
--- a/crates/identity/src/tests/certificate_status.rs
+++ b/crates/identity/src/tests/certificate_status.rs
@@ -12,7 +12,7 @@
     Bundle { authorities: vec![authority.to_vec()], ..Bundle::default() }
 }
 
-/// A certificate that is valid from second 1000 to second 1300.
+/// A certificate that is valid from second 1000 through second 1300.
 fn certificate(authority: Vec<u8>) -> CertificateInUse {
     let id = parse_id("spiffe://a/proxy/f1");
     let svid = Svid { id, not_before: 1000, not_after: 1300, serial: vec![1] };
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_certificate_is_valid_within_its_time_and_while_its_authority_is_trusted() {
+fn a_certificate_is_valid_within_its_period_and_while_its_authority_is_trusted() {
     // Given
     let authority = authority_certificate();
     let mut trust = TrustStore::default();
@@ -29,7 +29,7 @@
     let cases = [
         (900, CertificateStatus::NotYetValid),
         (969, CertificateStatus::NotYetValid),
-        // The issuer's clock may be a little ahead.
+        // The issuer's clock may be up to 30 s ahead.
         (970, CertificateStatus::Valid),
         (1200, CertificateStatus::Valid),
         (1201, CertificateStatus::RenewalOverdue),
--- a/crates/identity/src/tests/denial_log.rs
+++ b/crates/identity/src/tests/denial_log.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_flood_of_denials_is_counted_and_logged_once_an_interval() {
+fn repeated_denials_are_all_counted_and_logged_once_per_interval() {
     // Given
     let mut log = DenialLog::default();
     let id = parse_id("spiffe://a/x");
@@ -25,7 +25,7 @@
     assert!(other_access.is_some());
     assert_eq!(next_interval.suppressed, 999);
 
-    // When ten thousand different ones come; memory is limited, and all are counted.
+    // When: 10,000 different denials, more than the log remembers; all of them are counted.
     for number in 0..10_000 {
         record(20_000 + number, &format!("p{number}"));
     }
