--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! The data models: XSD for reading settings and edits, YANG for tools, and typed views.
+//! The data models: XSDs that validate settings and edits, YANG modules for NETCONF tools, and typed views of the data.
 //!
-//! The XSD is the only source: the [`Schema`] of `<edit-config>` is derived from it, and a test compares the YANG
-//! modules with it.
+//! The XSDs are authoritative: the [`Schema`] for `<edit-config>` is derived from them, and a test checks that the YANG
+//! modules have the same nodes.
 
 mod deployment_config;
 pub mod fleet;
@@ -21,19 +21,19 @@
 pub use runloom_netconf::schema::Schema;
 pub use settings_error::InvalidSettings;
 
-/// Namespace of the fleet and the endpoint list.
+/// XML namespace of the settings files, the fleet and the endpoint list.
 pub const FLEET_NAMESPACE: &str = "urn:runloom:fleet";
-/// Namespace of a proxy's tables and reports.
+/// XML namespace of a proxy's tables and reports.
 pub const PROXY_NAMESPACE: &str = "urn:runloom:proxy";
-/// Namespace of a planner's state.
+/// XML namespace of a planner's operational state.
 pub const STATE_NAMESPACE: &str = "urn:runloom:state";
 
-/// XSD of [`FLEET_NAMESPACE`], with the settings files.
+/// XSD of [`FLEET_NAMESPACE`]: the fleet, the endpoint list and the settings files.
 pub const FLEET_XSD: &str = include_str!("../schema/runloom-fleet.xsd");
-/// XSD of [`PROXY_NAMESPACE`].
+/// XSD of [`PROXY_NAMESPACE`]: tables and reports.
 pub const PROXY_XSD: &str = include_str!("../schema/runloom-proxy.xsd");
 
-/// The YANG modules: identifier, revision, text.
+/// The YANG modules that `<get-schema>` offers: name, revision and text of each.
 pub const YANG_MODULES: [(&str, &str, &str); 3] = [
     ("runloom-fleet", "2026-12-01", include_str!("../schema/runloom-fleet.yang")),
     ("runloom-proxy", "2026-12-01", include_str!("../schema/runloom-proxy.yang")),
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -1,27 +1,27 @@
-//! Validation of documents by an XSD.
+//! Validates XML documents against an XSD.
 
 use runloom_netconf::tree::Element;
 use std::fmt;
 use uppsala::XsdValidator;
 
-/// The name in place of an element that is not known.
+/// Placeholder for the name of an unknown element.
 const UNKNOWN_ELEMENT: &str = "?";
 
 /// Where and why a document violates its schema.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchemaViolation {
-    /// Line, from 1 on; 0 if it is not known.
+    /// Line number from 1; 0 if unknown.
     pub line: usize,
-    /// Column, from 1 on; 0 if it is not known.
+    /// Column number from 1; 0 if unknown.
     pub column: usize,
-    /// Name of the element.
+    /// Local name of the element; `?` if unknown.
     pub element: String,
-    /// Why.
+    /// What is wrong, as the parser or the validator says it.
     pub reason: String,
 }
 
 impl SchemaViolation {
-    /// A document that is not well-formed.
+    /// The violation for a document that is not well-formed XML.
     fn malformed(line: usize, column: usize, reason: String) -> SchemaViolation {
         SchemaViolation { line, column, element: UNKNOWN_ELEMENT.into(), reason }
     }
@@ -37,15 +37,15 @@
 pub struct SchemaValidator(XsdValidator);
 
 impl SchemaValidator {
-    /// Compiles an XSD; the error says where it is malformed.
+    /// Compiles an XSD; the error says why it is invalid.
     pub fn new(xsd: &str) -> Result<SchemaValidator, String> {
         let document = uppsala::parse(xsd).map_err(|e| e.to_string())?;
         XsdValidator::from_schema(&document).map(SchemaValidator).map_err(|e| e.to_string())
     }
 
-    /// All violations of a document, in order; none if it is valid.
+    /// All violations of the schema in document order; empty if the document is valid.
     pub fn validate(&self, text: &str) -> Vec<SchemaViolation> {
-        // First as a tree, which limits the document's size and depth and allows no document type.
+        // `Element::parse` goes first since it limits size and depth, and rejects document type declarations.
         if let Err(e) = Element::parse(text) {
             return vec![SchemaViolation::malformed(e.line, e.column, e.reason)];
         }
@@ -68,7 +68,7 @@
     }
 }
 
-/// The name of the last start tag at or before a position.
+/// Local name of the last start tag at or before a position.
 fn element_at(text: &str, line: usize, column: usize) -> String {
     let line_start: usize = text.lines().take(line.saturating_sub(1)).map(|line| line.len() + 1).sum();
     let end = (line_start + column).min(text.len());
--- a/crates/model/src/schema_derivation.rs
+++ b/crates/model/src/schema_derivation.rs
@@ -1,19 +1,19 @@
 //! Derives the schema that `<edit-config>` needs from an XSD.
 //!
-//! The XSD is written in the way of this package: global elements, sequences, and keys on the element that holds the
-//! list.
+//! Supports only what this package's XSDs use: global elements and types, sequences, and keys that are declared on the
+//! element that contains the list.
 
 use crate::schema::local_name;
 use runloom_netconf::schema::{NodeKind, Schema};
 use runloom_netconf::tree::Element;
 use std::collections::BTreeMap;
 
-const XS: &str = "http://www.w3.org/2001/XMLSchema";
+const XSD_NAMESPACE: &str = "http://www.w3.org/2001/XMLSchema";
 
-/// Leaves that identify an entry, by list.
-type Keys = BTreeMap<String, Vec<String>>;
+/// Names of the key leaves of each list, by the list's name.
+type ListKeys = BTreeMap<String, Vec<String>>;
 
-/// Derives the named top-level nodes; the error says what the XSD lacks.
+/// Derives the schema nodes of the named global elements; the error says why the XSD is malformed or what it lacks.
 pub fn derive_schema(xsd: &str, top_elements: &[&str]) -> Result<Vec<Schema>, String> {
     let root = Element::parse(xsd).map_err(|e| e.reason)?;
     let derivation = Derivation {
@@ -22,27 +22,27 @@
     };
     let elements = named_children(&root, "element");
     let derive = |name: &&str| {
-        let element = elements.get(name).ok_or_else(|| format!("no element {name}"))?;
-        Ok(derivation.node(element, &Keys::new()))
+        let element = elements.get(name).ok_or_else(|| format!("the XSD has no global element {name}"))?;
+        Ok(derivation.derive_node(element, &ListKeys::new()))
     };
     top_elements.iter().map(derive).collect()
 }
 
-/// Children of this kind, by their `name` attribute.
+/// XSD children of this kind (such as `element`), by their `name` attribute.
 fn named_children<'a>(root: &'a Element, kind: &str) -> BTreeMap<&'a str, &'a Element> {
-    let children = root.children.iter().filter(|child| child.is(XS, kind));
+    let children = root.children.iter().filter(|child| child.is(XSD_NAMESPACE, kind));
     children.filter_map(|child| Some((child.attribute("", "name")?, &**child))).collect()
 }
 
 struct Derivation<'a> {
     namespace: &'a str,
-    /// Global types by name.
+    /// Global complex types by name.
     types: BTreeMap<&'a str, &'a Element>,
 }
 
 impl Derivation<'_> {
-    /// The node of an element; `keys` are those that its parent declares.
-    fn node(&self, element: &Element, keys: &Keys) -> Schema {
+    /// Derives the node of an element; `keys` are those that its parent declares.
+    fn derive_node(&self, element: &Element, keys: &ListKeys) -> Schema {
         let name = element.attribute("", "name").unwrap_or_default().to_string();
         let is_repeated = element.attribute("", "maxOccurs").is_some_and(|max| max != "1");
         let Some(complex_type) = self.complex_type(element) else {
@@ -53,26 +53,26 @@
             Some(keys) => NodeKind::List(keys.clone()),
             None => NodeKind::Container,
         };
-        let children = self.children(complex_type, &declared_keys(element));
+        let children = self.derive_children(complex_type, &declared_keys(element));
         Schema { ns: self.namespace.into(), name, kind, children }
     }
 
-    /// An element's own type, or the global type that it names.
+    /// The element's inline complex type, or the global one that it refers to; `None` for a leaf.
     fn complex_type<'e>(&'e self, element: &'e Element) -> Option<&'e Element> {
         let global = || self.types.get(local_name(element.attribute("", "type")?)).copied();
         element.child("complexType").or_else(global)
     }
 
-    fn children(&self, complex_type: &Element, keys: &Keys) -> Vec<Schema> {
+    fn derive_children(&self, complex_type: &Element, keys: &ListKeys) -> Vec<Schema> {
         let Some(sequence) = complex_type.child("sequence") else { return vec![] };
         let named = sequence.named("element").filter(|child| child.attribute("", "name").is_some());
-        named.map(|child| self.node(child, keys)).collect()
+        named.map(|child| self.derive_node(child, keys)).collect()
     }
 }
 
-/// The keys that an element declares for the lists in it.
-fn declared_keys(element: &Element) -> Keys {
-    let mut keys = Keys::new();
+/// The keys that an element declares for the lists that it contains.
+fn declared_keys(element: &Element) -> ListKeys {
+    let mut keys = ListKeys::new();
     for key in element.named("key") {
         let selector = key.child("selector").and_then(|selector| selector.attribute("", "xpath"));
         let fields = key.named("field").filter_map(|field| field.attribute("", "xpath"));
--- a/crates/model/src/table_update.rs
+++ b/crates/model/src/table_update.rs
@@ -1,4 +1,4 @@
-//! Table updates from a planner to a proxy: one `<edit-config>` for each message (RFC 6241, section 7.2).
+//! Table updates from a planner to a proxy, one `<edit-config>` per message (RFC 6241, section 7.2).
 
 use crate::PROXY_NAMESPACE;
 use runloom_controller::RetryPolicy;
@@ -7,64 +7,64 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Bytes of a message without entries, about.
-const MESSAGE_SIZE: usize = 256;
-/// Bytes of an entry, about.
-const ENTRY_SIZE: usize = 120;
+/// Approximate size in bytes of a message without entries, to allocate its buffer.
+const BASE_MESSAGE_BYTES: usize = 256;
+/// Approximate size in bytes of an entry.
+const BYTES_PER_ENTRY: usize = 120;
 
-/// What a proxy admits of a class.
+/// How a proxy limits and retries requests of one class.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionLimit {
-    /// Requests a second; `None` for all.
+    /// Requests per second that are admitted; `None` admits all.
     pub rate: Option<f64>,
-    /// When a failed attempt may be retried.
+    /// Whether and when a failed attempt may be retried.
     pub retry_policy: RetryPolicy,
 }
 
 impl Default for AdmissionLimit {
-    /// All requests are admitted, and retried if they were not executed.
+    /// Admits all requests, and retries those that were not executed.
     fn default() -> AdmissionLimit {
         AdmissionLimit { rate: None, retry_policy: RetryPolicy::IfNotExecuted }
     }
 }
 
-/// A table entry as it is to be.
+/// The new state of a table entry.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EntryEdit {
-    /// Where the server listens.
+    /// Address on which the server listens; not sent if the entry is removed.
     pub address: String,
-    /// Its weight; 0 removes the entry.
+    /// New weight; 0 removes the entry.
     pub weight: f64,
 }
 
-/// Changes of one table at one proxy.
+/// Changes to one table of one proxy.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TableEdit {
-    /// It replaces all that the table holds.
+    /// Whether the edit replaces the table's whole content instead of merging into it.
     pub replaces_table: bool,
-    /// Entries by server.
+    /// Entries that change, by server name.
     pub entries: BTreeMap<String, EntryEdit>,
-    /// Admission limits by class.
+    /// Admission limits that change, by class name.
     pub admission_limits: BTreeMap<String, AdmissionLimit>,
-    /// The table is not used any more.
+    /// Whether the table is removed.
     pub is_removed: bool,
 }
 
-/// One message to one proxy.
+/// One update message to one proxy.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct UpdateMessage {
-    /// It replaces all that the proxy holds, whoever wrote it.
+    /// Whether the message replaces everything that the proxy holds, whichever planner wrote it.
     pub replaces_all: bool,
-    /// Changes by table.
+    /// Changes by table number.
     pub tables: BTreeMap<u16, TableEdit>,
-    /// The table of each class that is assigned.
+    /// The table that each class uses from now on, by class name.
     pub assignments: BTreeMap<String, u16>,
-    /// Servers that are ejected from all tables (true) or readmitted (false).
+    /// Servers that are ejected from all tables (true) or readmitted (false), by name.
     pub ejections: BTreeMap<String, bool>,
 }
 
 impl UpdateMessage {
-    /// Whether it changes nothing.
+    /// Whether the message changes nothing.
     pub fn is_empty(&self) -> bool {
         !self.replaces_all
             && self.tables.is_empty()
@@ -72,18 +72,18 @@
             && self.ejections.is_empty()
     }
 
-    /// Table entries as the channel counts them: each entry, admission limit, assignment and ejection.
+    /// Size of the message in the channel's unit: each entry, admission limit, assignment and ejection counts as one.
     pub fn entry_count(&self) -> usize {
-        let of_table = |edit: &TableEdit| edit.entries.len() + edit.admission_limits.len();
-        let of_tables: usize = self.tables.values().map(of_table).sum();
-        of_tables + self.assignments.len() + self.ejections.len()
+        let count_of_table = |edit: &TableEdit| edit.entries.len() + edit.admission_limits.len();
+        let count_of_tables: usize = self.tables.values().map(count_of_table).sum();
+        count_of_tables + self.assignments.len() + self.ejections.len()
     }
 
-    /// The `<edit-config>` that carries it.
+    /// Writes the message as `<edit-config>`.
     pub fn to_xml(&self) -> String {
-        let mut out = String::with_capacity(MESSAGE_SIZE + ENTRY_SIZE * self.entry_count());
+        let mut out = String::with_capacity(BASE_MESSAGE_BYTES + BYTES_PER_ENTRY * self.entry_count());
         out.push_str("<edit-config><target><running/></target><config>");
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(out, "<tables xmlns=\"{PROXY_NAMESPACE}\" xmlns:nc=\"{BASE}\"");
         out.push_str(if self.replaces_all { " nc:operation=\"replace\">" } else { ">" });
         for (table, edit) in &self.tables {
@@ -132,14 +132,14 @@
     out.push_str("</line>");
 }
 
-/// It replaces the limit before: one without a rate admits all requests again.
+/// Uses `replace` rather than `merge`, so that a limit without a rate removes the rate that was set before.
 fn write_admission_limit(out: &mut String, class: &str, limit: &AdmissionLimit) {
     out.push_str("<level nc:operation=\"replace\">");
     write_leaf(out, "class", class);
     if let Some(rate) = limit.rate {
         write_leaf(out, "pace", &rate.to_string());
     }
-    write_leaf(out, "further-tries", retry_policy_word(limit.retry_policy));
+    write_leaf(out, "further-tries", format_retry_policy(limit.retry_policy));
     out.push_str("</level>");
 }
 
@@ -166,8 +166,8 @@
     out.push('>');
 }
 
-/// The word for a retry policy in `<further-tries>` and in published limits.
-pub(crate) fn retry_policy_word(retry_policy: RetryPolicy) -> &'static str {
+/// The keyword of a retry policy in `<further-tries>` and in published limits.
+pub(crate) fn format_retry_policy(retry_policy: RetryPolicy) -> &'static str {
     match retry_policy {
         RetryPolicy::Never => "none",
         RetryPolicy::IfNotExecuted => "unrun",
@@ -176,13 +176,14 @@
     }
 }
 
-/// The retry policy for a word; an unknown word allows no retry.
-pub fn parse_retry_policy(word: &str) -> RetryPolicy {
-    known_retry_policy(word).unwrap_or(RetryPolicy::Never)
+/// The retry policy of a keyword; an unknown keyword allows no retry.
+pub fn parse_retry_policy(keyword: &str) -> RetryPolicy {
+    parse_known_retry_policy(keyword).unwrap_or(RetryPolicy::Never)
 }
 
-pub(crate) fn known_retry_policy(word: &str) -> Option<RetryPolicy> {
-    match word {
+/// The retry policy of a keyword; `None` if the keyword is unknown.
+pub(crate) fn parse_known_retry_policy(keyword: &str) -> Option<RetryPolicy> {
+    match keyword {
         "none" => Some(RetryPolicy::Never),
         "unrun" => Some(RetryPolicy::IfNotExecuted),
         "one" => Some(RetryPolicy::Once),
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -29,16 +29,16 @@
         }
         assert!(names.len() > 10);
         let statements = ["container", "list", "leaf", "leaf-list"];
-        let is_in_yang = |name: &String| {
+        let is_in_yang_module = |name: &String| {
             statements.iter().any(|statement| yang.contains(&format!("{statement} {name} {{")))
         };
-        let missing: Vec<&String> = names.iter().filter(|name| !is_in_yang(name)).collect();
+        let missing: Vec<&String> = names.iter().filter(|name| !is_in_yang_module(name)).collect();
         assert_eq!(missing, Vec::<&String>::new());
     }
 }
 
 #[test]
-fn keys_and_leaf_lists_are_derived() {
+fn list_keys_and_leaf_lists_are_derived_from_the_xsd() {
     let fleet = &derive_schema(FLEET_XSD, &["fleet"]).unwrap()[0];
     assert_eq!(fleet.child(FLEET_NAMESPACE, "zone").unwrap().kind, NodeKind::List(vec!["name".into()]));
     let load = fleet.child(FLEET_NAMESPACE, "list").unwrap().child(FLEET_NAMESPACE, "load").unwrap();
@@ -48,7 +48,7 @@
 #[test]
 fn a_violation_names_line_element_and_reason() {
     let validator = SchemaValidator::new(FLEET_XSD).unwrap();
-    // Given a value of another type.
+    // Given a value of the wrong type.
     let text =
         "<roster xmlns='urn:runloom:fleet'>\n <server>\n  <name>s1</name>\n  <address>nowhere</address>\n\
         <zone>a</zone><mode>ready</mode></server></roster>";
--- a/crates/model/tests/wire_snapshot.rs
+++ b/crates/model/tests/wire_snapshot.rs
@@ -1,6 +1,7 @@
-//! What passes between a planner and a proxy by NETCONF, byte for byte as it was before the code was renamed.
+//! Snapshots of the NETCONF messages between a planner and a proxy, byte for byte. They guard against a change of the
+//! protocol when code is renamed.
 //!
-//! `UPDATE_SNAPSHOTS=1` writes the snapshots anew.
+//! `UPDATE_SNAPSHOTS=1` rewrites the snapshots.
 
 use runloom_controller::RetryPolicy;
 use runloom_model::published_value::{format_admission_limit, format_entry};
@@ -9,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn assert_unchanged(name: &str, seen: &str) {
+fn assert_matches_snapshot(name: &str, actual: &str) {
     let path = format!("tests/snapshots/{name}");
     if std::env::var_os("UPDATE_SNAPSHOTS").is_some() {
-        std::fs::write(&path, seen).unwrap();
+        std::fs::write(&path, actual).unwrap();
     }
-    assert_eq!(seen, std::fs::read_to_string(&path).unwrap(), "{path}");
+    assert_eq!(actual, std::fs::read_to_string(&path).unwrap(), "{path}");
 }
 
 fn table() -> TableEdit {
@@ -39,10 +40,10 @@
 
 fn message(replaces_all: bool) -> UpdateMessage {
     let replaced = TableEdit { replaces_table: true, ..table() };
-    let gone = TableEdit { is_removed: true, ..TableEdit::default() };
+    let removed = TableEdit { is_removed: true, ..TableEdit::default() };
     UpdateMessage {
         replaces_all,
-        tables: BTreeMap::from([(1, table()), (2, replaced), (3, gone)]),
+        tables: BTreeMap::from([(1, table()), (2, replaced), (3, removed)]),
         assignments: BTreeMap::from([("lookup".into(), 1), ("order".into(), 2)]),
         ejections: BTreeMap::from([("s7".into(), true), ("s8".into(), false)]),
     }
@@ -50,13 +51,13 @@
 
 #[test]
 fn table_updates_are_unchanged() {
-    let mut seen = format!("{}\n{}\n", message(false).to_xml(), message(true).to_xml());
-    seen += &format!("{}\n", format_entry("127.0.0.1:81", 0.75));
+    let mut actual = format!("{}\n{}\n", message(false).to_xml(), message(true).to_xml());
+    actual += &format!("{}\n", format_entry("127.0.0.1:81", 0.75));
     table()
         .admission_limits
         .values()
-        .for_each(|limit| seen += &format!("{}\n", format_admission_limit(limit)));
-    assert_unchanged("netconf-edits.txt", &seen);
+        .for_each(|limit| actual += &format!("{}\n", format_admission_limit(limit)));
+    assert_matches_snapshot("netconf-edits.txt", &actual);
 }
 
 #[test]
@@ -67,7 +68,7 @@
         within_objective: 7,
         latencies: BTreeMap::from([(3, 4), (12, 5)]),
     };
-    let met = ServerOutcomes {
+    let outcomes = ServerOutcomes {
         server: "s1".into(),
         attempts: 12,
         failures: 2,
@@ -76,7 +77,8 @@
         load: vec![0.5, f64::NAN, 14.0],
         classes: vec![class],
     };
-    let came = ClassArrivals { class: "order".into(), requests: 30, unanswered: 1 };
-    let report = Report { window: Duration::from_millis(1000), outcomes: vec![met], arrivals: vec![came] };
-    assert_unchanged("netconf-report.txt", &(report.to_element().to_text() + "\n"));
+    let arrivals = ClassArrivals { class: "order".into(), requests: 30, unanswered: 1 };
+    let report =
+        Report { window: Duration::from_millis(1000), outcomes: vec![outcomes], arrivals: vec![arrivals] };
+    assert_matches_snapshot("netconf-report.txt", &(report.to_element().to_text() + "\n"));
 }
