--- a/crates/model/src/deployment_config.rs
+++ b/crates/model/src/deployment_config.rs
@@ -1,4 +1,4 @@
-//! The controller's configuration, from a fleet.
+//! Converts a fleet's settings into the controller's configuration.
 
 use crate::fleet::Fleet;
 use crate::traffic_class::ClassSettings;
@@ -9,7 +9,7 @@
 use runloom_controller::DeploymentConfig;
 
 impl Fleet {
-    /// The configuration that the controller reads at its start.
+    /// The configuration that the controller is started with.
     pub fn deployment_config(&self) -> DeploymentConfig {
         DeploymentConfig {
             planner_count: self.planner_count,
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that operators edit: `<fleet>`.
+//! The fleet's settings (`<fleet>`), which operators edit at run time.
 
 use crate::leaf_reader::{required_child, LeafReader};
 use crate::settings_error::InvalidSettings;
@@ -7,120 +7,121 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Window of the limit on messages, where the settings have none.
+/// Default of [`ChannelLimits::message_window`].
 const DEFAULT_MESSAGE_WINDOW: Duration = Duration::from_secs(10);
-/// A warming server is taken to fail at this many times its capacity, where the settings have no number.
+/// Default of [`Fleet::overload_multiple`].
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 4.0;
 
-/// A zone.
+/// A zone of the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Zone {
-    /// Its name.
+    /// Name that listed servers refer to.
     pub name: String,
-    /// Factor of the weights of its servers.
+    /// Factor by which the weights of its servers are multiplied; default 1.
     pub share: f64,
 }
 
 /// An operator's override of a listed server.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServerOverride {
-    /// Replaces the listed weight.
+    /// Replaces the listed weight; `None` keeps it.
     pub weight: Option<f64>,
-    /// The server is to finish its requests and take no more.
+    /// Drains the server: it finishes its current requests and gets no new ones.
     pub is_draining: bool,
 }
 
-/// Times within which something has to happen.
+/// Time limits for the planner and its proxies.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GracePeriods {
-    /// Proxies have stopped sending to a draining server.
+    /// Proxies must stop sending to a draining server within this time.
     pub drain: Duration,
-    /// A proxy without a server for a class has one.
+    /// The longest time that a proxy may be without a server for a class.
     pub max_unserved: Duration,
-    /// A proxy has acknowledged a message; one that has not is disconnected.
+    /// A proxy must acknowledge a message within this time, or it is disconnected.
     pub acknowledgement: Duration,
 }
 
-/// Limits of the channel from a planner to its proxies.
+/// Limits of the update channel from a planner to its proxies.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChannelLimits {
-    /// Table entries that it transmits a second.
+    /// Table entries per second that the channel transmits.
     pub entries_per_second: f64,
-    /// Table entries that may be on their way.
+    /// The maximum number of table entries queued in the channel.
     pub queue_limit: f64,
-    /// Table entries that a message counts for, besides those in it.
+    /// Cost of a message in table entries, in addition to the entries that it contains.
     pub message_overhead: f64,
-    /// Messages to one proxy within the window; 0 for no limit.
+    /// The maximum number of messages to one proxy within `message_window`; 0 for no limit.
     pub message_limit: f64,
-    /// The window of that limit.
+    /// Window of `message_limit`; default 10 s.
     pub message_window: Duration,
 }
 
-/// An operator's override of the guard's overload multiple.
+/// An operator's temporary override of [`Fleet::overload_multiple`] in the guard.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RaisedMultiple {
-    /// The multiple.
+    /// The multiple that applies instead.
     pub multiple: f64,
-    /// Until when, in milliseconds since 1970.
+    /// When the override ends, in milliseconds since 1970.
     pub until_ms: u64,
 }
 
-/// The fleet as operators have it.
+/// The settings of a fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fleet {
-    /// Its zones.
+    /// Zones in which its servers and proxies run.
     pub zones: Vec<Zone>,
-    /// Its traffic classes.
+    /// Traffic classes, in the order of the settings.
     pub classes: Vec<ClassSettings>,
-    /// Overrides by server.
+    /// Overrides of listed servers, by server name.
     pub overrides: BTreeMap<String, ServerOverride>,
-    /// Times within which something has to happen.
+    /// Time limits for the planner and its proxies.
     pub grace: GracePeriods,
-    /// Limits of the channel to the proxies.
+    /// Limits of the update channel to the proxies.
     pub channel: ChannelLimits,
-    /// Share of its capacity (0 to 1) that a server has at its start.
+    /// Share of its full capacity (0 to 1) that a server has just after its start.
     pub initial_capacity: f64,
     /// Time from a server's start to its full capacity.
     pub warm_up: Duration,
-    /// A warming server fails under more than this many times the load that it can serve.
+    /// A server that warms up is assumed to fail under more than this many times its current capacity; default 4.
     pub overload_multiple: f64,
-    /// The multiple that an operator put in its place for a time.
+    /// An operator's temporary override of `overload_multiple`.
     pub raised_multiple: Option<RaisedMultiple>,
-    /// Proxies.
+    /// Number of proxies of all planners together.
     pub proxy_count: f64,
-    /// Planners.
+    /// Number of planners that share the servers, at least 1.
     pub planner_count: f64,
-    /// How proxies select a server: `chance`, `turns`, or the less loaded of two.
+    /// How proxies select a server: `chance` for random, `turns` for round robin, any other for the less loaded of two.
     pub selection: String,
-    /// How proxies limit admission: `pace` or `none`.
+    /// How proxies limit admission: `pace` for a request rate, any other for no limit.
     pub admission: String,
-    /// Proxies connect to a planner of their own zone first.
+    /// Whether proxies connect to a planner of their own zone first.
     pub prefers_local_planner: bool,
-    /// Whether planners may check the health of servers.
+    /// Whether planners may send health checks to servers.
     pub health_checks_allowed: bool,
-    /// Time between a proxy's reports.
+    /// Time between two reports of a proxy.
     pub report_period: Duration,
-    /// Report entries that a planner's controller takes a second.
+    /// Report entries per second that a planner's controller processes.
     pub reports_per_second: f64,
-    /// Only draining servers are closed; a server that was removed from the list stays open.
+    /// Whether a server must be given up only once it is listed as draining. A server that disappears from the list may
+    /// then stay in use.
     pub only_draining_binds: bool,
-    /// Metrics of a load report, in order.
+    /// Names of the metrics in a server's load report, in their order.
     pub load_metrics: Vec<String>,
 }
 
 impl Fleet {
-    /// Reads `<fleet>`, which is valid by the schema.
+    /// Reads `<fleet>`, which must be valid by the schema.
     pub fn read(fleet: &Element) -> Result<Fleet, InvalidSettings> {
-        let part = |name: &str| required_child(fleet, name);
-        let cold = LeafReader { element: part("cold")?, path: "/fleet/cold" };
-        let proxies = LeafReader { element: part("proxies")?, path: "/fleet/proxies" };
-        let list = LeafReader { element: part("list")?, path: "/fleet/list" };
+        let required = |name: &str| required_child(fleet, name);
+        let cold = LeafReader { element: required("cold")?, path: "/fleet/cold" };
+        let proxies = LeafReader { element: required("proxies")?, path: "/fleet/proxies" };
+        let list = LeafReader { element: required("list")?, path: "/fleet/list" };
         Ok(Fleet {
             zones: fleet.named("zone").map(|zone| Zone::read(zone)).collect::<Result<_, _>>()?,
             classes: ClassSettings::read_all(fleet)?,
             overrides: fleet.named("server").map(|server| read_override(server)).collect::<Result<_, _>>()?,
-            grace: GracePeriods::read(part("grace")?)?,
-            channel: ChannelLimits::read(part("channel")?)?,
+            grace: GracePeriods::read(required("grace")?)?,
+            channel: ChannelLimits::read(required("channel")?)?,
             initial_capacity: cold.number("from")?,
             warm_up: cold.duration("warm-after-ms")?,
             overload_multiple: cold.optional_number("multiple")?.unwrap_or(DEFAULT_OVERLOAD_MULTIPLE),
@@ -138,7 +139,7 @@
         })
     }
 
-    /// A zone's factor; 1 for an unknown zone.
+    /// The weight factor of a zone; 1 for an unknown zone.
     pub fn zone_share(&self, zone: &str) -> f64 {
         self.zones.iter().find(|known| known.name == zone).map_or(1.0, |known| known.share)
     }
@@ -154,7 +155,7 @@
     }
 }
 
-/// Reads `<server>`: its name, and the override.
+/// Reads `<server>`: the server's name, and its override.
 fn read_override(element: &Element) -> Result<(String, ServerOverride), InvalidSettings> {
     let reader = LeafReader { element, path: "/fleet/server" };
     let server =
--- a/crates/model/src/listed_server.rs
+++ b/crates/model/src/listed_server.rs
@@ -1,4 +1,4 @@
-//! Servers as discovery lists them: `<server>` in `<roster>`.
+//! Servers in the endpoint list from discovery: `<server>` in `<roster>`.
 
 use crate::fleet::Fleet;
 use crate::leaf_reader::LeafReader;
@@ -7,34 +7,34 @@
 use runloom_netconf::tree::Element;
 use std::net::SocketAddr;
 
-/// A listed server.
+/// A server as the endpoint list describes it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind of machine; may be empty.
+    /// Its kind of machine; empty if not listed.
     pub kind: String,
-    /// Its cell, a group of machines that share something.
+    /// Number of its cell, a group of machines that share something; 0 if not listed.
     pub cell: u64,
-    /// It finishes the requests that it has and takes no more.
+    /// Whether it finishes its current requests and accepts no new ones.
     pub is_draining: bool,
-    /// Its weight.
+    /// Its weight relative to other servers; 1 if not listed.
     pub weight: f64,
-    /// When its process started, in milliseconds since 1970.
+    /// When its process started, in milliseconds since 1970; `None` if not listed.
     pub started_ms: Option<u64>,
 }
 
 impl ListedServer {
-    /// Reads `<server>`: its name, and the server.
+    /// Reads `<server>` into the server's name and its description.
     pub fn read(element: &Element) -> Result<(String, ListedServer), InvalidSettings> {
         let name = element.text_of("name").unwrap_or_default().to_string();
         let path = path_of(&name);
         let reader = LeafReader { element, path: &path };
         let address = reader.text("address").parse();
         let listed = ListedServer {
-            address: address.map_err(|_| reader.invalid("address", "is no address"))?,
+            address: address.map_err(|_| reader.invalid_leaf("address", "is no address"))?,
             zone: reader.text("zone").to_string(),
             kind: reader.text("kind").to_string(),
             cell: reader.optional_number("cell")?.unwrap_or(0.0) as u64,
@@ -45,7 +45,7 @@
         Ok((name, listed))
     }
 
-    /// The `<server>` element.
+    /// Writes the `<server>` element of a server with this name; the counterpart of [`ListedServer::read`].
     pub fn to_element(&self, name: &str) -> Element {
         let mut element = Element::new(FLEET_NAMESPACE, "server")
             .with_leaf("name", name)
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Checks that the server's zone is one of the fleet's.
+    /// Returns an error if the fleet has no zone of the server's zone name.
     pub fn check_zone(&self, name: &str, fleet: &Fleet) -> Result<(), InvalidSettings> {
         if fleet.zones.iter().any(|zone| zone.name == self.zone) {
             return Ok(());
--- a/crates/model/src/planner_settings.rs
+++ b/crates/model/src/planner_settings.rs
@@ -1,4 +1,4 @@
-//! A planner's settings file: `<planner>`.
+//! A planner's settings file (`<planner>`).
 
 use crate::fleet::Fleet;
 use crate::leaf_reader::{required_child, LeafReader};
@@ -12,43 +12,44 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Size limit of the event log in bytes, where the settings have none.
+/// Default size limit of the event log in bytes.
 const DEFAULT_MAX_RECORD_BYTES: u64 = 2 << 30;
-/// Bits of a mebibyte.
+/// A mebibyte is 2 to the power of this in bytes.
 const MEBIBYTE_SHIFT: u32 = 20;
 
 /// A planner's own settings.
 #[derive(Debug, Clone)]
 pub struct PlannerSettings {
-    /// Its name.
+    /// Name of the planner.
     pub name: String,
-    /// Where operators connect.
+    /// Address on which it accepts NETCONF sessions of operators.
     pub operator_address: SocketAddr,
-    /// Where proxies call home (RFC 8071).
+    /// Address on which it accepts call-home connections of proxies (RFC 8071).
     pub call_home_address: SocketAddr,
-    /// Where proxies subscribe to their tables, if they may.
+    /// Address on which proxies subscribe to their tables; `None` disables subscriptions.
     pub subscription_address: Option<SocketAddr>,
-    /// Where metrics are read, if they are.
+    /// Address on which it serves metrics; `None` disables them.
     pub metrics_address: Option<SocketAddr>,
-    /// The folder with its state.
+    /// Its state folder.
     pub state_folder: PathBuf,
-    /// The folder of its event log, if it writes one.
+    /// Folder of its event log; `None` if it writes none.
     pub record_folder: Option<PathBuf>,
     /// Size limit of the event log in bytes.
     pub max_record_bytes: u64,
     /// Its certificates and access rules.
     pub tls: TlsFiles,
-    /// `<fleet>` and `<roster>` at its first start.
+    /// `<fleet>` and `<roster>` as they are at its first start.
     pub initial_data: Arc<Element>,
 }
 
 impl PlannerSettings {
-    /// Reads `<planner>`, which is valid by the schema.
+    /// Reads `<planner>`, which must be valid by the schema.
     pub fn read(planner: &Element) -> Result<PlannerSettings, InvalidSettings> {
         let initial_data = read_initial_data(planner)?;
         let reader = LeafReader { element: planner, path: "/planner" };
-        let address =
-            |name: &str| reader.text(name).parse().map_err(|_| reader.invalid(name, "is no address"));
+        let address = |name: &str| {
+            reader.text(name).parse().map_err(|_| reader.invalid_leaf(name, "is not a valid address"))
+        };
         let optional_address = |name: &str| planner.child(name).map(|_| address(name)).transpose();
         Ok(PlannerSettings {
             name: reader.text("name").to_string(),
@@ -74,7 +75,7 @@
     mebibytes.map_or(DEFAULT_MAX_RECORD_BYTES, |mebibytes| mebibytes << MEBIBYTE_SHIFT)
 }
 
-/// `<fleet>` and `<roster>`, which fit each other.
+/// Reads `<fleet>` and `<roster>`, and checks that each listed server is in a zone of the fleet.
 fn read_initial_data(planner: &Element) -> Result<Element, InvalidSettings> {
     let fleet_element = required_child(planner, "fleet")?;
     let fleet = Fleet::read(fleet_element)?;
--- a/crates/model/src/settings_error.rs
+++ b/crates/model/src/settings_error.rs
@@ -1,10 +1,11 @@
-//! Settings that fit the schema and cannot be used all the same.
+//! Errors in settings that are valid by the schema.
 
-/// What a schema cannot express: a name that stands for nothing, or a limit below another.
+/// A value that the schema allows but that cannot be used, such as an unknown zone, or a deadline below the latency
+/// objective.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidSettings {
-    /// Path of the element.
+    /// Path of the element, such as `/fleet/cold/from`.
     pub path: String,
-    /// Why its value cannot be used.
+    /// Why the value cannot be used, such as `is missing`.
     pub reason: String,
 }
--- a/crates/model/src/traffic_class.rs
+++ b/crates/model/src/traffic_class.rs
@@ -1,31 +1,31 @@
-//! Traffic classes, as a fleet's and a proxy's settings have them.
+//! Traffic classes (`<class>`) in the settings of a fleet or a proxy.
 
 use crate::leaf_reader::LeafReader;
 use crate::settings_error::InvalidSettings;
 use runloom_netconf::tree::Element;
 use std::time::Duration;
 
-/// Whether a request may be executed twice.
+/// Whether a request of a class may be executed twice, and so be retried after it may have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may.
+    /// A repeated execution does no harm.
     Safe,
-    /// Servers recognise it by a key.
+    /// Servers recognise a repeated request by its key. Proxies retry it no more than an unsafe one.
     Keyed,
-    /// It may not.
+    /// A repeated execution may do harm.
     Unsafe,
 }
 
-/// A traffic class.
+/// Settings of a traffic class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassSettings {
     /// Its name.
     pub name: String,
-    /// What one answered request is worth.
+    /// Value of one answered request, relative to other classes.
     pub priority_weight: f64,
-    /// An answer within this time counts in full.
+    /// A response within this time counts in full; above 0.
     pub latency_objective: Duration,
-    /// A later answer counts for nothing.
+    /// A response after this time counts for nothing; at least the latency objective.
     pub deadline: Duration,
     /// Whether a request may be executed twice.
     pub retry_safety: RetrySafety,
@@ -50,7 +50,7 @@
         };
         if class.latency_objective.is_zero() || class.deadline < class.latency_objective {
             let reason = "is under the soft limit, or there is no soft limit";
-            return Err(reader.invalid("outer-limit-ms", reason));
+            return Err(reader.invalid_leaf("outer-limit-ms", reason));
         }
         Ok(class)
     }
