--- a/crates/identity/src/certificate_status.rs
+++ b/crates/identity/src/certificate_status.rs
@@ -53,7 +53,8 @@
         matches!(self.status(now, trust), CertificateStatus::Valid | CertificateStatus::RenewalOverdue)
     }
 
-    /// When to check the status again, in seconds since 1970: at the start of the renewal period, then just after expiry.
+    /// When to check the status again, in seconds since 1970: at the start of the renewal period, then just after
+    /// expiry.
     pub fn next_check(&self, now: i64) -> i64 {
         let renewal_start = self.svid.not_after - self.renewal_period_seconds();
         if now < renewal_start {
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,7 +1,7 @@
 //! SPIFFE identities according to the SPIFFE-ID, X509-SVID and trust bundle standards. Performs no I/O.
 //!
-//! [`id`] parses SPIFFE IDs, [`svid`] reads them from certificates, [`bundle`] holds the certificate authorities of each
-//! trust domain, [`access`] evaluates access rules, [`denial_log`] rate-limits the log of denied access, and
+//! [`id`] parses SPIFFE IDs, [`svid`] reads them from certificates, [`bundle`] holds the certificate authorities of
+//! each trust domain, [`access`] evaluates access rules, [`denial_log`] rate-limits the log of denied access, and
 //! [`certificate_status`] tells whether a certificate in use is still valid.
 
 pub mod access;
--- a/crates/identity/src/svid.rs
+++ b/crates/identity/src/svid.rs
@@ -1,7 +1,7 @@
 //! Certificates that carry a SPIFFE ID (X509-SVID standard, sections 2 to 5).
 //!
-//! TLS verifies that the certificate chains to an authority of the bundle; this module checks what the standard requires
-//! of the leaf certificate in addition.
+//! TLS verifies that the certificate chains to an authority of the bundle; this module checks what the standard
+//! requires of the leaf certificate in addition.
 
 use crate::id::{InvalidId, SpiffeId};
 use x509_parser::extensions::{GeneralName, X509Extension};
@@ -96,8 +96,8 @@
     Ok(id)
 }
 
-/// Section 4.1: a leaf is not a CA. Section 4.3: its key usage allows digital signatures, and signs neither certificates
-/// nor revocation lists.
+/// Section 4.1: a leaf is not a CA. Section 4.3: its key usage, if present, allows digital signatures, and does not
+/// allow it to sign certificates or revocation lists.
 fn check_key_usage(certificate: &X509Certificate) -> Result<(), InvalidSvid> {
     if certificate.basic_constraints()?.is_some_and(|constraints| constraints.value.ca) {
         return Err(InvalidSvid::MaySign);
--- a/crates/model/src/published_value.rs
+++ b/crates/model/src/published_value.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Parses what [`format_admission_limit`] wrote; `None` unless the rate is finite and not negative, and the retry policy
-/// is known.
+/// Parses what [`format_admission_limit`] wrote; `None` unless the rate is finite and not negative, and the retry
+/// policy is known.
 pub fn parse_admission_limit(text: &str) -> Option<AdmissionLimit> {
     let (rate, retry_policy) = text.split_once(' ')?;
     let rate = match rate {
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -95,8 +95,8 @@
         report
     }
 
-    /// Reads a `<report>`; `None` for another element, or without a valid `<span-ms>`. Malformed outcomes and arrivals are
-    /// skipped.
+    /// Reads a `<report>`; `None` for another element, or without a valid `<span-ms>`. Malformed outcomes and
+    /// arrivals are skipped.
     pub fn read(element: &Element) -> Option<Report> {
         if !element.is(PROXY_NAMESPACE, "report") {
             return None;
@@ -147,8 +147,8 @@
 }
 
 impl ClassOutcomes {
-    /// Writes class, attempts, attempts within the objective, and each latency bucket as `bucket:count`. One leaf instead
-    /// of four keeps reports small, since each report has many.
+    /// Writes class, attempts, attempts within the objective, and each latency bucket as `bucket:count`. One leaf
+    /// instead of four keeps reports small, since each report has many.
     fn to_text(&self) -> String {
         let mut text = format!("{} {} {}", self.class, self.attempts, self.within_objective);
         for (bucket, count) in &self.latencies {
