--- a/crates/adapter/src/batch.rs
+++ b/crates/adapter/src/batch.rs
@@ -1,23 +1,23 @@
-//! The protocol of batches: events between a start and an end, and one reply to each batch.
+//! The batch protocol: each batch is a start line, events and an end line, and gets one reply.
 
-use crate::host::Host;
+use crate::host::PlannerHost;
 use crate::wire::{BatchStart, Input, Output};
 use std::fmt;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::time::{Duration, TryFromFloatSecsError};
 
-/// Why the adapter ended. Lines are counted from 1.
+/// Why the adapter stopped. Line numbers start at 1.
 #[derive(Debug)]
 pub enum AdapterError {
-    /// A line could not be read.
+    /// A line of input could not be read.
     Read { line: usize, source: io::Error },
-    /// A line is no valid event.
+    /// A line is not a valid event.
     Malformed { line: usize, source: serde_json::Error },
-    /// A batch starts at a time that cannot be represented.
+    /// The time of a batch is negative, not finite or too large.
     InvalidClock { line: usize, source: TryFromFloatSecsError },
-    /// A batch starts before the last one has ended.
+    /// A batch starts before the previous one has ended.
     NestedBatch { line: usize },
-    /// An event came before the start of a batch.
+    /// An event or the end of a batch came outside a batch.
     OutsideBatch { line: usize },
     /// A reply could not be written.
     Reply(io::Error),
@@ -35,15 +35,15 @@
                 write!(formatter, "line {line}: malformed: {source}")
             }
             AdapterError::InvalidClock { line, source } => {
-                write!(formatter, "line {line}: the clock is no time: {source}")
+                write!(formatter, "line {line}: invalid clock value: {source}")
             }
             AdapterError::NestedBatch { line } => {
-                write!(formatter, "line {line}: a batch begins inside a batch")
+                write!(formatter, "line {line}: a batch starts before the previous one has ended")
             }
             AdapterError::OutsideBatch { line } => {
-                write!(formatter, "line {line}: an event outside a batch")
+                write!(formatter, "line {line}: event outside a batch")
             }
-            AdapterError::Reply(source) => write!(formatter, "cannot reply: {source}"),
+            AdapterError::Reply(source) => write!(formatter, "cannot write the reply: {source}"),
             AdapterError::UnfinishedBatch => formatter.write_str("the input ends inside a batch"),
         }
     }
@@ -51,9 +51,9 @@
 
 impl std::error::Error for AdapterError {}
 
-/// Answers batches until the input ends.
+/// Reads batches and writes a reply to each, until the input ends.
 pub fn run(input: impl BufRead, output: impl Write) -> Result<(), AdapterError> {
-    let mut session = Session { host: Host::default(), clock: None, output: BufWriter::new(output) };
+    let mut session = Session { host: PlannerHost::default(), clock: None, output: BufWriter::new(output) };
     for (index, line) in input.lines().enumerate() {
         let number = index + 1;
         let line = line.map_err(|source| AdapterError::Read { line: number, source })?;
@@ -68,7 +68,7 @@
 }
 
 struct Session<W: Write> {
-    host: Host,
+    host: PlannerHost,
     /// The time of the current batch; `None` between batches.
     clock: Option<Duration>,
     output: BufWriter<W>,
@@ -84,7 +84,7 @@
             (_, None) => return Err(AdapterError::OutsideBatch { line }),
             (Input::BatchEnd, Some(now)) => self.end_batch(now)?,
             (Input::Unknown, Some(_)) => {
-                eprintln!("runloom-adapter: line {line}: ignored an unknown kind of event");
+                eprintln!("runloom-adapter: line {line}: ignored an event of an unknown kind");
             }
             (event, Some(_)) => self.host.handle(event),
         }
--- a/crates/adapter/src/batch/tests.rs
+++ b/crates/adapter/src/batch/tests.rs
@@ -1,4 +1,4 @@
-//! Batches that are complete, unfinished and malformed.
+//! Complete, unfinished and malformed batches.
 
 use super::run;
 
--- a/crates/adapter/src/host/tests.rs
+++ b/crates/adapter/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! Events for planners that run and that do not.
+//! Events for planners that are running, and for planners that are not.
 
 use super::*;
 
@@ -6,14 +6,14 @@
     serde_json::from_str(line).expect("a valid line")
 }
 
-fn host_with_planner_3() -> Host {
-    let mut host = Host::default();
+fn host_with_planner_3() -> PlannerHost {
+    let mut host = PlannerHost::default();
     host.handle(parse(r#"{"verb":"HELLO","planner":3,"rngSeed":5,"facts":{"classes":[{"name":"a"}]}}"#));
     host
 }
 
 #[test]
-fn an_event_for_a_planner_that_does_not_run_is_never_answered() {
+fn an_event_for_a_planner_that_is_not_running_gets_no_reply() {
     let mut host = host_with_planner_3();
     host.handle(parse(r#"{"verb":"TIMER","planner":4,"token":1}"#));
     let reply = serde_json::to_string(&host.reply(Duration::ZERO)).unwrap();
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! Translation between the wire and the controller: events in, commands out.
+//! Translates the simulator's events for the controller, and the controller's commands for the simulator.
 
 use crate::wire::{self, Input, Output, Recipient};
 use runloom_controller::{
@@ -6,10 +6,10 @@
 };
 use std::time::Duration;
 
-/// The weight of an endpoint or of a stored entry for which the wire gives none.
+/// The weight of an endpoint or stored entry that comes without one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One planner's names and the indices that its controller knows them by.
+/// Maps the names that one planner has seen to the indices that its controller uses.
 #[derive(Debug)]
 pub struct Translator {
     servers: IdMap<u64>,
@@ -17,12 +17,12 @@
     zones: IdMap<String>,
     kinds: IdMap<String>,
     classes: IdMap<String>,
-    /// How the wire writes "admit all".
+    /// The admission rate that means no limit on the wire.
     unlimited_rate: f64,
 }
 
 impl Translator {
-    /// A translator that knows the zones and classes of the settings.
+    /// A translator that knows the zones and classes of the settings, and no servers, proxies and kinds yet.
     pub fn new(zones: IdMap<String>, classes: IdMap<String>, unlimited_rate: f64) -> Translator {
         Translator {
             servers: IdMap::default(),
@@ -34,8 +34,8 @@
         }
     }
 
-    /// The controller's form of an event; `None` for one of an unknown class, or a line that is no event of a planner
-    /// that runs.
+    /// Translates an event; `None` if its class is unknown, or if it is not an event for a running planner's
+    /// controller.
     pub fn event(&mut self, input: Input) -> Option<Event> {
         Some(match input {
             Input::EndpointList(list) => self.endpoints_listed(list),
@@ -70,24 +70,24 @@
             wire::ListSource::Cached => EndpointUpdate::Cached,
             wire::ListSource::Failed => EndpointUpdate::WatchFailed,
         };
-        let hosts = list.hosts.unwrap_or_default();
-        let records = hosts.into_iter().map(|host| self.endpoint_record(host)).collect();
+        let endpoints = list.hosts.unwrap_or_default();
+        let records = endpoints.into_iter().map(|endpoint| self.endpoint_record(endpoint)).collect();
         Event::EndpointsListed { update, records }
     }
 
-    fn endpoint_record(&mut self, host: wire::Host) -> EndpointRecord {
+    fn endpoint_record(&mut self, endpoint: wire::ListedEndpoint) -> EndpointRecord {
         EndpointRecord {
-            server: self.servers.index(host.server),
-            zone: self.zones.index(host.zone.unwrap_or_default()),
-            kind: self.kinds.index(host.kind.unwrap_or_default()),
-            cell: host.cell.unwrap_or(0),
-            state: match host.state {
-                Some(wire::HostState::Draining) => ListedState::Draining,
-                Some(wire::HostState::Removed) => ListedState::Removed,
-                Some(wire::HostState::Ready) | None => ListedState::Ready,
+            server: self.servers.index(endpoint.server),
+            zone: self.zones.index(endpoint.zone.unwrap_or_default()),
+            kind: self.kinds.index(endpoint.kind.unwrap_or_default()),
+            cell: endpoint.cell.unwrap_or(0),
+            state: match endpoint.state {
+                Some(wire::EndpointState::Draining) => ListedState::Draining,
+                Some(wire::EndpointState::Removed) => ListedState::Removed,
+                Some(wire::EndpointState::Ready) | None => ListedState::Ready,
             },
-            weight: host.weight.unwrap_or(DEFAULT_WEIGHT),
-            started: host.started_seconds.filter(|seconds| *seconds > 0.0).map(duration),
+            weight: endpoint.weight.unwrap_or(DEFAULT_WEIGHT),
+            started: endpoint.started_seconds.filter(|seconds| *seconds > 0.0).map(duration),
         }
     }
 
@@ -164,8 +164,8 @@
         }
     }
 
-    /// The wire's form of a command; `None` where it names something that the wire has not named before, or a class that
-    /// the wire's masks have no bit for.
+    /// Translates a command; `None` if it refers to a server or proxy that no event has named, or to a class beyond
+    /// the 64 bits of a class mask.
     pub fn command(&self, planner: u64, command: Command) -> Option<Output> {
         Some(match command {
             Command::SetEntry { table, server, weight } => {
@@ -217,7 +217,7 @@
     Event::PeerMessage { peer: message.sender as usize, bytes: decode_hex(payload) }
 }
 
-/// A duration of the wire; one that cannot be represented is zero.
+/// A duration in seconds; one that is negative, not finite or too large is zero.
 fn duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
@@ -226,12 +226,12 @@
     seconds.map(duration).unwrap_or_default()
 }
 
-/// A load report in which a missing value is NaN.
+/// The values of a load report, with NaN for a missing one; empty without a report.
 fn load_report(values: Option<Vec<Option<f64>>>) -> Vec<f64> {
     values.unwrap_or_default().into_iter().map(|value| value.unwrap_or(f64::NAN)).collect()
 }
 
-/// Bytes from pairs of hexadecimal digits; other characters are skipped.
+/// Bytes from pairs of hexadecimal digits. Other characters and an odd last digit are ignored.
 fn decode_hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.chars().filter_map(|c| c.to_digit(16)).map(|digit| digit as u8).collect();
     digits.chunks_exact(2).map(|pair| pair[0] * 16 + pair[1]).collect()
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire format as serde types: the only module that knows its words.
+//! The simulator's wire format as serde types. No other module uses its keywords.
 
 use runloom_controller::RetryPolicy;
 use serde::{Deserialize, Serialize, Serializer};
@@ -8,43 +8,43 @@
 #[derive(Debug, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Input {
-    /// A batch of events begins.
+    /// Starts a batch of events.
     #[serde(rename = "FRAME")]
     BatchStart(BatchStart),
-    /// The batch is complete and is to be answered.
+    /// Ends a batch, and requests the reply.
     #[serde(rename = "COMMIT")]
     BatchEnd,
-    /// A planner starts, or starts over.
+    /// Starts a planner, or restarts it without its state.
     #[serde(rename = "HELLO")]
     PlannerStarted(PlannerStarted),
-    /// A planner ends.
+    /// Stops a planner.
     #[serde(rename = "TEARDOWN")]
     PlannerStopped { planner: u64 },
-    /// An endpoint list.
+    /// The endpoint list, or a change of it.
     #[serde(rename = "DISCOVERY")]
     EndpointList(EndpointList),
-    /// Arrivals at a proxy.
+    /// Requests of one class that arrived at a proxy.
     #[serde(rename = "TRAFFIC")]
     Arrivals(Arrivals),
-    /// Arrivals for a slice.
+    /// Requests of one class that arrived for a slice.
     #[serde(rename = "SLICE_LOAD")]
     SliceArrivals(SliceArrivals),
-    /// A message of another planner.
+    /// A message from another planner.
     #[serde(rename = "PEER")]
     PeerMessage(PeerMessage),
     /// A timer fired.
     #[serde(rename = "TIMER")]
     TimerFired { planner: u64, token: u64 },
-    /// A proxy applied an update.
+    /// A proxy applied the update with an ack token, and all updates before it.
     #[serde(rename = "TOOK_EFFECT")]
     UpdateAcknowledged(UpdateAcknowledged),
-    /// An entry of the shared store.
+    /// An entry of a slice's table in the shared store.
     #[serde(rename = "STORED_LINE")]
     StoredEntry(StoredEntry),
     /// A health check ended.
     #[serde(rename = "ECHO")]
     HealthChecked(HealthChecked),
-    /// A slice was given to the planner, or taken from it.
+    /// A slice was assigned to the planner, or withdrawn from it.
     #[serde(rename = "GIVEN")]
     SliceOwnership(SliceOwnership),
     /// A proxy disconnected.
@@ -54,7 +54,7 @@
         #[serde(rename = "edge")]
         proxy: u32,
     },
-    /// Outcomes of a zone's attempts at an endpoint.
+    /// Outcomes of attempts from a zone at an endpoint.
     #[serde(rename = "ROUNDUP")]
     OutcomeReport(OutcomeReport),
     /// A proxy connected.
@@ -66,7 +66,7 @@
 }
 
 impl Input {
-    /// The planner that an event is for.
+    /// The planner that the event is for; `None` if it concerns the whole batch, or is unknown.
     pub fn planner(&self) -> Option<u64> {
         Some(match self {
             Input::BatchStart(_) | Input::BatchEnd | Input::Unknown => return None,
@@ -88,14 +88,14 @@
     }
 }
 
-/// The start of a batch.
+/// Fields of [`Input::BatchStart`]; the clock is the time of all events of the batch.
 #[derive(Debug, Deserialize)]
 pub struct BatchStart {
     #[serde(rename = "clockS")]
     pub clock_seconds: f64,
 }
 
-/// The start of a planner.
+/// Fields of [`Input::PlannerStarted`].
 #[derive(Debug, Deserialize)]
 pub struct PlannerStarted {
     pub planner: u64,
@@ -105,16 +105,16 @@
     pub settings: Option<Value>,
 }
 
-/// An endpoint list.
+/// Fields of [`Input::EndpointList`].
 #[derive(Debug, Deserialize)]
 pub struct EndpointList {
     pub planner: u64,
     #[serde(rename = "how")]
     pub source: ListSource,
-    pub hosts: Option<Vec<Host>>,
+    pub hosts: Option<Vec<ListedEndpoint>>,
 }
 
-/// How an endpoint list was obtained.
+/// How an endpoint list was obtained; an unknown keyword counts as a failure.
 #[derive(Debug, Deserialize)]
 pub enum ListSource {
     #[serde(rename = "Partial")]
@@ -127,9 +127,9 @@
     Failed,
 }
 
-/// One entry of an endpoint list.
+/// One entry of an endpoint list; a field that is missing was not listed.
 #[derive(Debug, Deserialize)]
-pub struct Host {
+pub struct ListedEndpoint {
     pub server: u64,
     #[serde(rename = "az")]
     pub zone: Option<String>,
@@ -138,16 +138,16 @@
     #[serde(rename = "group")]
     pub cell: Option<u64>,
     #[serde(rename = "mode")]
-    pub state: Option<HostState>,
+    pub state: Option<EndpointState>,
     #[serde(rename = "share")]
     pub weight: Option<f64>,
     #[serde(rename = "lastStartS")]
     pub started_seconds: Option<f64>,
 }
 
-/// What a list says of an endpoint.
+/// State of an endpoint in the list; an unknown keyword means ready.
 #[derive(Debug, Deserialize)]
-pub enum HostState {
+pub enum EndpointState {
     #[serde(rename = "DRAINING")]
     Draining,
     #[serde(rename = "DELETED")]
@@ -156,7 +156,7 @@
     Ready,
 }
 
-/// Arrivals at a proxy.
+/// Fields of [`Input::Arrivals`].
 #[derive(Debug, Deserialize)]
 pub struct Arrivals {
     pub planner: u64,
@@ -172,7 +172,7 @@
     pub unanswered: Option<u64>,
 }
 
-/// Arrivals for a slice.
+/// Fields of [`Input::SliceArrivals`]; `table` is the slice's table.
 #[derive(Debug, Deserialize)]
 pub struct SliceArrivals {
     pub planner: u64,
@@ -187,16 +187,16 @@
     pub unanswered: Option<u64>,
 }
 
-/// A message of another planner.
+/// Fields of [`Input::PeerMessage`].
 #[derive(Debug, Deserialize)]
 pub struct PeerMessage {
     pub planner: u64,
     pub sender: u64,
-    /// Hexadecimal digits.
+    /// Bytes as hexadecimal digits.
     pub payload: Option<String>,
 }
 
-/// A proxy applied an update.
+/// Fields of [`Input::UpdateAcknowledged`].
 #[derive(Debug, Deserialize)]
 pub struct UpdateAcknowledged {
     pub planner: u64,
@@ -208,7 +208,7 @@
     pub elapsed_seconds: Option<f64>,
 }
 
-/// An entry of the shared store.
+/// Fields of [`Input::StoredEntry`].
 #[derive(Debug, Deserialize)]
 pub struct StoredEntry {
     pub planner: u64,
@@ -218,7 +218,7 @@
     pub weight: Option<f64>,
 }
 
-/// The end of a health check.
+/// Fields of [`Input::HealthChecked`].
 #[derive(Debug, Deserialize)]
 pub struct HealthChecked {
     pub planner: u64,
@@ -231,7 +231,7 @@
     pub load: Option<Vec<Option<f64>>>,
 }
 
-/// What came of a health check.
+/// Result of a health check; an unknown keyword is inconclusive.
 #[derive(Debug, Deserialize)]
 pub enum HealthCheckResult {
     #[serde(rename = "served")]
@@ -248,7 +248,7 @@
     Inconclusive,
 }
 
-/// A slice was given to the planner, or taken from it.
+/// Fields of [`Input::SliceOwnership`]; `table` is the slice's table.
 #[derive(Debug, Deserialize)]
 pub struct SliceOwnership {
     pub planner: u64,
@@ -257,7 +257,7 @@
     pub is_owned: Option<bool>,
 }
 
-/// Outcomes of a zone's attempts at an endpoint.
+/// Fields of [`Input::OutcomeReport`].
 #[derive(Debug, Deserialize)]
 pub struct OutcomeReport {
     pub planner: u64,
@@ -276,7 +276,7 @@
     pub load: Option<Vec<Option<f64>>>,
 }
 
-/// A proxy connected.
+/// Fields of [`Input::ProxyConnected`].
 #[derive(Debug, Deserialize)]
 pub struct ProxyConnected {
     pub planner: u64,
@@ -307,10 +307,10 @@
     SendToPeer {
         planner: u64,
         recipient: Recipient,
-        /// Hexadecimal digits.
+        /// Bytes as hexadecimal digits.
         payload: String,
     },
-    /// Asks proxies for an acknowledgement.
+    /// Asks proxies to acknowledge the update; with `all_proxies`, also those that it does not change.
     #[serde(rename = "FENCE_POST")]
     RequestAck {
         planner: u64,
@@ -326,7 +326,7 @@
         #[serde(rename = "reasonText")]
         reason: String,
     },
-    /// Sets an entry of a table.
+    /// Sets the weight of an endpoint in a table; 0 removes the endpoint.
     #[serde(rename = "ENDPOINT")]
     SetEntry {
         planner: u64,
@@ -335,7 +335,7 @@
         #[serde(rename = "share")]
         weight: f64,
     },
-    /// Clears a table.
+    /// Removes all entries of a table.
     #[serde(rename = "TRUNCATE")]
     ClearTable { planner: u64, table: u16 },
     /// Fetches the endpoint list.
@@ -344,7 +344,7 @@
     /// Checks an endpoint's health.
     #[serde(rename = "HEALTH_CHECK")]
     CheckHealth { planner: u64, server: u64 },
-    /// Assigns a table to a proxy.
+    /// Assigns a table to a proxy for the classes of a bit mask.
     #[serde(rename = "ATTACH_TABLE")]
     AssignTable {
         planner: u64,
@@ -354,7 +354,7 @@
         #[serde(rename = "classBits")]
         class_mask: u64,
     },
-    /// Sets a timer.
+    /// Sets a timer that fires as [`Input::TimerFired`].
     #[serde(rename = "WAKE_ME")]
     SetTimer {
         planner: u64,
@@ -369,14 +369,14 @@
         #[serde(rename = "reasonText")]
         text: String,
     },
-    /// Starts or ends the watch of the endpoint list.
+    /// Starts or stops the watch of the endpoint list.
     #[serde(rename = "LISTEN")]
     WatchEndpoints {
         planner: u64,
         #[serde(rename = "set")]
         enabled: bool,
     },
-    /// Sets the admission of a class.
+    /// Sets the admission rate and retry policy of a class in a table.
     #[serde(rename = "THROTTLE")]
     SetAdmission {
         planner: u64,
@@ -385,7 +385,7 @@
         class_mask: u64,
         #[serde(rename = "allowance")]
         admission_rate: f64,
-        #[serde(rename = "retryMode", serialize_with = "retry_mode")]
+        #[serde(rename = "retryMode", serialize_with = "serialize_retry_policy")]
         retry_policy: RetryPolicy,
     },
     /// The reply is complete.
@@ -393,12 +393,12 @@
     EndOfReply,
 }
 
-/// Who gets a message of a planner.
+/// Recipient of a message from a planner.
 #[derive(Debug)]
 pub enum Recipient {
-    /// One planner.
+    /// One other planner.
     Planner(usize),
-    /// All other planners.
+    /// All other planners, written `*`.
     All,
 }
 
@@ -411,7 +411,7 @@
     }
 }
 
-fn retry_mode<S: Serializer>(policy: &RetryPolicy, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_retry_policy<S: Serializer>(policy: &RetryPolicy, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_u8(match policy {
         RetryPolicy::Never => 0,
         RetryPolicy::IfNotExecuted => 1,
