--- a/crates/daemon/src/tls_credentials/verifier.rs
+++ b/crates/daemon/src/tls_credentials/verifier.rs
@@ -58,7 +58,7 @@
 
     /// The authorities that may have issued a certificate: those of its identity's trust domain; with DNS names, all.
     pub(super) fn authorities_for(&self, certificate: &[u8]) -> Result<Authorities, rustls::Error> {
-        let domain = if self.files.uses_identities() {
+        let domain = if self.files.uses_spiffe_ids() {
             let svid = svid::parse(certificate).map_err(|error| rustls::Error::General(error.to_string()))?;
             Some(svid.id.trust_domain().clone())
         } else {
@@ -124,7 +124,7 @@
             self.provider.signature_verification_algorithms.all,
         )?;
         // A certificate with a SPIFFE identity has no other name; the access rules decide on the identity.
-        if !self.files.uses_identities() {
+        if !self.files.uses_spiffe_ids() {
             verify_server_name(&parsed, name)?;
         }
         Ok(ServerCertVerified::assertion())
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -2,7 +2,7 @@
 use crate::schema::SchemaValidator;
 use crate::schema_derivation::derive_schema;
 use crate::table_update::{AdmissionLimit, EntryEdit, TableEdit, UpdateMessage};
-use crate::{Schema, FLEET, FLEET_XSD, PROXY_XSD, YANG};
+use crate::{Schema, FLEET_NAMESPACE, FLEET_XSD, PROXY_XSD, YANG_MODULES};
 use runloom_controller::RetryPolicy;
 use runloom_netconf::edit::{apply, ErrorOption, Operation};
 use runloom_netconf::schema::NodeKind;
@@ -20,8 +20,8 @@
 
 #[test]
 fn every_node_of_the_xsd_is_in_the_yang_module() {
-    let fleet = (FLEET_XSD, &["fleet", "roster"][..], YANG[0].2);
-    let proxy = (PROXY_XSD, &["tables"][..], YANG[1].2);
+    let fleet = (FLEET_XSD, &["fleet", "roster"][..], YANG_MODULES[0].2);
+    let proxy = (PROXY_XSD, &["tables"][..], YANG_MODULES[1].2);
     for (xsd, top_elements, yang) in [fleet, proxy] {
         let mut names = Vec::new();
         for schema in derive_schema(xsd, top_elements).unwrap() {
@@ -29,26 +29,26 @@
         }
         assert!(names.len() > 10);
         let statements = ["container", "list", "leaf", "leaf-list"];
-        let is_in_yang = |name: &String| {
+        let is_in_yang_module = |name: &String| {
             statements.iter().any(|statement| yang.contains(&format!("{statement} {name} {{")))
         };
-        let missing: Vec<&String> = names.iter().filter(|name| !is_in_yang(name)).collect();
+        let missing: Vec<&String> = names.iter().filter(|name| !is_in_yang_module(name)).collect();
         assert_eq!(missing, Vec::<&String>::new());
     }
 }
 
 #[test]
-fn keys_and_leaf_lists_are_derived() {
+fn list_keys_and_leaf_lists_are_derived_from_the_xsd() {
     let fleet = &derive_schema(FLEET_XSD, &["fleet"]).unwrap()[0];
-    assert_eq!(fleet.child(FLEET, "zone").unwrap().kind, NodeKind::List(vec!["name".into()]));
-    let load = fleet.child(FLEET, "list").unwrap().child(FLEET, "load").unwrap();
+    assert_eq!(fleet.child(FLEET_NAMESPACE, "zone").unwrap().kind, NodeKind::List(vec!["name".into()]));
+    let load = fleet.child(FLEET_NAMESPACE, "list").unwrap().child(FLEET_NAMESPACE, "load").unwrap();
     assert_eq!(load.kind, NodeKind::LeafList);
 }
 
 #[test]
 fn a_violation_names_line_element_and_reason() {
     let validator = SchemaValidator::new(FLEET_XSD).unwrap();
-    // Given a value of another type.
+    // Given a value of the wrong type.
     let text =
         "<roster xmlns='urn:runloom:fleet'>\n <server>\n  <name>s1</name>\n  <address>nowhere</address>\n\
         <zone>a</zone><mode>ready</mode></server></roster>";
