--- a/crates/testbed/src/benchmarks/end_to_end.rs
+++ b/crates/testbed/src/benchmarks/end_to_end.rs
@@ -38,7 +38,7 @@
 
 fn measure_with_clients(size: &str, scenario: Scenario, folder: &Path, program: &Path) -> BenchmarkResult {
     let seconds = scenario.duration.as_secs_f64();
-    let outcome = Testbed::new(scenario, SEED, folder, program, &[])?.play()?;
+    let outcome = Testbed::new(scenario, SEED, folder, program, &[])?.run()?;
     print_path_figures(size, seconds, &outcome)?;
     print_figure(&format!("{size}.queries"), outcome.requests as f64, "queries");
     print_figure(&format!("{size}.service"), outcome.service, "of_1");
@@ -49,6 +49,6 @@
     let seconds = scenario.duration.as_secs_f64();
     let mut testbed = Testbed::new(scenario, SEED, folder, program, &[])?;
     testbed.set_synthetic_request_rate(SYNTHETIC_REQUEST_RATE);
-    let outcome = testbed.play()?;
+    let outcome = testbed.run()?;
     print_path_figures(size, seconds, &outcome)
 }
--- a/crates/testbed/src/benchmarks/estimate_accuracy.rs
+++ b/crates/testbed/src/benchmarks/estimate_accuracy.rs
@@ -2,7 +2,7 @@
 //! the event log of the first says of the second is compared with what the second came to over the same time.
 
 use super::BenchmarkResult;
-use crate::scenario::SHIPPED;
+use crate::scenario::BUNDLED_SCENARIOS;
 use runloom_event_log::{read_run, Entry, RecordedEvent};
 use runloom_replay::what_if::{compare, WhatIfSettings};
 use std::path::{Path, PathBuf};
@@ -163,7 +163,7 @@
 fn write_scenarios(folder: &Path) -> Result<Vec<PathBuf>, String> {
     let mut files = vec![];
     for name in SCENARIOS {
-        let text = SHIPPED.iter().find(|(known, _)| *known == name).map_or("", |(_, text)| text);
+        let text = BUNDLED_SCENARIOS.iter().find(|(known, _)| *known == name).map_or("", |(_, text)| text);
         let lines: Vec<&str> = text.lines().filter(|line| !line.contains("planner-kill")).collect();
         let file = folder.join(format!("{name}.xml"));
         std::fs::write(&file, lines.join("\n")).map_err(|e| e.to_string())?;
--- a/crates/testbed/src/benchmarks/fixtures.rs
+++ b/crates/testbed/src/benchmarks/fixtures.rs
@@ -38,7 +38,7 @@
         drain_grace_period: milliseconds(2500),
         empty_table_grace_period: milliseconds(3000),
         feed_delay: milliseconds(500),
-        only_drains_bind: false,
+        only_draining_binds: false,
         selection: "less-busy".into(),
         admission: "none".into(),
         entries_per_second: 20_000,
--- a/crates/testbed/src/benchmarks/identity.rs
+++ b/crates/testbed/src/benchmarks/identity.rs
@@ -70,7 +70,7 @@
     let place = folder.join(format!("identity-{name}"));
     let mut testbed = Testbed::new(scenario, SEED, &place, program, &[])?;
     testbed.set_synthetic_request_rate(proxies as f64 * REQUESTS_PER_PROXY);
-    let outcome = testbed.play()?;
+    let outcome = testbed.run()?;
     for (number, generation) in testbed.stream_generations().iter().filter(|(number, _)| **number > 1) {
         let figure = format!("{name}.streams_{number}");
         print_figure(&figure, generation.proxy_count as f64, "forwarders");
--- a/crates/testbed/src/benchmarks/restart.rs
+++ b/crates/testbed/src/benchmarks/restart.rs
@@ -126,7 +126,7 @@
     let place = folder.join(format!("{}-{seed}", case.name));
     let mut testbed = Testbed::new(scenario(), seed, &place, program, &[])?;
     testbed.set_before_restart(case.prepare);
-    let outcome = testbed.play()?;
+    let outcome = testbed.run()?;
     let restart = testbed.restart();
     Ok(RestartRun {
         requests_to_failing_servers: restart.requests_to_failing_servers,
--- a/crates/testbed/src/benchmarks/safety_guard.rs
+++ b/crates/testbed/src/benchmarks/safety_guard.rs
@@ -164,7 +164,7 @@
     if !is_guarded {
         arguments.push("--unguarded");
     }
-    let outcome = Testbed::new(corrupted_scenario(), CORRUPTED_SEED, folder, program, &arguments)?.play()?;
+    let outcome = Testbed::new(corrupted_scenario(), CORRUPTED_SEED, folder, program, &arguments)?.run()?;
     let mut violations = outcome.violations;
     // A rule counts once, however many proxies it was broken at.
     violations.sort();
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -346,7 +346,7 @@
         let mut testbed = Testbed::new(scenario, SEED, &place, program, &[])?;
         testbed.set_synthetic_request_rate(SYNTHETIC_REQUEST_RATE);
         testbed.set_slow_reader_share(share);
-        let outcome = testbed.play()?;
+        let outcome = testbed.run()?;
         let size = format!("592x544.pubsub.slow_{:.0}%", share * 100.0);
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99), ("max", 1.0)] {
             let lag_ms = quantile_ms(testbed.update_lag_us(), quantile);
@@ -366,7 +366,7 @@
         let place = folder.join(format!("storm-{name}"));
         let mut testbed = Testbed::new(scenario, SEED, &place, program, &[])?;
         testbed.set_synthetic_request_rate(SYNTHETIC_REQUEST_RATE);
-        let outcome = testbed.play()?;
+        let outcome = testbed.run()?;
         let restart = testbed.restart();
         let recovery_time = restart.recovery_time.ok_or("not all proxies got their tables again")?;
         print_figure(&format!("592x544.{name}.back_to_all_told"), milliseconds(recovery_time), "ms");
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -230,7 +230,7 @@
     let edit_count = run.scenario.edits.len() * run.scenario.planner_count;
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let outcome = Testbed::new(run.scenario, run.seed, folder, &program, &arguments)
-        .and_then(|mut testbed| testbed.play());
+        .and_then(|mut testbed| testbed.run());
     if run.keep.is_none() {
         let _ = std::fs::remove_dir_all(&temporary);
     }
@@ -322,8 +322,8 @@
 }
 
 fn print_edit(edit: &EditOutcome) {
-    let since_sent = |at: Duration| format!("{:.0} ms", at.saturating_sub(edit.sent).as_secs_f64() * 1e3);
-    let accepted = edit.accepted.map_or("-".into(), since_sent);
+    let since_sent = |at: Duration| format!("{:.0} ms", at.saturating_sub(edit.sent_at).as_secs_f64() * 1e3);
+    let accepted = edit.accepted_at.map_or("-".into(), since_sent);
     let in_force = edit.in_force_ms.map_or("-".into(), |ms| format!("{ms} ms"));
     let rejection = edit.rejection.as_deref().unwrap_or("");
     println!(
--- a/crates/testbed/src/management_clients.rs
+++ b/crates/testbed/src/management_clients.rs
@@ -70,9 +70,9 @@
     /// The edit's id.
     pub id: String,
     /// When it was first sent.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// When the planner accepted it.
-    pub accepted: Option<Duration>,
+    pub accepted_at: Option<Duration>,
     /// All proxies applied it.
     pub is_in_force: bool,
     /// Milliseconds from acceptance until it was in force, as the planner states them.
@@ -84,11 +84,11 @@
 }
 
 impl EditOutcome {
-    fn new(id: &str, sent: Duration) -> EditOutcome {
+    fn new(id: &str, sent_at: Duration) -> EditOutcome {
         EditOutcome {
             id: id.to_string(),
-            sent,
-            accepted: None,
+            sent_at,
+            accepted_at: None,
             is_in_force: false,
             in_force_ms: None,
             attempts: 0,
@@ -108,7 +108,7 @@
     notifications: Mutex<Vec<Notification>>,
     edit_outcomes: Mutex<Vec<EditOutcome>>,
     /// The feed sends nothing.
-    pub is_feed_cut: AtomicBool,
+    pub is_feed_suspended: AtomicBool,
     /// All clients end.
     pub is_finished: AtomicBool,
 }
@@ -189,7 +189,7 @@
     let mut sent: Option<ServerList> = None;
     while !planner.state.is_finished() {
         std::thread::sleep(FEED_INTERVAL);
-        if planner.state.is_feed_cut.load(Ordering::Relaxed) {
+        if planner.state.is_feed_suspended.load(Ordering::Relaxed) {
             continue;
         }
         let Some(list) = planner.state.list_at(planner.epoch.elapsed()) else { continue };
@@ -286,7 +286,7 @@
     outcome: &mut EditOutcome,
 ) -> Result<(), ClientError> {
     let mut client = planner.connect()?;
-    if outcome.accepted.is_none() {
+    if outcome.accepted_at.is_none() {
         send_edit(planner, edit, &mut client, outcome)?;
     }
     while !outcome.is_in_force && !planner.state.is_finished() {
@@ -310,7 +310,7 @@
     }
     client.call(operation, Some(&edit.id))?;
     let at = planner.epoch.elapsed();
-    outcome.accepted = Some(at);
+    outcome.accepted_at = Some(at);
     if let Some((server, is_draining)) = &edit.drain {
         lock(&planner.state.notifications).push(Notification {
             at,
--- a/crates/testbed/src/rule_checker.rs
+++ b/crates/testbed/src/rule_checker.rs
@@ -75,7 +75,7 @@
 
 /// What was observed over a scenario. Times count from its start.
 #[derive(Debug, Clone, Default)]
-pub struct Evidence {
+pub struct Observations {
     /// Observations of proxies, in order of time.
     pub proxies: Vec<ProxyObservation>,
     /// Requests at servers.
@@ -102,7 +102,7 @@
     /// Proxies may send to a draining server for this time.
     pub drain_grace_period: Duration,
     /// A removal from the endpoint list obliges nobody.
-    pub only_drains_bind: bool,
+    pub only_draining_binds: bool,
     /// Table entries that may wait at a planner.
     pub max_queued_entries: u64,
     /// Messages to one proxy within ten seconds; `None` for no limit.
@@ -111,24 +111,24 @@
 
 /// Returns all violations, one sentence each.
 #[must_use]
-pub fn find_violations(evidence: &Evidence, limits: &RuleLimits) -> Vec<String> {
-    let mut violations = check_empty_tables(evidence, limits);
-    violations.extend(check_duplicated_effects(evidence));
-    violations.extend(check_drains(evidence, limits));
-    violations.extend(check_overload(evidence, limits));
-    violations.extend(check_queued_entries(evidence, limits));
-    violations.extend(check_message_rate(evidence, limits));
+pub fn find_violations(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
+    let mut violations = check_empty_tables(observations, limits);
+    violations.extend(check_duplicated_effects(observations));
+    violations.extend(check_drains(observations, limits));
+    violations.extend(check_overload(observations, limits));
+    violations.extend(check_queued_entries(observations, limits));
+    violations.extend(check_message_rate(observations, limits));
     violations
 }
 
 /// Rule 1: no connected proxy is without an entry for a class longer than the grace period, while a warm server is
 /// listed.
-fn check_empty_tables(evidence: &Evidence, limits: &RuleLimits) -> Vec<String> {
+fn check_empty_tables(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let mut violations = Vec::new();
     let mut empty_since: BTreeMap<(usize, usize), Duration> = BTreeMap::new();
     let mut reported: BTreeSet<(usize, usize)> = BTreeSet::new();
-    for observation in &evidence.proxies {
-        let is_listed = evidence.warm_server_listed.iter().any(|range| range.contains(observation.at));
+    for observation in &observations.proxies {
+        let is_listed = observations.warm_server_listed.iter().any(|range| range.contains(observation.at));
         let counts = is_listed && observation.connected_since.is_some();
         for class in 0..CLASSES.len() {
             let key = (observation.proxy, class);
@@ -150,19 +150,19 @@
 }
 
 /// Rule 2: a request that must not run twice takes effect at most once.
-fn check_duplicated_effects(evidence: &Evidence) -> Option<String> {
-    let count = evidence.duplicated_effects;
+fn check_duplicated_effects(observations: &Observations) -> Option<String> {
+    let count = observations.duplicated_effects;
     (count > 0).then(|| format!("rule 2: {count} keys took effect twice"))
 }
 
 /// Rule 3: connected proxies do not send to a server later than the grace period after their planner was told of its
 /// drain.
-fn check_drains(evidence: &Evidence, limits: &RuleLimits) -> Vec<String> {
+fn check_drains(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let mut violations = Vec::new();
     let mut reported: BTreeSet<&str> = BTreeSet::new();
-    for arrival in &evidence.arrivals {
+    for arrival in &observations.arrivals {
         let Some(connection) = arrival.connection else { continue };
-        let Some(drain) = binding_drain(evidence, limits, arrival, connection.planner) else { continue };
+        let Some(drain) = binding_drain(observations, limits, arrival, connection.planner) else { continue };
         let allowed_until = drain.at.max(connection.since) + limits.drain_grace_period;
         if arrival.at > allowed_until && reported.insert(&arrival.server) {
             violations.push(format!(
@@ -181,27 +181,27 @@
 /// The earliest drain of the arrival's server that holds for a planner at that time: the feed's last notification or
 /// the operators' last one, as either takes the server out of service.
 fn binding_drain<'a>(
-    evidence: &'a Evidence,
+    observations: &'a Observations,
     limits: &RuleLimits,
     arrival: &ServerArrival,
     planner: usize,
 ) -> Option<&'a Notification> {
     let is_known =
         |n: &&Notification| n.planner == planner && n.server == arrival.server && n.at <= arrival.at;
-    let known: Vec<&Notification> = evidence.notifications.iter().filter(is_known).collect();
+    let known: Vec<&Notification> = observations.notifications.iter().filter(is_known).collect();
     let last_by = |is_by_operator: bool| known.iter().rfind(|n| n.is_by_operator == is_by_operator).copied();
     let is_binding = |n: &&Notification| match n.state {
         NotifiedState::Ready => false,
         NotifiedState::Draining => true,
-        NotifiedState::Removed => !limits.only_drains_bind,
+        NotifiedState::Removed => !limits.only_draining_binds,
     };
     [last_by(false), last_by(true)].into_iter().flatten().filter(is_binding).min_by_key(|n| n.at)
 }
 
 /// Rule 4: no cold server is overloaded by planners that could know of its start.
-fn check_overload(evidence: &Evidence, limits: &RuleLimits) -> Vec<String> {
+fn check_overload(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let is_known = |overload: &&OverloadedServer| {
-        evidence.notifications.iter().any(|n| {
+        observations.notifications.iter().any(|n| {
             n.server == overload.server
                 && n.at >= overload.started_at
                 && n.at + limits.drain_grace_period < overload.failed_at
@@ -211,20 +211,20 @@
         let seconds = overload.failed_at.as_secs_f64();
         format!("rule 4: {} was overloaded at {seconds:.1} s", overload.server)
     };
-    evidence.overloaded_servers.iter().filter(is_known).map(describe).collect()
+    observations.overloaded_servers.iter().filter(is_known).map(describe).collect()
 }
 
 /// Rule 5, first part: the queue of a planner's channel stays within its limit.
-fn check_queued_entries(evidence: &Evidence, limits: &RuleLimits) -> Option<String> {
-    let (queued, limit) = (evidence.max_queued_entries, limits.max_queued_entries);
+fn check_queued_entries(observations: &Observations, limits: &RuleLimits) -> Option<String> {
+    let (queued, limit) = (observations.max_queued_entries, limits.max_queued_entries);
     (queued > limit).then(|| format!("rule 5: {queued} entries waited, {limit} may"))
 }
 
 /// Rule 5, second part: no proxy gets more messages than its limit within the window.
-fn check_message_rate(evidence: &Evidence, limits: &RuleLimits) -> Vec<String> {
+fn check_message_rate(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let Some(limit) = limits.max_messages else { return Vec::new() };
     let mut violations = Vec::new();
-    for (proxy, times) in &evidence.messages {
+    for (proxy, times) in &observations.messages {
         let exceeded = times.windows(limit + 1).find(|window| window[limit] < window[0] + MESSAGE_WINDOW);
         if let Some(window) = exceeded {
             let seconds = window[0].as_secs_f64();
--- a/crates/testbed/src/rule_checker/tests.rs
+++ b/crates/testbed/src/rule_checker/tests.rs
@@ -8,7 +8,7 @@
     RuleLimits {
         empty_table_grace_period: seconds(2),
         drain_grace_period: seconds(2),
-        only_drains_bind: false,
+        only_draining_binds: false,
         max_queued_entries: 100,
         max_messages: Some(2),
     }
@@ -24,31 +24,31 @@
 }
 
 /// A drain at 5 s, and a request just within the grace period.
-fn evidence_within_limits() -> Evidence {
-    Evidence {
+fn observations_within_limits() -> Observations {
+    Observations {
         notifications: vec![notification(5, NotifiedState::Draining)],
         arrivals: vec![arrival(7, 1)],
-        ..Evidence::default()
+        ..Observations::default()
     }
 }
 
 #[test]
 fn each_violation_is_found_and_reported_under_its_rule() {
     // Given
-    let valid = evidence_within_limits();
+    let valid = observations_within_limits();
     assert_eq!(find_violations(&valid, &limits()), Vec::<String>::new());
     let overloaded = OverloadedServer { server: "s1".into(), failed_at: seconds(9), started_at: seconds(4) };
     let messages = [(0, vec![seconds(1), seconds(2), seconds(3)])];
     let cases = [
-        ("rule 2", Evidence { duplicated_effects: 1, ..valid.clone() }),
-        ("rule 3", Evidence { arrivals: vec![arrival(8, 1)], ..valid.clone() }),
-        ("rule 4", Evidence { overloaded_servers: vec![overloaded], ..valid.clone() }),
-        ("rule 5", Evidence { max_queued_entries: 101, ..valid.clone() }),
-        ("rule 5", Evidence { messages: messages.into(), ..valid.clone() }),
+        ("rule 2", Observations { duplicated_effects: 1, ..valid.clone() }),
+        ("rule 3", Observations { arrivals: vec![arrival(8, 1)], ..valid.clone() }),
+        ("rule 4", Observations { overloaded_servers: vec![overloaded], ..valid.clone() }),
+        ("rule 5", Observations { max_queued_entries: 101, ..valid.clone() }),
+        ("rule 5", Observations { messages: messages.into(), ..valid.clone() }),
     ];
-    for (rule, evidence) in cases {
+    for (rule, observations) in cases {
         // When
-        let violations = find_violations(&evidence, &limits());
+        let violations = find_violations(&observations, &limits());
 
         // Then
         assert!(violations.len() == 1 && violations[0].starts_with(rule), "{violations:?}");
@@ -61,8 +61,8 @@
         [(8, 7, vec![removed.clone()]), (9, 1, vec![removed, ready_again])]
     {
         let arrivals = vec![arrival(at, connected_since)];
-        let evidence = Evidence { notifications, arrivals, ..Evidence::default() };
-        assert_eq!(find_violations(&evidence, &limits()), Vec::<String>::new());
+        let observations = Observations { notifications, arrivals, ..Observations::default() };
+        assert_eq!(find_violations(&observations, &limits()), Vec::<String>::new());
     }
 }
 
@@ -77,7 +77,7 @@
     };
     let proxies: Vec<ProxyObservation> = (0..6).map(|at| observation(at, Some(0))).collect();
     let always = TimeRange { from: seconds(0), to: seconds(9) };
-    let listed = Evidence { proxies, warm_server_listed: vec![always], ..Evidence::default() };
+    let listed = Observations { proxies, warm_server_listed: vec![always], ..Observations::default() };
 
     // When
     let violations = find_violations(&listed, &limits());
@@ -85,10 +85,10 @@
     // Then
     assert_eq!(violations.len(), 1);
     let disconnected = (0..6).map(|at| observation(at, None)).collect();
-    let unlisted = Evidence { warm_server_listed: vec![], ..listed.clone() };
-    let disconnected = Evidence { proxies: disconnected, ..listed.clone() };
-    let short = Evidence { proxies: listed.proxies[..3].to_vec(), ..listed };
-    for evidence in [unlisted, disconnected, short] {
-        assert_eq!(find_violations(&evidence, &limits()), Vec::<String>::new());
+    let unlisted = Observations { warm_server_listed: vec![], ..listed.clone() };
+    let disconnected = Observations { proxies: disconnected, ..listed.clone() };
+    let short = Observations { proxies: listed.proxies[..3].to_vec(), ..listed };
+    for observations in [unlisted, disconnected, short] {
+        assert_eq!(find_violations(&observations, &limits()), Vec::<String>::new());
     }
 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -161,7 +161,7 @@
     /// The feed learns of changes this much later.
     pub feed_delay: Duration,
     /// Only a drain obliges planners; a removal from the endpoint list does not.
-    pub only_drains_bind: bool,
+    pub only_draining_binds: bool,
     /// How proxies pick an endpoint, by its name in the settings.
     pub selection: String,
     /// The kind of admission limit, by its name in the settings.
@@ -183,7 +183,7 @@
 }
 
 /// The names and texts of the scenarios that come with the testbed.
-pub const SHIPPED: [(&str, &str); 7] = [
+pub const BUNDLED_SCENARIOS: [(&str, &str); 7] = [
     ("surge", include_str!("../days/surge.xml")),
     ("deploy", include_str!("../days/deploy.xml")),
     ("demo", include_str!("../days/demo.xml")),
@@ -208,7 +208,7 @@
 }
 
 fn load(name: &str) -> Result<String, String> {
-    match SHIPPED.iter().find(|(known, _)| *known == name) {
+    match BUNDLED_SCENARIOS.iter().find(|(known, _)| *known == name) {
         Some((_, text)) => Ok(text.to_string()),
         None => std::fs::read_to_string(Path::new(name)).map_err(|e| format!("{name}: {e}")),
     }
@@ -274,7 +274,7 @@
         drain_grace_period: milliseconds(root, "drain-ms"),
         empty_table_grace_period: milliseconds(root, "bare-ms"),
         feed_delay: milliseconds(root, "feed-late-ms"),
-        only_drains_bind: flag(root, "only-drains-bind"),
+        only_draining_binds: flag(root, "only-drains-bind"),
         selection: text(root, "pick"),
         admission: text(root, "levels"),
         entries_per_second: number_or(root, "lines-per-second", DEFAULT_ENTRIES_PER_SECOND) as u64,
--- a/crates/testbed/src/testbed/fault_injection.rs
+++ b/crates/testbed/src/testbed/fault_injection.rs
@@ -53,7 +53,7 @@
             TestbedAction::ClearServerFaults(servers) => self.clear_server_faults(&servers)?,
             TestbedAction::RemoveServers(servers) => self.remove_servers(&servers),
             TestbedAction::RestoreListing(names) => self.restore_listing(&names),
-            TestbedAction::RestoreFeed => self.management.is_feed_cut.store(false, Ordering::Relaxed),
+            TestbedAction::RestoreFeed => self.management.is_feed_suspended.store(false, Ordering::Relaxed),
             TestbedAction::RestartPlanner(planner) => self.restart_planner(planner)?,
             TestbedAction::ResumeReading(proxies) => self.set_stalled(&proxies, false),
             TestbedAction::EndSurge => self.clients.surge_factor = 1.0,
@@ -225,7 +225,7 @@
     }
 
     fn cut_feed(&mut self, fault: &ScheduledFault) {
-        self.management.is_feed_cut.store(true, Ordering::Relaxed);
+        self.management.is_feed_suspended.store(true, Ordering::Relaxed);
         self.run_after(fault.duration, TestbedAction::RestoreFeed);
     }
 
--- a/crates/testbed/src/testbed/mod.rs
+++ b/crates/testbed/src/testbed/mod.rs
@@ -17,7 +17,7 @@
 use crate::load_generator::{LoadGenerator, CLASSES};
 use crate::management_clients::ManagementState;
 use crate::planner_process::PlannerProcess;
-use crate::rule_checker::{Evidence, PlannerConnection};
+use crate::rule_checker::{Observations, PlannerConnection};
 use crate::scenario::Scenario;
 use endpoint_listing::EndpointListing;
 use fault_injection::TestbedAction;
@@ -79,7 +79,7 @@
     listing: EndpointListing,
     /// Actions with the times at which they are due.
     agenda: Vec<(Duration, TestbedAction)>,
-    evidence: Evidence,
+    observations: Observations,
     /// Table entries that proxies received.
     entries_received: u64,
     operator_credentials: TlsFiles,
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// Returns the cause if proxies do not get their tables, or if a process, a socket or a file fails.
-    pub fn play(&mut self) -> Result<ScenarioOutcome, String> {
+    pub fn run(&mut self) -> Result<ScenarioOutcome, String> {
         self.settle()?;
         let management_offset = self.begin_scenario();
         let mut next_observation = Duration::ZERO;
--- a/crates/testbed/src/testbed/observation.rs
+++ b/crates/testbed/src/testbed/observation.rs
@@ -96,7 +96,7 @@
                 let Some(proxy) = proxy_index(&request.proxy) else { continue };
                 let at = request.at.saturating_sub(self.scenario_start);
                 self.restart.record_request(at, &server.name);
-                self.evidence.arrivals.push(ServerArrival {
+                self.observations.arrivals.push(ServerArrival {
                     at,
                     server: server.name.clone(),
                     proxy,
@@ -111,7 +111,7 @@
         let now = self.now();
         for update in self.proxies[proxy].runtime.take_applied_updates() {
             self.entries_received += update.entries as u64;
-            self.evidence.messages.entry(proxy).or_default().push(now);
+            self.observations.messages.entry(proxy).or_default().push(now);
             if let Some(version) = update.version.filter(|(topic, _)| topic.kind == TopicKind::Weights) {
                 self.record_update_lag(now, proxy, version);
             }
@@ -157,7 +157,7 @@
         for (proxy, observed) in self.proxies.iter().enumerate() {
             let tables = observed.runtime.proxy().tables();
             let is_empty = |class: &usize| tables.entries(CLASSES[*class].name).is_empty();
-            self.evidence.proxies.push(ProxyObservation {
+            self.observations.proxies.push(ProxyObservation {
                 at: now,
                 proxy,
                 connected_since: observed.connection.map(|connection| connection.since),
@@ -192,7 +192,7 @@
     /// Extends the last range, or starts one after a gap.
     fn record_warm_server_listed(&mut self, now: Duration) {
         let max_gap = MAX_OBSERVATION_GAP * OBSERVATION_INTERVAL;
-        let ranges = &mut self.evidence.warm_server_listed;
+        let ranges = &mut self.observations.warm_server_listed;
         match ranges.last_mut().filter(|range| now <= range.to + max_gap) {
             Some(range) => range.to = now,
             None => ranges.push(TimeRange { from: now, to: now }),
--- a/crates/testbed/src/testbed/planner_settings.rs
+++ b/crates/testbed/src/testbed/planner_settings.rs
@@ -54,7 +54,7 @@
         scenario.planner_count,
         scenario.selection,
         scenario.admission,
-        scenario.only_drains_bind
+        scenario.only_draining_binds
     )
 }
 
--- a/crates/testbed/src/testbed/report.rs
+++ b/crates/testbed/src/testbed/report.rs
@@ -65,7 +65,7 @@
         self.join_management_clients();
         let planner_usage = self.planners.first().map(PlannerProcess::resource_usage).unwrap_or_default();
         self.planners.iter_mut().for_each(PlannerProcess::kill);
-        self.complete_evidence(&metrics, management_offset);
+        self.complete_observations(&metrics, management_offset);
         let counts = self.sum_proxy_counts();
         self.clients.totals.latencies_us.sort_unstable();
         let totals = &self.clients.totals;
@@ -74,18 +74,18 @@
             succeeded: totals.succeeded,
             within_objective: totals.within_objective,
             service: totals.value_earned / totals.value_offered.max(1e-9),
-            duplicated_effects: self.evidence.duplicated_effects,
-            violations: find_violations(&self.evidence, &self.rule_limits()),
+            duplicated_effects: self.observations.duplicated_effects,
+            violations: find_violations(&self.observations, &self.rule_limits()),
             retries: counts.retries,
             entries: self.entries_received,
-            messages: self.evidence.messages.values().map(|times| times.len() as u64).sum(),
+            messages: self.observations.messages.values().map(|times| times.len() as u64).sum(),
             edits: self.management.edit_outcomes(),
             failures: totals.failures.clone(),
             counts,
-            overloaded_servers: self.evidence.overloaded_servers.len(),
+            overloaded_servers: self.observations.overloaded_servers.len(),
             latency_p50_us: quantile(&totals.latencies_us, 0.5),
             latency_p99_us: quantile(&totals.latencies_us, 0.99),
-            max_queued_entries: self.evidence.max_queued_entries,
+            max_queued_entries: self.observations.max_queued_entries,
             metrics: metrics.into_iter().flatten().collect(),
             planner_usage,
             settle_time: self.settle_time,
@@ -100,17 +100,17 @@
     }
 
     /// Adds what is known at the end only.
-    fn complete_evidence(&mut self, metrics: &[BTreeMap<String, f64>], management_offset: Duration) {
+    fn complete_observations(&mut self, metrics: &[BTreeMap<String, f64>], management_offset: Duration) {
         let queued = metrics.iter().filter_map(|planner| planner.get(MAX_QUEUED_ENTRIES_METRIC));
-        self.evidence.max_queued_entries = queued.copied().fold(0.0, f64::max) as u64;
-        self.evidence.duplicated_effects = self.servers.duplicated_effects();
+        self.observations.max_queued_entries = queued.copied().fold(0.0, f64::max) as u64;
+        self.observations.duplicated_effects = self.servers.duplicated_effects();
         let mut notifications = self.management.notifications();
         for notification in &mut notifications {
             notification.at = notification.at.saturating_sub(management_offset);
         }
         notifications.sort_by_key(|notification| notification.at);
-        self.evidence.notifications = notifications;
-        self.evidence.overloaded_servers = self.overloaded_servers();
+        self.observations.notifications = notifications;
+        self.observations.overloaded_servers = self.overloaded_servers();
     }
 
     fn overloaded_servers(&self) -> Vec<OverloadedServer> {
@@ -129,7 +129,7 @@
         RuleLimits {
             empty_table_grace_period: self.scenario.empty_table_grace_period,
             drain_grace_period: self.scenario.drain_grace_period,
-            only_drains_bind: self.scenario.only_drains_bind,
+            only_draining_binds: self.scenario.only_draining_binds,
             max_queued_entries: max_queued_entries(&self.scenario),
             max_messages: None,
         }
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -7,7 +7,7 @@
 use crate::load_generator::{LoadGenerator, CLASSES};
 use crate::management_clients::{self, ManagementState};
 use crate::planner_process::{PlannerAddresses, PlannerCommand, PlannerProcess};
-use crate::rule_checker::Evidence;
+use crate::rule_checker::Observations;
 use crate::scenario::{DeliveryMode, Scenario};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -130,7 +130,7 @@
             epoch: Instant::now(),
             listing: EndpointListing::default(),
             agenda: vec![],
-            evidence: Evidence::default(),
+            observations: Observations::default(),
             entries_received: 0,
             operator_credentials: management_credentials(&issuer, &scenario, "staff")?,
             feed_credentials: management_credentials(&issuer, &scenario, "feed")?,
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -29,7 +29,7 @@
         drain_grace_period: milliseconds(4000),
         empty_table_grace_period: milliseconds(4000),
         feed_delay: milliseconds(200),
-        only_drains_bind: false,
+        only_draining_binds: false,
         selection: "less-busy".into(),
         admission: "none".into(),
         entries_per_second: 20_000,
@@ -71,7 +71,7 @@
 fn play(name: &str, scenario: Scenario) -> ScenarioOutcome {
     let folder = Folder::new(name);
     let mut testbed = Testbed::new(scenario, 5, &folder.0, &program(), &[]).unwrap();
-    let outcome = testbed.play().unwrap();
+    let outcome = testbed.run().unwrap();
     assert_eq!((outcome.violations.as_slice(), outcome.duplicated_effects), (&[][..], 0), "{outcome:?}");
     outcome
 }
@@ -146,7 +146,7 @@
     let folder = Folder::new("record");
 
     // When
-    let outcome = Testbed::new(scenario, 9, &folder.0, &program(), &[]).unwrap().play().unwrap();
+    let outcome = Testbed::new(scenario, 9, &folder.0, &program(), &[]).unwrap().run().unwrap();
 
     // Then
     assert_eq!(outcome.violations, Vec::<String>::new());
@@ -197,7 +197,7 @@
 
     // When
     let mut testbed = Testbed::new(scenario, 5, &folder.0, &program(), &["--spoil=flood"]).unwrap();
-    let outcome = testbed.play().unwrap();
+    let outcome = testbed.run().unwrap();
 
     // Then
     let is_rejection = |name: &str| name.starts_with("runloom_refused");
