--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,5 @@
-//! Scripted scenarios on loopback: planners, proxies, fake servers, a load generator, and a checker of the five rules.
+//! Scripted scenarios on loopback: planners, proxies, fake servers, a load generator, and a checker of the five safety
+//! rules, which [`rule_checker`] lists.
 
 pub mod benchmarks;
 pub mod command_corruption;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The testbed's command line.
+//! The command line of `runloom-testbed`.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use runloom_daemon::planner_runtime::{CrashPoint, TestHooks};
@@ -15,7 +15,7 @@
 #[command(
     name = "runloom-testbed",
     version,
-    about = "Scripted scenarios on loopback, and a checker of the five rules"
+    about = "Runs scripted scenarios on loopback and checks the five safety rules"
 )]
 struct Arguments {
     #[arg(long, global = true, default_value = "warn")]
@@ -32,42 +32,47 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A short demonstration: a planner, proxies, servers, clients, and a drain by an operator's edit.
+    /// Runs a short demonstration: a planner, proxies, servers, clients, and a drain by an operator's edit.
     Demo,
-    /// Plays a scenario: a file, or quiet, bad-day, edits-under-failure, restart-storm, deploy, surge. Exit code 1 if a rule was broken.
-    Day(DayArguments),
-    /// Takes a measurement: edits, overhead, small, large, alone, unrecorded, recording, guard, spoilt, pairs, fronts, slow, storm, restart, keeping, identity; one figure a line, `name value unit`.
+    /// Runs a scenario: a file, or quiet, bad-day, edits-under-failure, restart-storm, deploy, surge. Exit code 1 if a rule was violated.
+    #[command(name = "day")]
+    RunScenario(ScenarioArguments),
+    /// Runs a benchmark: edits, overhead, small, large, alone, unrecorded, recording, guard, spoilt, pairs, fronts, slow, storm, restart, keeping, identity. Prints one figure per line as `name value unit`.
     Measure {
         name: String,
-        /// Works in this folder and leaves it; pairs does not play again what it finds there.
+        /// Works in this folder and keeps it; pairs reuses the event logs that it finds there.
         #[arg(long)]
         keep: Option<PathBuf>,
-        /// Seed of the scenarios that pairs plays.
+        /// Seed of the scenarios that pairs runs.
         #[arg(long, default_value_t = 5)]
         seed: u64,
     },
-    /// Plays seeded runs of restarts, signals, crowds and misbehaving lists against the built `runloom platform`, and checks them from the sockets. Exit code 1 if a check failed.
+    /// Runs seeded sequences of restarts, signals, floods of clients and faulty endpoint lists against the built `runloom platform`, and checks what is observed at the sockets. Exit code 1 if a check failed.
     Soak(SoakArguments),
-    /// Prints the digest of an event log's commands, replayed.
-    #[command(hide = true)]
-    Again { folder: PathBuf, back: usize },
-    /// Writes an event log until it is killed, for a test.
-    #[command(hide = true)]
-    Writes {
+    /// Replays a run of an event log, counted back from the latest, and prints the digest of its commands.
+    #[command(name = "again", hide = true)]
+    ReplayDigest {
+        folder: PathBuf,
+        #[arg(value_name = "BACK")]
+        runs_back: usize,
+    },
+    /// Writes an event log until the process is killed, for a test.
+    #[command(name = "writes", hide = true)]
+    WriteEventLog {
         #[arg(long)]
         folder: PathBuf,
     },
-    /// A planner's process, for the testbed's own use.
+    /// Runs a planner, for the testbed's own use.
     #[command(hide = true)]
     Planner {
         #[arg(long)]
         settings: PathBuf,
         #[arg(long)]
         seed: u64,
-        /// The process exits at this point of an edit: before-kept, kept, replied.
+        /// Aborts the process at this point of an edit: before-kept, kept, replied.
         #[arg(long = "dies", value_name = "DIES")]
         crash_point: Option<String>,
-        /// Commands are corrupted in this way.
+        /// Corrupts commands in this way.
         #[arg(long = "spoil", value_name = "SPOIL")]
         corruption: Option<String>,
         #[arg(long)]
@@ -76,50 +81,50 @@
 }
 
 #[derive(Args)]
-struct DayArguments {
+struct ScenarioArguments {
     file: String,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// With json, the last line is one JSON object.
+    /// Format of the report; json adds one JSON object as the last line.
     #[arg(long, value_enum, default_value_t = ReportFormat::Text)]
     report: ReportFormat,
-    /// Keeps settings, logs and state here.
+    /// Keeps settings, logs and state in this folder.
     #[arg(long)]
     keep: Option<PathBuf>,
     /// Corrupts the planners' commands in this way, as `measure spoilt` does.
     #[arg(long = "spoil", value_name = "SPOIL")]
     corruption: Option<String>,
-    /// Without the safety guard.
+    /// Runs the planners without the safety guard.
     #[arg(long)]
     unguarded: bool,
-    /// Another `<fleet>` for the planners than the scenario's own, as `runloom replay --fleet` takes it.
+    /// File with the planners' `<fleet>`, instead of the scenario's own; the format is that of `runloom replay --fleet`.
     #[arg(long)]
     fleet: Option<PathBuf>,
     /// How proxies receive their tables.
     #[arg(long = "front", value_name = "FRONT", value_enum, default_value_t)]
     delivery: DeliveryMode,
-    /// Planners and proxies have SPIFFE identities that live so many seconds, and get new ones at half of it.
+    /// Gives planners and proxies SPIFFE identities with this lifetime in seconds, renewed at half of it.
     #[arg(long = "lives", value_name = "LIVES")]
     identity_seconds: Option<u64>,
 }
 
 #[derive(Args)]
 struct SoakArguments {
-    /// The seeds to play, such as 1..50.
+    /// The seeds to run, such as 1..50; both ends are included.
     #[arg(long, value_parser = parse_seeds, default_value = "1..50")]
     seeds: (u64, u64),
-    /// Runs at a time.
+    /// Number of runs in parallel.
     #[arg(long, default_value_t = 3)]
     jobs: usize,
-    /// The built program; by default the one beside this one.
+    /// The built `runloom` program; by default the one in this program's folder.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Logs of the processes stay here; by default in a temporary folder.
+    /// Folder for the logs of the processes; by default a temporary folder.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-/// Reads seeds as `first..last`, both included.
+/// Parses seeds as `first..last`, both included; a single number stands for itself.
 fn parse_seeds(text: &str) -> Result<(u64, u64), String> {
     let (first, last) = text.split_once("..").unwrap_or((text, text));
     let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text}: {e}"));
@@ -132,7 +137,7 @@
     let level = if is_planner { "info" } else { &arguments.log_level };
     let filter = tracing_subscriber::EnvFilter::new(level);
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false).init();
-    match run(arguments.command) {
+    match run_command(arguments.command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(reason) => {
@@ -142,10 +147,10 @@
     }
 }
 
-/// Runs a command. Returns whether all rules were kept.
-fn run(command: Command) -> Result<bool, String> {
+/// Runs a command. Returns false if a rule was violated or a check failed.
+fn run_command(command: Command) -> Result<bool, String> {
     match command {
-        Command::Demo => play(DayRun {
+        Command::Demo => run_scenario(ScenarioRun {
             name: "demo",
             scenario: scenario::read("demo")?,
             seed: 1,
@@ -153,11 +158,11 @@
             keep: None,
             planner_arguments: vec![],
         }),
-        Command::Day(arguments) => play_day(arguments),
-        Command::Measure { name, keep, seed } => measure(&name, keep, seed),
+        Command::RunScenario(arguments) => run_scenario_command(arguments),
+        Command::Measure { name, keep, seed } => run_benchmark(&name, keep, seed),
         Command::Soak(arguments) => run_soak(arguments),
-        Command::Again { folder, back } => print_replay_digest(&folder, back),
-        Command::Writes { folder } => benchmarks::write_until_killed(&folder).map(|()| true),
+        Command::ReplayDigest { folder, runs_back } => print_replay_digest(&folder, runs_back),
+        Command::WriteEventLog { folder } => benchmarks::write_until_killed(&folder).map(|()| true),
         Command::Planner { settings, seed, crash_point, corruption, unguarded } => {
             let crash_point = crash_point.as_deref().and_then(CrashPoint::from_name);
             let command_tamper = corruption.as_deref().and_then(command_corruption::tamper_by_name);
@@ -170,10 +175,10 @@
 }
 
 fn run_soak(arguments: SoakArguments) -> Result<bool, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
+    let own_program = std::env::current_exe().map_err(|e| e.to_string())?;
     let (first_seed, last_seed) = arguments.seeds;
     soak::soak(&SoakOptions {
-        program: arguments.program.unwrap_or_else(|| own.with_file_name("runloom")),
+        program: arguments.program.unwrap_or_else(|| own_program.with_file_name("runloom")),
         first_seed,
         last_seed,
         jobs: arguments.jobs,
@@ -181,9 +186,9 @@
     })
 }
 
-fn play_day(arguments: DayArguments) -> Result<bool, String> {
-    let scenario = read_with_fleet(&arguments.file, arguments.fleet)?;
-    play(DayRun {
+fn run_scenario_command(arguments: ScenarioArguments) -> Result<bool, String> {
+    let scenario = read_scenario(&arguments.file, arguments.fleet)?;
+    run_scenario(ScenarioRun {
         name: &arguments.file,
         scenario: Scenario {
             delivery: arguments.delivery,
@@ -203,26 +208,26 @@
     corruption.into_iter().chain(unguarded).collect()
 }
 
-/// Reads a scenario, and the planners' `<fleet>` from a file if there is one.
-fn read_with_fleet(name: &str, fleet: Option<PathBuf>) -> Result<Scenario, String> {
+/// Reads a scenario, with the planners' `<fleet>` from a file if one is given.
+fn read_scenario(name: &str, fleet_file: Option<PathBuf>) -> Result<Scenario, String> {
     let read = |file: PathBuf| std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()));
-    let fleet_xml = fleet.map(read).transpose()?;
+    let fleet_xml = fleet_file.map(read).transpose()?;
     Ok(Scenario { fleet_xml, ..scenario::read(name)? })
 }
 
-/// A scenario that is played and reported.
-struct DayRun<'a> {
+/// A scenario to run, and how to run and report it.
+struct ScenarioRun<'a> {
     name: &'a str,
     scenario: Scenario,
     seed: u64,
     report: ReportFormat,
-    /// Settings, logs and state stay here.
+    /// Where settings, logs and state are kept; `None`: in a temporary folder that is removed.
     keep: Option<PathBuf>,
     planner_arguments: Vec<String>,
 }
 
-/// Plays a scenario and prints what it came to. Returns whether all rules were kept.
-fn play(run: DayRun) -> Result<bool, String> {
+/// Runs a scenario and prints its outcome. Returns whether no rule was violated.
+fn run_scenario(run: ScenarioRun) -> Result<bool, String> {
     let arguments: Vec<&str> = run.planner_arguments.iter().map(String::as_str).collect();
     let temporary = std::env::temp_dir().join(format!("runloom-testbed-{}", std::process::id()));
     let folder = run.keep.as_ref().unwrap_or(&temporary);
@@ -271,14 +276,14 @@
     })
 }
 
-fn print_replay_digest(folder: &Path, back: usize) -> Result<bool, String> {
-    let entries = runloom_event_log::read_run(folder, back).map_err(|e| e.to_string())?;
+fn print_replay_digest(folder: &Path, runs_back: usize) -> Result<bool, String> {
+    let entries = runloom_event_log::read_run(folder, runs_back).map_err(|e| e.to_string())?;
     let replay = runloom_replay::exact::replay(&entries, runloom_daemon::planner_runtime::BUILD);
     println!("{}", replay.map_err(|e| e.to_string())?.digest);
     Ok(true)
 }
 
-fn measure(name: &str, keep: Option<PathBuf>, seed: u64) -> Result<bool, String> {
+fn run_benchmark(name: &str, keep: Option<PathBuf>, seed: u64) -> Result<bool, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let temporary = std::env::temp_dir().join(format!("runloom-measure-{}", std::process::id()));
     let folder = keep.as_ref().unwrap_or(&temporary);
