--- a/crates/testbed/src/command_corruption.rs
+++ b/crates/testbed/src/command_corruption.rs
@@ -1,12 +1,12 @@
-//! Ways to corrupt the controller's commands, for trials of the safety guard. Commands are changed on their way out,
-//! from some seconds after the start on, when a scenario is under way.
+//! Corruptions of the controller's commands that test the safety guard. Commands are changed before the guard validates
+//! them, from a few seconds after the planner's start on, when servers are in service.
 
 use runloom_control_session::CommandTamper;
 use runloom_controller::{Command, RetryPolicy};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The names of all corruptions.
+/// The names of all corruptions, as the `--spoil` option takes them.
 pub const NAMES: [&str; 13] = [
     "drop-all",
     "one-by-one",
@@ -23,41 +23,41 @@
     "flood",
 ];
 
-/// When corruption begins: servers are in service by then.
-const BEGIN: Duration = Duration::from_secs(5);
-/// A weight that is next to nothing.
+/// Time from the planner's start until corruption begins; servers are in service by then.
+const CORRUPTION_START: Duration = Duration::from_secs(5);
+/// A weight at which a server gets practically no traffic.
 const TINY_WEIGHT: f64 = 1e-9;
-/// A weight beside which all others are next to nothing.
+/// A weight at which a server gets practically all traffic of its table.
 const HUGE_WEIGHT: f64 = 1e9;
 /// The weight of the newest server in "at-once".
 const NEWEST_SERVER_WEIGHT: f64 = 1000.0;
 const CLASS_COUNT: usize = 3;
-/// A table that does not exist, and how many proxies are assigned to it.
+/// A table that does not exist, and the number of proxies that are assigned to it.
 const UNKNOWN_TABLE: u16 = 60_000;
 const REASSIGNED_PROXIES: usize = 64;
-/// The corruptions that a flood combines, and how often it repeats them.
+/// The corruptions that "flood" combines, and how often it repeats them in each batch.
 const FLOOD: [&str; 7] =
     ["drop-all", "not-a-number", "negative", "level-zero", "clear", "withdraw-all", "bind-nowhere"];
 const FLOOD_REPETITIONS: usize = 5;
 
-/// The corruption of a name; `None` for an unknown one.
+/// Returns the function that applies a corruption; `None` if the name is not one of [`NAMES`].
 pub fn tamper_by_name(name: &str) -> Option<CommandTamper> {
     let name = NAMES.iter().find(|known| **known == name)?;
     let mut seen = SeenEntries::default();
-    let mut batch = 0usize;
+    let mut batch_number = 0usize;
     Some(Box::new(move |now, commands| {
         seen.record(commands);
-        // Only batches that go to proxies anyway; the others ask for no acknowledgement.
-        let goes_to_proxies = commands.iter().any(|command| matches!(command, Command::SetTimer { .. }));
-        if now < BEGIN || !goes_to_proxies {
+        // Only batches that are sent to proxies anyway; the others request no acknowledgement.
+        let is_sent_to_proxies = commands.iter().any(|command| matches!(command, Command::SetTimer { .. }));
+        if now < CORRUPTION_START || !is_sent_to_proxies {
             return;
         }
-        batch += 1;
-        corrupt(name, &seen, batch, commands);
+        batch_number += 1;
+        corrupt(name, &seen, batch_number, commands);
     }))
 }
 
-/// The table entries that were ever set.
+/// The table entries, as table and server, that were set since the start, including those that were removed again.
 #[derive(Default)]
 struct SeenEntries(BTreeSet<(u16, usize)>);
 
@@ -88,8 +88,8 @@
         self.0.iter().take(count).map(|(table, server)| set_entry(*table, *server, 0.0)).collect()
     }
 
-    /// Gives all traffic of each table to its last server, which may be cold, failed or draining.
-    fn leave_one_entry(&self) -> Vec<Command> {
+    /// Shifts all traffic of each table to its server with the highest index, which may be cold, failed or draining.
+    fn shift_to_last_server(&self) -> Vec<Command> {
         let last_entry = |table: u16| {
             let (_, server) = self.0.iter().rfind(|(entry_table, _)| *entry_table == table)?;
             Some(set_entry(table, *server, HUGE_WEIGHT))
@@ -99,8 +99,8 @@
         commands
     }
 
-    /// Lets no request in.
-    fn admit_nothing(&self) -> Vec<Command> {
+    /// Sets the admission rate of each class in each table to zero, without retries.
+    fn reject_all_requests(&self) -> Vec<Command> {
         let reject_class = |table: u16, class: usize| Command::SetAdmission {
             table,
             class,
@@ -111,7 +111,7 @@
         self.tables().into_iter().flat_map(reject_table).collect()
     }
 
-    /// Sends far more to the newest server, cold or not, than to the others.
+    /// Gives the newest server a far larger weight than the others, whether it is cold or not.
     fn prefer_newest_server(&self) -> Vec<Command> {
         let newest = self.0.iter().map(|(_, server)| *server).max();
         let entries = self.0.iter().filter(|(_, server)| Some(*server) == newest);
@@ -136,27 +136,27 @@
     (0..REASSIGNED_PROXIES).map(|proxy| Command::AssignTable { proxy, table: UNKNOWN_TABLE, class_mask: 0 })
 }
 
-/// Adds the commands of a corruption to a batch; `batch` counts the corrupted batches from 1.
-fn corrupt(name: &str, seen: &SeenEntries, batch: usize, commands: &mut Vec<Command>) {
+/// Adds the commands of a corruption to a batch; `batch_number` counts the corrupted batches from 1.
+fn corrupt(name: &str, seen: &SeenEntries, batch_number: usize, commands: &mut Vec<Command>) {
     match name {
         "drop-all" => commands.extend(seen.remove(usize::MAX)),
-        "one-by-one" => commands.extend(seen.remove(batch)),
+        "one-by-one" => commands.extend(seen.remove(batch_number)),
         "not-a-number" => commands.extend(seen.set_all(f64::NAN)),
         "negative" => commands.extend(seen.set_all(-1.0)),
-        "tiny" => commands.extend(seen.leave_one_entry()),
-        "level-zero" => commands.extend(seen.admit_nothing()),
+        "tiny" => commands.extend(seen.shift_to_last_server()),
+        "level-zero" => commands.extend(seen.reject_all_requests()),
         "at-once" => commands.extend(seen.prefer_newest_server()),
         "clear" => commands.extend(seen.clear_tables()),
         "withdraw-all" => commands.extend(seen.eject(|_| true)),
         "bind-nowhere" => commands.extend(assign_unknown_table()),
         "flood" => {
             for corruption in FLOOD {
-                (0..FLOOD_REPETITIONS).for_each(|_| corrupt(corruption, seen, batch, commands));
+                (0..FLOOD_REPETITIONS).for_each(|_| corrupt(corruption, seen, batch_number, commands));
             }
         }
-        // The even ones, then the odd ones: each batch leaves half of the servers.
-        "halves" => commands.extend(seen.eject(|server| server % 2 == batch % 2)),
-        // "to-all-ever": every server that ever was, those that drain and are gone too.
+        // Ejects servers with odd and with even indices in turn: each batch leaves half of the servers.
+        "halves" => commands.extend(seen.eject(|server| server % 2 == batch_number % 2)),
+        // "to-all-ever": adds every server that ever had an entry, also draining and removed ones.
         _ => commands.extend(seen.set_all(1.0)),
     }
 }
--- a/crates/testbed/src/rule_checker.rs
+++ b/crates/testbed/src/rule_checker.rs
@@ -1,5 +1,11 @@
-//! Checks the five rules against what was observed at the sockets: requests at servers, effects by key, updates at
-//! proxies, and what planners acknowledged to the feed and the operators.
+//! Checks the five safety rules against what was observed at the sockets: requests at servers, effects by key, updates
+//! at proxies, and what planners acknowledged to the feed and the operators.
+//!
+//! 1. A connected proxy has table entries for every traffic class while a warm server is listed.
+//! 2. A request that must not run twice takes effect at most once.
+//! 3. Proxies stop sending to a server within the grace period after it was drained.
+//! 4. A cold server is not overloaded.
+//! 5. The update channel stays within its limits of queued entries and messages.
 
 use crate::load_generator::CLASSES;
 use crate::management_clients::{Notification, NotifiedState};
@@ -9,19 +15,19 @@
 #[cfg(test)]
 mod tests;
 
-/// The window of the limit on messages to one proxy.
+/// The window in which the messages to one proxy are limited.
 const MESSAGE_WINDOW: Duration = Duration::from_secs(10);
 
-/// The state of a proxy at one moment.
+/// The state of a proxy at one point in time.
 #[derive(Debug, Clone)]
 pub struct ProxyObservation {
     /// When it was observed.
     pub at: Duration,
     /// The proxy's index.
     pub proxy: usize,
-    /// Since when it is connected, if it is.
+    /// When its connection to a planner was made; `None` while it is not connected.
     pub connected_since: Option<Duration>,
-    /// Classes whose table has no entry.
+    /// Traffic classes, by index, whose table has no entry.
     pub classes_without_entries: BTreeSet<usize>,
 }
 
@@ -34,36 +40,36 @@
     pub planner: usize,
 }
 
-/// A request at a server.
+/// A request that arrived at a server.
 #[derive(Debug, Clone)]
 pub struct ServerArrival {
-    /// When it came.
+    /// When it arrived.
     pub at: Duration,
     /// The server's name.
     pub server: String,
-    /// The proxy that sent it.
+    /// The index of the proxy that sent it.
     pub proxy: usize,
-    /// That proxy's connection at the time.
+    /// That proxy's connection to a planner at the time; `None` if it had none.
     pub connection: Option<PlannerConnection>,
 }
 
-/// A cold server that failed because it was sent too much.
+/// A cold server that failed because it received too many requests.
 #[derive(Debug, Clone)]
 pub struct OverloadedServer {
     /// The server's name.
     pub server: String,
     /// When it failed.
     pub failed_at: Duration,
-    /// When it had started.
+    /// When its process had started.
     pub started_at: Duration,
 }
 
 /// A span of time, both ends included.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeRange {
-    /// Its first moment.
+    /// The start.
     pub from: Duration,
-    /// Its last moment.
+    /// The end.
     pub to: Duration,
 }
 
@@ -73,43 +79,43 @@
     }
 }
 
-/// What was observed over a scenario. Times count from its start.
+/// What was observed during a scenario. Times count from its start.
 #[derive(Debug, Clone, Default)]
 pub struct Observations {
-    /// Observations of proxies, in order of time.
+    /// The states of proxies, in order of time.
     pub proxies: Vec<ProxyObservation>,
-    /// Requests at servers.
+    /// Requests that arrived at servers.
     pub arrivals: Vec<ServerArrival>,
-    /// What planners were told, in order of time.
+    /// What planners were told about servers, in order of time.
     pub notifications: Vec<Notification>,
     /// When every planner listed a ready and warm server.
     pub warm_server_listed: Vec<TimeRange>,
-    /// Keys of a class that must not run twice which did.
+    /// Number of request keys that took effect twice, of the class that must not.
     pub duplicated_effects: usize,
-    /// Servers that were sent too much while cold.
+    /// Servers that received too many requests while cold.
     pub overloaded_servers: Vec<OverloadedServer>,
-    /// Arrival times of the messages at each proxy.
+    /// Arrival times of the messages at each proxy, by proxy index.
     pub messages: BTreeMap<usize, Vec<Duration>>,
-    /// The most table entries that waited at a planner.
+    /// The most table entries that were queued at a planner.
     pub max_queued_entries: u64,
 }
 
-/// The bounds that the rules state.
+/// The limits that the rules allow.
 #[derive(Debug, Clone)]
 pub struct RuleLimits {
-    /// A connected proxy may be without an entry for this time.
+    /// Time for which a connected proxy may have no table entry for a class.
     pub empty_table_grace_period: Duration,
-    /// Proxies may send to a draining server for this time.
+    /// Time for which proxies may still send to a server after it was drained.
     pub drain_grace_period: Duration,
-    /// A removal from the endpoint list obliges nobody.
+    /// Whether rule 3 holds for draining servers only; if set, a removal from the endpoint list does not count.
     pub only_draining_binds: bool,
-    /// Table entries that may wait at a planner.
+    /// Table entries that may be queued at a planner.
     pub max_queued_entries: u64,
-    /// Messages to one proxy within ten seconds; `None` for no limit.
+    /// Messages that one proxy may receive within ten seconds; `None` for no limit.
     pub max_messages: Option<usize>,
 }
 
-/// Returns all violations, one sentence each.
+/// Returns all violations, one sentence each, beginning with the rule's number.
 #[must_use]
 pub fn find_violations(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let mut violations = check_empty_tables(observations, limits);
@@ -121,7 +127,7 @@
     violations
 }
 
-/// Rule 1: no connected proxy is without an entry for a class longer than the grace period, while a warm server is
+/// Rule 1: no connected proxy lacks table entries for a class for longer than the grace period while a warm server is
 /// listed.
 fn check_empty_tables(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let mut violations = Vec::new();
@@ -129,10 +135,10 @@
     let mut reported: BTreeSet<(usize, usize)> = BTreeSet::new();
     for observation in &observations.proxies {
         let is_listed = observations.warm_server_listed.iter().any(|range| range.contains(observation.at));
-        let counts = is_listed && observation.connected_since.is_some();
+        let is_checked = is_listed && observation.connected_since.is_some();
         for class in 0..CLASSES.len() {
             let key = (observation.proxy, class);
-            if !counts || !observation.classes_without_entries.contains(&class) {
+            if !is_checked || !observation.classes_without_entries.contains(&class) {
                 empty_since.remove(&key);
                 continue;
             }
@@ -140,7 +146,7 @@
             if observation.at > since + limits.empty_table_grace_period && reported.insert(key) {
                 let seconds = since.as_secs_f64();
                 violations.push(format!(
-                    "rule 1: f{} had no entry for class {class} from {seconds:.1} s on",
+                    "rule 1: the table of f{} had no entry for class {class} from {seconds:.1} s on",
                     observation.proxy
                 ));
             }
@@ -155,8 +161,8 @@
     (count > 0).then(|| format!("rule 2: {count} keys took effect twice"))
 }
 
-/// Rule 3: connected proxies do not send to a server later than the grace period after their planner was told of its
-/// drain.
+/// Rule 3: connected proxies do not send to a server once the grace period has passed since their planner was told of
+/// its drain, or since they connected.
 fn check_drains(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let mut violations = Vec::new();
     let mut reported: BTreeSet<&str> = BTreeSet::new();
@@ -166,7 +172,7 @@
         let allowed_until = drain.at.max(connection.since) + limits.drain_grace_period;
         if arrival.at > allowed_until && reported.insert(&arrival.server) {
             violations.push(format!(
-                "rule 3: f{} sent to {} at {:.1} s, which was {} since {:.1} s",
+                "rule 3: f{} sent a request to {} at {:.1} s, which was {} since {:.1} s",
                 arrival.proxy,
                 arrival.server,
                 arrival.at.as_secs_f64(),
@@ -178,8 +184,8 @@
     violations
 }
 
-/// The earliest drain of the arrival's server that holds for a planner at that time: the feed's last notification or
-/// the operators' last one, as either takes the server out of service.
+/// The notification by which the arrival's server was out of service for a planner at that time; `None` if it was in
+/// service. The latest notifications of the feed and of the operators each suffice; the earlier of them is returned.
 fn binding_drain<'a>(
     observations: &'a Observations,
     limits: &RuleLimits,
@@ -198,9 +204,9 @@
     [last_by(false), last_by(true)].into_iter().flatten().filter(is_binding).min_by_key(|n| n.at)
 }
 
-/// Rule 4: no cold server is overloaded by planners that could know of its start.
+/// Rule 4: no cold server is overloaded, if a planner had the grace period to react to its start.
 fn check_overload(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
-    let is_known = |overload: &&OverloadedServer| {
+    let was_known = |overload: &&OverloadedServer| {
         observations.notifications.iter().any(|n| {
             n.server == overload.server
                 && n.at >= overload.started_at
@@ -209,18 +215,18 @@
     };
     let describe = |overload: &OverloadedServer| {
         let seconds = overload.failed_at.as_secs_f64();
-        format!("rule 4: {} was overloaded at {seconds:.1} s", overload.server)
+        format!("rule 4: {} was overloaded while cold at {seconds:.1} s", overload.server)
     };
-    observations.overloaded_servers.iter().filter(is_known).map(describe).collect()
+    observations.overloaded_servers.iter().filter(was_known).map(describe).collect()
 }
 
 /// Rule 5, first part: the queue of a planner's channel stays within its limit.
 fn check_queued_entries(observations: &Observations, limits: &RuleLimits) -> Option<String> {
     let (queued, limit) = (observations.max_queued_entries, limits.max_queued_entries);
-    (queued > limit).then(|| format!("rule 5: {queued} entries waited, {limit} may"))
+    (queued > limit).then(|| format!("rule 5: {queued} table entries were queued; the limit is {limit}"))
 }
 
-/// Rule 5, second part: no proxy gets more messages than its limit within the window.
+/// Rule 5, second part: no proxy receives more messages than the limit within [`MESSAGE_WINDOW`].
 fn check_message_rate(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let Some(limit) = limits.max_messages else { return Vec::new() };
     let mut violations = Vec::new();
--- a/crates/testbed/src/rule_checker/tests.rs
+++ b/crates/testbed/src/rule_checker/tests.rs
@@ -23,7 +23,7 @@
     ServerArrival { at: seconds(at), server: "s1".into(), proxy: 0, connection: Some(connection) }
 }
 
-/// A drain at 5 s, and a request just within the grace period.
+/// A drain at 5 s, and a request at the end of the grace period.
 fn observations_within_limits() -> Observations {
     Observations {
         notifications: vec![notification(5, NotifiedState::Draining)],
@@ -54,7 +54,7 @@
         assert!(violations.len() == 1 && violations[0].starts_with(rule), "{violations:?}");
     }
 
-    // The grace period starts when the proxy connects, and a later notification replaces an earlier one.
+    // The grace period starts anew when the proxy connects, and a later notification replaces an earlier one.
     let removed = notification(5, NotifiedState::Removed);
     let ready_again = notification(6, NotifiedState::Ready);
     for (at, connected_since, notifications) in
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: sizes, traffic, and faults and edits at their times, read from XML with a schema.
+//! Scenarios: sizes, traffic, and scheduled faults and edits, read from XML that a schema validates.
 
 use runloom_model::schema::SchemaValidator;
 use runloom_netconf::tree::Element;
@@ -6,39 +6,39 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Table entries a second of a channel whose rate the scenario does not give.
+/// Table entries per second that an update channel sends, if the scenario does not say.
 const DEFAULT_ENTRIES_PER_SECOND: f64 = 20_000.0;
 
-/// What a fault does.
+/// The effect of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Server processes end, and start again after the duration.
+    /// Server processes exit, and start again after the duration.
     Crash,
-    /// Servers take requests and answer none.
+    /// Servers accept requests and answer none.
     Hang,
-    /// The servers' machines accept and answer nothing.
+    /// The servers' machines stop responding; new, cold processes start after the duration.
     Unreachable,
-    /// Servers fail a share of their requests at once.
+    /// Servers answer a share of their requests with an error immediately.
     Errors,
-    /// Servers take a multiple of their usual time.
+    /// Servers take a multiple of their usual service time.
     Slow,
-    /// Some requests take a multiple of their usual time, at all servers.
+    /// Some requests take a multiple of their usual service time, at all servers.
     ExpensiveRequests,
-    /// The endpoint list drains servers, which end after the duration.
+    /// The endpoint list marks servers as draining; they exit after the duration.
     Drain,
-    /// As [`FaultKind::Drain`], with a new server for each at once.
+    /// As [`FaultKind::Drain`], with a replacement for each server that starts immediately.
     Replace,
-    /// The endpoint list leaves out servers that run.
+    /// The endpoint list omits servers that still run.
     FalseRemoval,
-    /// The feed sends no updates.
+    /// The feed sends no updates of the endpoint list.
     FeedOutage,
     /// A planner's process is killed, and started again after the duration.
     PlannerKill,
-    /// Proxies' streams break.
+    /// Proxies' sessions with their planner are aborted.
     StreamBreak,
-    /// Proxies do not read their streams.
+    /// Proxies do not read from their planner.
     StalledReader,
-    /// The request rate grows by a factor.
+    /// The request rate is multiplied by a factor.
     Surge,
 }
 
@@ -78,20 +78,20 @@
 pub struct ScheduledFault {
     /// Time since the start of the scenario.
     pub at: Duration,
-    /// What it does.
+    /// The effect.
     pub kind: FaultKind,
-    /// How many servers or proxies it affects.
+    /// Number of servers or proxies that are affected.
     pub count: usize,
-    /// How long it lasts.
+    /// Time until the fault ends.
     pub duration: Duration,
-    /// By kind: the factor of the slowdown or of the request rate, or the share of requests that fail.
+    /// By kind: the factor of the service time or of the request rate, or the share (0 to 1) of requests that fail.
     pub magnitude: f64,
-    /// The affected servers; empty to draw `count` healthy ones at random.
+    /// Names of the affected servers; empty to draw `count` healthy ones at random.
     pub servers: Vec<String>,
 }
 
 impl ScheduledFault {
-    /// A fault of magnitude 1 on servers drawn at random; times in seconds.
+    /// Creates a fault of magnitude 1 on servers drawn at random. `at` and `duration` are in seconds.
     pub fn new(at: u64, kind: FaultKind, count: usize, duration: u64) -> ScheduledFault {
         ScheduledFault {
             at: Duration::from_secs(at),
@@ -109,80 +109,82 @@
 pub struct ScheduledEdit {
     /// Time since the start of the scenario.
     pub at: Duration,
-    /// The edit's id.
+    /// The id under which the edit is sent, also when it is repeated.
     pub id: String,
-    /// A zone and its share of the traffic.
+    /// A zone and the new value of its traffic share; `None` leaves the zones as they are.
     pub zone_share: Option<(String, String)>,
-    /// A server and whether it drains.
+    /// A server and whether it drains from now on; `None` leaves the servers as they are.
     pub drain: Option<(String, bool)>,
-    /// The session is dropped before the first reply, and the edit sent again.
+    /// Whether the session is dropped before the first reply, so that the edit has to be sent again.
     pub drops_connection: bool,
 }
 
 /// How proxies receive their tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, clap::ValueEnum)]
 pub enum DeliveryMode {
-    /// By edits.
+    /// All proxies receive NETCONF edits.
     #[default]
     Netconf,
-    /// They subscribe.
+    /// All proxies subscribe to whole tables.
     Pubsub,
-    /// Every other one subscribes.
+    /// Every other proxy subscribes; the rest receive NETCONF edits.
     Mixed,
-    /// They subscribe to subsets.
+    /// All proxies subscribe to subsets of tables.
     Subsets,
 }
 
-/// What the testbed plays.
+/// A scenario that the testbed runs.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// How long clients send requests.
+    /// Time during which clients send requests.
     pub duration: Duration,
-    /// Servers at the start.
+    /// Number of servers at the start.
     pub server_count: usize,
-    /// Proxies.
+    /// Number of proxies.
     pub proxy_count: usize,
-    /// Zones, at least one.
+    /// Number of zones, at least one.
     pub zone_count: usize,
-    /// Planners, at least one.
+    /// Number of planners, at least one.
     pub planner_count: usize,
-    /// Requests a second over all proxies.
+    /// Requests per second, summed over all proxies.
     pub request_rate: f64,
-    /// Mean time that a request takes of one core.
+    /// Mean time for which a request occupies one core.
     pub service_time: Duration,
-    /// Cores of a server, at least one.
+    /// Cores per server, at least one.
     pub cores: usize,
     /// Time from a server's cold start to its full capacity.
     pub warm_up: Duration,
-    /// Proxies may send to a draining server for this time.
+    /// Time for which proxies may still send to a server after it was drained.
     pub drain_grace_period: Duration,
-    /// Proxies may be without a table entry for this time.
+    /// Time for which a proxy's table may have no entry for a traffic class.
     pub empty_table_grace_period: Duration,
-    /// The feed learns of changes this much later.
+    /// Time from a change of the servers until the feed sends it.
     pub feed_delay: Duration,
-    /// Only a drain obliges planners; a removal from the endpoint list does not.
+    /// Whether only a server that drains must get no more requests; if set, one that was removed from the endpoint
+    /// list may still get some.
     pub only_draining_binds: bool,
-    /// How proxies pick an endpoint, by its name in the settings.
+    /// The algorithm by which proxies select an endpoint, by its name in the settings.
     pub selection: String,
     /// The kind of admission limit, by its name in the settings.
     pub admission: String,
-    /// Table entries that a planner's channel sends in a second.
+    /// Table entries per second that a planner's update channel sends.
     pub entries_per_second: u64,
-    /// The planners' `<fleet>`, if another than the scenario's own.
+    /// The planners' `<fleet>`; `None` to derive it from the scenario.
     pub fleet_xml: Option<String>,
     /// How proxies receive their tables.
     pub delivery: DeliveryMode,
-    /// Planners and proxies have SPIFFE identities that live so long, and get new ones at half of it.
+    /// Lifetime of the SPIFFE identities of planners and proxies, which are renewed at half of it; `None` for
+    /// certificates by DNS names.
     pub identity_lifetime: Option<Duration>,
     /// Whether planners write an event log.
     pub is_recorded: bool,
-    /// Faults, in any order.
+    /// The scheduled faults, in any order.
     pub faults: Vec<ScheduledFault>,
-    /// Operators' edits, in any order.
+    /// The operators' scheduled edits, in any order.
     pub edits: Vec<ScheduledEdit>,
 }
 
-/// The names and texts of the scenarios that come with the testbed.
+/// The scenarios that are compiled into the testbed, as name and XML text.
 pub const BUNDLED_SCENARIOS: [(&str, &str); 7] = [
     ("surge", include_str!("../days/surge.xml")),
     ("deploy", include_str!("../days/deploy.xml")),
@@ -193,21 +195,21 @@
     ("restart-storm", include_str!("../days/restart-storm.xml")),
 ];
 
-/// Reads a scenario: one that comes with the testbed by its name, or a file.
+/// Reads a scenario, given as the name of a bundled one or as a file.
 ///
 /// # Errors
-/// Returns the file's name with the cause, one line for each violation of the schema.
+/// Returns the name with the cause, one line for each violation of the schema.
 pub fn read(name: &str) -> Result<Scenario, String> {
-    let text = load(name)?;
-    let faults = SchemaValidator::new(include_str!("day.xsd"))?.validate(&text);
-    if !faults.is_empty() {
-        return Err(faults.iter().map(|f| format!("{name}:{f}")).collect::<Vec<_>>().join("\n"));
+    let text = load_text(name)?;
+    let errors = SchemaValidator::new(include_str!("day.xsd"))?.validate(&text);
+    if !errors.is_empty() {
+        return Err(errors.iter().map(|error| format!("{name}:{error}")).collect::<Vec<_>>().join("\n"));
     }
     let root = Element::parse(&text).map_err(|e| format!("{name}:{}:{}: {}", e.line, e.column, e.reason))?;
     Ok(parse_scenario(&root))
 }
 
-fn load(name: &str) -> Result<String, String> {
+fn load_text(name: &str) -> Result<String, String> {
     match BUNDLED_SCENARIOS.iter().find(|(known, _)| *known == name) {
         Some((_, text)) => Ok(text.to_string()),
         None => std::fs::read_to_string(Path::new(name)).map_err(|e| format!("{name}: {e}")),
@@ -238,7 +240,7 @@
     element.text_of(name) == Some("true")
 }
 
-/// The fault of a `trouble` element; `None` for a kind that the schema does not have.
+/// Parses a `trouble` element; `None` if its kind is unknown.
 fn parse_fault(element: &Element) -> Option<ScheduledFault> {
     Some(ScheduledFault {
         at: seconds(element, "at"),
