--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -1,5 +1,5 @@
-//! Fake servers: cores that work off requests, a queue, a cold start, and injected faults. Each records which proxy
-//! sent it a request.
+//! Fake servers: each has cores that process requests, a bounded queue, a cold start and injected faults, and records
+//! which proxy sent each request.
 
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -11,41 +11,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A cold server starts with this share of its capacity.
+/// Share (0 to 1) of its full capacity with which a cold server starts.
 pub const INITIAL_CAPACITY: f64 = 0.2;
-/// Requests that may wait at a server; more are rejected.
+/// Requests that may be queued at a server; further ones are rejected.
 const MAX_QUEUED_REQUESTS: usize = 64;
-/// A cold server fails when it is sent more than this many times its present capacity over [`OVERLOAD_WINDOW`].
+/// A cold server fails when it receives more than this many times its current capacity within [`OVERLOAD_WINDOW`].
 const OVERLOAD_MULTIPLE: f64 = 4.0;
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
-/// Requests beyond the overload limit that a server stands, since requests come one by one.
+/// Requests beyond the overload limit that a server tolerates, since requests arrive one by one.
 const OVERLOAD_SLACK_REQUESTS: f64 = 3.0;
-/// The share of requests that is expensive while [`FakeServer::expensive_request_factor`] is above 1.
+/// The share of requests that are expensive while [`FakeServer::expensive_request_factor`] is above 1.
 const EXPENSIVE_REQUEST_SHARE: f64 = 0.02;
-/// Parameters of the log-normal spread of service times: mean 1, coefficient of variation 0.4.
+/// Parameters of the log-normal factor on service times: mean 1, coefficient of variation 0.4.
 const SERVICE_TIME_MU: f64 = -0.075;
 const SERVICE_TIME_SIGMA: f64 = 0.387;
-/// Bounds of one request's time, in mean service times.
+/// Bounds of one request's service time, as multiples of the mean.
 const MIN_SERVICE_TIME_FACTOR: f64 = 0.01;
 const MAX_SERVICE_TIME_FACTOR: f64 = 1000.0;
-/// The weight of a new value in the reported utilization, by the seconds since the last one, and its bounds.
+/// Weight of a new sample in the moving average of the utilization, per second since the last sample, and the lower
+/// bound of that weight.
 const UTILIZATION_WEIGHT_PER_SECOND: f64 = 0.5;
 const MIN_UTILIZATION_WEIGHT: f64 = 0.05;
-/// Idle connections are closed after this time.
+/// Time after which idle connections are closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The class whose requests must not take effect twice.
+/// The traffic class whose requests must not take effect twice.
 const UNREPEATABLE_CLASS: &str = "loan-checkout";
 
-/// How a server treats requests.
+/// How a server handles requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ServerBehavior {
-    /// It answers them.
+    /// Answers them after their service time.
     Normal,
-    /// It accepts them and never answers.
+    /// Accepts them and never answers.
     Hanging,
-    /// Its machine accepts and answers nothing.
+    /// Does not respond at all, as if its machine were down.
     Unreachable,
-    /// It fails this share of them at once.
+    /// Answers this share (0 to 1) of them with an error immediately.
     Failing(f64),
 }
 
@@ -55,12 +56,12 @@
     }
 }
 
-/// A request that a server was sent.
+/// A request that a server received.
 #[derive(Debug, Clone)]
 pub struct ReceivedRequest {
-    /// When it came.
+    /// When it arrived, on the event loop's clock.
     pub at: Duration,
-    /// The proxy's name.
+    /// Name of the proxy that sent it; empty if the request does not say.
     pub proxy: String,
 }
 
@@ -75,33 +76,34 @@
     job: Job,
 }
 
-/// One server. It keeps its name and address over restarts.
+/// One server, which keeps its name and address when its process is restarted.
 pub struct FakeServer {
-    /// Its name.
+    /// The name in the endpoint list.
     pub name: String,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: String,
     /// Where it listens.
     pub address: SocketAddr,
+    /// `None` while its process does not run.
     listener: Option<ConnectionId>,
-    /// How it treats requests.
+    /// How it handles requests.
     pub behavior: ServerBehavior,
-    /// Each request takes this many times its usual time.
+    /// Factor on the service time of each request; 1 if it is not slowed down.
     pub slowdown: f64,
-    /// An expensive request takes this many times its usual time; 1 for none.
+    /// Factor on the service time of expensive requests; at 1 no request is expensive.
     pub expensive_request_factor: f64,
-    /// When its process started.
+    /// When its process started, on the event loop's clock.
     pub started_at: Duration,
-    /// It started cold: after the start of the scenario.
+    /// Whether its process started cold, as one that starts during the scenario does.
     pub has_cold_start: bool,
-    /// When it failed for good, being overloaded while cold.
+    /// When it failed because it was overloaded while cold, after which it does not start again; `None` if it did not.
     pub overloaded_at: Option<Duration>,
     readers: BTreeMap<ConnectionId, MessageReader>,
     running: Vec<RunningJob>,
     queue: VecDeque<Job>,
-    /// Times of the requests within the overload window.
+    /// Arrival times of the requests within the overload window.
     recent_arrivals: VecDeque<Duration>,
-    /// Requests that were not collected yet.
+    /// Requests that [`FakeServer::take_received`] has not returned yet.
     pub received: Vec<ReceivedRequest>,
     utilization_updated_at: Duration,
     utilization: f64,
@@ -137,22 +139,22 @@
         self.expensive_request_factor = 1.0;
     }
 
-    /// The requests that came since the last call.
+    /// Returns the requests that arrived since the last call.
     pub fn take_received(&mut self) -> Vec<ReceivedRequest> {
         std::mem::take(&mut self.received)
     }
 
-    /// The share of its capacity (0 to 1) that it has at its age.
-    fn capacity(&self, warm_up: Duration, now: Duration) -> f64 {
+    /// The share (0 to 1) of its full capacity that a server has at its age, which grows linearly after a cold start.
+    fn capacity_share(&self, warm_up: Duration, now: Duration) -> f64 {
         if !self.has_cold_start {
             return 1.0;
         }
-        let age = now.saturating_sub(self.started_at).as_secs_f64() / warm_up.as_secs_f64().max(0.001);
-        (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age).min(1.0)
+        let progress = now.saturating_sub(self.started_at).as_secs_f64() / warm_up.as_secs_f64().max(0.001);
+        (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * progress).min(1.0)
     }
 
-    /// Counts a request, and returns whether the server is now overloaded while cold.
-    fn is_overloaded_by_request(&mut self, load: &ServerCapacity, now: Duration) -> bool {
+    /// Counts a request, and returns whether it overloads the server while it is cold.
+    fn is_overloaded_by_request(&mut self, resources: &ServerCapacity, now: Duration) -> bool {
         if !self.has_cold_start {
             return false;
         }
@@ -160,24 +162,27 @@
         while self.recent_arrivals.front().is_some_and(|at| *at + OVERLOAD_WINDOW < now) {
             self.recent_arrivals.pop_front();
         }
-        let service_seconds = load.service_time.as_secs_f64();
-        let sent_seconds: f64 = self.recent_arrivals.iter().map(|_| service_seconds).sum();
-        let capacity = self.capacity(load.warm_up, now);
-        let limit_seconds = OVERLOAD_MULTIPLE * capacity * load.cores as f64 * OVERLOAD_WINDOW.as_secs_f64();
-        capacity < 1.0 && sent_seconds > limit_seconds + OVERLOAD_SLACK_REQUESTS * service_seconds
+        let service_seconds = resources.service_time.as_secs_f64();
+        let received_seconds: f64 = self.recent_arrivals.iter().map(|_| service_seconds).sum();
+        let share = self.capacity_share(resources.warm_up, now);
+        let limit_seconds =
+            OVERLOAD_MULTIPLE * share * resources.cores as f64 * OVERLOAD_WINDOW.as_secs_f64();
+        share < 1.0 && received_seconds > limit_seconds + OVERLOAD_SLACK_REQUESTS * service_seconds
     }
 
-    /// Draws how long a request that starts now takes.
-    fn draw_service_time(&self, load: &ServerCapacity, now: Duration, rng: &mut StdRng) -> Duration {
+    /// Draws the service time of a request that starts now.
+    fn draw_service_time(&self, resources: &ServerCapacity, now: Duration, rng: &mut StdRng) -> Duration {
         let is_expensive =
             self.expensive_request_factor > 1.0 && rng.random::<f64>() < EXPENSIVE_REQUEST_SHARE;
-        let expense = if is_expensive { self.expensive_request_factor } else { 1.0 };
-        let spread = LogNormal::new(SERVICE_TIME_MU, SERVICE_TIME_SIGMA).map_or(1.0, |d| d.sample(rng));
-        let factor = spread * self.slowdown * expense / self.capacity(load.warm_up, now);
-        load.service_time.mul_f64(factor.clamp(MIN_SERVICE_TIME_FACTOR, MAX_SERVICE_TIME_FACTOR))
+        let cost_factor = if is_expensive { self.expensive_request_factor } else { 1.0 };
+        let random_factor =
+            LogNormal::new(SERVICE_TIME_MU, SERVICE_TIME_SIGMA).map_or(1.0, |d| d.sample(rng));
+        let factor =
+            random_factor * self.slowdown * cost_factor / self.capacity_share(resources.warm_up, now);
+        resources.service_time.mul_f64(factor.clamp(MIN_SERVICE_TIME_FACTOR, MAX_SERVICE_TIME_FACTOR))
     }
 
-    /// Removes and returns a job that is done.
+    /// Removes and returns a finished job; `None` if there is none.
     fn take_finished(&mut self, now: Duration) -> Option<Job> {
         let position = self.running.iter().position(|running| running.ends_at <= now)?;
         Some(self.running.swap_remove(position).job)
@@ -189,19 +194,19 @@
         self.utilization += (busy_share - self.utilization) * weight.max(MIN_UTILIZATION_WEIGHT);
     }
 
-    /// The load report that goes with each answer: requests held, and utilization.
+    /// The load report that each response carries: requests running or queued, and utilization.
     fn load_headers(&self) -> Vec<(String, String)> {
-        let held = self.running.len() + self.queue.len();
-        vec![("runloom-load".into(), format!("{held},{:.3}", self.utilization))]
+        let unfinished = self.running.len() + self.queue.len();
+        vec![("runloom-load".into(), format!("{unfinished},{:.3}", self.utilization))]
     }
 }
 
-/// What all servers have in common.
+/// Service time and capacity, which are the same for all servers.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerCapacity {
-    /// Mean time that a request takes of one core.
+    /// Mean time for which a request occupies one core.
     pub service_time: Duration,
-    /// Requests that run at the same time.
+    /// Number of requests that run at the same time.
     pub cores: usize,
     /// Time from a cold start to full capacity.
     pub warm_up: Duration,
@@ -209,21 +214,21 @@
 
 /// All servers, on one event loop.
 pub struct FakeServers {
-    /// The servers by index; one that ended stays.
+    /// The servers by index; a stopped one keeps its place.
     pub all: Vec<FakeServer>,
     connections: BTreeMap<ConnectionId, usize>,
     capacity: ServerCapacity,
-    /// How many times each key of the unrepeatable class took effect.
+    /// Number of times that each key of [`UNREPEATABLE_CLASS`] took effect.
     effects: BTreeMap<String, u32>,
 }
 
 impl FakeServers {
-    /// No servers yet.
+    /// Creates an empty set, to which [`FakeServers::add`] adds servers of this capacity.
     pub fn new(capacity: ServerCapacity) -> FakeServers {
         FakeServers { all: vec![], connections: BTreeMap::new(), capacity, effects: BTreeMap::new() }
     }
 
-    /// Starts a new server and returns its index.
+    /// Starts a new server on a free port and returns its index.
     ///
     /// # Errors
     /// Returns the cause if no socket can be opened.
@@ -239,7 +244,7 @@
         Ok(id)
     }
 
-    /// Ends a server's process: its connections are reset, and running requests are lost.
+    /// Stops a server's process: its connections are reset, and its running and queued requests are lost.
     pub fn stop(&mut self, event_loop: &mut EventLoop, id: usize) {
         let server = &mut self.all[id];
         for conn in std::mem::take(&mut server.readers).into_keys() {
@@ -254,7 +259,8 @@
         }
     }
 
-    /// Starts a server that ended, cold, under the same name and address. One that was overloaded stays down.
+    /// Starts a stopped server cold, under the same name and address and without faults. One that was overloaded stays
+    /// stopped; one that runs is left alone.
     ///
     /// # Errors
     /// Returns the cause if its address cannot be listened on.
@@ -280,7 +286,7 @@
 
     /// Whether a server's process runs at its full capacity.
     pub fn is_warm(&self, id: usize, now: Duration) -> bool {
-        self.is_up(id) && self.all[id].capacity(self.capacity.warm_up, now) >= 1.0
+        self.is_up(id) && self.all[id].capacity_share(self.capacity.warm_up, now) >= 1.0
     }
 
     /// Whether a connection or listener belongs to a server.
@@ -288,25 +294,25 @@
         self.connections.contains_key(&conn)
     }
 
-    /// A connection came in.
+    /// Registers a connection that a server's listener accepted.
     pub fn handle_open(&mut self, event_loop: &mut EventLoop, conn: ConnectionId, listener: ConnectionId) {
         let Some(id) = self.connections.get(&listener).copied() else { return };
         if self.all[id].behavior == ServerBehavior::Unreachable {
-            // The kernel accepted it; nothing reads it.
+            // The kernel has accepted the connection already; its data stays unread.
             event_loop.pause_reading(conn, true);
         }
         self.connections.insert(conn, id);
         self.all[id].readers.insert(conn, MessageReader::requests());
     }
 
-    /// A connection ended.
+    /// Forgets a connection that ended.
     pub fn handle_closed(&mut self, conn: ConnectionId) {
         if let Some(id) = self.connections.remove(&conn) {
             self.all[id].readers.remove(&conn);
         }
     }
 
-    /// Bytes came on a connection.
+    /// Handles bytes that a connection received.
     pub fn handle_bytes(
         &mut self,
         event_loop: &mut EventLoop,
@@ -367,7 +373,7 @@
         } else if server.queue.len() < MAX_QUEUED_REQUESTS {
             server.queue.push_back(job);
         } else {
-            // Tells the proxy that the request did not start.
+            // The header tells the proxy that the request was not started, and may be sent to another server.
             event_loop
                 .write(conn, &serialize_response(503, &[("runloom-turned-away".into(), "1".into())], b""));
         }
@@ -382,12 +388,12 @@
         server.running.push(RunningJob { ends_at, job });
     }
 
-    /// When the next request is done.
+    /// When the next running request finishes; `None` if none runs.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.all.iter().flat_map(|server| server.running.iter().map(|running| running.ends_at)).min()
     }
 
-    /// Answers finished requests, and starts queued ones.
+    /// Answers requests that have finished, and starts queued ones.
     pub fn poll(&mut self, event_loop: &mut EventLoop, rng: &mut StdRng) {
         let now = event_loop.now();
         for id in 0..self.all.len() {
@@ -406,7 +412,7 @@
         }
     }
 
-    /// Keys of the unrepeatable class that took effect more than once.
+    /// Number of request keys that took effect more than once, of the class that must not.
     pub fn duplicated_effects(&self) -> usize {
         self.effects.values().filter(|count| **count > 1).count()
     }
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,4 +1,5 @@
-//! Clients: Poisson arrivals at the proxies, one retry where that is safe, and a key for each request.
+//! The clients: requests with unique keys arrive at the proxies as a Poisson process, and are retried once where that
+//! is safe.
 
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -10,25 +11,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A class of requests.
+/// A traffic class of the clients' requests.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientClass {
-    /// Its name.
+    /// The class's name in the settings, and the first segment of its requests' paths.
     pub name: &'static str,
-    /// What one answered request is worth.
+    /// The value of a request that is answered within the latency objective.
     pub priority_weight: f64,
-    /// Answers are wanted within this time.
+    /// Time within which a response has its full value.
     pub latency_objective: Duration,
-    /// Later answers count for nothing.
+    /// Time after which a response has no value.
     pub deadline: Duration,
-    /// A request may run a second time.
+    /// Whether a request may run a second time.
     pub is_repeatable: bool,
-    /// Its share of the requests, 0 to 1.
+    /// Share (0 to 1) of all requests that are of this class.
     pub share: f64,
 }
 
 impl ClientClass {
-    /// The class as settings have it.
+    /// Converts the class to the form of planner and proxy settings.
     pub fn to_settings(&self) -> ClassSettings {
         ClassSettings {
             name: self.name.into(),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// What a response after `latency` is worth.
+    /// The value of a response that took `latency`.
     fn response_value(&self, latency: Duration) -> f64 {
         if latency <= self.latency_objective {
             self.priority_weight
@@ -51,7 +52,7 @@
     }
 }
 
-/// The classes that clients send.
+/// The traffic classes of the clients' requests; their shares add up to 1.
 pub const CLASSES: [ClientClass; 3] = [
     ClientClass {
         name: "search",
@@ -79,15 +80,15 @@
     },
 ];
 
-/// A response after its objective and before its deadline is worth this share of the priority weight.
+/// Value of a response after its latency objective and before its deadline, as a share of the priority weight.
 const LATE_RESPONSE_VALUE: f64 = 0.1;
 /// Idle connections that clients keep to one proxy.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// A request that failed is sent again after this time.
+/// Time from a failure until the request is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The longest time between two arrivals, in seconds.
 const MAX_ARRIVAL_GAP_SECONDS: f64 = 60.0;
-/// Exponent that makes some proxies get far more requests than others, as processes of unlike clients do.
+/// Exponent of the skew by which some proxies get far more requests than others, as those of clients with unequal loads do.
 const PROXY_SKEW_EXPONENT: f64 = 1.5;
 
 #[derive(Debug, Clone)]
@@ -108,19 +109,19 @@
 /// Totals of the requests so far.
 #[derive(Debug, Clone, Default)]
 pub struct ClientTotals {
-    /// Requests, retries not counted.
+    /// Number of requests, without retries.
     pub requests: u64,
-    /// Those that were answered.
+    /// Number of requests that were answered successfully.
     pub succeeded: u64,
-    /// Those that were answered within their latency objective.
+    /// Number of requests that were answered successfully within their latency objective.
     pub within_objective: u64,
-    /// What answers to all requests in time would be worth.
+    /// The value of all requests, if each were answered within its latency objective.
     pub value_offered: f64,
-    /// What the answers were worth.
+    /// The value of the responses that were received.
     pub value_earned: f64,
-    /// Failed attempts by their cause.
+    /// Number of failed attempts, by cause.
     pub failures: BTreeMap<String, u64>,
-    /// Latencies of answered requests in microseconds.
+    /// Latencies of successful requests in microseconds, from the arrival of the first attempt.
     pub latencies_us: Vec<u32>,
 }
 
@@ -128,21 +129,22 @@
 pub struct LoadGenerator {
     proxies: Vec<SocketAddr>,
     request_rate: f64,
-    /// The request rate is multiplied by this.
+    /// Factor on the request rate; 1 unless a surge is under way.
     pub surge_factor: f64,
     next_arrival: Duration,
     last_key: u64,
     connections: BTreeMap<ConnectionId, ClientConnection>,
     idle: Vec<Vec<ConnectionId>>,
     retries: VecDeque<(Duration, ClientRequest)>,
-    /// Totals so far.
+    /// Totals since the start.
     pub totals: ClientTotals,
-    /// Whether new requests arrive.
+    /// Whether new requests arrive; retries are sent in any case.
     pub is_sending: bool,
 }
 
 impl LoadGenerator {
-    /// Clients of some proxies, with `request_rate` requests a second over all of them.
+    /// Creates clients of the given proxies, with `request_rate` requests per second over all of them. They send nothing
+    /// before [`LoadGenerator::start`].
     pub fn new(proxies: Vec<SocketAddr>, request_rate: f64) -> LoadGenerator {
         LoadGenerator {
             idle: vec![vec![]; proxies.len()],
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Starts sending.
+    /// Starts sending; the first request arrives at `now`.
     pub fn start(&mut self, now: Duration) {
         self.is_sending = true;
         self.next_arrival = now;
@@ -180,7 +182,7 @@
         self.connections.contains_key(&conn)
     }
 
-    /// Sends what is due.
+    /// Sends the requests and retries that are due.
     pub fn poll(&mut self, event_loop: &mut EventLoop, rng: &mut StdRng) {
         let now = event_loop.now();
         while self.has_arrivals() && self.next_arrival <= now {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Draws the request that arrives now, and the time of the next one.
+    /// Draws the request that arrives now, and the arrival time of the next one.
     fn draw_request(&mut self, now: Duration, rng: &mut StdRng) -> ClientRequest {
         let gap = Exp::new(self.request_rate * self.surge_factor).map_or(1.0, |d| d.sample(rng));
         self.next_arrival += Duration::from_secs_f64(gap.min(MAX_ARRIVAL_GAP_SECONDS));
@@ -219,7 +221,7 @@
         }
     }
 
-    /// An idle connection to a proxy, or a new one.
+    /// Returns an idle connection to a proxy, or opens one; `None` if that fails.
     fn take_connection(&mut self, event_loop: &mut EventLoop, proxy: usize) -> Option<ConnectionId> {
         if let Some(conn) = self.idle[proxy].pop() {
             return Some(conn);
@@ -231,7 +233,7 @@
         Some(conn)
     }
 
-    /// Bytes came on a connection.
+    /// Handles bytes that a connection received.
     pub fn handle_bytes(&mut self, event_loop: &mut EventLoop, conn: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.reader.push(bytes);
@@ -262,7 +264,7 @@
         self.totals.value_earned += class.response_value(latency);
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection; a request in progress on it has failed.
     pub fn handle_closed(&mut self, event_loop: &mut EventLoop, conn: ConnectionId) {
         let Some(connection) = self.connections.remove(&conn) else { return };
         self.idle[connection.proxy].retain(|idle| *idle != conn);
@@ -280,7 +282,7 @@
     }
 }
 
-/// Draws a class by the classes' shares.
+/// Draws the index of a class, with the classes' shares as probabilities.
 fn draw_class(rng: &mut StdRng) -> usize {
     let draw: f64 = rng.random();
     let mut cumulative_share = 0.0;
--- a/crates/testbed/src/planner_process.rs
+++ b/crates/testbed/src/planner_process.rs
@@ -1,4 +1,4 @@
-//! A planner in a process of its own, and what can be read of it from outside.
+//! Planners as processes of their own, with their addresses, resource usage and metrics.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,14 +16,14 @@
 
 const METRICS_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const METRICS_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// The kernel counts processor time in ticks of this length.
+/// Length of the clock ticks in which the kernel counts processor time.
 const CLOCK_TICK_MS: u64 = 10;
 
 /// Returns free addresses that stay reserved until this process ends.
 ///
-/// Each is kept by a socket that is bound, does not listen, and shares its address with sockets that share theirs, as
-/// planners' do. Otherwise two tests could be given the same address before either listens, or the system could give
-/// a connection the address of a planner that is being restarted.
+/// Each is held by a socket that is bound, does not listen, and shares its address with other sockets that set
+/// `SO_REUSEADDR`, as planners' sockets do. Otherwise two tests could be given the same address before either listens,
+/// or the system could assign the address of a planner that is being restarted to a connection.
 ///
 /// # Errors
 /// Returns the cause if no socket can be opened.
@@ -32,7 +32,7 @@
     let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); N];
     for address in &mut addresses {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-        // Shared only once it is bound: before that, the system gives no address that is in use.
+        // The option is set only after the bind: without it, the system picks no address that is in use.
         socket.bind(&(*address).into())?;
         socket.set_reuse_address(true)?;
         *address = socket.local_addr()?.as_socket().ok_or(std::io::ErrorKind::AddrNotAvailable)?;
@@ -44,18 +44,18 @@
 /// Where a planner listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannerAddresses {
-    /// For management clients.
+    /// Address for management clients.
     pub edits: SocketAddr,
-    /// For proxies that call home.
+    /// Address for proxies that call home.
     pub call_home: SocketAddr,
-    /// For proxies that subscribe.
+    /// Address for proxies that subscribe.
     pub pubsub: SocketAddr,
-    /// For metrics.
+    /// Address at which metrics are served.
     pub metrics: SocketAddr,
 }
 
 impl PlannerAddresses {
-    /// Four free addresses; see [`reserve_addresses`].
+    /// Reserves four free addresses; see [`reserve_addresses`].
     ///
     /// # Errors
     /// Returns the cause if no socket can be opened.
@@ -72,7 +72,8 @@
         )
     }
 
-    /// Reads the addresses that a planner prints at its start, one a line, with the metrics' last.
+    /// Reads the addresses that a planner prints at its start, one per line, the one for metrics last. `None` if one is
+    /// missing.
     fn read(output: ChildStdout) -> std::io::Result<Option<PlannerAddresses>> {
         let mut by_name: BTreeMap<String, SocketAddr> = BTreeMap::new();
         for line in BufReader::new(output).lines() {
@@ -98,25 +99,26 @@
     }
 }
 
-/// How a planner's process is started.
+/// The command by which a planner's process is started.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannerCommand<'a> {
-    /// The testbed's program, which runs planners by a sub-command.
+    /// The testbed's program, whose `planner` sub-command runs a planner.
     pub program: &'a Path,
     /// The planner's settings file.
     pub settings: &'a Path,
-    /// Its seed.
+    /// Seed of the planner's random numbers.
     pub seed: u64,
-    /// Its standard error is appended to this file.
+    /// File to which the planner's standard error is appended.
     pub log: &'a Path,
-    /// More arguments, for test hooks.
+    /// Further arguments, for test hooks.
     pub arguments: &'a [String],
 }
 
-/// A planner's process, which is killed when dropped.
+/// A planner's process, which is killed when the value is dropped.
 pub struct PlannerProcess {
+    /// `None` once the process has ended.
     child: Option<Child>,
-    /// Where it listens.
+    /// Where the planner listens.
     pub addresses: PlannerAddresses,
 }
 
@@ -127,7 +129,7 @@
     /// Returns the cause, with the last line of its log, if it does not start.
     pub fn start(command: PlannerCommand<'_>) -> Result<PlannerProcess, String> {
         let mut child = spawn(command).map_err(|e| e.to_string())?;
-        let output = child.stdout.take().ok_or("the planner has no output")?;
+        let output = child.stdout.take().ok_or("the planner's standard output is not piped")?;
         match PlannerAddresses::read(output).map_err(|e| e.to_string())? {
             Some(addresses) => Ok(PlannerProcess { child: Some(child), addresses }),
             None => {
@@ -135,12 +137,12 @@
                 let _ = child.wait();
                 let log = std::fs::read_to_string(command.log).unwrap_or_default();
                 let last_line = log.lines().last().unwrap_or_default();
-                Err(format!("the planner did not start: see {}: {last_line}", command.log.display()))
+                Err(format!("the planner did not start; its log {} ends: {last_line}", command.log.display()))
             }
         }
     }
 
-    /// Kills the process, if it runs, and waits for its end.
+    /// Kills the process, if it runs, and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -155,12 +157,12 @@
         }
     }
 
-    /// The process id while it runs.
+    /// The process id; `None` if the process does not run.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// What the process used so far; zeros if it does not run.
+    /// Memory and processor time of the process up to now; zeros if it does not run.
     pub fn resource_usage(&self) -> ResourceUsage {
         self.id().map(ResourceUsage::of_process).unwrap_or_default()
     }
@@ -189,7 +191,7 @@
 pub struct ResourceUsage {
     /// Resident memory in KiB.
     pub resident_kib: u64,
-    /// Processor time since its start.
+    /// Processor time since the start of the process, in user and kernel mode.
     pub cpu: Duration,
 }
 
@@ -199,14 +201,14 @@
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let resident_kib = resident.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0);
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-        // Fields after the command's name, which stands in parentheses: 11 is user time and 12 system time.
+        // Fields after the command's name, which is in parentheses: 11 is the user time and 12 the system time.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks: u64 = [11, 12].iter().filter_map(|k| fields.get(*k)?.parse::<u64>().ok()).sum();
         ResourceUsage { resident_kib, cpu: Duration::from_millis(ticks * CLOCK_TICK_MS) }
     }
 }
 
-/// The `tls` element of a planner's settings; `rules` are its `may` elements.
+/// The `tls` element of a planner's settings; `rules` are its access rules as `may` elements.
 pub fn tls_xml(credentials: &TlsFiles, rules: &str) -> String {
     format!(
         "<tls><certificate>{}</certificate><key>{}</key><trust>{}</trust>{rules}</tls>",
@@ -216,7 +218,7 @@
     )
 }
 
-/// Reads a planner's metrics, by name; `None` if it does not answer.
+/// Reads a planner's metrics by name; `None` if the planner does not answer.
 pub fn read_metrics(address: SocketAddr) -> Option<BTreeMap<String, f64>> {
     let mut stream = TcpStream::connect_timeout(&address, METRICS_CONNECT_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(METRICS_READ_TIMEOUT)).ok()?;
--- a/crates/testbed/src/planner_process/tests.rs
+++ b/crates/testbed/src/planner_process/tests.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn a_reserved_address_can_be_listened_on_again_and_is_given_to_nobody_else() {
+fn a_reserved_address_can_be_listened_on_repeatedly_and_is_not_assigned_again() {
     // Given
     let reserved = reserve_addresses::<64>().unwrap();
 
