--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -88,7 +88,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The longest time between two arrivals, in seconds.
 const MAX_ARRIVAL_GAP_SECONDS: f64 = 60.0;
-/// Exponent of the skew by which some proxies get far more requests than others, as those of clients with unequal loads do.
+/// Exponent of the skew by which some proxies get far more requests than others, as those of clients with unequal
+/// loads do.
 const PROXY_SKEW_EXPONENT: f64 = 1.5;
 
 #[derive(Debug, Clone)]
@@ -143,8 +144,8 @@
 }
 
 impl LoadGenerator {
-    /// Creates clients of the given proxies, with `request_rate` requests per second over all of them. They send nothing
-    /// before [`LoadGenerator::start`].
+    /// Creates clients of the given proxies, with `request_rate` requests per second over all of them. They send
+    /// nothing before [`LoadGenerator::start`].
     pub fn new(proxies: Vec<SocketAddr>, request_rate: f64) -> LoadGenerator {
         LoadGenerator {
             idle: vec![vec![]; proxies.len()],
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -97,7 +97,7 @@
     /// Runs the planners without the safety guard.
     #[arg(long)]
     unguarded: bool,
-    /// File with the planners' `<fleet>`, instead of the scenario's own; the format is that of `runloom replay --fleet`.
+    /// File with the planners' `<fleet>`, instead of the scenario's own; in the format of `runloom replay --fleet`.
     #[arg(long)]
     fleet: Option<PathBuf>,
     /// How proxies receive their tables.
--- a/crates/testbed/src/management_clients.rs
+++ b/crates/testbed/src/management_clients.rs
@@ -1,6 +1,6 @@
 //! The NETCONF clients of the planners: the feed, which sends the endpoint list, and the operators, who send edits.
 //!
-//! Each runs on a thread of its own, with one session after the other.
+//! Each client runs on its own thread, and opens a new session when one ends.
 
 use crate::scenario::ScheduledEdit;
 use runloom_daemon::client::{edit_config, Client, ClientError};
@@ -18,24 +18,24 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Time for one request; longer than a planner takes to start.
+/// Timeout of one request; longer than a planner takes to start.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between attempts, and between questions whether an edit is in force.
+/// Time between attempts, and between queries whether an edit is in force.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the feed looks for a new list.
+/// Time between two checks of the feed for a new list.
 const FEED_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An endpoint list, by server name.
+/// An endpoint list: servers by name.
 pub type ServerList = BTreeMap<String, ListedServer>;
 
-/// What a planner was told of a server.
+/// The state of a server that a planner was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotifiedState {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It takes no more requests.
+    /// The server is to get no more requests.
     Draining,
-    /// It is no longer on the list.
+    /// The server is no longer on the endpoint list.
     Removed,
 }
 
@@ -49,37 +49,37 @@
     }
 }
 
-/// Something that a planner was told of a server and acknowledged.
+/// A change of a server's state that a planner was told and acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Notification {
-    /// When the planner's reply came.
+    /// When the planner's reply arrived.
     pub at: Duration,
     /// The planner's index.
     pub planner: usize,
     /// The server's name.
     pub server: String,
-    /// What the planner was told.
+    /// The server's new state.
     pub state: NotifiedState,
-    /// By an operator's edit; else by the feed.
+    /// Whether an operator's edit sent it; if not, the feed did.
     pub is_by_operator: bool,
 }
 
-/// What became of one edit at one planner.
+/// The outcome of one edit at one planner.
 #[derive(Debug, Clone)]
 pub struct EditOutcome {
-    /// The edit's id.
+    /// The id under which the edit was sent.
     pub id: String,
-    /// When it was first sent.
+    /// When the first attempt began.
     pub sent_at: Duration,
-    /// When the planner accepted it.
+    /// When the planner's reply that accepts it arrived; `None` if none did.
     pub accepted_at: Option<Duration>,
-    /// All proxies applied it.
+    /// Whether all proxies applied it.
     pub is_in_force: bool,
-    /// Milliseconds from acceptance until it was in force, as the planner states them.
+    /// Milliseconds from acceptance until it was in force, as reported by the planner; `None` while it is not in force.
     pub in_force_ms: Option<u64>,
-    /// How many times it was sent.
+    /// Number of times that it was sent.
     pub attempts: u32,
-    /// Why it was rejected.
+    /// The cause of the rejection; `None` if it was not rejected.
     pub rejection: Option<String>,
 }
 
@@ -96,20 +96,21 @@
         }
     }
 
-    fn is_settled(&self) -> bool {
+    fn is_final(&self) -> bool {
         self.is_in_force || self.rejection.is_some()
     }
 }
 
-/// What the testbed and its management clients share.
+/// State that the testbed and the threads of its management clients share.
 #[derive(Default)]
 pub struct ManagementState {
+    /// Endpoint lists with the times from which the feed sends them.
     lists: Mutex<Vec<(Duration, ServerList)>>,
     notifications: Mutex<Vec<Notification>>,
     edit_outcomes: Mutex<Vec<EditOutcome>>,
-    /// The feed sends nothing.
+    /// Whether the feed sends no lists.
     pub is_feed_suspended: AtomicBool,
-    /// All clients end.
+    /// Whether all clients are to end.
     pub is_finished: AtomicBool,
 }
 
@@ -118,22 +119,22 @@
 }
 
 impl ManagementState {
-    /// Adds a list that the feed sends from a time on.
+    /// Adds a list, which the feed sends from the time `from` on.
     pub fn publish_list(&self, from: Duration, list: ServerList) {
         lock(&self.lists).push((from, list));
     }
 
-    /// The list that was added last.
+    /// The list that was added last; `None` if none was.
     pub fn newest_list(&self) -> Option<ServerList> {
         lock(&self.lists).last().map(|(_, list)| list.clone())
     }
 
-    /// All notifications so far, in order of time for each planner and sender.
+    /// All notifications up to now, in order of time for each planner and sender.
     pub fn notifications(&self) -> Vec<Notification> {
         lock(&self.notifications).clone()
     }
 
-    /// What became of the edits so far.
+    /// The outcomes of the edits whose processing has ended.
     pub fn edit_outcomes(&self) -> Vec<EditOutcome> {
         lock(&self.edit_outcomes).clone()
     }
@@ -148,7 +149,7 @@
     }
 }
 
-/// A session's way to one planner.
+/// What a client needs to open sessions with one planner.
 struct PlannerEndpoint {
     index: usize,
     address: SocketAddr,
@@ -164,7 +165,9 @@
     }
 }
 
-/// Sends a planner the endpoint list: complete after each connect, then its changes.
+/// Starts the feed of one planner, which sends the endpoint list: a snapshot at the start of each session, then deltas.
+///
+/// `planner` is the planner's index; times count from `epoch`.
 pub fn spawn_feed(
     planner: usize,
     address: SocketAddr,
@@ -177,7 +180,7 @@
         let endpoint = PlannerEndpoint { index: planner, address, policy, state, epoch };
         while !endpoint.state.is_finished() {
             if let Err(error) = run_feed_session(&endpoint) {
-                tracing::debug!(planner, error = %error, "the feed reconnects");
+                tracing::debug!(planner, error = %error, "the feed's session ended; reconnecting");
             }
             std::thread::sleep(RETRY_INTERVAL);
         }
@@ -224,7 +227,7 @@
     list.iter().fold(roster, |roster, (name, listed)| roster.with(listed.to_element(name)))
 }
 
-/// Records what the planner acknowledged just now.
+/// Records the changes between two lists, which the planner has just acknowledged.
 fn record_notifications(planner: &PlannerEndpoint, previous: &ServerList, list: &ServerList) {
     let at = planner.epoch.elapsed();
     let notification = |server: &str, state| Notification {
@@ -244,8 +247,10 @@
     }
 }
 
-/// Sends one edit to each planner, again under the same id until it is known whether it took effect, and waits until
-/// it is in force.
+/// Starts an operator, who sends one edit to the planners one after the other, and waits until it is in force at each.
+///
+/// A failed attempt is repeated under the same id until it is known whether the edit was accepted. Times count from
+/// `epoch`.
 pub fn spawn_edit(
     planners: Vec<SocketAddr>,
     credentials: TlsFiles,
@@ -258,20 +263,20 @@
         for (index, address) in planners.into_iter().enumerate() {
             let (policy, state) = (policy.clone(), state.clone());
             let endpoint = PlannerEndpoint { index, address, policy, state, epoch };
-            let outcome = carry_out_edit(&endpoint, &edit);
+            let outcome = apply_edit(&endpoint, &edit);
             lock(&endpoint.state.edit_outcomes).push(outcome);
         }
     })
 }
 
-fn carry_out_edit(planner: &PlannerEndpoint, edit: &ScheduledEdit) -> EditOutcome {
+fn apply_edit(planner: &PlannerEndpoint, edit: &ScheduledEdit) -> EditOutcome {
     let mut outcome = EditOutcome::new(&edit.id, planner.epoch.elapsed());
-    while !planner.state.is_finished() && !outcome.is_settled() {
+    while !planner.state.is_finished() && !outcome.is_final() {
         match run_edit_session(planner, edit, &mut outcome) {
             Ok(()) => {}
             Err(ClientError::Rejected(reason)) => outcome.rejection = Some(reason),
             Err(error) => {
-                tracing::debug!(edit = %edit.id, error = %error, "the edit is sent again under the same id");
+                tracing::debug!(edit = %edit.id, error = %error, "edit session failed; retrying under the same id");
             }
         }
         std::thread::sleep(RETRY_INTERVAL);
@@ -279,7 +284,7 @@
     outcome
 }
 
-/// One session: sends the edit unless it is known to be accepted, then asks until it is in force.
+/// Runs one session: sends the edit unless it is known to be accepted, then queries the planner until it is in force.
 fn run_edit_session(
     planner: &PlannerEndpoint,
     edit: &ScheduledEdit,
@@ -306,7 +311,7 @@
     let operation = edit_config("running", fleet_edit(edit));
     if edit.drops_connection && outcome.attempts == 1 {
         client.send(operation, Some(&edit.id));
-        return Err(ClientError::Ended("dropped on purpose".into()));
+        return Err(ClientError::Ended("the scenario drops this connection".into()));
     }
     client.call(operation, Some(&edit.id))?;
     let at = planner.epoch.elapsed();
@@ -334,6 +339,7 @@
     fleet
 }
 
+/// Queries whether the edit is in force, and updates its outcome.
 fn update_in_force(client: &mut Client, id: &str, outcome: &mut EditOutcome) -> Result<(), ClientError> {
     let reply = client.get(Element::new(STATE, "state").with(Element::new(STATE, "edit")))?;
     let state = reply.child("data").and_then(|data| data.child("state"));
--- a/crates/testbed/src/testbed/endpoint_listing.rs
+++ b/crates/testbed/src/testbed/endpoint_listing.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the feed has it: which servers are on it, and when it changes.
+//! The endpoint list that the feed sends: which servers are on it, and when it changes.
 
 use super::Testbed;
 use crate::fake_servers::FakeServer;
@@ -8,35 +8,36 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Start times that differ by no more are of the same start.
+/// Two start times of a server that differ by at most this much denote the same start.
 const START_TIME_TOLERANCE_MS: u64 = 1000;
 
-/// What the feed believes of servers, by name.
+/// The servers, by name, that the feed lists as draining or does not list.
 #[derive(Debug, Default)]
 pub(super) struct EndpointListing {
     pub draining: BTreeSet<String>,
     pub removed: BTreeSet<String>,
-    /// Left out of the list although they run.
+    /// Servers that are not listed although they run.
     pub falsely_removed: BTreeSet<String>,
-    /// Processes that ended, as far as the feed noticed. It notices neither an unreachable nor a hanging server.
+    /// Servers whose processes have ended. The feed does not detect unreachable or hanging servers.
     pub crashed: BTreeSet<String>,
 }
 
 impl EndpointListing {
-    /// Whether a server is to drain, or is left out on purpose.
+    /// Whether a server drains, was removed, or was falsely removed.
     pub fn is_leaving(&self, server: &str) -> bool {
         self.draining.contains(server)
             || self.removed.contains(server)
             || self.falsely_removed.contains(server)
     }
 
-    fn lists(&self, server: &str) -> bool {
+    fn is_listed(&self, server: &str) -> bool {
         !self.removed.contains(server)
             && !self.falsely_removed.contains(server)
             && !self.crashed.contains(server)
     }
 
-    fn record(&self, server: &FakeServer, now: Duration) -> ListedServer {
+    /// The entry of a server in the list; `now` is on the event loop's clock.
+    fn listed_server(&self, server: &FakeServer, now: Duration) -> ListedServer {
         let age_ms = now.saturating_sub(server.started_at).as_millis() as u64;
         ListedServer {
             address: server.address,
@@ -45,7 +46,7 @@
             cell: 0,
             is_draining: self.draining.contains(&server.name),
             weight: 1.0,
-            // Whole seconds, in milliseconds.
+            // Rounded down to whole seconds.
             started_ms: server.has_cold_start.then(|| (wall_ms() - age_ms) / 1000 * 1000),
         }
     }
@@ -55,11 +56,11 @@
     /// The list as it is now.
     pub(super) fn endpoint_list(&self) -> ServerList {
         let now = self.event_loop.now();
-        let listed = self.servers.all.iter().filter(|server| self.listing.lists(&server.name));
-        listed.map(|server| (server.name.clone(), self.listing.record(server, now))).collect()
+        let listed = self.servers.all.iter().filter(|server| self.listing.is_listed(&server.name));
+        listed.map(|server| (server.name.clone(), self.listing.listed_server(server, now))).collect()
     }
 
-    /// Publishes a changed list; the feed sends it after its delay.
+    /// Publishes the current list, which the feed sends after [`crate::scenario::Scenario::feed_delay`].
     pub(super) fn publish_endpoint_list(&mut self) {
         let from = self.epoch.elapsed() + self.scenario.feed_delay;
         let mut list = self.endpoint_list();
@@ -70,10 +71,10 @@
     }
 }
 
-/// Keeps start times as they were first sent: derived again from a server's age they could differ by the rounding.
+/// Keeps the start times of the previous list, since those computed again from a server's age can differ by rounding.
 fn keep_start_times(previous: &ServerList, list: &mut ServerList) {
     for (name, listed) in list {
-        let Some(old) = previous.get(name).and_then(|record| record.started_ms) else { continue };
+        let Some(old) = previous.get(name).and_then(|server| server.started_ms) else { continue };
         if listed.started_ms.is_some_and(|new| old.abs_diff(new) <= START_TIME_TOLERANCE_MS) {
             listed.started_ms = Some(old);
         }
--- a/crates/testbed/src/testbed/fault_injection.rs
+++ b/crates/testbed/src/testbed/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults and edits: what happens at their time, and how faults end.
+//! Runs a scenario's faults and edits when they are due, and ends faults after their duration.
 
 use super::restart_observation::FaultyServers;
 use super::Testbed;
@@ -11,35 +11,35 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Something that the testbed does at a set time. Servers, proxies and planners are given by index.
+/// An action that the testbed performs at a set time. Servers, proxies and planners are given by index.
 pub(super) enum TestbedAction {
-    /// A fault begins.
+    /// Begins a fault.
     InjectFault(ScheduledFault),
-    /// An operator sends an edit.
+    /// Sends an operator's edit.
     SendEdit(ScheduledEdit),
-    /// Crashed servers start again.
+    /// Starts crashed servers again.
     StartServers(Vec<usize>),
-    /// Servers behave as usual again.
+    /// Restores the normal behavior of servers.
     ClearServerFaults(Vec<usize>),
-    /// Drained servers end.
+    /// Stops drained servers and removes them from the endpoint list.
     RemoveServers(Vec<usize>),
-    /// The endpoint list has servers again that it left out, by name.
+    /// Lists servers again that were falsely removed, given by name.
     RestoreListing(BTreeSet<String>),
-    /// The feed sends updates again.
+    /// Lets the feed send updates again.
     RestoreFeed,
-    /// A killed planner starts again.
+    /// Starts a killed planner again.
     RestartPlanner(usize),
-    /// Proxies read their streams again.
+    /// Lets proxies read their streams again.
     ResumeReading(Vec<usize>),
-    /// The request rate is as usual again.
+    /// Restores the normal request rate.
     EndSurge,
 }
 
 impl Testbed {
-    /// Runs the actions that are due.
+    /// Runs the actions that are due at a time of the scenario.
     pub(super) fn run_due_actions(&mut self, now: Duration) -> Result<(), String> {
-        while let Some(position) = self.agenda.iter().position(|(at, _)| *at <= now) {
-            let (_, action) = self.agenda.swap_remove(position);
+        while let Some(position) = self.scheduled_actions.iter().position(|(at, _)| *at <= now) {
+            let (_, action) = self.scheduled_actions.swap_remove(position);
             self.run_action(action)?;
         }
         Ok(())
@@ -61,12 +61,13 @@
         Ok(())
     }
 
+    /// Schedules an action after a delay from now.
     fn run_after(&mut self, delay: Duration, action: TestbedAction) {
-        self.agenda.push((self.now() + delay, action));
+        self.scheduled_actions.push((self.now() + delay, action));
     }
 
     fn inject_fault(&mut self, fault: &ScheduledFault) -> Result<(), String> {
-        tracing::info!(at = self.now().as_secs_f64(), kind = %fault.kind, "fault");
+        tracing::info!(at = self.now().as_secs_f64(), kind = %fault.kind, "injecting a fault");
         match fault.kind {
             FaultKind::Crash => self.crash_servers(fault),
             FaultKind::Hang => self.change_behavior(fault, ServerBehavior::Hanging),
@@ -77,7 +78,7 @@
             FaultKind::Drain => self.drain_servers(fault),
             FaultKind::Replace => self.replace_servers(fault)?,
             FaultKind::FalseRemoval => self.remove_from_listing(fault),
-            FaultKind::FeedOutage => self.cut_feed(fault),
+            FaultKind::FeedOutage => self.suspend_feed(fault),
             FaultKind::PlannerKill => self.kill_planner(fault),
             FaultKind::StreamBreak => self.break_streams(fault),
             FaultKind::StalledReader => self.stall_readers(fault),
@@ -86,9 +87,10 @@
         Ok(())
     }
 
-    /// A fault's servers by index: the healthy ones among those that it names, or some healthy ones drawn at random.
+    /// The indices of the servers that a fault affects: the healthy ones among those that it names, or `count` healthy
+    /// ones drawn at random.
     ///
-    /// The generator is the fault's own, so that a scenario affects the same servers whatever else was drawn before.
+    /// The fault has a generator of its own, so that the choice does not depend on the number of earlier draws.
     fn draw_servers(&self, fault: &ScheduledFault) -> Vec<usize> {
         let mut rng = StdRng::seed_from_u64(self.scenario_seed ^ (fault.at.as_millis() as u64) << 8);
         let mut healthy: Vec<usize> =
@@ -116,8 +118,8 @@
         self.servers.all[id].name.clone()
     }
 
-    /// The proxies of a fault that affects the first `count` ones.
-    fn first_proxies(&self, fault: &ScheduledFault) -> Vec<usize> {
+    /// The indices of the proxies that a fault affects, which are the first `count` ones.
+    fn affected_proxies(&self, fault: &ScheduledFault) -> Vec<usize> {
         (0..fault.count.min(self.proxies.len())).collect()
     }
 
@@ -171,7 +173,7 @@
             let was_unreachable = server.behavior == ServerBehavior::Unreachable;
             server.clear_faults();
             if was_unreachable {
-                // The machine comes back with a new, cold process.
+                // The machine is reachable again, with a new, cold process.
                 self.servers.stop(&mut self.event_loop, *id);
                 self.servers.start(&mut self.event_loop, *id).map_err(|e| e.to_string())?;
             }
@@ -224,7 +226,7 @@
         self.publish_endpoint_list();
     }
 
-    fn cut_feed(&mut self, fault: &ScheduledFault) {
+    fn suspend_feed(&mut self, fault: &ScheduledFault) {
         self.management.is_feed_suspended.store(true, Ordering::Relaxed);
         self.run_after(fault.duration, TestbedAction::RestoreFeed);
     }
@@ -256,13 +258,13 @@
     }
 
     fn break_streams(&mut self, fault: &ScheduledFault) {
-        for proxy in self.first_proxies(fault) {
+        for proxy in self.affected_proxies(fault) {
             self.proxies[proxy].runtime.abort_planner_session(&mut self.event_loop);
         }
     }
 
     fn stall_readers(&mut self, fault: &ScheduledFault) {
-        let proxies = self.first_proxies(fault);
+        let proxies = self.affected_proxies(fault);
         self.set_stalled(&proxies, true);
         self.run_after(fault.duration, TestbedAction::ResumeReading(proxies));
     }
--- a/crates/testbed/src/testbed/mod.rs
+++ b/crates/testbed/src/testbed/mod.rs
@@ -1,5 +1,5 @@
-//! One scenario on loopback: planners as processes of their own; proxies, servers and clients on one event loop; feed
-//! and operators on threads.
+//! Runs one scenario on loopback: each planner is a process; proxies, servers and clients share one event loop; the
+//! feed and the operators run on threads.
 
 mod endpoint_listing;
 mod fault_injection;
@@ -35,33 +35,34 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often the proxies' tables are observed.
+/// Time between two observations of the proxies' tables.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(100);
-/// Proxies have to be connected and have their tables within this time.
+/// Time within which all proxies must be connected and have their tables.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// After the last arrival, the testbed waits this long for requests and edits on their way.
+/// Time for which the testbed waits, after the last arrival, for requests and edits in progress.
 const DRAIN_TIME: Duration = Duration::from_secs(5);
-/// A slow reader reads its stream in one of so many observation intervals.
+/// A slow reader reads its stream in one of this many observation intervals.
 const SLOW_READER_PERIOD: usize = 10;
-/// Highest update lag that is told apart, in microseconds.
+/// Highest update lag that the histogram resolves, in microseconds.
 const MAX_UPDATE_LAG_US: u64 = 60_000_000;
 
-/// A proxy, and what was observed of it.
+/// A proxy with its observed connection.
 struct ObservedProxy {
     runtime: ProxyRuntime,
+    /// Its connection to a planner when it was last observed; `None` if it had none.
     connection: Option<PlannerConnection>,
-    /// Streams that it had so far.
+    /// Number of streams that it has opened to planners since its start.
     streams: u64,
 }
 
-/// Everything that a scenario needs, started and connected.
+/// A scenario with its processes, sockets and threads.
 pub struct Testbed {
     event_loop: EventLoop,
     scenario: Scenario,
     rng: StdRng,
-    /// Seed of the next planner's start; it grows with each restart.
+    /// Seed of the next planner to start, incremented before each restart.
     planner_seed: u64,
-    /// Seed of the faults, the same throughout the scenario.
+    /// Seed from which the servers of each fault are drawn.
     scenario_seed: u64,
     folder: PathBuf,
     program: PathBuf,
@@ -70,30 +71,31 @@
     servers: FakeServers,
     clients: LoadGenerator,
     proxies: Vec<ObservedProxy>,
-    /// The proxy of each connection that proxies opened or accepted.
+    /// Index of the proxy that opened or accepted a connection.
     connection_owners: BTreeMap<ConnectionId, usize>,
     management: Arc<ManagementState>,
     management_threads: Vec<JoinHandle<()>>,
-    /// Times of the management clients count from here.
+    /// Origin of the management clients' times.
     epoch: Instant,
     listing: EndpointListing,
-    /// Actions with the times at which they are due.
-    agenda: Vec<(Duration, TestbedAction)>,
+    /// Pending actions with the times of the scenario at which they are due.
+    scheduled_actions: Vec<(Duration, TestbedAction)>,
     observations: Observations,
-    /// Table entries that proxies received.
+    /// Number of table entries that proxies received.
     entries_received: u64,
     operator_credentials: TlsFiles,
     feed_credentials: TlsFiles,
     issuer: Issuer,
     identities_renewed_at: Duration,
-    /// Times of the scenario count from here.
+    /// Origin of the scenario's times, on the event loop's clock.
     scenario_start: Duration,
-    /// Time from the first proxy's connect until all had their tables.
+    /// Time from the start of the run until all proxies were connected and had their tables.
     settle_time: Duration,
     synthetic_request_rate: Option<f64>,
+    /// Time of the scenario up to which synthetic requests were simulated.
     synthetic_requests_until: Duration,
     slow_reader_share: f64,
-    /// When the first proxy received a version of a table.
+    /// When the first proxy received a version of a table, on the scenario's clock.
     first_received: BTreeMap<(Topic, Version), Duration>,
     update_lag_us: Histogram<u64>,
     stream_generations: BTreeMap<u64, StreamGeneration>,
@@ -101,13 +103,13 @@
 }
 
 impl Testbed {
-    /// Makes proxies pick servers for so many requests a second that pass no socket, for sizes that the sockets of
-    /// one machine do not reach.
+    /// Simulates requests at this rate over all proxies, which select servers for them without using sockets. This
+    /// reaches rates that the sockets of one machine do not.
     pub fn set_synthetic_request_rate(&mut self, requests_per_second: f64) {
         self.synthetic_request_rate = Some(requests_per_second);
     }
 
-    /// Makes a share (0 to 1) of the proxies read their stream once a second only.
+    /// Makes a share (0 to 1) of the proxies read their stream only once per second.
     pub fn set_slow_reader_share(&mut self, share: f64) {
         self.slow_reader_share = share;
     }
@@ -117,33 +119,33 @@
         &self.planners
     }
 
-    /// The credentials of the operators' sessions.
+    /// The TLS credentials with which operators connect to planners.
     pub fn operator_credentials(&self) -> &TlsFiles {
         &self.operator_credentials
     }
 
-    /// How much later than the first proxy the others received a version of a table, in microseconds; slow readers
-    /// are left out.
+    /// Microseconds from the receipt of a version of a table by the first proxy to its receipt by each proxy, without
+    /// slow readers.
     pub fn update_lag_us(&self) -> &Histogram<u64> {
         &self.update_lag_us
     }
 
-    /// The proxies' second streams, their third ones and so on, by number.
+    /// When proxies opened their n-th stream, by n.
     pub fn stream_generations(&self) -> &BTreeMap<u64, StreamGeneration> {
         &self.stream_generations
     }
 
-    /// What was observed of the last planner restart.
+    /// Observations of the last planner restart.
     pub fn restart(&self) -> &RestartObservation {
         &self.restart
     }
 
-    /// Sets what is done to a planner's state folder before the planner is started again.
+    /// Sets a function that changes a planner's state folder before the planner is started again.
     pub fn set_before_restart(&mut self, change: fn(&std::path::Path)) {
         self.restart.before_restart = Some(change);
     }
 
-    /// Plays the scenario to its end.
+    /// Runs the scenario to its end, and returns its outcome.
     ///
     /// # Errors
     /// Returns the cause if proxies do not get their tables, or if a process, a socket or a file fails.
@@ -161,11 +163,11 @@
             if now >= next_observation {
                 next_observation = now + OBSERVATION_INTERVAL;
                 self.observe_tables(now);
-                self.send_synthetic_requests(now);
+                self.simulate_requests(now);
                 self.update_slow_readers(now);
                 self.renew_identities()?;
             }
-            let next_action = self.agenda.iter().map(|(at, _)| *at).min().unwrap_or(end);
+            let next_action = self.scheduled_actions.iter().map(|(at, _)| *at).min().unwrap_or(end);
             self.poll(self.scenario_start + next_action.min(next_observation))?;
         }
         Ok(self.finish(management_offset))
@@ -178,7 +180,7 @@
         while !self.proxies.iter().all(has_tables) {
             self.renew_identities()?;
             if self.event_loop.now() > begin + SETTLE_TIMEOUT {
-                return Err("the proxies did not get their tables within a minute".into());
+                return Err("the proxies did not receive their tables within a minute".into());
             }
             self.poll(self.event_loop.now() + OBSERVATION_INTERVAL)?;
         }
@@ -190,14 +192,15 @@
     /// management clients' epoch to the start.
     fn begin_scenario(&mut self) -> Duration {
         self.scenario_start = self.event_loop.now();
-        // Updates received while connecting say nothing of how far behind a proxy is.
+        // Updates received while the proxies connect are no measure of how far one lags behind.
         self.first_received.clear();
         self.update_lag_us.reset();
         let management_offset = self.epoch.elapsed();
         let faults = self.scenario.faults.iter();
-        self.agenda.extend(faults.map(|fault| (fault.at, TestbedAction::InjectFault(fault.clone()))));
+        self.scheduled_actions
+            .extend(faults.map(|fault| (fault.at, TestbedAction::InjectFault(fault.clone()))));
         let edits = self.scenario.edits.iter();
-        self.agenda.extend(edits.map(|edit| (edit.at, TestbedAction::SendEdit(edit.clone()))));
+        self.scheduled_actions.extend(edits.map(|edit| (edit.at, TestbedAction::SendEdit(edit.clone()))));
         self.clients.start(self.event_loop.now());
         management_offset
     }
@@ -207,26 +210,26 @@
         self.event_loop.now().saturating_sub(self.scenario_start)
     }
 
-    /// Lets proxies pick servers for the synthetic requests since the last call.
-    fn send_synthetic_requests(&mut self, now: Duration) {
+    /// Simulates the synthetic requests that are due since the last call.
+    fn simulate_requests(&mut self, now: Duration) {
         let Some(rate) = self.synthetic_request_rate else { return };
         let elapsed = now.saturating_sub(self.synthetic_requests_until).as_secs_f64();
         self.synthetic_requests_until = now;
-        let due = (rate * elapsed) as usize;
+        let request_count = (rate * elapsed) as usize;
         let at = self.event_loop.now();
-        for _ in 0..due {
+        for _ in 0..request_count {
             let proxy = self.rng.random_range(0..self.proxies.len());
             let class = self.rng.random_range(0..CLASSES.len());
             self.proxies[proxy].runtime.simulate_request(at, class, self.scenario.service_time);
         }
     }
 
-    /// Proxies that read slowly, which have the lowest indices.
+    /// Number of proxies that read slowly; they have the lowest indices.
     fn slow_reader_count(&self) -> usize {
         (self.slow_reader_share * self.proxies.len() as f64) as usize
     }
 
-    /// Lets each slow reader read in its own interval.
+    /// Makes each slow reader read in its own one of [`SLOW_READER_PERIOD`] intervals, and stalls it in the others.
     fn update_slow_readers(&mut self, now: Duration) {
         let interval = (now.as_millis() / OBSERVATION_INTERVAL.as_millis()) as usize;
         for proxy in 0..self.slow_reader_count() {
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Waits for events until a time on the event loop's clock, and handles what came.
+    /// Waits for events until a time on the event loop's clock, and handles those that arrived.
     fn poll(&mut self, until: Duration) -> Result<(), String> {
         let proxies = self.proxies.iter().filter_map(|proxy| proxy.runtime.next_wakeup()).min();
         let deadlines = [self.servers.next_deadline(), self.clients.next_deadline(), proxies, Some(until)];
@@ -247,7 +250,7 @@
         self.clients.poll(&mut self.event_loop, &mut self.rng);
         for proxy in 0..self.proxies.len() {
             self.proxies[proxy].runtime.run_due_tasks(&mut self.event_loop);
-            self.adopt_connections(proxy);
+            self.register_connections(proxy);
             self.observe_updates(proxy);
             self.observe_connection(proxy);
         }
--- a/crates/testbed/src/testbed/observation.rs
+++ b/crates/testbed/src/testbed/observation.rs
@@ -1,4 +1,4 @@
-//! Events of the testbed's event loop, and what is observed of proxies and servers.
+//! Dispatches events of the testbed's event loop, and observes proxies and servers.
 
 use super::{Testbed, OBSERVATION_INTERVAL};
 use crate::load_generator::CLASSES;
@@ -10,17 +10,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A warm server counts as listed all the time between two observations that are at most so many intervals apart.
+/// Two observations of a listed warm server that are at most this many intervals apart count as one time range.
 const MAX_OBSERVATION_GAP: u32 = 3;
 
-/// When proxies opened their n-th stream, for one n.
+/// When proxies opened their n-th stream to a planner, for one n.
 #[derive(Debug, Clone, Copy)]
 pub struct StreamGeneration {
-    /// When the first proxy did.
+    /// When the first proxy opened its n-th stream.
     pub first: Duration,
-    /// When the last proxy did.
+    /// When the last proxy opened its n-th stream.
     pub last: Duration,
-    /// How many proxies did.
+    /// Number of proxies that opened an n-th stream.
     pub proxy_count: usize,
 }
 
@@ -31,8 +31,8 @@
 }
 
 impl Testbed {
-    /// Records which connections a proxy opened or accepted.
-    pub(super) fn adopt_connections(&mut self, proxy: usize) {
+    /// Registers a proxy as the owner of the connections that it opened or accepted.
+    pub(super) fn register_connections(&mut self, proxy: usize) {
         for conn in self.proxies[proxy].runtime.take_opened_connections() {
             self.connection_owners.insert(conn, proxy);
         }
@@ -65,7 +65,7 @@
             self.connection_owners.remove(conn);
         }
         self.proxies[proxy].runtime.handle_event(&mut self.event_loop, event);
-        self.adopt_connections(proxy);
+        self.register_connections(proxy);
     }
 
     fn dispatch_to_servers(&mut self, event: IoEvent) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Records the requests that servers received, with the connection of the proxy that sent them.
+    /// Records the requests that servers received, with the planner connection of the proxy that sent each.
     fn observe_arrivals(&mut self) {
         for server in &mut self.servers.all {
             for request in server.take_received() {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Records a proxy's streams, and which planner it is connected to.
+    /// Records whether a proxy opened a new stream, and which planner it is connected to.
     pub(super) fn observe_connection(&mut self, proxy: usize) {
         let now = self.now();
         let observed = &mut self.proxies[proxy];
@@ -140,16 +140,16 @@
             generation.proxy_count += 1;
         }
         let planner = observed.runtime.connected_planner().and_then(|address| {
-            let listens =
+            let has_address =
                 |p: &PlannerProcess| p.addresses.call_home == address || p.addresses.pubsub == address;
-            self.planners.iter().position(listens)
+            self.planners.iter().position(has_address)
         });
         if planner != observed.connection.map(|connection| connection.planner) {
             observed.connection = planner.map(|planner| PlannerConnection { since: now, planner });
         }
     }
 
-    /// Records which proxies have no table entry for a class, and whether planners list a warm server.
+    /// Records the classes for which each proxy has no table entry, and whether all planners list a warm server.
     pub(super) fn observe_tables(&mut self, now: Duration) {
         if self.every_planner_lists_a_warm_server() {
             self.record_warm_server_listed(now);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Whether each planner lists a server that is ready, runs, and is warm.
+    /// Whether each planner lists a server as ready whose process runs at full capacity.
     fn every_planner_lists_a_warm_server(&self) -> bool {
         let notifications = self.management.notifications();
         let mut ready: BTreeMap<usize, BTreeSet<&str>> = BTreeMap::new();
@@ -189,7 +189,7 @@
         (0..self.planners.len()).all(lists_warm_server)
     }
 
-    /// Extends the last range, or starts one after a gap.
+    /// Extends the last range of times to now, or starts a new one after a gap.
     fn record_warm_server_listed(&mut self, now: Duration) {
         let max_gap = MAX_OBSERVATION_GAP * OBSERVATION_INTERVAL;
         let ranges = &mut self.observations.warm_server_listed;
@@ -200,7 +200,7 @@
     }
 }
 
-/// The index of a proxy by its name.
+/// The index of a proxy from its name, `f` and the index; `None` for other names.
 fn proxy_index(name: &str) -> Option<usize> {
     name.strip_prefix('f')?.parse().ok()
 }
--- a/crates/testbed/src/testbed/planner_settings.rs
+++ b/crates/testbed/src/testbed/planner_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a planner.
+//! Composes the settings file of a planner.
 
 use super::Testbed;
 use crate::fake_servers::INITIAL_CAPACITY;
@@ -7,15 +7,16 @@
 use crate::scenario::Scenario;
 use runloom_model::tls_files::TlsFiles;
 
-/// Proxies may connect, operators may change the fleet and the state, and the feed may change the endpoint list.
+/// Access rules: proxies may connect, operators may change the fleet and the state, and the feed may change the
+/// endpoint list.
 const ACCESS_RULES: &str = "<may><whom>spiffe://testbed.example/proxy/*</whom><join/></may>\
     <may><whom>spiffe://testbed.example/tool/staff</whom><write>fleet</write><write>state</write></may>\
     <may><whom>spiffe://testbed.example/tool/feed</whom><write>roster</write></may>";
 
-/// Entries that may wait in a channel: what it sends in this time.
+/// Limit of an update channel's queue, as the time in seconds that the channel takes to send it.
 const MAX_QUEUE_SECONDS: u64 = 2;
 
-/// Table entries that may wait at a planner.
+/// Number of table entries that may be queued at a planner.
 pub(super) fn max_queued_entries(scenario: &Scenario) -> u64 {
     MAX_QUEUE_SECONDS * scenario.entries_per_second
 }
@@ -32,7 +33,7 @@
     )
 }
 
-/// The `fleet` element of a scenario that gives none itself.
+/// The `fleet` element derived from a scenario, for one without [`Scenario::fleet_xml`].
 fn fleet_xml(scenario: &Scenario) -> String {
     let zones: String =
         (0..scenario.zone_count).map(|zone| format!("<zone><name>z{zone}</name></zone>")).collect();
@@ -82,7 +83,7 @@
         )
     }
 
-    /// The `record` element of a scenario whose planners write an event log.
+    /// The `record` element of a planner's settings; empty if the scenario's planners write no event log.
     fn record_xml(&self, planner: usize) -> String {
         if !self.scenario.is_recorded {
             return String::new();
--- a/crates/testbed/src/testbed/report.rs
+++ b/crates/testbed/src/testbed/report.rs
@@ -1,4 +1,4 @@
-//! The end of a scenario, and what it came to.
+//! Ends a scenario and sums up its outcome.
 
 use super::planner_settings::max_queued_entries;
 use super::Testbed;
@@ -12,51 +12,52 @@
 
 const MAX_QUEUED_ENTRIES_METRIC: &str = "runloom_lines_waiting_most";
 
-/// What a scenario came to.
+/// The outcome of a scenario.
 #[derive(Debug, Clone)]
 pub struct ScenarioOutcome {
-    /// Requests of the clients, retries not counted.
+    /// Number of the clients' requests, without retries.
     pub requests: u64,
-    /// Requests that were answered.
+    /// Number of requests that were answered successfully.
     pub succeeded: u64,
-    /// Requests that were answered within their latency objective.
+    /// Number of requests that were answered successfully within their latency objective.
     pub within_objective: u64,
-    /// Value of the answers, as a share (0 to 1) of what answers to all requests in time would be worth.
+    /// Value of the responses, as a share (0 to 1) of the value if every request were answered within its latency
+    /// objective.
     pub service: f64,
-    /// Requests that took effect twice and must not.
+    /// Number of request keys that took effect twice, of the class that must not.
     pub duplicated_effects: usize,
-    /// Violations of the five rules, one sentence each.
+    /// Violations of the five safety rules, one sentence each.
     pub violations: Vec<String>,
-    /// Attempts of proxies after the first one.
+    /// Number of attempts that proxies made after the first one of a request.
     pub retries: u64,
-    /// Table entries that proxies received.
+    /// Number of table entries that proxies received.
     pub entries: u64,
-    /// Messages that proxies received.
+    /// Number of messages that proxies received.
     pub messages: u64,
-    /// What became of the operators' edits, one for each planner.
+    /// The outcomes of the operators' edits, one for each edit and planner.
     pub edits: Vec<EditOutcome>,
-    /// Failed attempts of clients by their cause.
+    /// Number of the clients' failed attempts, by cause.
     pub failures: BTreeMap<String, u64>,
     /// Sums of the proxies' counters.
     pub counts: ProxyCounts,
-    /// Cold servers that failed because they were sent too much.
+    /// Number of cold servers that failed because they received too many requests.
     pub overloaded_servers: usize,
-    /// Median latency of answered requests in microseconds.
+    /// Median latency of successful requests in microseconds.
     pub latency_p50_us: u32,
-    /// 99th percentile of the latency of answered requests in microseconds.
+    /// 99th percentile of the latency of successful requests in microseconds.
     pub latency_p99_us: u32,
-    /// The most table entries that waited at a planner.
+    /// The most table entries that were queued at a planner.
     pub max_queued_entries: u64,
-    /// The planners' metrics; the last planner's where several have one.
+    /// The planners' metrics by name; the last planner's value where several planners have one.
     pub metrics: BTreeMap<String, f64>,
-    /// What the first planner used.
+    /// Memory and processor time of the first planner.
     pub planner_usage: ResourceUsage,
-    /// Time from the first proxy's connect until all had their tables.
+    /// Time from the start of the run until all proxies were connected and had their tables.
     pub settle_time: Duration,
 }
 
 impl Testbed {
-    /// Ends management clients and planners, checks the rules, and sums up.
+    /// Ends management clients and planners, checks the rules, and returns the outcome.
     ///
     /// `management_offset` is the time from the management clients' epoch to the start of the scenario.
     pub(super) fn finish(&mut self, management_offset: Duration) -> ScenarioOutcome {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Adds what is known at the end only.
+    /// Adds the observations that are available only at the end.
     fn complete_observations(&mut self, metrics: &[BTreeMap<String, f64>], management_offset: Duration) {
         let queued = metrics.iter().filter_map(|planner| planner.get(MAX_QUEUED_ENTRIES_METRIC));
         self.observations.max_queued_entries = queued.copied().fold(0.0, f64::max) as u64;
@@ -150,7 +151,7 @@
     }
 }
 
-/// The value below which a share (0 to 1) of sorted values lies; 0 for no values.
+/// The quantile of sorted values at a share (0 to 1); 0 if there are no values.
 fn quantile(sorted: &[u32], share: f64) -> u32 {
     sorted.get((sorted.len() as f64 * share) as usize).copied().unwrap_or(0)
 }
--- a/crates/testbed/src/testbed/restart_observation.rs
+++ b/crates/testbed/src/testbed/restart_observation.rs
@@ -1,43 +1,43 @@
-//! What is observed of a planner's restart.
+//! Observations of a planner's restart: the time to recover, and requests to servers with faults.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
 
-/// Requests to faulty servers count for this time after a restart.
+/// Time after a restart during which requests to faulty servers are counted.
 const FAULTY_SERVER_WINDOW: Duration = Duration::from_secs(30);
 
-/// The last planner that was killed and started again.
+/// Observations of the planner that was restarted last.
 #[derive(Debug, Default)]
 pub struct RestartObservation {
-    /// Done to a planner's state folder before the planner is started again.
+    /// Changes a planner's state folder before the planner is started again.
     pub(super) before_restart: Option<fn(&Path)>,
-    /// When the planner listened again.
+    /// When the planner listened again; `None` if no planner was restarted.
     restarted_at: Option<Duration>,
-    /// Proxies that received an update since.
+    /// Indices of the proxies that have received an update since the restart.
     updated_proxies: BTreeSet<usize>,
-    /// Servers that did not answer as they should at the restart.
+    /// Servers that were failing, hanging or unreachable at the restart.
     failing_servers: BTreeSet<String>,
     /// Servers that were slow at the restart.
     slow_servers: BTreeSet<String>,
-    /// Time from the restart until all proxies had received an update.
+    /// Time from when the planner listened again until all proxies had received an update; `None` if some have not.
     pub recovery_time: Option<Duration>,
     /// Time from the start of the process until it listened.
     pub start_duration: Duration,
-    /// Requests that failing servers received within half a minute of a restart.
+    /// Number of requests that failing servers received within half a minute after a restart, summed over all restarts.
     pub requests_to_failing_servers: usize,
-    /// Requests that slow servers received within half a minute of a restart.
+    /// Number of requests that slow servers received within half a minute after a restart, summed over all restarts.
     pub requests_to_slow_servers: usize,
 }
 
-/// Servers with a fault.
+/// Names of the servers with a fault at a restart.
 pub(super) struct FaultyServers {
     pub failing: BTreeSet<String>,
     pub slow: BTreeSet<String>,
 }
 
 impl RestartObservation {
-    /// Starts over: a planner listens again.
+    /// Records that a restarted planner listens, and begins a new observation of its recovery.
     pub(super) fn record_restart(&mut self, now: Duration, start_duration: Duration, faulty: FaultyServers) {
         self.restarted_at = Some(now);
         self.start_duration = start_duration;
@@ -47,7 +47,7 @@
         self.recovery_time = None;
     }
 
-    /// A proxy received an update.
+    /// Records that a proxy received an update.
     pub(super) fn record_update(&mut self, now: Duration, proxy: usize, proxy_count: usize) {
         let Some(restarted_at) = self.restarted_at else { return };
         self.updated_proxies.insert(proxy);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A server received a request.
+    /// Records that a server received a request.
     pub(super) fn record_request(&mut self, at: Duration, server: &str) {
         let is_in_window =
             self.restarted_at.is_some_and(|from| at >= from && at < from + FAULTY_SERVER_WINDOW);
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -1,4 +1,4 @@
-//! Set-up of a testbed: credentials, servers, planners, proxies and management clients.
+//! Sets up a testbed: credentials, servers, planners, proxies and management clients.
 
 use super::restart_observation::RestartObservation;
 use super::{EndpointListing, ObservedProxy, Testbed, MAX_UPDATE_LAG_US};
@@ -24,18 +24,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long the identities of the feed and the operators live, in seconds.
+/// Lifetime of the identities of the feed and the operators, in seconds.
 const MANAGEMENT_IDENTITY_SECONDS: i64 = 3600;
-/// Servers of its own zone that a proxy knows at its start.
+/// Number of servers of its own zone that a proxy knows when it starts.
 const BOOTSTRAP_SERVER_COUNT: usize = 6;
-/// A proxy avoids a server after so many failures in a row, for this time.
-const PROXY_FAILURE_LIMIT: u32 = 3;
-const PROXY_AVOID_DURATION: Duration = Duration::from_secs(4);
+/// A proxy's circuit breaker for a server opens after this many failures in a row, for this time.
+const CIRCUIT_BREAKER_FAILURES: u32 = 3;
+const CIRCUIT_BREAKER_OPEN: Duration = Duration::from_secs(4);
 const PROXY_REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Multiplied with a proxy's number to set its seed apart from the others'.
+/// Factor on a proxy's number from which its seed is derived, so that proxies have different seeds.
 const PROXY_SEED_MULTIPLIER: u64 = 0x9e37_79b9;
 
-/// The SPIFFE identity of a component, in the testbed's own trust domain.
+/// The SPIFFE ID of a component, in the testbed's trust domain.
 fn spiffe_id(name: &str) -> String {
     let kind = match name {
         "staff" | "feed" => "tool",
@@ -53,7 +53,7 @@
     format!("f{proxy}")
 }
 
-/// Adds rules to some credentials by which the scenario's planners may send commands.
+/// Replaces the access rules of credentials by those that permit the scenario's planners to send commands.
 fn trust_planners(credentials: TlsFiles, scenario: &Scenario) -> TlsFiles {
     let principal = |planner| Principal::parse(&spiffe_id(&planner_name(planner))).ok();
     let principals = (0..scenario.planner_count).filter_map(principal);
@@ -62,7 +62,7 @@
     TlsFiles { rules, ..credentials }
 }
 
-/// Credentials of a management client: a SPIFFE identity if the scenario has them, else a name.
+/// Credentials of a management client: a SPIFFE identity if the scenario uses them, else a DNS name.
 fn management_credentials(issuer: &Issuer, scenario: &Scenario, name: &str) -> Result<TlsFiles, String> {
     if scenario.identity_lifetime.is_none() {
         return issuer.issue(name, None);
@@ -83,7 +83,7 @@
     Ok(servers)
 }
 
-/// The delivery of one proxy.
+/// The way in which one proxy receives its tables.
 fn table_delivery(mode: DeliveryMode, proxy: usize) -> TableDelivery {
     match mode {
         DeliveryMode::Pubsub => TableDelivery::Weights,
@@ -94,10 +94,10 @@
 }
 
 impl Testbed {
-    /// Starts everything in `folder`.
+    /// Starts servers, planners, proxies and feeds; settings, logs, credentials and state are written to `folder`.
     ///
-    /// `program` is the testbed's own program, which runs the planners' processes; `planner_arguments` are passed to
-    /// them.
+    /// `program` is the testbed's own program, which also runs the planners; `planner_arguments` are added to their
+    /// command line.
     ///
     /// # Errors
     /// Returns the cause if a process, a socket or a file fails.
@@ -110,7 +110,7 @@
     ) -> Result<Testbed, String> {
         let issuer = Issuer::new(&folder.join("papers"))?;
         let mut event_loop = EventLoop::new().map_err(|e| e.to_string())?;
-        // It runs all proxies at once, each of which would have a loop of its own.
+        // The limit is meant for one component per loop; here all proxies share a loop.
         event_loop.max_handshakes = usize::MAX;
         let servers = start_servers(&mut event_loop, &scenario).map_err(|e| e.to_string())?;
         let mut testbed = Testbed {
@@ -129,7 +129,7 @@
             management_threads: vec![],
             epoch: Instant::now(),
             listing: EndpointListing::default(),
-            agenda: vec![],
+            scheduled_actions: vec![],
             observations: Observations::default(),
             entries_received: 0,
             operator_credentials: management_credentials(&issuer, &scenario, "staff")?,
@@ -154,7 +154,8 @@
         Ok(testbed)
     }
 
-    /// Credentials of a planner or a proxy.
+    /// Credentials of a planner or a proxy: a SPIFFE identity if the scenario uses them, else its DNS name and that of
+    /// its role.
     fn component_credentials(&self, name: &str, role: &'static str) -> Result<TlsFiles, String> {
         let Some(lifetime) = self.scenario.identity_lifetime else {
             return self.issuer.issue(name, Some(role));
@@ -164,7 +165,7 @@
         Ok(trust_planners(credentials, &self.scenario))
     }
 
-    /// Issues new identities to planners and proxies when half of the old ones' lifetime has passed.
+    /// Issues new identities to planners and proxies when half of the lifetime of the old ones has passed.
     pub(super) fn renew_identities(&mut self) -> Result<(), String> {
         let Some(lifetime) = self.scenario.identity_lifetime else { return Ok(()) };
         if self.event_loop.now() < self.identities_renewed_at + lifetime / 2 {
@@ -191,7 +192,7 @@
     fn start_planners(&mut self) -> Result<(), String> {
         for planner in 0..self.scenario.planner_count {
             let credentials = self.component_credentials(&planner_name(planner), PLANNER_DNS_NAME)?;
-            // Set here, so that a restarted planner listens where it did before.
+            // Reserved here, so that a restarted planner listens on the same addresses.
             let addresses = PlannerAddresses::reserve().map_err(|e| e.to_string())?;
             let settings = self.planner_settings_xml(planner, &credentials, &addresses);
             std::fs::write(self.planner_settings_file(planner), settings).map_err(|e| e.to_string())?;
@@ -201,7 +202,7 @@
         Ok(())
     }
 
-    /// Starts a planner by its settings file.
+    /// Starts a planner with its settings file, which has been written before.
     pub(super) fn start_planner(&self, planner: usize) -> Result<PlannerProcess, String> {
         PlannerProcess::start(PlannerCommand {
             program: &self.program,
@@ -221,7 +222,7 @@
                 ProxyRuntime::start(&mut self.event_loop, settings, seed).map_err(|e| e.to_string())?;
             addresses.push(address);
             self.proxies.push(ObservedProxy { runtime, connection: None, streams: 0 });
-            self.adopt_connections(proxy);
+            self.register_connections(proxy);
         }
         self.clients = LoadGenerator::new(addresses, self.scenario.request_rate);
         Ok(())
@@ -242,14 +243,14 @@
             table_delivery: delivery,
             planner_addresses: self.planner_addresses(delivery, proxy),
             selection: self.scenario.selection.clone(),
-            circuit_breaker_failures: PROXY_FAILURE_LIMIT,
-            circuit_breaker_open: PROXY_AVOID_DURATION,
+            circuit_breaker_failures: CIRCUIT_BREAKER_FAILURES,
+            circuit_breaker_open: CIRCUIT_BREAKER_OPEN,
             report_period: PROXY_REPORT_INTERVAL,
             classes: CLASSES.iter().map(|class| class.to_settings()).collect(),
         })
     }
 
-    /// The planners' addresses for a proxy, which starts with another planner than its neighbour.
+    /// The planners' addresses in the order of a proxy's settings. Consecutive proxies begin with different planners.
     fn planner_addresses(&self, delivery: TableDelivery, proxy: usize) -> Vec<SocketAddr> {
         let address = |planner: &PlannerProcess| match delivery {
             TableDelivery::Edits => planner.addresses.call_home,
