--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -28,8 +28,8 @@
 /// Bounds of one request's service time, as multiples of the mean.
 const MIN_SERVICE_TIME_FACTOR: f64 = 0.01;
 const MAX_SERVICE_TIME_FACTOR: f64 = 1000.0;
-/// Weight of a new sample in the moving average of the utilization, per second since the last sample, and the lower
-/// bound of that weight.
+/// Weight of a new sample in the moving average of the utilization, per second since the last poll, and the lower bound
+/// of that weight.
 const UTILIZATION_WEIGHT_PER_SECOND: f64 = 0.5;
 const MIN_UTILIZATION_WEIGHT: f64 = 0.05;
 /// Time after which idle connections are closed.
