--- a/crates/testbed/src/soak/checker.rs
+++ b/crates/testbed/src/soak/checker.rs
@@ -1,6 +1,6 @@
-//! The checks of a run, from what the stand-ins see on their sockets.
+//! The checks of a run, by what proxies and other stand-ins receive on their sockets.
 
-use super::endpoint_list::{EndpointList, Phase};
+use super::endpoint_list::{EndpointList, ServerPhase};
 use super::lock;
 use super::proxy_client::{ProxyHandle, ProxyState, CLASSES};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,46 +8,48 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The settings' time to leave a draining server and to give a proxy a server, and what the protocol page adds to both.
+/// Within this time, a draining server must have left all tables; `drainGraceS` of the settings.
 const DRAIN_LIMIT: Duration = Duration::from_millis(2000);
+/// The longest that a proxy may have no server; `unservedMaxS` of the settings.
 const UNSERVED_LIMIT: Duration = Duration::from_millis(2500);
+/// What the protocol adds to both limits.
 const SOCKET_SLACK: Duration = Duration::from_millis(300);
-/// Time limits start no earlier than this after a process's first answer.
+/// Time limits count from this long after a process's first answer at the earliest.
 const START_SLACK: Duration = Duration::from_secs(1);
-/// Time limits wait for this long after SIGHUP.
-const HANGUP_SLACK: Duration = Duration::from_secs(4);
-/// A planner may take an agent that counts its revisions from the beginning for one that lags, for six seconds; then it
-/// dials again.
+/// Time limits count from this long after SIGHUP at the earliest.
+const SIGHUP_SLACK: Duration = Duration::from_secs(4);
+/// After the agent restarts its revision numbers, drain limits count from this long later: for six seconds a planner
+/// may take it for an agent that lags, and then it reconnects.
 const RESET_SLACK: Duration = Duration::from_millis(7500);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Times of the present process.
+/// Times of the current process.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct ProcessTimes {
-    /// When it first answered; `None` while there is none, or it is being ended.
+    /// When it first answered a `PING`; `None` while no process runs or while one is being ended.
     pub first_answer: Option<Instant>,
-    /// When it last got SIGHUP.
-    pub hung_up_at: Option<Instant>,
+    /// When it was last sent SIGHUP.
+    pub last_sighup_at: Option<Instant>,
 }
 
-/// What the checks look at.
-pub struct Observed {
-    /// The true list.
+/// Checks the proxies' tables against the endpoint list.
+pub struct Checker {
+    /// The true endpoint list.
     pub list: Arc<Mutex<EndpointList>>,
     /// The proxies.
     pub proxies: Vec<Arc<ProxyHandle>>,
-    /// The present process.
+    /// Times of the current process.
     pub process: Mutex<ProcessTimes>,
-    /// What was broken.
+    /// Failed checks, each sentence once.
     pub violations: Mutex<BTreeSet<String>>,
-    /// When a proxy was first seen without a server, by proxy and class.
+    /// Since when a proxy has no server, by proxy and class.
     unserved_since: Mutex<BTreeMap<(usize, &'static str), Instant>>,
 }
 
-impl Observed {
-    /// Nothing is broken yet.
-    pub fn new(list: Arc<Mutex<EndpointList>>, proxies: Vec<Arc<ProxyHandle>>) -> Observed {
-        Observed {
+impl Checker {
+    /// A checker without violations.
+    pub fn new(list: Arc<Mutex<EndpointList>>, proxies: Vec<Arc<ProxyHandle>>) -> Checker {
+        Checker {
             list,
             proxies,
             process: Mutex::default(),
@@ -56,13 +58,13 @@
         }
     }
 
-    /// Notes what is broken.
-    pub fn report(&self, violation: String) {
+    /// Records a violation.
+    pub fn add_violation(&self, violation: String) {
         lock(&self.violations).insert(violation);
     }
 
-    /// Checks until stopped.
-    pub fn watch(&self, is_stopped: &AtomicBool) {
+    /// Checks the proxies periodically until stopped.
+    pub fn check_until_stopped(&self, is_stopped: &AtomicBool) {
         while !is_stopped.load(Ordering::Relaxed) {
             let process = *lock(&self.process);
             if let Some(limits_from) = limits_from(process) {
@@ -82,35 +84,39 @@
                 self.check_served(id, class, &state, from);
             }
             for message in &state.unusable {
-                self.report(format!("proxy {id} was sent what it can't use: {message}"));
+                self.add_violation(format!("proxy {id} received an unusable message: {message}"));
             }
         }
     }
 
-    /// No proxy keeps a server that drains or is off the list beyond the grace.
+    /// Checks that no proxy keeps a draining or deleted server beyond the limit, or receives one again after it
+    /// acknowledged its removal.
     fn check_drains(&self, id: usize, class: &'static str, state: &ProxyState, from: Instant) {
         let list = lock(&self.list);
         let now = Instant::now();
         for server in state.tables.get(class).into_iter().flat_map(|table| table.keys()) {
             let Some(listed) = list.servers.get(server) else { continue };
-            let Some(announced_at) = listed.announced_at.filter(|_| listed.phase != Phase::Serving) else {
+            let Some(announced_at) = listed.announced_at.filter(|_| listed.phase != ServerPhase::Serving)
+            else {
                 continue;
             };
             let announced_at =
-                list.reset_at.map_or(announced_at, |reset| announced_at.max(reset + RESET_SLACK));
+                list.revisions_reset_at.map_or(announced_at, |reset| announced_at.max(reset + RESET_SLACK));
             let phase = listed.phase;
             if now > announced_at.max(from) + DRAIN_LIMIT + SOCKET_SLACK {
-                self.report(format!("drain: proxy {id} still has {server} for {class}, which is {phase:?}"));
+                self.add_violation(format!(
+                    "drain: proxy {id} still has {server} for {class}, which is {phase:?}"
+                ));
             }
             if state.acknowledged_removals.contains(server) {
-                self.report(format!(
-                    "drain: proxy {id} was given {server} for {class} again, which is {phase:?}"
+                self.add_violation(format!(
+                    "drain: proxy {id} received {server} for {class} again, which is {phase:?}"
                 ));
             }
         }
     }
 
-    /// No proxy is without a server while some serve.
+    /// Checks that no proxy is without a server beyond the limit; some servers always serve.
     fn check_served(&self, id: usize, class: &'static str, state: &ProxyState, from: Instant) {
         let is_served = state.tables.get(class).is_some_and(|table| !table.is_empty());
         let now = Instant::now();
@@ -121,13 +127,13 @@
         }
         let since = *unserved.entry((id, class)).or_insert(now);
         if now > since.max(from) + UNSERVED_LIMIT + SOCKET_SLACK {
-            self.report(format!("unserved: proxy {id} has no server for {class}"));
+            self.add_violation(format!("unserved: proxy {id} has no server for {class}"));
         }
     }
 
-    /// Whether every proxy is connected and has exactly the servers that serve; what differs otherwise.
+    /// Returns the first difference found, if not every proxy is connected and has exactly the serving servers.
     pub fn table_difference(&self) -> Option<String> {
-        let expected: BTreeSet<String> = lock(&self.list).ids(Phase::Serving).into_iter().collect();
+        let expected: BTreeSet<String> = lock(&self.list).ids(ServerPhase::Serving).into_iter().collect();
         for (id, handle) in self.proxies.iter().enumerate() {
             let state = lock(&handle.state).clone();
             if state.joined_at.is_none() {
@@ -140,7 +146,7 @@
                     let missing: Vec<_> = expected.difference(&held).collect();
                     let extra: Vec<_> = held.difference(&expected).collect();
                     return Some(format!(
-                        "proxy {id}, {class}: {missing:?} are missing, {extra:?} are too many"
+                        "proxy {id}, {class}: {missing:?} are missing, {extra:?} are unexpected"
                     ));
                 }
             }
@@ -149,8 +155,8 @@
     }
 }
 
-/// From when on time limits run; `None` while there is no process to hold to them.
+/// The time from which time limits count; `None` while no process is ready.
 fn limits_from(process: ProcessTimes) -> Option<Instant> {
     let from = process.first_answer? + START_SLACK;
-    Some(process.hung_up_at.map_or(from, |at| from.max(at + HANGUP_SLACK)))
+    Some(process.last_sighup_at.map_or(from, |at| from.max(at + SIGHUP_SLACK)))
 }
--- a/crates/testbed/src/soak/discovery_agent.rs
+++ b/crates/testbed/src/soak/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! A discovery agent: serves watches of the list, and misbehaves on request.
+//! A discovery agent that serves watches of the endpoint list, and misbehaves on request.
 
 use super::endpoint_list::EndpointList;
 use super::lock;
@@ -9,85 +9,86 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a watch looks for changes.
+/// Time between two checks of a watch for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// An empty line comes this often.
+/// An empty line is sent after this time without a change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2000);
-/// The pause within a line that is sent in two pieces.
+/// The pause between the two pieces of a split line.
 const PIECE_PAUSE: Duration = Duration::from_millis(30);
-/// The beginning of a line.
-const HALF_LINE: &[u8] = b"5\r\n{\"re";
+/// The beginning of a chunk whose line is cut off.
+const PARTIAL_LINE: &[u8] = b"5\r\n{\"re";
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How the agent behaves now.
+/// How the agent behaves at present, shared by the threads of its watches.
 #[derive(Debug, Default)]
 struct Behaviour {
-    /// It says nothing before this time.
-    quiet_until: Mutex<Option<Instant>>,
-    /// Watches are closed from this time on, and new connections at once.
+    /// It sends nothing before this time.
+    silent_until: Mutex<Option<Instant>>,
+    /// Watches are closed at this time; while it is set, new connections are closed immediately.
     closes_at: Mutex<Option<Instant>>,
-    /// It closes them within a line.
+    /// Watches are closed in the middle of a line.
     closes_within_line: AtomicBool,
-    /// The next change has an entry that cannot be read.
+    /// The next line with a change has a malformed entry.
     corrupts_next: AtomicBool,
-    /// Counts the wishes to send the last line again.
-    repeats: AtomicU64,
-    /// Counts the wishes to reset watches within a line.
-    cuts: AtomicU64,
+    /// Number of requests so far to send the last line again.
+    repeat_requests: AtomicU64,
+    /// Number of requests so far to close watches in the middle of a line.
+    cut_requests: AtomicU64,
     is_stopped: AtomicBool,
 }
 
-/// An agent on its own address.
+/// A running agent with an address of its own.
 pub struct DiscoveryAgent {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     behaviour: Arc<Behaviour>,
 }
 
 impl DiscoveryAgent {
-    /// Starts an agent for this list.
+    /// Starts an agent that serves this list on a free port.
     pub fn start(list: Arc<Mutex<EndpointList>>) -> std::io::Result<DiscoveryAgent> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let behaviour = Arc::new(Behaviour::default());
-        let accepting = behaviour.clone();
+        let accept_behaviour = behaviour.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                if accepting.is_stopped.load(Ordering::Relaxed) {
+                if accept_behaviour.is_stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                // One that has moved takes no new connection.
-                let Some(stream) = stream.ok().filter(|_| lock(&accepting.closes_at).is_none()) else {
+                // A retired agent accepts no new connections.
+                let Some(stream) = stream.ok().filter(|_| lock(&accept_behaviour.closes_at).is_none()) else {
                     continue;
                 };
-                let (list, behaviour) = (list.clone(), accepting.clone());
+                let (list, behaviour) = (list.clone(), accept_behaviour.clone());
                 std::thread::spawn(move || _ = serve_watch(stream, &list, &behaviour));
             }
         });
         Ok(DiscoveryAgent { address, behaviour })
     }
 
-    /// Says nothing for a while.
-    pub fn be_quiet(&self, duration: Duration) {
-        *lock(&self.behaviour.quiet_until) = Some(Instant::now() + duration);
+    /// Sends nothing for a time, while connections stay open.
+    pub fn stay_silent_for(&self, duration: Duration) {
+        *lock(&self.behaviour.silent_until) = Some(Instant::now() + duration);
     }
 
-    /// Sends the last line again.
+    /// Sends the last line of each watch again.
     pub fn repeat_line(&self) {
-        self.behaviour.repeats.fetch_add(1, Ordering::Relaxed);
+        self.behaviour.repeat_requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Resets watches within the next line.
+    /// Closes watches in the middle of a line.
     pub fn cut_watches(&self) {
-        self.behaviour.cuts.fetch_add(1, Ordering::Relaxed);
+        self.behaviour.cut_requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Makes an entry of the next change unreadable, once.
+    /// Makes an entry in the next line with a change malformed, once.
     pub fn corrupt_next_change(&self) {
         self.behaviour.corrupts_next.store(true, Ordering::Relaxed);
     }
 
-    /// Takes no more connections, and closes those it has after a while.
+    /// Accepts no more connections, and closes the open ones after `close_after`, in the middle of a line if
+    /// `within_line`.
     pub fn retire(&self, close_after: Duration, within_line: bool) {
         self.behaviour.closes_within_line.store(within_line, Ordering::Relaxed);
         *lock(&self.behaviour.closes_at) = Some(Instant::now() + close_after);
@@ -101,7 +102,7 @@
     }
 }
 
-/// Reads a request's head; the revision that it asks from.
+/// Reads a request's head, and returns the revision after which it asks for changes; 0 if it names none.
 fn read_request(stream: &mut TcpStream) -> std::io::Result<u64> {
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
     let mut head = Vec::new();
@@ -117,7 +118,7 @@
     Ok(since.and_then(|since| since.parse().ok()).unwrap_or(0))
 }
 
-/// The line with its first entry unreadable.
+/// Returns a copy of a line in which the first entry's `phase` is a number.
 fn with_malformed_entry(line: &Value) -> Value {
     let mut line = line.clone();
     if let Some(member) = line["members"].get_mut(0) {
@@ -137,9 +138,9 @@
 ) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut since = read_request(&mut stream)?;
-    let (mut repeats, cuts) =
-        (behaviour.repeats.load(Ordering::Relaxed), behaviour.cuts.load(Ordering::Relaxed));
-    let mut resets = lock(list).resets;
+    let (mut repeats_before, cuts_before) =
+        (behaviour.repeat_requests.load(Ordering::Relaxed), behaviour.cut_requests.load(Ordering::Relaxed));
+    let mut revision_resets = lock(list).revision_resets;
     let mut last_line: Option<Value> = None;
     let mut heartbeat_at = Instant::now() + HEARTBEAT_INTERVAL;
     let mut is_first = true;
@@ -149,10 +150,10 @@
             return Ok(());
         }
         if lock(&behaviour.closes_at).is_some_and(|at| now >= at) {
-            let is_within_line = behaviour.closes_within_line.load(Ordering::Relaxed);
-            return if is_within_line { stream.write_all(HALF_LINE) } else { Ok(()) };
+            let within_line = behaviour.closes_within_line.load(Ordering::Relaxed);
+            return if within_line { stream.write_all(PARTIAL_LINE) } else { Ok(()) };
         }
-        if lock(&behaviour.quiet_until).is_some_and(|until| now < until) {
+        if lock(&behaviour.silent_until).is_some_and(|until| now < until) {
             std::thread::sleep(POLL_INTERVAL);
             continue;
         }
@@ -161,13 +162,13 @@
         }
         let (line, revision, list_resets) = {
             let list = lock(list);
-            let has_reset = list.resets != resets;
-            let asked = if has_reset { list.revision.saturating_sub(1) } else { since };
-            (list.line(asked), list.revision, list.resets)
+            let has_reset = list.revision_resets != revision_resets;
+            let line_since = if has_reset { list.revision.saturating_sub(1) } else { since };
+            (list.line(line_since), list.revision, list.revision_resets)
         };
-        let must_repeat = behaviour.repeats.load(Ordering::Relaxed) != repeats;
-        if is_first || revision != since || list_resets != resets {
-            if behaviour.cuts.load(Ordering::Relaxed) != cuts {
+        let must_repeat = behaviour.repeat_requests.load(Ordering::Relaxed) != repeats_before;
+        if is_first || revision != since || list_resets != revision_resets {
+            if behaviour.cut_requests.load(Ordering::Relaxed) != cuts_before {
                 let bytes = chunk(&line.to_string());
                 stream.write_all(&bytes[..bytes.len() / 2])?;
                 return Ok(());
@@ -176,25 +177,25 @@
             let sent = if is_corrupted { with_malformed_entry(&line) } else { line.clone() };
             write_in_pieces(&mut stream, &chunk(&sent.to_string()), revision)?;
             if !is_corrupted {
-                lock(list).note_announced(revision, list_resets);
+                lock(list).mark_announced(revision, list_resets);
             }
-            (since, resets, is_first) = (revision, list_resets, false);
+            (since, revision_resets, is_first) = (revision, list_resets, false);
             last_line = Some(line);
             heartbeat_at = now + HEARTBEAT_INTERVAL;
         } else if let Some(line) = last_line.as_ref().filter(|_| must_repeat) {
             stream.write_all(&chunk(&line.to_string()))?;
-        } else if behaviour.cuts.load(Ordering::Relaxed) != cuts {
-            return stream.write_all(HALF_LINE);
+        } else if behaviour.cut_requests.load(Ordering::Relaxed) != cuts_before {
+            return stream.write_all(PARTIAL_LINE);
         } else if now >= heartbeat_at {
             stream.write_all(&chunk(""))?;
             heartbeat_at = now + HEARTBEAT_INTERVAL;
         }
-        repeats = behaviour.repeats.load(Ordering::Relaxed);
+        repeats_before = behaviour.repeat_requests.load(Ordering::Relaxed);
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Every other line comes in two pieces.
+/// Sends lines of odd revisions in two pieces, and others in one.
 fn write_in_pieces(stream: &mut TcpStream, bytes: &[u8], revision: u64) -> std::io::Result<()> {
     if revision % 2 == 0 {
         return stream.write_all(bytes);
--- a/crates/testbed/src/soak/endpoint_list.rs
+++ b/crates/testbed/src/soak/endpoint_list.rs
@@ -1,68 +1,68 @@
-//! The true endpoint list of a run, its revisions, and when its states were announced to the planner.
+//! The true endpoint list of a run, its revisions, and when each server's state was announced to the planner.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// A server's state on the list.
+/// A server's state on the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum ServerPhase {
     /// It takes requests.
     Serving,
-    /// It takes no new ones.
+    /// It takes no new requests.
     Draining,
-    /// It is off the list.
+    /// It is no longer listed.
     Deleted,
 }
 
-impl Phase {
+impl ServerPhase {
     fn wire_name(self) -> &'static str {
         match self {
-            Phase::Serving => "SERVING",
-            Phase::Draining => "DRAINING",
-            Phase::Deleted => "DELETED",
+            ServerPhase::Serving => "SERVING",
+            ServerPhase::Draining => "DRAINING",
+            ServerPhase::Deleted => "DELETED",
         }
     }
 }
 
-/// A server.
+/// A server of the list, also one that was deleted.
 #[derive(Debug, Clone)]
-pub struct Server {
+pub struct ListedServer {
     /// Its state.
-    pub phase: Phase,
-    /// The revision that brought this state.
+    pub phase: ServerPhase,
+    /// The revision that changed its state last.
     pub revision: u64,
-    /// When a watch of the present process was sent this state.
+    /// When this state was first sent to the current process; `None` if it was not yet.
     pub announced_at: Option<Instant>,
     up_since_ms: u64,
 }
 
-/// The list, which agents serve.
+/// The endpoint list that discovery agents serve.
 #[derive(Debug)]
 pub struct EndpointList {
     /// The newest revision.
     pub revision: u64,
-    /// Changes since this one are known; older watches get the complete list.
+    /// The oldest revision from which changes are known; watches from earlier ones get the complete list.
     pub oldest_revision: u64,
-    /// How often revisions were counted from the beginning.
-    pub resets: u64,
-    /// When that last happened.
-    pub reset_at: Option<Instant>,
-    /// By id.
-    pub servers: BTreeMap<String, Server>,
+    /// How often the revision numbers were restarted.
+    pub revision_resets: u64,
+    /// When they were last restarted.
+    pub revisions_reset_at: Option<Instant>,
+    /// The servers by id.
+    pub servers: BTreeMap<String, ListedServer>,
     health_address: SocketAddr,
     next_id: u64,
 }
 
 impl EndpointList {
-    /// A list of so many servers that have run for long.
+    /// A list of `count` serving servers, at revision 40, from which changes are known.
     pub fn new(count: usize, health_address: SocketAddr) -> EndpointList {
         let mut list = EndpointList {
             revision: 40,
             oldest_revision: 40,
-            resets: 0,
-            reset_at: None,
+            revision_resets: 0,
+            revisions_reset_at: None,
             servers: BTreeMap::new(),
             health_address,
             next_id: 0,
@@ -73,53 +73,57 @@
         list
     }
 
-    /// Adds a server and returns its id.
+    /// Adds a serving server as a new revision, and returns its id.
     pub fn add_server(&mut self, up_since_ms: u64) -> String {
         self.next_id += 1;
         self.revision += 1;
         let id = format!("s-{:03}", self.next_id);
-        let server =
-            Server { phase: Phase::Serving, revision: self.revision, announced_at: None, up_since_ms };
+        let server = ListedServer {
+            phase: ServerPhase::Serving,
+            revision: self.revision,
+            announced_at: None,
+            up_since_ms,
+        };
         self.servers.insert(id.clone(), server);
         id
     }
 
-    /// Changes a server's state.
-    pub fn set_phase(&mut self, id: &str, phase: Phase) {
+    /// Changes a server's state as a new revision, which is not announced yet.
+    pub fn set_phase(&mut self, id: &str, phase: ServerPhase) {
         self.revision += 1;
         let revision = self.revision;
         if let Some(server) = self.servers.get_mut(id) {
-            *server = Server { phase, revision, announced_at: None, ..*server };
+            *server = ListedServer { phase, revision, announced_at: None, ..*server };
         }
     }
 
-    /// The ids of servers in a state.
-    pub fn ids(&self, phase: Phase) -> Vec<String> {
+    /// The ids of the servers in a state.
+    pub fn ids(&self, phase: ServerPhase) -> Vec<String> {
         let in_phase = self.servers.iter().filter(|(_, server)| server.phase == phase);
         in_phase.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Counts revisions from the beginning; changes before that are forgotten.
+    /// Restarts the revision numbers; earlier changes and deleted servers are forgotten.
     pub fn reset_revisions(&mut self) {
         self.revision = 3;
         self.oldest_revision = 3;
-        self.resets += 1;
-        self.reset_at = Some(Instant::now());
-        self.servers.retain(|_, server| server.phase != Phase::Deleted);
+        self.revision_resets += 1;
+        self.revisions_reset_at = Some(Instant::now());
+        self.servers.retain(|_, server| server.phase != ServerPhase::Deleted);
         self.servers.values_mut().for_each(|server| server.revision = 3);
     }
 
-    /// Nothing was announced to a new process yet.
+    /// Forgets what was announced, since a new process starts.
     pub fn clear_announcements(&mut self) {
         self.servers.values_mut().for_each(|server| server.announced_at = None);
     }
 
-    /// The line for a watch that holds `since`, and whether it is complete.
+    /// The line for a watch at revision `since`: the changes after it or, if they are not known, the complete list.
     pub fn line(&self, since: u64) -> Value {
         let is_complete = since < self.oldest_revision || since > self.revision;
-        let is_wanted = |server: &Server| {
+        let is_wanted = |server: &ListedServer| {
             if is_complete {
-                server.phase != Phase::Deleted
+                server.phase != ServerPhase::Deleted
             } else {
                 server.revision > since
             }
@@ -129,16 +133,17 @@
         json!({"revision": self.revision, "complete": is_complete, "members": members})
     }
 
-    /// The complete list, as a planner's configuration holds it.
+    /// The complete list as it is in a planner's configuration.
     pub fn complete(&self) -> Value {
-        let listed = self.servers.iter().filter(|(_, server)| server.phase != Phase::Deleted);
+        let listed = self.servers.iter().filter(|(_, server)| server.phase != ServerPhase::Deleted);
         let members: Vec<Value> = listed.map(|(id, server)| self.member(id, server)).collect();
         json!({"revision": self.revision, "complete": true, "members": members})
     }
 
-    /// Notes that all states up to a revision were sent.
-    pub fn note_announced(&mut self, revision: u64, resets: u64) {
-        if resets != self.resets {
+    /// Records that all states up to a revision were sent, unless revision numbers were restarted since the line was
+    /// made, when they had been restarted `revision_resets` times.
+    pub fn mark_announced(&mut self, revision: u64, revision_resets: u64) {
+        if revision_resets != self.revision_resets {
             return;
         }
         let now = Instant::now();
@@ -147,7 +152,7 @@
         }
     }
 
-    fn member(&self, id: &str, server: &Server) -> Value {
+    fn member(&self, id: &str, server: &ListedServer) -> Value {
         json!({"id": id, "host_port": self.health_address.to_string(), "locality": "a", "flavor": "m",
             "cell": 0, "phase": server.phase.wire_name(), "size": 1.0, "up_since_ms": server.up_since_ms})
     }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,7 +1,8 @@
-//! Soak of the built `runloom platform`: seeded runs of restarts, signals, moved discovery, floods of unidentified clients and lists
-//! that misbehave, checked from the sockets alone.
+//! Soak test of a built `runloom platform`: seeded runs with restarts, signals, discovery moves, floods of unidentified
+//! clients and a discovery agent that misbehaves. The checks see the process only from outside: its sockets, its exit
+//! status, and its descriptors and memory in `/proc`.
 //!
-//! Each seed draws a plan, which is played against one process after the other at one address.
+//! Each seed determines a plan, which runs against several processes in succession at the same address.
 
 mod checker;
 mod discovery_agent;
@@ -20,25 +21,26 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// What a soak is asked to do.
+/// Options of a soak.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// The built program.
+    /// Path of the built `runloom` program.
     pub program: PathBuf,
     /// The first seed.
     pub first_seed: u64,
-    /// The last seed.
+    /// The last seed, inclusive.
     pub last_seed: u64,
-    /// Runs at a time.
+    /// Runs in parallel; 0 counts as 1.
     pub jobs: usize,
-    /// Logs of the processes stay here.
+    /// Folder of the logs, one for each seed, which are kept after the soak.
     pub folder: PathBuf,
 }
 
-/// Plays all seeds and prints a line for each; returns whether no check failed.
+/// Runs all seeds and prints a line for each, and a summary; returns whether no check failed. A run that cannot be
+/// started counts as failed.
 ///
 /// # Errors
-/// Returns the cause if a stand-in or a process cannot be started.
+/// Returns the cause if the folder cannot be created.
 pub fn soak(options: &SoakOptions) -> Result<bool, String> {
     std::fs::create_dir_all(&options.folder).map_err(|e| e.to_string())?;
     let next_seed = AtomicU64::new(options.first_seed);
@@ -50,7 +52,7 @@
                 if seed > options.last_seed {
                     return;
                 }
-                let report = play_seed(options, seed);
+                let report = run_seed(options, seed);
                 lock(&reports).push(report);
             });
         }
@@ -62,8 +64,8 @@
         "soak: {} runs, {failed} failed; {} starts, {} SIGHUPs, {} moves, {} unidentified clients, {} streams, {} list changes",
         reports.len(),
         sum(|report| report.starts),
-        sum(|report| report.hangups),
-        sum(|report| report.moves),
+        sum(|report| report.sighups),
+        sum(|report| report.discovery_moves),
         sum(|report| report.unidentified_clients),
         sum(|report| report.streams),
         sum(|report| report.list_changes),
@@ -71,11 +73,11 @@
     Ok(failed == 0)
 }
 
-fn play_seed(options: &SoakOptions, seed: u64) -> RunReport {
+fn run_seed(options: &SoakOptions, seed: u64) -> RunReport {
     let plan = plan::RunPlan::draw(seed);
     let log = log_file(&options.folder, seed);
     let _ = std::fs::remove_file(&log);
-    let report = run::play(&plan, &options.program, &log).unwrap_or_else(RunReport::not_played);
+    let report = run::run_plan(&plan, &options.program, &log).unwrap_or_else(RunReport::not_run);
     println!("seed {seed}: {}: {}", plan.summary(), report.verdict());
     report.violations.iter().for_each(|violation| println!("seed {seed}: BROKEN {violation}"));
     if !report.violations.is_empty() {
@@ -88,7 +90,7 @@
     folder.join(format!("seed-{seed}.log"))
 }
 
-/// Locks a value that no thread leaves half changed.
+/// Locks a value, also after a thread that held the lock panicked: no thread leaves it half changed.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,67 +1,67 @@
-//! What a run does, drawn from its seed.
+//! The plan of a run, generated from its seed.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// No signal comes earlier than this after a process is ready.
-const FIRST_SIGNAL_AFTER_MS: u64 = 1000;
-/// SIGKILL follows SIGTERM by this, the earliest that the protocol allows.
+/// Earliest time of a step after the process is ready, so that no signal comes before it. Only a flood may be earlier.
+const FIRST_STEP_AFTER_MS: u64 = 1000;
+/// Time from SIGTERM to SIGKILL, the shortest that the protocol allows.
 pub const KILL_AFTER: Duration = Duration::from_millis(700);
 
-/// One seed's run.
+/// The plan of one seed's run.
 #[derive(Debug, Clone)]
 pub struct RunPlan {
     /// The seed.
     pub seed: u64,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Servers of the first list.
+    /// Number of servers on the first endpoint list.
     pub servers: usize,
     /// Unidentified clients that connect in each phase; 0 for none.
-    pub flood: usize,
-    /// One process each, in order.
+    pub flood_clients: usize,
+    /// The phases in order; each has a process of its own.
     pub phases: Vec<PhasePlan>,
 }
 
-/// The life of one process, from when it is ready.
+/// What happens to one process from when it is ready.
 #[derive(Debug, Clone)]
 pub struct PhasePlan {
-    /// What happens, in order of time.
+    /// Steps, sorted by their time since the process was ready.
     pub steps: Vec<(Duration, Step)>,
-    /// How the process ends; the last one goes on to the final checks.
+    /// How the process is ended; in the last phase, after the final checks.
     pub ending: Ending,
 }
 
-/// Something that happens during a phase.
+/// A fault or a change during a phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// The list changes: a drain, a removal, a new server or a drain that is taken back.
+    /// The endpoint list changes: a server is drained, removed, added, or put back from draining to serving.
     ChangeList,
     /// The agent sends its last line again.
     RepeatLine,
-    /// The next change of the list has an entry that cannot be read, once.
+    /// The next line with a change of the list has a malformed entry, once.
     MalformedEntry,
-    /// The agent says nothing for this long, though its connections stay open.
+    /// The agent sends nothing for this long, while its connections stay open.
     QuietAgent(Duration),
-    /// The watch's connection is reset within a line.
+    /// The agent closes its watches in the middle of a line.
     CutWatch,
-    /// The agent counts its revisions from the beginning.
+    /// The agent restarts its revision numbers.
     ResetRevisions,
-    /// SIGHUPs at once, the file being as before.
+    /// This many SIGHUPs in quick succession, with an unchanged configuration file.
     Hangups(u32),
-    /// Discovery moves: another address in the file, which may be half written when the signal comes.
+    /// The discovery agent moves: the configuration file gets another address, and SIGHUP follows.
     MoveDiscovery {
-        /// The file is half written at the signal.
+        /// A SIGHUP comes when only half of the file is written, and another one when it is complete.
         half_written: bool,
-        /// When the old agent closes its watches.
+        /// Time until the old agent closes its watches.
         close_after: Duration,
-        /// It closes them within a line.
+        /// The old agent closes them in the middle of a line.
         within_line: bool,
     },
-    /// Some proxies reset their streams within a message.
+    /// About half of the proxies reset their streams in the middle of a message.
     ResetStreams,
-    /// Unidentified clients connect, all at once.
+    /// All unidentified clients of the plan connect at the same time.
     Flood,
 }
 
@@ -72,14 +72,14 @@
     Term,
     /// SIGTERM twice.
     TermTwice,
-    /// SIGHUP and, at once, SIGTERM.
+    /// SIGHUP, immediately followed by SIGTERM.
     HangupThenTerm,
-    /// SIGKILL alone.
+    /// SIGKILL only.
     Kill,
 }
 
 impl RunPlan {
-    /// Draws the run of a seed.
+    /// Generates the plan of a seed; the same seed gives the same plan.
     pub fn draw(seed: u64) -> RunPlan {
         let mut random = StdRng::seed_from_u64(seed);
         let has_flood = random.random_ratio(2, 5);
@@ -88,12 +88,12 @@
             seed,
             proxies: random.random_range(4..=10),
             servers: random.random_range(5..=12),
-            flood: if has_flood { random.random_range(80..=240) } else { 0 },
+            flood_clients: if has_flood { random.random_range(80..=240) } else { 0 },
             phases: (0..phases).map(|_| PhasePlan::draw(&mut random, has_flood)).collect(),
         }
     }
 
-    /// A few words on the run.
+    /// The sizes of the run and the endings of its phases, on one line.
     pub fn summary(&self) -> String {
         let endings: Vec<String> = self.phases.iter().map(|phase| format!("{:?}", phase.ending)).collect();
         let steps: usize = self.phases.iter().map(|phase| phase.steps.len()).sum();
@@ -101,7 +101,7 @@
             "{} proxies, {} servers, flood {}, {steps} steps, endings {}",
             self.proxies,
             self.servers,
-            self.flood,
+            self.flood_clients,
             endings.join(" ")
         )
     }
@@ -126,7 +126,7 @@
 }
 
 fn draw_step(random: &mut StdRng) -> (Duration, Step) {
-    let at = Duration::from_millis(random.random_range(FIRST_SIGNAL_AFTER_MS..3500));
+    let at = Duration::from_millis(random.random_range(FIRST_STEP_AFTER_MS..3500));
     let step = match random.random_range(0..18) {
         16 | 17 => Step::MalformedEntry,
         0..=5 => Step::ChangeList,
--- a/crates/testbed/src/soak/platform_process.rs
+++ b/crates/testbed/src/soak/platform_process.rs
@@ -1,4 +1,4 @@
-//! A process of `runloom platform`: its configuration file, its signals, and what the system says of it.
+//! A process of `runloom platform`: its configuration file, the signals to it, and its resource use.
 
 use super::lock;
 use runloom_platform_protocol::framing::{write_frame, FrameReader, MAX_MESSAGE_BYTES};
@@ -10,38 +10,39 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A process has to answer its first `PING` within this time.
+/// A process must answer its first `PING` within this time of its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Descriptors that the configuration allows a process.
+/// Socket limit in the configuration.
 pub const SOCKET_LIMIT: usize = 256;
-/// Memory that it allows, MiB.
+/// Memory limit in the configuration, in MiB.
 pub const MEMORY_LIMIT_MB: u64 = 32;
-/// Entries a second that the channel takes: enough for one table of all servers, whose content the checks know.
+/// Entries per second that the update channel takes: enough for a single table of all servers, so that the checks know
+/// what it must contain.
 const CHANNEL_RATE: f64 = 20_000.0;
-/// Proxies that the settings name.
+/// Number of proxies that the settings allow.
 const PROXY_COUNT: u64 = 32;
 
-/// What a process is configured with.
+/// The configuration of a process.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// Where it listens.
+    /// Address on which it listens.
     pub listen: SocketAddr,
-    /// Where its agent listens.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The list as last held.
-    pub known: Value,
-    /// Seed of its random choices.
+    /// The complete endpoint list as last known.
+    pub known_list: Value,
+    /// Seed of its random decisions.
     pub seed: u64,
 }
 
 impl Configuration {
-    /// The configuration file's text.
+    /// The contents of the configuration file.
     pub fn to_json(&self) -> String {
         json!({"name": "soak", "listen": self.listen.to_string(), "discovery": self.discovery.to_string(),
             "seed": format!("{:x}", self.seed),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": SOCKET_LIMIT},
-            "known": self.known,
+            "known": self.known_list,
             "settings": {"balancers": 1, "classes": [{"name": "lookup", "aimS": 0.5, "credit": 1.0},
                     {"name": "order", "aimS": 0.8, "credit": 2.0}],
                 "familyInfo": {"backlog": 4000.0, "channelRate": CHANNEL_RATE, "overhead": 4.0, "proxies": PROXY_COUNT,
@@ -52,7 +53,7 @@
     }
 }
 
-/// A signal, by its name for `kill`.
+/// A signal that a process is sent.
 #[derive(Debug, Clone, Copy)]
 pub enum Signal {
     /// SIGHUP.
@@ -64,6 +65,7 @@
 }
 
 impl Signal {
+    /// The name that the `kill` command takes.
     fn name(self) -> &'static str {
         match self {
             Signal::Hangup => "HUP",
@@ -76,9 +78,9 @@
 /// A running process, which is killed when dropped.
 pub struct PlatformProcess {
     child: Mutex<Child>,
-    id: u32,
+    pid: u32,
     address: SocketAddr,
-    file: PathBuf,
+    configuration_file: PathBuf,
 }
 
 impl PlatformProcess {
@@ -88,21 +90,26 @@
         configuration: &Configuration,
         log: &Path,
     ) -> Result<PlatformProcess, String> {
-        let file = log.with_extension("json");
-        std::fs::write(&file, configuration.to_json()).map_err(|e| e.to_string())?;
+        let configuration_file = log.with_extension("json");
+        std::fs::write(&configuration_file, configuration.to_json()).map_err(|e| e.to_string())?;
         let log =
             std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(|e| e.to_string())?;
         let child = Command::new(program)
             .arg("platform")
-            .env("EDGE_CONFIG", &file)
+            .env("EDGE_CONFIG", &configuration_file)
             .stdout(std::process::Stdio::null())
             .stderr(log)
             .spawn()
             .map_err(|e| format!("{}: {e}", program.display()))?;
-        Ok(PlatformProcess { id: child.id(), child: Mutex::new(child), address: configuration.listen, file })
+        Ok(PlatformProcess {
+            pid: child.id(),
+            child: Mutex::new(child),
+            address: configuration.listen,
+            configuration_file,
+        })
     }
 
-    /// Waits for its first answer to a `PING`; `None` if that takes too long.
+    /// Waits for the first answer to a `PING`; `None` if it does not come within `READY_TIMEOUT` or the process exits.
     pub fn wait_until_ready(&self) -> Option<Instant> {
         let deadline = Instant::now() + READY_TIMEOUT;
         while Instant::now() < deadline && self.exit_status().is_none() {
@@ -114,55 +121,55 @@
         None
     }
 
-    /// How it ended, if it has.
+    /// Its exit status; `None` while it runs.
     pub fn exit_status(&self) -> Option<ExitStatus> {
         lock(&self.child).try_wait().ok().flatten()
     }
 
-    /// Waits for its end.
+    /// Waits until it exits.
     pub fn wait(&self) {
         let _ = lock(&self.child).wait();
     }
 
-    /// Sends a signal, unless it has ended.
+    /// Sends a signal, unless the process has exited.
     pub fn signal(&self, signal: Signal) {
         if self.exit_status().is_none() {
-            let kill = format!("kill -{} {} 2>/dev/null", signal.name(), self.id);
+            let kill = format!("kill -{} {} 2>/dev/null", signal.name(), self.pid);
             let _ = Command::new("/bin/sh").args(["-c", &kill]).status();
         }
     }
 
-    /// Sends signals at once, one after the other, unless it has ended.
+    /// Sends signals in quick succession by one shell, unless the process has exited.
     pub fn signal_all(&self, signals: &[Signal]) {
         if self.exit_status().is_none() {
             let kills: Vec<String> =
-                signals.iter().map(|signal| format!("kill -{} {}", signal.name(), self.id)).collect();
+                signals.iter().map(|signal| format!("kill -{} {}", signal.name(), self.pid)).collect();
             let _ =
                 Command::new("/bin/sh").args(["-c", &format!("({}) 2>/dev/null", kills.join("; "))]).status();
         }
     }
 
-    /// Replaces the configuration file at once.
+    /// Replaces the configuration file atomically.
     pub fn write_configuration(&self, configuration: &Configuration) {
-        let new = self.file.with_extension("new");
-        let _ =
-            std::fs::write(&new, configuration.to_json()).and_then(|()| std::fs::rename(&new, &self.file));
+        let new = self.configuration_file.with_extension("new");
+        let _ = std::fs::write(&new, configuration.to_json())
+            .and_then(|()| std::fs::rename(&new, &self.configuration_file));
     }
 
-    /// Writes the first half of the configuration file.
+    /// Overwrites the configuration file with the first half of its contents.
     pub fn write_half_configuration(&self, configuration: &Configuration) {
         let text = configuration.to_json();
-        let _ = std::fs::write(&self.file, &text[..text.len() / 2]);
+        let _ = std::fs::write(&self.configuration_file, &text[..text.len() / 2]);
     }
 
-    /// Its open descriptors.
+    /// Number of its open descriptors; 0 if it has exited.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.id)).map_or(0, Iterator::count)
+        std::fs::read_dir(format!("/proc/{}/fd", self.pid)).map_or(0, Iterator::count)
     }
 
-    /// Its peak memory in KiB.
+    /// Its peak resident memory in KiB; 0 if it has exited.
     pub fn peak_kib(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.id)).unwrap_or_default();
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid)).unwrap_or_default();
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         peak.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
     }
@@ -173,7 +180,7 @@
         let mut child = lock(&self.child);
         let _ = child.kill();
         let _ = child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.configuration_file);
     }
 }
 
--- a/crates/testbed/src/soak/proxy_client.rs
+++ b/crates/testbed/src/soak/proxy_client.rs
@@ -1,4 +1,5 @@
-//! A proxy: it holds a table across streams, acknowledges late, malformed or not at all, and breaks its streams.
+//! A simulated proxy: it keeps its tables across streams, acknowledges late, with malformed messages or not at all, and
+//! resets its streams.
 
 use super::lock;
 use super::stand_ins::send;
@@ -14,47 +15,47 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A read waits at most this long, so that reports and acknowledgements go out in between.
+/// A read waits at most this long, so that reports and acknowledgements are sent in between.
 const READ_INTERVAL: Duration = Duration::from_millis(20);
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// The latest acknowledgement.
+/// The longest delay of an acknowledgement.
 const MAX_ACK_DELAY_MS: u64 = 900;
 const RECONNECT_DELAY_MS: std::ops::Range<u64> = 30..400;
-/// The classes of the settings.
+/// The traffic classes of the settings.
 pub const CLASSES: [&str; 2] = ["lookup", "order"];
 
-/// A table: weight by server.
+/// A table: the weight by server.
 pub type Table = BTreeMap<String, f64>;
 
-/// What the checker sees of a proxy.
+/// The state of a proxy that the checks examine.
 #[derive(Debug, Default, Clone)]
 pub struct ProxyState {
-    /// Its tables by class.
+    /// Its tables by traffic class.
     pub tables: BTreeMap<&'static str, Table>,
-    /// Since when its present stream is up, as the planner's answer showed.
+    /// When it sent `SUBSCRIBE` on its current stream; `None` while it is not connected.
     pub joined_at: Option<Instant>,
-    /// Servers that it was to remove from a table and has acknowledged, on this stream.
+    /// Servers whose removal from a table it acknowledged on this stream.
     pub acknowledged_removals: BTreeSet<String>,
-    /// Messages that it can't use, by what they were.
+    /// Messages that it cannot use, and errors of framing.
     pub unusable: Vec<String>,
-    /// Streams since the start.
+    /// Streams that it opened so far.
     pub streams: u64,
-    /// Streams that the planner ended.
+    /// Streams that the planner closed, or that failed.
     pub ended_by_planner: u64,
 }
 
-/// A proxy's part that other threads see.
+/// What a proxy's thread shares with others.
 #[derive(Debug, Default)]
 pub struct ProxyHandle {
-    /// Its state.
+    /// Its state for the checks.
     pub state: Mutex<ProxyState>,
-    /// Counts the wishes to reset its stream.
-    pub resets: AtomicU64,
-    /// It acknowledges in time and breaks nothing from now on.
+    /// Number of requests so far to reset its stream.
+    pub reset_requests: AtomicU64,
+    /// From now on it sends each acknowledgement, valid and without much delay.
     pub is_well_behaved: AtomicBool,
 }
 
-/// Runs a proxy until it is stopped.
+/// Runs a proxy until stopped; it reconnects after each stream.
 pub fn run_proxy(id: u64, planner: SocketAddr, seed: u64, handle: &ProxyHandle, is_stopped: &AtomicBool) {
     let mut random = StdRng::seed_from_u64(seed.wrapping_mul(1000).wrapping_add(id));
     while !is_stopped.load(Ordering::Relaxed) {
@@ -72,24 +73,26 @@
     }
 }
 
-/// An acknowledgement that is to be sent.
-struct DueAck {
-    at: Instant,
+/// An acknowledgement that is not sent yet.
+struct PendingAck {
+    send_at: Instant,
     sequence: u64,
     removed: BTreeSet<String>,
     is_malformed: bool,
 }
 
-/// One stream.
+/// One stream of a proxy.
 struct ProxySession<'a> {
     id: u64,
     stream: TcpStream,
     reader: FrameReader,
     handle: &'a ProxyHandle,
     random: &'a mut StdRng,
-    due_acks: Vec<DueAck>,
+    pending_acks: Vec<PendingAck>,
+    /// Servers that are removed by what was received on this stream.
     removed: BTreeSet<String>,
-    resets: u64,
+    /// [`ProxyHandle::reset_requests`] at the start of the stream.
+    reset_requests: u64,
 }
 
 impl<'a> ProxySession<'a> {
@@ -100,13 +103,13 @@
             reader: FrameReader::new(MAX_MESSAGE_BYTES),
             handle,
             random,
-            due_acks: vec![],
+            pending_acks: vec![],
             removed: BTreeSet::new(),
-            resets: handle.resets.load(Ordering::Relaxed),
+            reset_requests: handle.reset_requests.load(Ordering::Relaxed),
         }
     }
 
-    /// Runs until the proxy breaks the stream; an error if the planner ended it.
+    /// Runs until stopped or until the proxy resets the stream; an error if the planner closed it.
     fn run(&mut self, is_stopped: &AtomicBool) -> std::io::Result<()> {
         self.stream.set_read_timeout(Some(READ_INTERVAL))?;
         self.stream.set_nodelay(true)?;
@@ -122,7 +125,7 @@
         }
         let mut report_at = Instant::now() + REPORT_INTERVAL;
         while !is_stopped.load(Ordering::Relaxed) {
-            if self.handle.resets.load(Ordering::Relaxed) != self.resets {
+            if self.handle.reset_requests.load(Ordering::Relaxed) != self.reset_requests {
                 return self.reset();
             }
             self.read()?;
@@ -136,7 +139,7 @@
         Ok(())
     }
 
-    /// Resets the stream at any byte of a message.
+    /// Resets the stream after a random part of a message.
     fn reset(&mut self) -> std::io::Result<()> {
         let mut frame = Vec::new();
         write_frame(&mut frame, self.reports()[0].to_string().as_bytes());
@@ -170,12 +173,12 @@
             lock(&self.handle.state).unusable.push(message.to_string());
             return;
         }
-        let names: Vec<&'static str> = match message["for"].as_array() {
+        let classes: Vec<&'static str> = match message["for"].as_array() {
             Some(wanted) => CLASSES.into_iter().filter(|class| wanted.contains(&json!(class))).collect(),
             None => CLASSES.to_vec(),
         };
         let mut state = lock(&self.handle.state);
-        for class in names {
+        for class in classes {
             let table = state.tables.entry(class).or_default();
             if message["replace"] == true {
                 self.removed.extend(table.keys().cloned());
@@ -194,26 +197,26 @@
         }
         drop(state);
         if let Some(sequence) = message["stamp"].as_u64() {
-            self.plan_ack(sequence);
+            self.schedule_ack(sequence);
         }
     }
 
-    fn plan_ack(&mut self, sequence: u64) {
+    fn schedule_ack(&mut self, sequence: u64) {
         let is_well_behaved = self.handle.is_well_behaved.load(Ordering::Relaxed);
         if !is_well_behaved && self.random.random_ratio(1, 10) {
             return;
         }
         let delay = if is_well_behaved { 5 } else { self.random.random_range(0..MAX_ACK_DELAY_MS) };
         let is_malformed = !is_well_behaved && self.random.random_ratio(1, 12);
-        let at = Instant::now() + Duration::from_millis(delay);
-        self.due_acks.push(DueAck { at, sequence, removed: self.removed.clone(), is_malformed });
+        let send_at = Instant::now() + Duration::from_millis(delay);
+        self.pending_acks.push(PendingAck { send_at, sequence, removed: self.removed.clone(), is_malformed });
     }
 
     fn send_due_acks(&mut self) -> std::io::Result<()> {
         let now = Instant::now();
-        let (due, later): (Vec<DueAck>, Vec<DueAck>) =
-            std::mem::take(&mut self.due_acks).into_iter().partition(|ack| ack.at <= now);
-        self.due_acks = later;
+        let (due, later): (Vec<PendingAck>, Vec<PendingAck>) =
+            std::mem::take(&mut self.pending_acks).into_iter().partition(|ack| ack.send_at <= now);
+        self.pending_acks = later;
         for ack in due {
             if ack.is_malformed {
                 send(&mut self.stream, &[json!({"t": "ACK", "id": self.id, "seq": "x"})])?;
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -1,14 +1,14 @@
-//! Plays one run.
+//! Carries out the plan of one run.
 
-use super::checker::{Observed, ProcessTimes};
+use super::checker::{Checker, ProcessTimes};
 use super::discovery_agent::DiscoveryAgent;
-use super::endpoint_list::{EndpointList, Phase};
+use super::endpoint_list::{EndpointList, ServerPhase};
 use super::lock;
 use super::plan::{Ending, PhasePlan, RunPlan, Step, KILL_AFTER};
 use super::platform_process::{Configuration, PlatformProcess, Signal, MEMORY_LIMIT_MB};
 use super::proxy_client::{run_proxy, ProxyHandle};
 use super::stand_ins::{run_collector, start_health_endpoint};
-use super::unidentified_clients::{visit, ClientOutcome, UnidentifiedClient};
+use super::unidentified_clients::{connect_and_wait, ClientOutcome, UnidentifiedClient};
 use crate::planner_process::reserve_addresses;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -20,64 +20,64 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The proxies' tables have to be those of the list within this time of the last disturbance: longer than a lagging
-/// agent and a slow start take.
+/// The proxies' tables must match the list within this time of the last step: longer than a lagging agent and a slow
+/// start take.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(14);
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Descriptors beside those of proxies and the collector: standard streams, the event loop, signals, the listener, the
-/// watch, health checks.
+/// Descriptors of a process besides those of proxies and the collector: standard streams, the event loop, signals, the
+/// listener, the watch, health checks.
 const OWN_DESCRIPTORS: usize = 40;
-/// Servers that always serve, so that no proxy can be without one.
+/// Fewest servers that a change of the list leaves serving, so that every proxy can have one.
 const MIN_SERVING: usize = 2;
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct RunReport {
-    /// What was broken.
+    /// Failed checks, one sentence each; empty if the run passed.
     pub violations: Vec<String>,
     /// Processes started.
     pub starts: u64,
     /// SIGHUPs sent.
-    pub hangups: u64,
-    /// Moves of discovery.
-    pub moves: u64,
+    pub sighups: u64,
+    /// Moves of the discovery agent.
+    pub discovery_moves: u64,
     /// Unidentified clients that connected.
     pub unidentified_clients: u64,
-    /// Streams of proxies.
+    /// Streams that proxies opened.
     pub streams: u64,
-    /// Changes of the list.
+    /// Changes of the endpoint list.
     pub list_changes: u64,
 }
 
 impl RunReport {
-    /// A run that could not be played counts as failed.
-    pub fn not_played(cause: String) -> RunReport {
-        RunReport { violations: vec![format!("not played: {cause}")], ..RunReport::default() }
+    /// A run that could not be started, which counts as failed.
+    pub fn not_run(cause: String) -> RunReport {
+        RunReport { violations: vec![format!("not run: {cause}")], ..RunReport::default() }
     }
 
-    /// One word, or how much was broken.
+    /// `passed`, or the number of violations.
     pub fn verdict(&self) -> String {
         match self.violations.len() {
-            0 => "kept".into(),
-            count => format!("{count} broken"),
+            0 => "passed".into(),
+            count => format!("{count} violations"),
         }
     }
 }
 
-/// Plays a run against the program.
-pub fn play(plan: &RunPlan, program: &Path, log: &Path) -> Result<RunReport, String> {
+/// Carries out a plan against the program.
+pub fn run_plan(plan: &RunPlan, program: &Path, log: &Path) -> Result<RunReport, String> {
     let mut run = Run::start(plan, program, log)?;
     let is_stopped = run.is_stopped.clone();
-    let observed = run.observed.clone();
+    let checker = run.checker.clone();
     let listen = run.configuration.listen;
     std::thread::scope(|scope| {
-        for (id, handle) in observed.proxies.iter().enumerate() {
+        for (id, handle) in checker.proxies.iter().enumerate() {
             let is_stopped = &is_stopped;
             scope.spawn(move || run_proxy(id as u64, listen, plan.seed, handle, is_stopped));
         }
-        scope.spawn(|| run_collector(listen, &observed.list, plan.seed, &is_stopped));
-        scope.spawn(|| observed.watch(&is_stopped));
-        let result = run.play(scope);
+        scope.spawn(|| run_collector(listen, &checker.list, plan.seed, &is_stopped));
+        scope.spawn(|| checker.check_until_stopped(&is_stopped));
+        let result = run.run_phases(scope);
         is_stopped.store(true, Ordering::Relaxed);
         result
     })?;
@@ -91,13 +91,13 @@
     random: StdRng,
     list: Arc<Mutex<EndpointList>>,
     agent: DiscoveryAgent,
-    /// Agents that discovery has left.
-    retired: Vec<DiscoveryAgent>,
+    /// Agents that were replaced by a move.
+    retired_agents: Vec<DiscoveryAgent>,
     configuration: Configuration,
-    observed: Arc<Observed>,
+    checker: Arc<Checker>,
     is_stopped: Arc<AtomicBool>,
     report: RunReport,
-    unidentified_clients: Arc<Mutex<Vec<ClientOutcome>>>,
+    client_outcomes: Arc<Mutex<Vec<ClientOutcome>>>,
 }
 
 impl<'a> Run<'a> {
@@ -107,10 +107,10 @@
         let list = Arc::new(Mutex::new(EndpointList::new(plan.servers, health)));
         let agent = DiscoveryAgent::start(list.clone()).map_err(|e| e.to_string())?;
         let [listen]: [SocketAddr; 1] = reserve_addresses().map_err(|e| e.to_string())?;
-        let known = lock(&list).complete();
-        let configuration = Configuration { listen, discovery: agent.address, known, seed: plan.seed };
+        let known_list = lock(&list).complete();
+        let configuration = Configuration { listen, discovery: agent.address, known_list, seed: plan.seed };
         let proxies = (0..plan.proxies).map(|_| Arc::new(ProxyHandle::default())).collect();
-        let observed = Arc::new(Observed::new(list.clone(), proxies));
+        let checker = Arc::new(Checker::new(list.clone(), proxies));
         Ok(Run {
             plan,
             program,
@@ -118,35 +118,35 @@
             random: StdRng::seed_from_u64(plan.seed ^ 0x50_4b),
             list,
             agent,
-            retired: vec![],
+            retired_agents: vec![],
             configuration,
-            observed,
+            checker,
             is_stopped,
             report: RunReport::default(),
-            unidentified_clients: Arc::default(),
+            client_outcomes: Arc::default(),
         })
     }
 
     fn into_report(self) -> RunReport {
         let mut report = self.report;
-        let streams = self.observed.proxies.iter().map(|handle| lock(&handle.state).streams);
+        let streams = self.checker.proxies.iter().map(|handle| lock(&handle.state).streams);
         report.streams = streams.sum();
-        for outcome in lock(&self.unidentified_clients).iter() {
+        for outcome in lock(&self.client_outcomes).iter() {
             report.unidentified_clients += u64::from(*outcome != ClientOutcome::NotConnected);
             if let ClientOutcome::Late { kind, waited } = outcome {
                 let waited = waited.as_secs_f64();
-                self.observed.report(format!("unidentified client: {kind:?} waited {waited:.1} s"));
+                self.checker.add_violation(format!("unidentified client: {kind:?} waited {waited:.1} s"));
             }
         }
-        report.violations = lock(&self.observed.violations).iter().cloned().collect();
+        report.violations = lock(&self.checker.violations).iter().cloned().collect();
         report
     }
 
-    fn play<'scope>(&mut self, scope: &'scope std::thread::Scope<'scope, '_>) -> Result<(), String> {
+    fn run_phases<'scope>(&mut self, scope: &'scope std::thread::Scope<'scope, '_>) -> Result<(), String> {
         let phases = self.plan.phases.len();
         for (number, phase) in self.plan.phases.iter().enumerate() {
             let Some(process) = self.start_process()? else { return Ok(()) };
-            self.play_phase(phase, &process, scope);
+            self.run_phase(phase, &process, scope);
             if number + 1 == phases {
                 self.check_settled(&process);
             }
@@ -161,64 +161,67 @@
         let process = PlatformProcess::start(self.program, &self.configuration, self.log)?;
         self.report.starts += 1;
         let Some(ready_at) = process.wait_until_ready() else {
-            self.observed.report(format!("start {} is not ready in time", self.report.starts));
+            self.checker.add_violation(format!(
+                "start {}: the process did not answer a PING in time",
+                self.report.starts
+            ));
             return Ok(None);
         };
-        *lock(&self.observed.process) = ProcessTimes { first_answer: Some(ready_at), hung_up_at: None };
+        *lock(&self.checker.process) = ProcessTimes { first_answer: Some(ready_at), last_sighup_at: None };
         Ok(Some(process))
     }
 
-    fn play_phase<'scope>(
+    fn run_phase<'scope>(
         &mut self,
         phase: &PhasePlan,
         process: &PlatformProcess,
         scope: &'scope std::thread::Scope<'scope, '_>,
     ) {
-        let begin = Instant::now();
+        let start = Instant::now();
         for (at, step) in &phase.steps {
-            std::thread::sleep((begin + *at).saturating_duration_since(Instant::now()));
+            std::thread::sleep((start + *at).saturating_duration_since(Instant::now()));
             if let Some(status) = process.exit_status() {
-                return self.observed.report(format!("the process ended by itself: {status}"));
+                return self.checker.add_violation(format!("the process exited unexpectedly: {status}"));
             }
-            self.take_step(*step, process, scope);
+            self.execute_step(*step, process, scope);
         }
     }
 
-    /// Writes a line between those of the process, so that a failure can be followed.
-    fn note(&self, text: &str) {
+    /// Appends a line to the process's log, which shows what led to a failure.
+    fn append_to_log(&self, text: &str) {
         let line = format!("{} SOAK {text}\n", runloom_daemon::wall_rfc3339());
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log);
         let _ = log.and_then(|mut log| log.write_all(line.as_bytes()));
     }
 
-    fn take_step<'scope>(
+    fn execute_step<'scope>(
         &mut self,
         step: Step,
         process: &PlatformProcess,
         scope: &'scope std::thread::Scope<'scope, '_>,
     ) {
-        self.note(&format!("{step:?}"));
+        self.append_to_log(&format!("{step:?}"));
         match step {
             Step::ChangeList => self.change_list(),
             Step::RepeatLine => self.agent.repeat_line(),
-            Step::QuietAgent(duration) => self.agent.be_quiet(duration),
+            Step::QuietAgent(duration) => self.agent.stay_silent_for(duration),
             Step::CutWatch => self.agent.cut_watches(),
             Step::ResetRevisions => lock(&self.list).reset_revisions(),
             Step::Hangups(count) => {
-                self.note_hangups(u64::from(count));
+                self.record_sighups(u64::from(count));
                 process.signal_all(&vec![Signal::Hangup; count as usize]);
             }
             Step::MoveDiscovery { half_written, close_after, within_line } => {
                 self.move_discovery(half_written, process);
-                if let Some(left) = self.retired.last() {
+                if let Some(left) = self.retired_agents.last() {
                     left.retire(close_after, within_line);
                 }
             }
             Step::MalformedEntry => self.agent.corrupt_next_change(),
             Step::ResetStreams => {
-                for handle in &self.observed.proxies {
+                for handle in &self.checker.proxies {
                     if self.random.random_ratio(1, 2) {
-                        handle.resets.fetch_add(1, Ordering::Relaxed);
+                        handle.reset_requests.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             }
@@ -226,71 +229,72 @@
         }
     }
 
-    fn note_hangups(&mut self, count: u64) {
-        self.report.hangups += count;
-        lock(&self.observed.process).hung_up_at = Some(Instant::now());
+    fn record_sighups(&mut self, count: u64) {
+        self.report.sighups += count;
+        lock(&self.checker.process).last_sighup_at = Some(Instant::now());
     }
 
     fn change_list(&mut self) {
         self.report.list_changes += 1;
         let mut list = lock(&self.list);
-        let serving = list.ids(Phase::Serving);
-        let draining = list.ids(Phase::Draining);
+        let serving = list.ids(ServerPhase::Serving);
+        let draining = list.ids(ServerPhase::Draining);
         let may_lose_one = serving.len() > MIN_SERVING;
         match (
             self.random.random_range(0..6),
             serving.choose(&mut self.random),
             draining.choose(&mut self.random),
         ) {
-            (0..=2, Some(id), _) if may_lose_one => list.set_phase(id, Phase::Draining),
-            (3, Some(id), _) if may_lose_one => list.set_phase(id, Phase::Deleted),
-            (3 | 4, _, Some(id)) => list.set_phase(id, Phase::Serving),
+            (0..=2, Some(id), _) if may_lose_one => list.set_phase(id, ServerPhase::Draining),
+            (3, Some(id), _) if may_lose_one => list.set_phase(id, ServerPhase::Deleted),
+            (3 | 4, _, Some(id)) => list.set_phase(id, ServerPhase::Serving),
             _ => _ = list.add_server(0),
         }
         let change = list.line(list.revision - 1).to_string();
         drop(list);
-        self.note(&change);
+        self.append_to_log(&change);
     }
 
     fn move_discovery(&mut self, half_written: bool, process: &PlatformProcess) {
         let Ok(agent) = DiscoveryAgent::start(self.list.clone()) else { return };
-        self.report.moves += 1;
+        self.report.discovery_moves += 1;
         self.configuration.discovery = agent.address;
-        self.retired.push(std::mem::replace(&mut self.agent, agent));
+        self.retired_agents.push(std::mem::replace(&mut self.agent, agent));
         if half_written {
             process.write_half_configuration(&self.configuration);
-            self.note_hangups(1);
+            self.record_sighups(1);
             process.signal(Signal::Hangup);
         }
         process.write_configuration(&self.configuration);
-        self.note_hangups(1);
+        self.record_sighups(1);
         process.signal(Signal::Hangup);
     }
 
     fn send_flood<'scope>(&mut self, scope: &'scope std::thread::Scope<'scope, '_>) {
         let listen = self.configuration.listen;
-        for number in 0..self.plan.flood {
-            let unidentified_clients = self.unidentified_clients.clone();
+        for number in 0..self.plan.flood_clients {
+            let client_outcomes = self.client_outcomes.clone();
             scope.spawn(move || {
-                let outcome = visit(listen, UnidentifiedClient::of(number));
-                lock(&unidentified_clients).push(outcome);
+                let outcome = connect_and_wait(listen, UnidentifiedClient::for_number(number));
+                lock(&client_outcomes).push(outcome);
             });
         }
     }
 
-    /// Proxies behave, the list rests: all tables become those of the list, and what the flood took is released.
+    /// Checks that all tables match the list and the descriptors of closed connections are released once proxies behave
+    /// and the list no longer changes; checks the peak memory too.
     fn check_settled(&mut self, process: &PlatformProcess) {
-        for handle in &self.observed.proxies {
+        for handle in &self.checker.proxies {
             handle.is_well_behaved.store(true, Ordering::Relaxed);
         }
         let deadline = Instant::now() + SETTLE_TIMEOUT;
-        let mut difference = self.observed.table_difference();
+        let mut difference = self.checker.table_difference();
         while difference.is_some() && Instant::now() < deadline && process.exit_status().is_none() {
             std::thread::sleep(SETTLE_POLL_INTERVAL);
-            difference = self.observed.table_difference();
+            difference = self.checker.table_difference();
         }
         if let Some(difference) = difference {
-            self.observed.report(format!("tables: {difference}"));
+            self.checker.add_violation(format!("tables: {difference}"));
         }
         let allowed = self.plan.proxies + 1 + OWN_DESCRIPTORS;
         while process.descriptors() > allowed && Instant::now() < deadline {
@@ -298,26 +302,27 @@
         }
         let descriptors = process.descriptors();
         if descriptors > allowed {
-            self.observed.report(format!("descriptors: {descriptors} are open, {allowed} are due"));
+            self.checker
+                .add_violation(format!("descriptors: {descriptors} are open, at most {allowed} are allowed"));
         }
         let peak_kib = process.peak_kib();
         if peak_kib > MEMORY_LIMIT_MB * 1024 {
-            self.observed.report(format!("memory: {peak_kib} KiB at the peak"));
+            self.checker.add_violation(format!("memory: the peak is {peak_kib} KiB"));
         }
         if let Some(status) = process.exit_status() {
-            self.observed.report(format!("the process ended by itself: {status}"));
+            self.checker.add_violation(format!("the process exited unexpectedly: {status}"));
         }
     }
 
-    /// Ends a process as planned. Proxies and unidentified_clients go on using their connections until it is gone.
+    /// Ends a process as planned. Proxies and unidentified clients keep using their connections until it has exited.
     fn end_process(&mut self, ending: Ending, process: &PlatformProcess) {
         if let Some(status) = process.exit_status() {
-            self.observed.report(format!("the process ended by itself: {status}"));
+            self.checker.add_violation(format!("the process exited unexpectedly: {status}"));
         }
-        *lock(&self.observed.process) = ProcessTimes::default();
-        // What the next process is configured with may be this old.
-        self.configuration.known = lock(&self.list).complete();
-        self.note(&format!("{ending:?}"));
+        *lock(&self.checker.process) = ProcessTimes::default();
+        // The next process's configurations all contain the list as of now, although it may change meanwhile.
+        self.configuration.known_list = lock(&self.list).complete();
+        self.append_to_log(&format!("{ending:?}"));
         match ending {
             Ending::Kill => {}
             Ending::Term => process.signal(Signal::Term),
@@ -327,7 +332,7 @@
         if ending != Ending::Kill {
             std::thread::sleep(KILL_AFTER);
             if process.exit_status().is_some_and(|status| !status.success()) {
-                self.observed.report("SIGTERM ended the process with an error".into());
+                self.checker.add_violation("the process exited with an error after SIGTERM".into());
             }
         }
         process.signal(Signal::Kill);
--- a/crates/testbed/src/soak/stand_ins.rs
+++ b/crates/testbed/src/soak/stand_ins.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the servers' health endpoints and for a zone's collector.
+//! Stand-ins for the servers' health endpoints and for the collector that reports the load of a zone's servers.
 
-use super::endpoint_list::{EndpointList, Phase};
+use super::endpoint_list::{EndpointList, ServerPhase};
 use super::lock;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -12,12 +12,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A collector reports this often.
+/// Time between two reports of the collector.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers health checks of all servers; returns its address.
+/// Starts an endpoint that answers the health checks of all servers, and returns its address. It stops at the first
+/// connection after `is_stopped`.
 pub fn start_health_endpoint(is_stopped: Arc<AtomicBool>) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -37,7 +38,8 @@
     Ok(address)
 }
 
-/// Reports successes at all servers that serve, with a malformed report now and then, until it is stopped.
+/// Reports successful requests for all serving servers until stopped. On average, every fourth time it adds a malformed
+/// report.
 pub fn run_collector(planner: SocketAddr, list: &Mutex<EndpointList>, seed: u64, is_stopped: &AtomicBool) {
     let mut random = StdRng::seed_from_u64(seed);
     while !is_stopped.load(Ordering::Relaxed) {
@@ -55,7 +57,8 @@
     let mut stream = TcpStream::connect(planner)?;
     send(&mut stream, &[json!({"t": "SOURCE", "site": "a"})])?;
     while !is_stopped.load(Ordering::Relaxed) {
-        let mut messages: Vec<Value> = lock(list).ids(Phase::Serving).iter().map(|id| report(id)).collect();
+        let mut messages: Vec<Value> =
+            lock(list).ids(ServerPhase::Serving).iter().map(|id| report(id)).collect();
         if random.random_ratio(1, 4) {
             messages.push(json!({"t": "LOAD", "site": "a", "target": 7, "count": "many"}));
         }
@@ -70,7 +73,7 @@
         "util": {"q": 1}})
 }
 
-/// Sends messages in one piece.
+/// Sends messages with a single write.
 pub fn send(stream: &mut TcpStream, messages: &[Value]) -> std::io::Result<()> {
     let mut bytes = Vec::new();
     messages.iter().for_each(|message| write_frame(&mut bytes, message.to_string().as_bytes()));
--- a/crates/testbed/src/soak/tests.rs
+++ b/crates/testbed/src/soak/tests.rs
@@ -1,10 +1,10 @@
-//! The plans, the list and the agent's lines, without a process.
+//! Tests of plans, the endpoint list and the lines of a watch, without a process.
 
-use super::endpoint_list::{EndpointList, Phase};
+use super::endpoint_list::{EndpointList, ServerPhase};
 use super::plan::{RunPlan, Step};
 
 #[test]
-fn a_seed_draws_the_same_run_each_time_and_signals_wait_for_a_second() {
+fn a_seed_gives_the_same_plan_each_time_and_no_signal_in_the_first_second() {
     for seed in 0..200 {
         let plan = RunPlan::draw(seed);
         assert_eq!(format!("{plan:?}"), format!("{:?}", RunPlan::draw(seed)));
@@ -15,10 +15,10 @@
 }
 
 #[test]
-fn a_watch_gets_what_changed_and_the_complete_list_after_a_reset() {
+fn a_watch_gets_the_changes_and_after_a_revision_reset_the_complete_list() {
     let mut list = EndpointList::new(3, "127.0.0.1:1".parse().unwrap());
-    let id = list.ids(Phase::Serving).remove(0);
-    list.set_phase(&id, Phase::Draining);
+    let id = list.ids(ServerPhase::Serving).remove(0);
+    list.set_phase(&id, ServerPhase::Draining);
 
     let changes = list.line(40);
     assert_eq!(
@@ -26,9 +26,9 @@
         (Some(false), Some(1))
     );
 
-    list.note_announced(40, 0);
+    list.mark_announced(40, 0);
     assert!(list.servers[&id].announced_at.is_none(), "revision 41 is not announced yet");
-    list.note_announced(41, 0);
+    list.mark_announced(41, 0);
     assert!(list.servers[&id].announced_at.is_some());
 
     list.reset_revisions();
--- a/crates/testbed/src/soak/unidentified_clients.rs
+++ b/crates/testbed/src/soak/unidentified_clients.rs
@@ -1,34 +1,36 @@
-//! Clients that are no proxies: silent, half, endless, malformed, or of another protocol. Each is owed a close or `NACK`.
+//! Clients that never identify themselves as an allowed proxy: silent ones, and ones that send partial, endless or
+//! malformed messages or another protocol. The planner must close each or answer it with `NACK`.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An unidentified client is owed an end within this time of connecting, one that goes on sending within the longer one.
+/// An unidentified client must be closed or answered within this time of connecting.
 const CLOSE_LIMIT: Duration = Duration::from_secs(3);
+/// As [`CLOSE_LIMIT`], for a client that does not stop sending.
 const ENDLESS_CLOSE_LIMIT: Duration = Duration::from_secs(6);
-/// The time after which a client gives up waiting.
+/// Time after which a client stops waiting.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(12);
 const SEND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an unidentified client does.
+/// What an unidentified client sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnidentifiedClient {
-    /// Nothing.
+    /// Nothing at all.
     Silent,
-    /// Half of a message.
+    /// A part of a message.
     Half,
-    /// A message that goes on.
+    /// A long message whose body comes in small pieces, without end.
     Endless,
-    /// A length that cannot be.
+    /// A message length far above the limit.
     InvalidLength,
-    /// Bytes that are no JSON.
+    /// A message that is not JSON.
     InvalidBody,
-    /// A request of HTTP.
+    /// An HTTP request.
     Http,
-    /// A report that no joining came before.
+    /// A proxy's report without `SUBSCRIBE` before it.
     Report,
-    /// A proxy that the settings do not allow.
+    /// `SUBSCRIBE` with an id that the settings do not allow.
     UnknownProxy,
 }
 
@@ -44,12 +46,12 @@
         UnidentifiedClient::UnknownProxy,
     ];
 
-    /// The kind of the client with this number.
-    pub fn of(number: usize) -> UnidentifiedClient {
+    /// The kind of the client with this number; kinds take turns.
+    pub fn for_number(number: usize) -> UnidentifiedClient {
         UnidentifiedClient::ALL[number % UnidentifiedClient::ALL.len()]
     }
 
-    fn opening(self) -> Vec<u8> {
+    fn first_bytes(self) -> Vec<u8> {
         let framed = |body: &[u8]| [&(body.len() as u32).to_le_bytes()[..], body].concat();
         match self {
             UnidentifiedClient::Silent => vec![],
@@ -76,35 +78,35 @@
     }
 }
 
-/// How an unidentified client fared.
+/// How an unidentified client's connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// It was closed or answered in time.
+    /// It was closed or answered within its limit.
     Answered,
-    /// It was not connected: the process was not there.
+    /// It could not connect, since no process listened.
     NotConnected,
-    /// It waited longer than it is owed.
+    /// It was not closed or answered within its limit.
     Late {
-        /// What it did.
+        /// What it sent.
         kind: UnidentifiedClient,
-        /// How long it waited.
+        /// Time from connecting until it was closed or answered, or gave up.
         waited: Duration,
     },
 }
 
-/// Connects and waits for the end.
-pub fn visit(planner: SocketAddr, kind: UnidentifiedClient) -> ClientOutcome {
+/// Connects, and waits until the planner closes the connection or answers.
+pub fn connect_and_wait(planner: SocketAddr, kind: UnidentifiedClient) -> ClientOutcome {
     let Ok(mut stream) = TcpStream::connect_timeout(&planner, CLOSE_LIMIT) else {
         return ClientOutcome::NotConnected;
     };
     let connected_at = Instant::now();
     let _ = stream.set_read_timeout(Some(SEND_INTERVAL));
-    let _ = stream.write_all(&kind.opening());
+    let _ = stream.write_all(&kind.first_bytes());
     let mut buffer = [0; 256];
     while connected_at.elapsed() < GIVE_UP_AFTER {
         match stream.read(&mut buffer) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // Any bytes are a NACK: such a client has asked for nothing else.
+            // Any bytes are a NACK, since this client has requested nothing.
             _ => break,
         }
         if kind == UnidentifiedClient::Endless && stream.write_all(b"aaaaaaaaaaaaaaaa").is_err() {
