--- a/crates/testbed/src/benchmarks/end_to_end.rs
+++ b/crates/testbed/src/benchmarks/end_to_end.rs
@@ -1,4 +1,4 @@
-//! Scenarios on the whole path, from an operator's edit to the proxies and from the clients to the servers.
+//! End-to-end scenarios: the path from an operator's edit to the proxies, and from the clients to the servers.
 
 use super::figures::{print_figure, print_path_figures};
 use super::fixtures::{quiet_scenario, ScenarioSize};
@@ -7,7 +7,7 @@
 use crate::testbed::Testbed;
 use std::path::Path;
 
-/// Requests a second that pass no socket at the largest size.
+/// Synthetic requests per second, which pass no socket, at the largest size.
 const SYNTHETIC_REQUEST_RATE: f64 = 2600.0;
 const SECONDS: u64 = 20;
 const SEED: u64 = 1;
@@ -25,12 +25,12 @@
     measure_with_clients("150x107", quiet_scenario(LARGE), folder, program)
 }
 
-/// The largest size, with requests that pass no socket.
+/// Measures the largest size, with synthetic requests that pass no socket.
 pub(super) fn measure_without_sockets(folder: &Path, program: &Path) -> BenchmarkResult {
     measure_synthetic("592x544", quiet_scenario(LARGEST), folder, program)
 }
 
-/// As [`measure_without_sockets`], without event log.
+/// As [`measure_without_sockets`], without an event log.
 pub(super) fn measure_unrecorded(folder: &Path, program: &Path) -> BenchmarkResult {
     let scenario = Scenario { is_recorded: false, ..quiet_scenario(LARGEST) };
     measure_synthetic("592x544.unrecorded", scenario, folder, program)
--- a/crates/testbed/src/benchmarks/identity.rs
+++ b/crates/testbed/src/benchmarks/identity.rs
@@ -1,4 +1,5 @@
-//! What identities cost: the check of a command against a hundred rules, and streams that end with their identities.
+//! The cost of identities: the access check of a command against a hundred rules, and streams that are renewed before
+//! their identities expire.
 
 use super::figures::{milliseconds, print_figure, print_path_figures};
 use super::fixtures::{quiet_scenario, ScenarioSize};
@@ -12,16 +13,16 @@
 
 const PLANNER_ID: &str = "spiffe://valle.example/planner/p";
 /// Rules that do not match, before the one that does.
-const OTHER_RULE_COUNT: usize = 99;
+const NON_MATCHING_RULE_COUNT: usize = 99;
 const CHECK_COUNT: u32 = 1_000_000;
-/// All streams are made again at about the same time, twice in so many seconds.
+/// All streams are renewed at about the same time, twice within this time.
 const IDENTITY_LIFETIME: Duration = Duration::from_secs(15);
 const SECONDS: u64 = 22;
 const SEED: u64 = 1;
-/// Requests a second and proxy that pass no socket.
+/// Synthetic requests per second and proxy, which pass no socket.
 const REQUESTS_PER_PROXY: f64 = 4.4;
 
-/// The check of a command, and then 150 and 592 proxies whose identities live fifteen seconds.
+/// Measures the access check of a command, and then 150 and 592 proxies whose identities live for fifteen seconds.
 pub(super) fn measure(folder: &Path, program: &Path) -> BenchmarkResult {
     measure_access_check()?;
     measure_renewals("150x107", 150, 107, folder, program)?;
@@ -31,7 +32,7 @@
 fn access_rules() -> Result<Vec<AccessRule>, String> {
     let principal = |id: &str| Principal::parse(id).map_err(|e| e.to_string());
     let mut rules = Vec::new();
-    for number in 0..OTHER_RULE_COUNT {
+    for number in 0..NON_MATCHING_RULE_COUNT {
         let member = principal(&format!("spiffe://valle.example/staff/member-{number}"))?;
         rules.push(AccessRule { principal: member, permission: Permission::Read(vec!["fleet".into()]) });
     }
@@ -49,7 +50,7 @@
     let nanoseconds = start.elapsed().as_secs_f64() / f64::from(CHECK_COUNT) * 1e9;
     print_figure("check_of_100_rules", nanoseconds, "ns");
     if allowed != CHECK_COUNT as usize {
-        return Err("the rule that allows the command was not found".into());
+        return Err("not all access checks allowed the command".into());
     }
     Ok(())
 }
@@ -67,8 +68,8 @@
         identity_lifetime: Some(IDENTITY_LIFETIME),
         ..quiet_scenario(size)
     };
-    let place = folder.join(format!("identity-{name}"));
-    let mut testbed = Testbed::new(scenario, SEED, &place, program, &[])?;
+    let run_folder = folder.join(format!("identity-{name}"));
+    let mut testbed = Testbed::new(scenario, SEED, &run_folder, program, &[])?;
     testbed.set_synthetic_request_rate(proxies as f64 * REQUESTS_PER_PROXY);
     let outcome = testbed.play()?;
     for (number, generation) in testbed.stream_generations().iter().filter(|(number, _)| **number > 1) {
--- a/crates/testbed/src/benchmarks/persistence.rs
+++ b/crates/testbed/src/benchmarks/persistence.rs
@@ -1,4 +1,4 @@
-//! What it costs to keep accepted edits on disk.
+//! The cost of keeping accepted edits on disk.
 
 use super::figures::{milliseconds, print_figure, TimeHistogram};
 use super::fixtures::{quiet_scenario, ScenarioSize};
@@ -17,17 +17,17 @@
 
 const FLEET_ENTRIES: usize = 544;
 const HISTORY_EDITS: usize = 1024;
-/// Edits that are written with one sync.
+/// Numbers of edits that are written with one sync.
 const BATCH_SIZES: [usize; 2] = [1, 16];
 const APPENDING_TIME: Duration = Duration::from_secs(3);
-/// Clients that send edits at the same time.
+/// Numbers of clients that send edits at the same time.
 const CLIENT_COUNTS: [usize; 2] = [1, 16];
 const EDITING_TIME: Duration = Duration::from_secs(4);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 const SOCKETS_SIZE: ScenarioSize = ScenarioSize { proxies: 2, servers: 24, request_rate: 0.0, seconds: 6 };
 
-/// Edits kept in a folder of this machine's disk: a snapshot of 544 fleet entries with a full history, one edit a sync
-/// and sixteen, and what reading it all back takes; then edits through a planner's process.
+/// Measures a store on disk: a snapshot of 544 fleet entries with a full history, appends of one and of sixteen edits
+/// per sync, and the time to read everything back; then edits through a planner's process.
 pub(super) fn measure(folder: &Path, program: &Path) -> BenchmarkResult {
     let store_folder = folder.join("keeping");
     let state = accepted_state();
@@ -68,7 +68,7 @@
     }
 }
 
-/// The stored form of an edit that replaces one entry and leaves the others.
+/// The stored form of an edit that replaces one entry and keeps the others.
 fn state_patch(number: usize) -> Vec<u8> {
     let source = |entry: usize| match entry == number % FLEET_ENTRIES {
         true => EntrySource::New(fleet_entry(entry)),
@@ -125,16 +125,17 @@
     let (_, opened) = Store::open(folder, EDITS).map_err(|e| e.to_string())?;
     let accepted = runloom_daemon::persistence::restore_accepted(&opened)
         .map_err(|e| e.to_string())?
-        .ok_or("nothing was read back")?;
+        .ok_or("no accepted state was read back")?;
     print_figure("read_back_entries", opened.entries.len() as f64, "edits");
     print_figure("read_back", milliseconds(start.elapsed()), "ms");
     if accepted.entries.len() != FLEET_ENTRIES {
-        return Err("not all was read back".into());
+        return Err("not all fleet entries were read back".into());
     }
     Ok(())
 }
 
-/// Operators' edits through a planner's process, each answered once it is on disk: one client, and sixteen at once.
+/// Measures operators' edits through a planner's process, which replies once an edit is on disk: one client, and
+/// sixteen at the same time.
 fn measure_over_sockets(folder: &Path, program: &Path) -> BenchmarkResult {
     let testbed = Testbed::new(quiet_scenario(SOCKETS_SIZE), 1, &folder.join("over"), program, &[])?;
     let addresses = testbed.planners()[0].addresses;
@@ -167,7 +168,7 @@
     Ok(())
 }
 
-/// Sends one edit after the other, and returns their times in microseconds.
+/// Sends edits one after the other, and returns their times in microseconds.
 fn send_edits(client: usize, planner: SocketAddr, policy: &TlsPolicy) -> Result<Vec<u64>, String> {
     let mut session = Client::open(planner, policy, REQUEST_TIMEOUT).map_err(|e| e.to_string())?;
     let start = Instant::now();
--- a/crates/testbed/src/benchmarks/restart.rs
+++ b/crates/testbed/src/benchmarks/restart.rs
@@ -1,4 +1,4 @@
-//! What warm-start hints are worth when a planner starts again while servers fail.
+//! The effect of warm-start hints when a planner restarts while servers fail.
 
 use super::figures::print_figure;
 use super::fixtures::{quiet_scenario, ScenarioSize};
@@ -22,10 +22,10 @@
 /// The speed factor that wrong hints give to healthy servers.
 const WRONG_SPEED_FACTOR: f64 = 0.5;
 
-/// Hints that a planner finds in its state folder when it starts again.
+/// A case of what hints a planner finds in its state folder when it restarts.
 struct HintCase {
     name: &'static str,
-    /// Changes what the planner wrote into its state folder.
+    /// Changes the hints that the planner wrote into its state folder.
     prepare: fn(&Path),
 }
 
@@ -36,7 +36,7 @@
     HintCase { name: "six_hours", prepare: age_hints },
 ];
 
-/// Changes the hints in a state folder. A folder that cannot be read stays as it is.
+/// Replaces the hints in a state folder by what `change` returns. A folder that cannot be read is left unchanged.
 fn change_hints(state: &Path, change: impl FnOnce(Option<LearnedServers>) -> Option<LearnedServers>) {
     let Ok(folder) = Folder::open(state) else { return };
     let Ok((mut store, opened)) = Store::open(folder, LEARNED) else { return };
@@ -63,7 +63,7 @@
 
 /// Writes hints that suspect healthy servers and know nothing of the others.
 fn write_wrong_hints(state: &Path) {
-    // The endpoint list of the planner's settings; it does not change in this scenario.
+    // The endpoint list is taken from the planner's settings, since it does not change in this scenario.
     let Some(settings) = state.parent().map(|folder| folder.join("planner-0.xml")) else { return };
     let text = std::fs::read_to_string(settings).unwrap_or_default();
     let Ok(planner) = Element::parse(&text) else { return };
@@ -98,8 +98,8 @@
     }
 }
 
-/// 24 servers, of which three fail all requests and two are slow from the third second on; the planner is killed at
-/// 14 s and starts again a second later.
+/// 24 servers, of which three fail all requests from 3 s on and two are three times slower from 4 s on; the planner is
+/// killed at 14 s and restarted a second later.
 fn scenario() -> Scenario {
     let slow = ScheduledFault { magnitude: 3.0, ..ScheduledFault::new(4, FaultKind::Slow, 2, 42) };
     Scenario {
@@ -115,7 +115,7 @@
     }
 }
 
-/// What one run came to.
+/// The result of one run.
 struct RestartRun {
     requests_to_failing_servers: usize,
     requests_to_slow_servers: usize,
@@ -123,8 +123,8 @@
 }
 
 fn run(folder: &Path, program: &Path, case: &HintCase, seed: u64) -> Result<RestartRun, String> {
-    let place = folder.join(format!("{}-{seed}", case.name));
-    let mut testbed = Testbed::new(scenario(), seed, &place, program, &[])?;
+    let run_folder = folder.join(format!("{}-{seed}", case.name));
+    let mut testbed = Testbed::new(scenario(), seed, &run_folder, program, &[])?;
     testbed.set_before_restart(case.prepare);
     let outcome = testbed.play()?;
     let restart = testbed.restart();
@@ -135,7 +135,7 @@
     })
 }
 
-/// All seeds at the same time: each takes a small part of a core.
+/// Runs all seeds in parallel, since each takes a small part of a core.
 fn run_all_seeds(folder: &Path, program: &Path, case: &HintCase) -> Result<Vec<RestartRun>, String> {
     std::thread::scope(|scope| {
         let threads: Vec<_> =
@@ -145,9 +145,9 @@
     })
 }
 
-/// A planner's restart while three servers fail and two are slow: requests that reached these in the half minute after
-/// it, and service over the scenario, without hints, and with fresh, outdated and wrong ones. Prints mean and standard
-/// error over the seeds.
+/// Restarts a planner while three servers fail and two are slow, without hints and with fresh, outdated and wrong ones.
+/// Prints the requests that failing and slow servers received in the half minute after the restart, and the service
+/// over the whole scenario, each as mean and standard error over the seeds.
 pub(super) fn measure(folder: &Path, program: &Path) -> BenchmarkResult {
     let mut violations = vec![];
     for case in &CASES {
--- a/crates/testbed/src/benchmarks/safety_guard.rs
+++ b/crates/testbed/src/benchmarks/safety_guard.rs
@@ -1,4 +1,4 @@
-//! The safety guard: what it costs, and what it holds back when commands are corrupted.
+//! The safety guard: the time that it takes, and the rules that it keeps when commands are corrupted.
 
 use super::figures::{print_figure, TimeHistogram};
 use super::fixtures::{quiet_scenario, ScenarioSize};
@@ -16,16 +16,16 @@
 /// Servers that share one table.
 const SERVERS_PER_TABLE: usize = 10;
 const BATCH_COUNT: u64 = 2000;
-/// One proxy in so many acknowledges only one batch in [`LATE_PROXY_BATCHES`].
+/// One proxy in this many is late: it acknowledges only one batch in [`LATE_PROXY_BATCHES`].
 const LATE_PROXY_PERIOD: usize = 50;
 const LATE_PROXY_BATCHES: u64 = 20;
-/// Scenarios that are played at the same time: each takes a small part of a core.
-const PARALLEL_SCENARIOS: usize = 4;
+/// Corruptions whose scenarios are played in parallel, since each takes a small part of a core.
+const PARALLEL_CORRUPTIONS: usize = 4;
 const CORRUPTED_SEED: u64 = 3;
 const CORRUPTED_SIZE: ScenarioSize =
     ScenarioSize { proxies: 8, servers: 9, request_rate: 160.0, seconds: 14 };
 
-/// Time that the guard takes for a batch with one entry of each table, with a tenth of the servers cold.
+/// Measures the guard's time for a batch with one entry of each table, while a tenth of the servers is cold.
 pub(super) fn measure() -> BenchmarkResult {
     SIZES.into_iter().try_for_each(|(proxies, servers)| measure_size(proxies, servers))
 }
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// A guard that passed the first weights and assignments of all proxies.
+/// Creates a guard that has accepted the weights of all servers and the table assignments of all proxies.
 fn guard_with_tables(
     now: Duration,
     proxies: usize,
@@ -72,17 +72,17 @@
     for proxy in 0..proxies {
         guard.connect_proxy(proxy, 4.0);
     }
-    let first_weight = |server: usize| if is_cold(server) { 0.1 } else { 1.0 };
-    let mut first: Vec<Command> =
-        (0..servers).map(|server| set_entry(server, tables, first_weight(server))).collect();
-    first.extend((0..proxies).map(|proxy| Command::AssignTable {
+    let initial_weight = |server: usize| if is_cold(server) { 0.1 } else { 1.0 };
+    let mut commands: Vec<Command> =
+        (0..servers).map(|server| set_entry(server, tables, initial_weight(server))).collect();
+    commands.extend((0..proxies).map(|proxy| Command::AssignTable {
         proxy,
         table: (proxy % tables) as u16,
         class_mask: 0,
     }));
-    let passed = guard.validate(now, first).accepted.len();
-    if passed != servers + proxies {
-        return Err(format!("{passed} of {} first commands passed", servers + proxies));
+    let accepted = guard.validate(now, commands).accepted.len();
+    if accepted != servers + proxies {
+        return Err(format!("the guard accepted {accepted} of {} initial commands", servers + proxies));
     }
     Ok(guard)
 }
@@ -100,27 +100,27 @@
     }
 }
 
-/// What a scenario with corrupted commands came to.
+/// The result of a scenario with corrupted commands.
 #[derive(Debug, Clone)]
 pub struct CorruptedRun {
     /// One violation of each rule that was broken.
     pub violations: Vec<String>,
-    /// Value of the answers, as a share (0 to 1).
+    /// Value of the answers, as a share (0 to 1) of what answers to all requests in time would be worth.
     pub service: f64,
 }
 
-/// Rules broken and service for each way to corrupt commands, with the guard and without it. It fails if a rule is
-/// broken under the guard.
+/// Measures broken rules and service for each way to corrupt commands, with the guard and without it. Fails if a rule
+/// is broken with the guard.
 pub(super) fn measure_corrupted_commands(folder: &Path, program: &Path) -> BenchmarkResult {
     let play = |corruption: &str, is_guarded: bool| {
-        let place = folder.join(format!("{corruption}-{is_guarded}"));
-        play_corrupted_scenario(&place, program, corruption, is_guarded)
+        let run_folder = folder.join(format!("{corruption}-{is_guarded}"));
+        play_corrupted_scenario(&run_folder, program, corruption, is_guarded)
     };
     let play_both = |corruption: &str| -> Result<[CorruptedRun; 2], String> {
         Ok([play(corruption, true)?, play(corruption, false)?])
     };
     let mut guarded_violations = Vec::new();
-    for corruptions in command_corruption::NAMES.chunks(PARALLEL_SCENARIOS) {
+    for corruptions in command_corruption::NAMES.chunks(PARALLEL_CORRUPTIONS) {
         let results: Vec<Result<[CorruptedRun; 2], String>> = std::thread::scope(|scope| {
             let threads: Vec<_> =
                 corruptions.iter().map(|corruption| scope.spawn(|| play_both(corruption))).collect();
@@ -166,7 +166,7 @@
     }
     let outcome = Testbed::new(corrupted_scenario(), CORRUPTED_SEED, folder, program, &arguments)?.play()?;
     let mut violations = outcome.violations;
-    // A rule counts once, however many proxies it was broken at.
+    // A rule counts once, even if it was broken at several proxies.
     violations.sort();
     violations.dedup_by_key(|violation| violation.split(':').next().unwrap_or_default().to_string());
     Ok(CorruptedRun { violations, service: outcome.service })
