--- a/crates/testbed/src/benchmarks/edit_throughput.rs
+++ b/crates/testbed/src/benchmarks/edit_throughput.rs
@@ -1,4 +1,4 @@
-//! Edits a second through the configuration service, on one core and without disk.
+//! Edits per second through the configuration service, on one core and without disk.
 
 use super::figures::print_figure;
 use super::fixtures::small_fleet_xml;
@@ -18,7 +18,7 @@
 const FEED_EDIT_COUNT: u32 = 10_000;
 const OPERATOR_EDIT_COUNT: u32 = 3_000;
 
-/// Edits of one server each: framed, parsed, applied, validated and committed.
+/// Measures edits of one server each, as the feed and as an operator: framed, parsed, applied, validated and committed.
 pub(super) fn measure() -> BenchmarkResult {
     let data = Arc::new(Element::parse(&data_xml()).map_err(|e| e.reason)?);
     measure_edits("feed", "roster", FEED_EDIT_COUNT, &data)?;
@@ -41,22 +41,22 @@
     let schema = schema().map_err(|e| e.to_string())?;
     let mut service =
         Service::new(schema, ServiceLimits { edits_per_second: 1e9, ..ServiceLimits::default() });
-    let id = service.open_session("feed", Duration::ZERO).ok_or("no session")?;
-    let mut near = Session::new(Role::Client, &[], SessionLimits::default());
-    let mut far = Session::new(Role::Server { id }, &[], SessionLimits::default());
-    far.receive(&near.take_output(usize::MAX)).map_err(|e| e.to_string())?;
-    near.receive(&far.take_output(usize::MAX)).map_err(|e| e.to_string())?;
+    let id = service.open_session("feed", Duration::ZERO).ok_or("the service did not open a session")?;
+    let mut client_session = Session::new(Role::Client, &[], SessionLimits::default());
+    let mut server_session = Session::new(Role::Server { id }, &[], SessionLimits::default());
+    server_session.receive(&client_session.take_output(usize::MAX)).map_err(|e| e.to_string())?;
+    client_session.receive(&server_session.take_output(usize::MAX)).map_err(|e| e.to_string())?;
     let messages: Vec<Vec<u8>> =
-        (0..count).map(|number| edit_message(&mut near, datastore_part, number)).collect();
+        (0..count).map(|number| edit_message(&mut client_session, datastore_part, number)).collect();
     let mut accepted = 0u32;
     let start = Instant::now();
     for bytes in &messages {
-        for event in far.receive(bytes).map_err(|e| e.to_string())? {
+        for event in server_session.receive(bytes).map_err(|e| e.to_string())? {
             let SessionEvent::Rpc(rpc) = event else { continue };
             let answer = service.handle(Duration::ZERO, id, &rpc, &mut config);
             accepted += u32::from(answer.content.first().is_some_and(|element| element.name == "ok"));
-            far.reply(&rpc, answer.content);
-            far.take_output(usize::MAX);
+            server_session.reply(&rpc, answer.content);
+            server_session.take_output(usize::MAX);
         }
     }
     if accepted != count {
--- a/crates/testbed/src/benchmarks/estimate_accuracy.rs
+++ b/crates/testbed/src/benchmarks/estimate_accuracy.rs
@@ -1,5 +1,5 @@
-//! How accurate the estimates of a replay are: scenarios are played with their own settings and with others, and what
-//! the event log of the first says of the second is compared with what the second came to over the same time.
+//! The accuracy of a replay's estimates: scenarios are played with their own settings and with others, and the estimate
+//! by the event log of the first run is compared with the service of the second over the same time.
 
 use super::BenchmarkResult;
 use crate::scenario::SHIPPED;
@@ -10,18 +10,19 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Scenarios that are played; planner kills are left out, since an estimate is of one start.
+/// Scenarios that are played, without their planner kills, since an estimate covers one start of a planner.
 const SCENARIOS: [&str; 5] = ["deploy", "bad-day", "edits-under-failure", "restart-storm", "surge"];
 
-/// Scenarios that are played at the same time: each keeps about half a core busy.
+/// Scenarios that are played in parallel, since each keeps about half a core busy.
 const PARALLEL_SCENARIOS: usize = 4;
 
-/// Other settings: a name, and the replacements in the `fleet` element, one after the other.
+/// A change of a scenario's settings: its name, and the text replacements in the `fleet` element in order.
 struct SettingsChange {
     name: &'static str,
     replacements: &'static [Replacement],
 }
 
+/// A text, and what replaces each occurrence of it.
 struct Replacement {
     from: &'static str,
     to: &'static str,
@@ -74,15 +75,15 @@
 struct Run<'a> {
     program: &'a Path,
     scenario_file: &'a Path,
-    /// Where it keeps its event log; a log that is there is taken as it is.
+    /// Folder of its event log; a log that exists is used as it is.
     folder: &'a Path,
-    /// Other settings than the scenario's own.
+    /// The settings, if they are not the scenario's own.
     fleet_file: Option<&'a Path>,
     seed: u64,
 }
 
 impl Run<'_> {
-    /// Plays the scenario unless that was done before, and returns its event log.
+    /// Plays the scenario unless its event log exists, and returns the log.
     fn event_log(&self) -> Result<Vec<Entry>, String> {
         let log = self.folder.join("record-0");
         if !log.exists() {
@@ -99,21 +100,21 @@
         if let Some(file) = self.fleet_file {
             command.arg("--fleet").arg(file);
         }
-        // Exit code 1 stands for a broken rule; the event log is there all the same.
+        // Exit code 1 means that a rule was broken; the event log exists all the same.
         let status = command.stdout(Stdio::null()).stderr(Stdio::null()).status();
         status.map(|_| ()).map_err(|e| e.to_string())
     }
 }
 
-/// The settings that an event log begins with.
+/// The `fleet` element with which an event log begins.
 fn recorded_fleet(entries: &[Entry]) -> Result<String, String> {
     match entries.first().map(|entry| &entry.event) {
         Some(RecordedEvent::PlannerStarted { fleet, .. }) => Ok(fleet.clone()),
-        _ => Err("the event log has no start".into()),
+        _ => Err("the event log does not begin with a planner's start".into()),
     }
 }
 
-/// Calls `work` with 0 to `count`, some at a time, and returns the results in this order.
+/// Calls `work` with each number below `count`, on [`PARALLEL_SCENARIOS`] threads, and returns the results in order.
 fn run_in_parallel<T: Send>(count: usize, work: impl Fn(usize) -> T + Sync) -> Vec<T> {
     let next = AtomicUsize::new(0);
     let run_worker = || {
@@ -134,19 +135,19 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Returns a row of the table: the estimate by the base run's event log, and what a run with other settings came to.
+/// Returns a row of the table: the estimate by the base run's event log, and the service of a run with the change.
 fn compare_with_estimate(base: &[Entry], run: &Run, change: &SettingsChange) -> Result<String, String> {
     let fleet_xml = change.apply(&recorded_fleet(base)?);
     std::fs::create_dir_all(run.folder).map_err(|e| e.to_string())?;
     let fleet_file = run.folder.join("fleet.xml");
     std::fs::write(&fleet_file, &fleet_xml).map_err(|e| e.to_string())?;
     let fleet = runloom_replay::parse_fleet(&fleet_xml).map_err(|e| e.to_string())?;
-    let setting = WhatIfSettings { fleet: Some(fleet), ..WhatIfSettings::default() };
-    let estimated = compare(base, &setting).map_err(|e| e.to_string())?.service;
+    let what_if = WhatIfSettings { fleet: Some(fleet), ..WhatIfSettings::default() };
+    let estimated = compare(base, &what_if).map_err(|e| e.to_string())?.service;
     let entries = Run { fleet_file: Some(&fleet_file), ..*run }.event_log()?;
     let until = (estimated.valid_seconds > 0.0).then(|| Duration::from_secs_f64(estimated.valid_seconds));
-    let same_time = WhatIfSettings { until, ..WhatIfSettings::default() };
-    let actual = compare(&entries, &same_time).map_err(|e| e.to_string())?.service.recorded;
+    let same_period = WhatIfSettings { until, ..WhatIfSettings::default() };
+    let actual = compare(&entries, &same_period).map_err(|e| e.to_string())?.service.recorded;
     let (estimate, verdict) = match estimated.changed {
         None => ("unknown".to_string(), "unknown"),
         Some(estimate) => {
@@ -155,11 +156,11 @@
             (format!("{value:.4} ({low:.4} to {high:.4})"), if is_within { "held" } else { "missed" })
         }
     };
-    let (was, carries, support) = (estimated.recorded, estimated.valid_seconds, estimated.support);
-    Ok(format!("{was:.4} | {estimate} | {support:.2} | {carries:.0} | {actual:.4} | {verdict} |"))
+    let (recorded, valid_seconds, support) = (estimated.recorded, estimated.valid_seconds, estimated.support);
+    Ok(format!("{recorded:.4} | {estimate} | {support:.2} | {valid_seconds:.0} | {actual:.4} | {verdict} |"))
 }
 
-/// Writes the scenarios without their planner kills, and returns their files.
+/// Writes the scenarios without their planner kills into `folder`, and returns the files.
 fn write_scenarios(folder: &Path) -> Result<Vec<PathBuf>, String> {
     let mut files = vec![];
     for name in SCENARIOS {
@@ -172,7 +173,8 @@
     Ok(files)
 }
 
-/// Plays all scenarios with all settings and prints a table. Event logs that are in `folder` are not made again.
+/// Plays all scenarios with their own settings and with each change, and prints a table. Event logs that exist in
+/// `folder` are used as they are.
 ///
 /// # Errors
 /// Returns the cause if a scenario cannot be played or a log cannot be read.
@@ -180,14 +182,16 @@
     std::fs::create_dir_all(folder).map_err(|e| e.to_string())?;
     let files = write_scenarios(folder)?;
     let base_logs = run_in_parallel(SCENARIOS.len(), |scenario| {
-        let place = folder.join(SCENARIOS[scenario]);
-        Run { program, scenario_file: &files[scenario], folder: &place, fleet_file: None, seed }.event_log()
+        let run_folder = folder.join(SCENARIOS[scenario]);
+        Run { program, scenario_file: &files[scenario], folder: &run_folder, fleet_file: None, seed }
+            .event_log()
     });
     let base_logs = base_logs.into_iter().collect::<Result<Vec<_>, _>>()?;
     let rows = run_in_parallel(SCENARIOS.len() * CHANGES.len(), |number| {
         let (scenario, change) = (number / CHANGES.len(), number % CHANGES.len());
-        let place = folder.join(format!("{}-{change}", SCENARIOS[scenario]));
-        let run = Run { program, scenario_file: &files[scenario], folder: &place, fleet_file: None, seed };
+        let run_folder = folder.join(format!("{}-{change}", SCENARIOS[scenario]));
+        let run =
+            Run { program, scenario_file: &files[scenario], folder: &run_folder, fleet_file: None, seed };
         compare_with_estimate(&base_logs[scenario], &run, &CHANGES[change])
     });
     println!("| day | other setting | was | would be, with bars | support | carries s | came to | |");
--- a/crates/testbed/src/benchmarks/figures.rs
+++ b/crates/testbed/src/benchmarks/figures.rs
@@ -1,32 +1,32 @@
-//! How measurements are printed.
+//! Output of measured figures, and histograms of times.
 
 use super::BenchmarkResult;
 use crate::testbed::ScenarioOutcome;
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// Highest time that histograms tell apart, in microseconds.
+/// The longest time that histograms record, in microseconds; a longer one counts as this.
 const MAX_TIME_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROSECONDS_PER_MS: f64 = 1e3;
 /// A scenario's planners run this much longer than the clients send, in seconds.
 const SCENARIO_DRAIN_SECONDS: f64 = 5.0;
 
-/// Prints one figure.
+/// Prints one figure as `name value unit`, with three decimals.
 pub(crate) fn print_figure(name: &str, value: f64, unit: &str) {
     println!("{name} {value:.3} {unit}");
 }
 
-/// Milliseconds of a duration.
+/// A duration in milliseconds.
 pub(crate) fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
 }
 
-/// Times in microseconds.
+/// A histogram of times in microseconds.
 pub(crate) struct TimeHistogram(Histogram<u64>);
 
 impl TimeHistogram {
-    /// No times yet.
+    /// An empty histogram.
     pub fn new() -> Result<TimeHistogram, String> {
         let histogram = Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS);
         histogram.map(TimeHistogram).map_err(|e| e.to_string())
@@ -42,21 +42,21 @@
         self.0.saturating_record(microseconds);
     }
 
-    /// The time in milliseconds below which a share (0 to 1) of all lies.
+    /// The quantile of a share (0 to 1), in milliseconds.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         quantile_ms(&self.0, share)
     }
 }
 
-/// The time in milliseconds below which a share (0 to 1) of a histogram's microseconds lies.
+/// The quantile of a share (0 to 1) in milliseconds, of a histogram in microseconds.
 pub(crate) fn quantile_ms(histogram: &Histogram<u64>, share: f64) -> f64 {
     histogram.value_at_quantile(share) as f64 / MICROSECONDS_PER_MS
 }
 
-/// Prints what a scenario measured of the path from an edit to the proxies. `seconds` is how long clients sent.
+/// Prints what a scenario measured on the path from an edit to the proxies. Clients sent requests for `seconds`.
 ///
 /// # Errors
-/// Returns the rules' violations, if there are any.
+/// Returns the violations of rules, if there are any.
 pub(crate) fn print_path_figures(size: &str, seconds: f64, outcome: &ScenarioOutcome) -> BenchmarkResult {
     let print = |name: &str, value: f64, unit: &str| print_figure(&format!("{size}.{name}"), value, unit);
     let mut times: Vec<u64> = outcome.edits.iter().filter_map(|edit| edit.in_force_ms).collect();
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// The value below which a share (0 to 1) of sorted values lies; 0 for no values.
+/// The quantile of a share (0 to 1) of sorted values; 0 if there are none.
 fn quantile(sorted: &[u64], share: f64) -> u64 {
     let position = (sorted.len() as f64 * share) as usize;
     sorted.get(position.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
--- a/crates/testbed/src/benchmarks/fixtures.rs
+++ b/crates/testbed/src/benchmarks/fixtures.rs
@@ -1,4 +1,4 @@
-//! Scenarios and settings that several measurements share.
+//! Scenarios and settings that several benchmarks share.
 
 use crate::scenario::{DeliveryMode, Scenario, ScheduledEdit};
 use runloom_model::FLEET;
@@ -13,12 +13,13 @@
 pub(crate) struct ScenarioSize {
     pub proxies: usize,
     pub servers: usize,
-    /// Requests a second over all proxies.
+    /// Requests per second over all proxies.
     pub request_rate: f64,
+    /// Time for which clients send requests.
     pub seconds: u64,
 }
 
-/// A scenario without faults, with an edit of a zone's share every one and a half seconds.
+/// A scenario without faults, with an edit of a zone's share every 1.5 seconds.
 pub(crate) fn quiet_scenario(size: ScenarioSize) -> Scenario {
     let milliseconds = Duration::from_millis;
     Scenario {
--- a/crates/testbed/src/benchmarks/mod.rs
+++ b/crates/testbed/src/benchmarks/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements: one figure a line, `name value unit`. The names carry the sizes.
+//! Benchmarks, which print one figure per line as `name value unit`. The names contain the sizes.
 
 mod edit_throughput;
 mod end_to_end;
@@ -19,13 +19,13 @@
 
 use std::path::Path;
 
-/// A measurement succeeds, or says why not.
+/// The result of a measurement; the error says why it failed.
 pub(crate) type BenchmarkResult = Result<(), String>;
 
 /// Runs one measurement in `folder`; `program` is the testbed's own program.
 ///
 /// # Errors
-/// Returns the cause if the measurement fails, breaks a rule, or is not known.
+/// Returns the cause if the measurement fails, a rule is broken, or the name is unknown.
 pub fn run(name: &str, folder: &Path, program: &Path) -> BenchmarkResult {
     match name {
         "edits" => edit_throughput::measure(),
@@ -43,11 +43,11 @@
         "restart" => restart::measure(folder, program),
         "keeping" => persistence::measure(folder, program),
         "identity" => identity::measure(folder, program),
-        other => Err(format!("there is no measurement {other}: {}", NAMES.join(", "))),
+        other => Err(format!("unknown measurement {other}; the names are {}", NAMES.join(", "))),
     }
 }
 
-/// The names of all measurements; `pairs` is [`measure_estimate_accuracy`].
+/// The names of all measurements; `pairs` is [`measure_estimate_accuracy`], which [`run`] does not start.
 const NAMES: [&str; 16] = [
     "edits",
     "overhead",
--- a/crates/testbed/src/benchmarks/proxy_overhead.rs
+++ b/crates/testbed/src/benchmarks/proxy_overhead.rs
@@ -1,5 +1,5 @@
-//! What a proxy adds to a request: the same clients straight to a server that answers at once, and through a proxy
-//! with an event loop of its own.
+//! The latency that a proxy adds to a request: the same clients send directly to a server that answers immediately, and
+//! through a proxy with an event loop of its own.
 
 use super::figures::{print_figure, TimeHistogram};
 use super::BenchmarkResult;
@@ -20,15 +20,15 @@
 
 const REQUESTS_PER_SECOND: f64 = 850.0;
 const SENDING_TIME: Duration = Duration::from_secs(8);
-/// After the last arrival, requests on their way get this time.
+/// Time for requests that are in flight when the clients stop sending.
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const SERVER_COUNT: usize = 4;
-/// Servers that answer at once.
+/// Servers that answer immediately.
 const CAPACITY: ServerCapacity =
     ServerCapacity { service_time: Duration::from_micros(1), cores: 64, warm_up: Duration::from_secs(1) };
 
-/// Median and 99th percentile without and with the proxy, and their differences.
+/// Measures the median and the 99th percentile without and with the proxy, and prints their differences too.
 pub(super) fn measure(folder: &Path) -> BenchmarkResult {
     let credentials = Issuer::new(folder)?.issue("f0", Some(PROXY_DNS_NAME))?;
     let mut event_loop = EventLoop::new().map_err(|e| e.to_string())?;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Runs a proxy on a thread of its own, and returns where it listens.
+/// Runs a proxy on a thread of its own, and returns the address on which it listens.
 fn spawn_proxy(settings: ProxySettings) -> Result<SocketAddr, String> {
     let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || -> BenchmarkResult {
@@ -82,6 +82,7 @@
     receiver.recv().map_err(|e| e.to_string())
 }
 
+/// Quantiles of the latency of requests to one address.
 struct Latency {
     p50_ms: f64,
     p99_ms: f64,
@@ -108,10 +109,10 @@
 ) -> Result<TimeHistogram, String> {
     let mut rng = StdRng::seed_from_u64(1);
     let mut clients = LoadGenerator::new(vec![target], REQUESTS_PER_SECOND);
-    let begin = event_loop.now();
-    clients.start(begin);
-    while event_loop.now() < begin + SENDING_TIME + DRAIN_TIME {
-        clients.is_sending = event_loop.now() < begin + SENDING_TIME;
+    let started_at = event_loop.now();
+    clients.start(started_at);
+    while event_loop.now() < started_at + SENDING_TIME + DRAIN_TIME {
+        clients.is_sending = event_loop.now() < started_at + SENDING_TIME;
         let poll_at = event_loop.now() + POLL_INTERVAL;
         let deadlines = [servers.next_deadline(), clients.next_deadline(), Some(poll_at)];
         let next_deadline = deadlines.into_iter().flatten().min();
--- a/crates/testbed/src/benchmarks/recording.rs
+++ b/crates/testbed/src/benchmarks/recording.rs
@@ -1,4 +1,4 @@
-//! What the event log costs.
+//! The cost of the event log.
 
 use super::figures::print_figure;
 use super::fixtures::small_fleet_xml;
@@ -17,12 +17,12 @@
 const REPORTS_PER_SECOND: u64 = 2;
 const SERVERS_PER_REPORT: u64 = 2;
 const REQUESTS_PER_PROXY: f64 = 4.0;
-/// [`write_until_killed`] ends by itself after this time.
+/// [`write_until_killed`] stops after this time if it is not killed.
 const MAX_WRITING_TIME: Duration = Duration::from_secs(60);
 const EVENTS_PER_WRITE: u64 = 7;
 
-/// Time that 592 x 544 at 2,600 requests a second take of a core: the same reports to the same session without an event
-/// log and with one, and the thread that writes it.
+/// Measures the share of a core that 592 x 544 at 2,600 requests per second take: a session that handles the same
+/// reports without and with an event log, and the writing of the log.
 pub(super) fn measure(folder: &Path) -> BenchmarkResult {
     let fleet = runloom_replay::parse_fleet(&small_fleet_xml("z")).map_err(|e| e.to_string())?;
     let unrecorded = run_session(folder, fleet.clone(), false)?;
@@ -37,8 +37,11 @@
     Ok(())
 }
 
+/// Times of a run.
 struct RunTimes {
+    /// Time that the session took to handle reports and to step.
     session: Duration,
+    /// Time that the recorder took to write events.
     writing: Duration,
 }
 
@@ -66,7 +69,7 @@
     Ok(times)
 }
 
-/// A proxy's report of a round: one successful attempt at each of two servers.
+/// A proxy's report in a round: one successful attempt at each of two servers.
 fn report(proxy: u64, round: u64) -> Report {
     let outcomes = |number: u64| ServerOutcomes {
         server: format!("s{}", (proxy * 7 + round * SERVERS_PER_REPORT + number) % SERVER_COUNT),
@@ -89,8 +92,8 @@
     }
 }
 
-/// Writes an event log until the process is killed, or for a minute: each event is longer than the one before, up to
-/// a limit, and its time counts the events.
+/// Writes an event log until the process is killed, or for a minute. Events grow in length up to a limit and then start
+/// over; their times in microseconds number them from 1.
 ///
 /// # Errors
 /// Returns the cause if the log cannot be opened.
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -1,5 +1,5 @@
-//! The two ways to deliver tables, by edits and by subscriptions: what messages cost, what slow subscribers do to
-//! others, and how long it takes until all have their tables after a planner's restart.
+//! The two ways to deliver tables, by edits and by subscriptions: the cost of messages, the effect of slow subscribers
+//! on others, and the time until all proxies have their tables after a planner's restart.
 
 use super::figures::{milliseconds, print_figure, print_path_figures, quantile_ms};
 use super::fixtures::{quiet_scenario, ScenarioSize};
@@ -20,7 +20,7 @@
 
 const PROXY_COUNT: usize = 592;
 const SERVER_COUNT: usize = 544;
-/// Servers whose entry a step changes: a tenth.
+/// Table entries that a step changes: a tenth.
 const CHANGED_ENTRIES: usize = 54;
 const STEP_COUNT: usize = 200;
 /// The table that all proxies have.
@@ -28,17 +28,18 @@
 const PUBLISHER_INTERVAL: Duration = Duration::from_secs(2);
 const PAGE_BYTES: f64 = 4096.0;
 const REPORT_READING_TIME: Duration = Duration::from_secs(1);
-/// Requests a second that pass no socket.
+/// Synthetic requests per second, which pass no socket.
 const SYNTHETIC_REQUEST_RATE: f64 = 2600.0;
 const SEED: u64 = 1;
+/// Shares of the subscribers that read only once a second.
 const SLOW_READER_SHARES: [f64; 3] = [0.0, 0.1, 0.5];
 const SLOW_READER_SECONDS: u64 = 20;
 const RECONNECT_SECONDS: u64 = 14;
 /// Edits before the planner is killed.
 const RECONNECT_EDITS: usize = 2;
 
-/// 592 proxies on one table of 544 servers, of which a tenth changes with each step, on one core and without sockets or
-/// TLS: what it takes to make all messages, with the protocol's own state for those that subscribe.
+/// Measures the planner's work for 592 proxies on one table of 544 servers, of which a tenth changes with each step, on
+/// one core and without sockets or TLS. For subscribers it includes the sessions of the protocol.
 pub(super) fn measure() -> BenchmarkResult {
     measure_transport("pubsub", Transport::Published)?;
     measure_transport("netconf", Transport::Edits)?;
@@ -53,8 +54,8 @@
     for step in 0..=STEP_COUNT {
         run.step(step);
     }
-    if run.proxies_at_last_step() != PROXY_COUNT {
-        return Err(format!("{name}: not all proxies have the last step"));
+    if run.count_proxies_at_last_step() != PROXY_COUNT {
+        return Err(format!("{name}: not all proxies acknowledged the last step"));
     }
     let totals = &run.totals;
     let (messages, seconds) = (totals.messages as f64, totals.busy.as_secs_f64());
@@ -62,7 +63,7 @@
     print_figure(&format!("{name}.step_to_all"), seconds / STEP_COUNT as f64 * 1e3, "ms");
     print_figure(&format!("{name}.bytes_a_message"), totals.bytes as f64 / messages, "bytes");
     if transport == Transport::Published {
-        // The planner's session, its state of the proxy, and what passed.
+        // Includes the planner's session, its state of the proxy, and what the messages left allocated.
         let bytes = (resident_bytes() - memory_before) / PROXY_COUNT as f64;
         print_figure(&format!("{name}.memory_a_proxy"), bytes / 1024.0, "KiB");
     }
@@ -101,7 +102,7 @@
     TableEdit { replaces_table: false, entries, ..TableEdit::default() }
 }
 
-/// A server with its address and weight at a step.
+/// The name of the server that `entry` of a step changes, with its address and weight.
 fn table_entry(entry: usize, step: usize) -> (String, EntryEdit) {
     let server = (entry + step * CHANGED_ENTRIES) % SERVER_COUNT;
     let weight = 1.0 + 0.001 * (step % 100) as f64 + 0.0001 * entry as f64;
@@ -115,7 +116,7 @@
     text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * PAGE_BYTES
 }
 
-/// Both sides of a subscription: the planner's session and the proxy's client.
+/// Both ends of a subscription: the planner's session and the proxy's client.
 struct Subscription {
     session: Session,
     client: Client,
@@ -144,7 +145,7 @@
     }
 }
 
-/// Which part of a table's update between two versions.
+/// Identifies a part of an update between two versions of a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PartKey {
     topic: Topic,
@@ -153,10 +154,10 @@
     part: usize,
 }
 
-/// Bodies of the parts of one step, which subscribers share.
+/// Encoded bodies of the parts of one step, which subscribers share.
 type PartBodies = BTreeMap<PartKey, Arc<[u8]>>;
 
-/// What the planner's side did in all steps but the first.
+/// Totals of the planner's side over all steps but the first.
 #[derive(Default)]
 struct DeliveryTotals {
     messages: u64,
@@ -164,17 +165,17 @@
     busy: Duration,
 }
 
-/// What the planner's side did in one step.
+/// What the planner's side sent in one step.
 #[derive(Default)]
 struct StepMessages {
     totals: DeliveryTotals,
-    /// Numbers of the messages that were sent by edits, with their proxy.
+    /// Proxies and message numbers of what was sent by edits.
     edits: Vec<(usize, u64)>,
-    /// Bytes for each subscriber.
+    /// Bytes to send, for each subscriber.
     subscriber_bytes: Vec<(usize, Vec<u8>)>,
 }
 
-/// A distributor with all its proxies.
+/// A distributor and all its proxies.
 struct DeliveryRun {
     transport: Transport,
     distributor: Distributor,
@@ -194,12 +195,12 @@
         DeliveryRun { transport, distributor, subscriptions, totals: DeliveryTotals::default() }
     }
 
-    /// Sends one step to all proxies. The first one, which assigns the table, does not count.
+    /// Sends one step to all proxies. The first one assigns the table and is not part of the totals.
     fn step(&mut self, step: usize) {
         let start = Instant::now();
         let sent = self.send(step);
         let mut busy = start.elapsed();
-        // The proxies' time does not count.
+        // The time that proxies take to answer is not measured.
         let mut answers: Vec<(usize, Vec<u8>)> = vec![];
         for (proxy, bytes) in &sent.subscriber_bytes {
             let Some(subscription) = self.subscriptions.get_mut(proxy) else { continue };
@@ -245,7 +246,7 @@
         sent
     }
 
-    /// Queues a part for a subscriber; its body is written once for all.
+    /// Queues a part for a subscriber; its body is encoded once for all subscribers.
     fn send_part(&mut self, proxy: usize, number: u64, part: &UpdatePart, bodies: &mut PartBodies) {
         let key = PartKey {
             topic: part.topic,
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Takes the acknowledgements of subscribers, and those of the messages that were sent by edits.
+    /// Handles the acknowledgements of subscribers, and acknowledges the messages that were sent by edits.
     fn receive(&mut self, answers: Vec<(usize, Vec<u8>)>, edits: Vec<(usize, u64)>) {
         let now = Duration::ZERO;
         for (proxy, bytes) in answers {
@@ -275,8 +276,8 @@
         }
     }
 
-    /// Proxies that acknowledged the last step.
-    fn proxies_at_last_step(&self) -> usize {
+    /// The number of proxies that acknowledged the last step.
+    fn count_proxies_at_last_step(&self) -> usize {
         let publisher = self.distributor.publisher();
         let has_last_step = |proxy: &usize| {
             publisher.acknowledged_version(&proxy_name(*proxy), TABLE) == Some(STEP_COUNT as u64 + 1)
@@ -294,7 +295,7 @@
     }
 }
 
-/// Reports that one core parses in a second.
+/// Measures how many reports one core parses in a second.
 fn measure_reading_reports() {
     let body = report::encode(&sample_report());
     let start = Instant::now();
@@ -337,13 +338,13 @@
     Scenario { delivery, ..quiet_scenario(size) }
 }
 
-/// 592 x 544 over sockets, with none, a tenth and half of the subscribers reading once a second only: how much later
-/// than the first the others receive a version of a table.
+/// Measures 592 x 544 over sockets, with none, a tenth and half of the subscribers reading only once a second: how much
+/// later than the first the other subscribers receive a version of a table.
 pub(super) fn measure_slow_readers(folder: &Path, program: &Path) -> BenchmarkResult {
     for share in SLOW_READER_SHARES {
         let scenario = scenario(DeliveryMode::Pubsub, SLOW_READER_SECONDS);
-        let place = folder.join(format!("slow-{share}"));
-        let mut testbed = Testbed::new(scenario, SEED, &place, program, &[])?;
+        let run_folder = folder.join(format!("slow-{share}"));
+        let mut testbed = Testbed::new(scenario, SEED, &run_folder, program, &[])?;
         testbed.set_synthetic_request_rate(SYNTHETIC_REQUEST_RATE);
         testbed.set_slow_reader_share(share);
         let outcome = testbed.play()?;
@@ -357,18 +358,20 @@
     Ok(())
 }
 
-/// 592 x 544 over sockets by either way: the planner is killed and started again, and all proxies reconnect.
+/// Measures 592 x 544 over sockets with each kind of delivery: the planner is killed and restarted, and all proxies
+/// reconnect.
 pub(super) fn measure_reconnects(folder: &Path, program: &Path) -> BenchmarkResult {
     for (name, delivery) in [("pubsub", DeliveryMode::Pubsub), ("netconf", DeliveryMode::Netconf)] {
         let mut scenario = scenario(delivery, RECONNECT_SECONDS);
         scenario.edits.truncate(RECONNECT_EDITS);
         scenario.faults = vec![ScheduledFault::new(6, FaultKind::PlannerKill, 1, 1)];
-        let place = folder.join(format!("storm-{name}"));
-        let mut testbed = Testbed::new(scenario, SEED, &place, program, &[])?;
+        let run_folder = folder.join(format!("storm-{name}"));
+        let mut testbed = Testbed::new(scenario, SEED, &run_folder, program, &[])?;
         testbed.set_synthetic_request_rate(SYNTHETIC_REQUEST_RATE);
         let outcome = testbed.play()?;
         let restart = testbed.restart();
-        let recovery_time = restart.recovery_time.ok_or("not all proxies got their tables again")?;
+        let recovery_time =
+            restart.recovery_time.ok_or("not all proxies received their tables after the restart")?;
         print_figure(&format!("592x544.{name}.back_to_all_told"), milliseconds(recovery_time), "ms");
         print_figure(&format!("592x544.{name}.planner_start"), milliseconds(restart.start_duration), "ms");
         print_path_figures(&format!("592x544.{name}.storm"), RECONNECT_SECONDS as f64, &outcome)?;
