--- a/crates/testbed/tests/durability.rs
+++ b/crates/testbed/tests/durability.rs
@@ -1,4 +1,4 @@
-//! Edits that were acknowledged are there after a kill at any moment, once.
+//! Durability: after a kill at any moment, the planner still has each acknowledged edit, exactly once.
 
 mod help;
 
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 const DEFAULT_KILL_COUNT: u64 = 20;
-/// Edits that a planner's history holds at least.
+/// Number of the newest edits that a planner's history holds in any case.
 const HISTORY_LENGTH: usize = 1000;
 
-/// The environment variable `RUNLOOM_KILLS` raises the count outside of CI.
+/// The number of kills; the environment variable `RUNLOOM_KILLS` raises it outside of CI.
 fn kill_count() -> u64 {
     std::env::var("RUNLOOM_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_KILL_COUNT)
 }
 
-/// What a planner holds.
+/// The edits that a planner has: fleet entries of servers, and ids in its history.
 #[derive(Debug, PartialEq)]
 struct StoredEdits {
     servers: Vec<String>,
@@ -37,18 +37,18 @@
     }
 }
 
-/// Kills the planner's process after a delay that differs by round, so that kills fall on all steps of an edit.
+/// Kills the planner's process after a delay that differs by round, so that kills hit all steps of an edit.
 fn kill_later(planner: &PlannerWithOperator, round: u64) -> JoinHandle<()> {
     let process = planner.process.id().unwrap();
     let delay = Duration::from_micros(500 + (round * 7919) % 40_000);
     std::thread::spawn(move || {
         std::thread::sleep(delay);
-        // The process stays unreaped until `restart`, so the id is still its own.
+        // The process is not reaped before `restart`, so its id is not in use by another one.
         let _ = Command::new("kill").args(["-9", &process.to_string()]).status();
     })
 }
 
-/// Sends edits, each under its own id, until one is not acknowledged; that one is the first of the next round.
+/// Sends edits, each with its own id, until one is not acknowledged; the next round begins with that one.
 fn edit_until_killed(client: &mut Client, acknowledged: &mut Vec<String>) {
     loop {
         let name = format!("e{}", acknowledged.len());
@@ -59,15 +59,21 @@
     }
 }
 
-/// Checks that the newest acknowledged edits are there, none twice, and besides at most the one that was on its way.
+/// Checks that the newest acknowledged edits are stored, none twice, and no other except the one that was in flight.
 fn assert_acknowledged_are_stored(stored: &[String], acknowledged: &[String], round: u64) {
     let unique: BTreeSet<&String> = stored.iter().collect();
-    assert_eq!(unique.len(), stored.len(), "round {round}: none twice");
+    assert_eq!(unique.len(), stored.len(), "round {round}: an edit is stored twice");
     let newest = acknowledged.iter().rev().take(HISTORY_LENGTH);
-    assert!(newest.into_iter().all(|edit| unique.contains(edit)), "round {round}");
+    assert!(
+        newest.into_iter().all(|edit| unique.contains(edit)),
+        "round {round}: an acknowledged edit is lost"
+    );
     let acknowledged_set: BTreeSet<&String> = acknowledged.iter().collect();
     let in_flight = format!("e{}", acknowledged.len());
-    assert!(unique.difference(&acknowledged_set).all(|edit| **edit == in_flight), "round {round}");
+    assert!(
+        unique.difference(&acknowledged_set).all(|edit| **edit == in_flight),
+        "round {round}: an unknown edit is stored"
+    );
 }
 
 #[test]
@@ -89,12 +95,16 @@
         assert_acknowledged_are_stored(&stored.ids, &acknowledged, round);
         let folder = planner.folder.0.join("state");
         assert!(state::verify(&folder).unwrap(), "round {round}");
-        assert!(FolderLock::acquire(&folder).is_err(), "the planner has the folder");
+        assert!(FolderLock::acquire(&folder).is_err(), "the planner does not hold the folder's lock");
     }
-    assert!(acknowledged.len() as u64 > kill_count() / 2, "{} edits in all", acknowledged.len());
+    assert!(
+        acknowledged.len() as u64 > kill_count() / 2,
+        "only {} edits were acknowledged",
+        acknowledged.len()
+    );
 }
 
-/// The state file of earlier versions: the fleet, and the edit history.
+/// The state file of earlier versions, with the fleet and the edit history.
 fn earlier_state_xml(fleet: Element) -> String {
     let edit = Element::new("", "edit")
         .with_leaf("id", "old")
--- a/crates/testbed/tests/event_log.rs
+++ b/crates/testbed/tests/event_log.rs
@@ -1,4 +1,4 @@
-//! An event log whose writer is killed.
+//! An event log whose writer is killed at any moment.
 
 mod help;
 
@@ -14,15 +14,15 @@
     list_segments(log).ok()?.last().map(|segment| segment.number)
 }
 
-/// Starts a writer and kills it once it wrote some segments and a part of another one.
+/// Starts a writer and kills it after it has written some segments and a part of another one.
 ///
-/// It is killed by what it wrote, at its start, in its first segment or as it closes one; on a busy machine a time limit
-/// would kill it before it wrote anything.
+/// When it is killed depends on the segments that it has written: at its start, in its first segment or as it closes
+/// one. On a busy machine, a time limit would kill it before it writes anything.
 fn write_and_kill(log: &Path, kill: u64) {
     let newest_before = newest_segment(log).unwrap_or(0);
     let mut writer = Command::new(program()).arg("writes").arg("--folder").arg(log).spawn().unwrap();
     while newest_segment(log).unwrap_or(0) < newest_before + kill % 6 {
-        assert_eq!(writer.try_wait().unwrap(), None, "it writes until it is killed");
+        assert_eq!(writer.try_wait().unwrap(), None, "the writer exited before it was killed");
         std::thread::sleep(Duration::from_micros(200));
     }
     std::thread::sleep(Duration::from_micros((kill * 7919) % 3_000));
@@ -49,7 +49,7 @@
                 starts += 1;
                 next = 1;
             } else {
-                // The writer numbers a start's entries by their time.
+                // The writer sets each entry's time to the entry's number since the start.
                 assert_eq!(entry.at_us, next, "{segment:?}");
                 next += 1;
             }
--- a/crates/testbed/tests/help/mod.rs
+++ b/crates/testbed/tests/help/mod.rs
@@ -1,6 +1,6 @@
-//! One planner's process with an operator, for tests.
+//! Test helpers: the process of one planner, and an operator that sends it edits.
 
-#![allow(dead_code)] // Each test program uses a part of it.
+#![allow(dead_code)] // Each test binary uses only a part of this module.
 
 pub mod identities;
 pub mod requests;
@@ -13,12 +13,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Far beyond what one request takes.
+/// Far longer than a request takes.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 const FIRST_SEED: u64 = 1;
 const RESTART_SEED: u64 = 2;
 
-/// The testbed's own program, which runs the planners' processes.
+/// The testbed's program, whose sub-commands run planners' processes.
 pub fn program() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_runloom-testbed"))
 }
@@ -41,15 +41,15 @@
     }
 }
 
-/// One planner without proxies, and an operator.
+/// A planner without proxies, with an operator's credentials.
 pub struct PlannerWithOperator {
     pub folder: Folder,
     pub process: PlannerProcess,
     pub addresses: PlannerAddresses,
-    /// Of the operator.
+    /// The operator's credentials.
     pub policy: TlsPolicy,
     pub issuer: Issuer,
-    settings: PathBuf,
+    settings_file: PathBuf,
 }
 
 const FLEET_XML: &str = "<fleet><zone><name>a</name></zone><zone><name>b</name></zone><class><name>q</name>\
@@ -93,14 +93,15 @@
         PlannerWithOperator::with_crash_point(name, None)
     }
 
-    /// One whose process exits at a point of an edit.
+    /// As [`PlannerWithOperator::new`]; the process exits at this point of handling an edit.
     pub fn with_crash_point(name: &str, crash_point: Option<&str>) -> PlannerWithOperator {
         let planner = |issuer: &Issuer| issuer.issue("p", Some("planner.runloom")).unwrap();
         let operator = |issuer: &Issuer| issuer.issue("staff", None).unwrap();
         PlannerWithOperator::start(name, crash_point, planner, operator, "")
     }
 
-    /// One with certificates of its own, and access rules for the planner's settings.
+    /// As [`PlannerWithOperator::new`], with other credentials of planner and operator, and with access rules for the
+    /// planner's settings.
     pub fn with_credentials(
         name: &str,
         planner: impl FnOnce(&Issuer) -> TlsFiles,
@@ -120,24 +121,24 @@
         let folder = Folder::new(name);
         let issuer = Issuer::new(&folder.0.join("papers")).unwrap();
         let credentials = planner(&issuer);
-        let settings = folder.0.join("planner.xml");
-        // Set here, so that a restarted planner listens where it did before.
+        let settings_file = folder.0.join("planner.xml");
+        // Written to the settings, so that a restarted planner listens on the same addresses.
         let addresses = PlannerAddresses::reserve().unwrap();
-        write_settings(&settings, &folder.0, &credentials, rules, &addresses);
+        write_settings(&settings_file, &folder.0, &credentials, rules, &addresses);
         let arguments: Vec<String> = crash_point.map(|point| format!("--dies={point}")).into_iter().collect();
-        let process = start_process(&folder, &settings, FIRST_SEED, &arguments);
+        let process = start_process(&folder, &settings_file, FIRST_SEED, &arguments);
         let policy = TlsPolicy::load(&operator(&issuer)).unwrap();
-        PlannerWithOperator { folder, process, addresses, policy, issuer, settings }
+        PlannerWithOperator { folder, process, addresses, policy, issuer, settings_file }
     }
 
-    /// A session of the operator.
+    /// Opens a session of the operator.
     pub fn client(&self) -> Client {
         Client::open(self.addresses.edits, &self.policy, REQUEST_TIMEOUT).unwrap()
     }
 
-    /// Kills the process, if it runs, and starts it again without a crash point.
+    /// Kills the process if it runs, and starts it again without a crash point.
     pub fn restart(&mut self) {
         self.process.kill();
-        self.process = start_process(&self.folder, &self.settings, RESTART_SEED, &[]);
+        self.process = start_process(&self.folder, &self.settings_file, RESTART_SEED, &[]);
     }
 }
--- a/crates/testbed/tests/help/requests.rs
+++ b/crates/testbed/tests/help/requests.rs
@@ -1,17 +1,17 @@
-//! Edits and questions that tests send to a planner.
+//! Edits and queries that tests send to a planner.
 
 use runloom_daemon::client::Client;
 use runloom_model::{FLEET, STATE};
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
 
-/// An operation without parameters of its own, with empty elements inside.
+/// An operation with an empty element for each parameter.
 pub fn operation(name: &str, parameters: &[&str]) -> Element {
     let empty = |parameter: &&str| Element::new(BASE, parameter);
     parameters.iter().map(empty).fold(Element::new(BASE, name), Element::with)
 }
 
-/// Asks for the running configuration.
+/// The operation that reads the running configuration.
 pub fn get_config() -> Element {
     Element::new(BASE, "get-config").with(operation("source", &["running"]))
 }
@@ -25,12 +25,12 @@
     server.with_leaf("name", name)
 }
 
-/// An edit that creates a fleet entry which drains a server. A second time it is rejected.
+/// An edit that creates a fleet entry that drains a server. It is rejected if the entry exists.
 pub fn create_drained_server(name: &str) -> Element {
     fleet_with(new_server(name).with_leaf("drain", true))
 }
 
-/// An edit that creates a fleet entry with a server's weight. A second time it is rejected.
+/// An edit that creates a fleet entry with a server's weight. It is rejected if the entry exists.
 pub fn create_weighted_server(name: &str) -> Element {
     fleet_with(new_server(name).with_leaf("weight", 0.5))
 }
@@ -57,13 +57,13 @@
     names.iter().map(server).fold(Element::new(FLEET, "roster"), Element::with)
 }
 
-/// A part of the running configuration: `fleet` or `roster`.
+/// Reads a part of the running configuration: `fleet` or `roster`.
 pub fn read_config(client: &mut Client, part: &str) -> Element {
     let reply = client.call(get_config(), None).unwrap();
     reply.child("data").unwrap().child(part).cloned().unwrap()
 }
 
-/// Names of the servers in a part of the running configuration.
+/// Reads the names of the servers in a part of the running configuration.
 pub fn server_names(client: &mut Client, part: &str) -> Vec<String> {
     let part = read_config(client, part);
     part.named("server").filter_map(|server| server.text_of("name").map(str::to_string)).collect()
@@ -74,13 +74,13 @@
     reply.child("data").and_then(|data| data.child("state")).cloned().unwrap_or_default()
 }
 
-/// Ids in the planner's edit history.
+/// Reads the ids in the planner's edit history.
 pub fn edit_ids(client: &mut Client) -> Vec<String> {
     let state = read_edits(client);
     state.named("edit").filter_map(|edit| edit.text_of("id").map(str::to_string)).collect()
 }
 
-/// The state of an edit in the planner's history; empty for an unknown one.
+/// Reads the state of an edit in the planner's history; empty for an unknown edit.
 pub fn edit_state(client: &mut Client, id: &str) -> String {
     let state = read_edits(client);
     let edit = state.named("edit").find(|edit| edit.text_of("id") == Some(id));
--- a/crates/testbed/tests/known_red.rs
+++ b/crates/testbed/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The CI check that passes over known failing tests, and over nothing else.
+//! The CI check that ignores the failures of listed tests, and no other failures.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -6,14 +6,14 @@
 const ONE_FAILED: &str = "test a::b ... ok\ntest a::c ... FAILED\n\nfailures:\n    a::c\n\n\
     test result: FAILED. 1 passed; 1 failed\nerror: 1 target failed:\n    `-p runloom --lib`\n";
 
-/// What the check prints of a run, and whether the run passes.
+/// Whether the check passes a test run, and what it prints.
 #[derive(Debug, PartialEq)]
 struct CheckResult {
     passes: bool,
     output: String,
 }
 
-/// Runs the check on a log of tests that ended with an exit code, with a list of known failures if there is one.
+/// Runs the check on the log and the exit code of a test run, with a list of known failures if one is given.
 fn check(name: &str, log: &str, exit_code: i32, list: Option<&str>) -> CheckResult {
     let folder = std::env::temp_dir().join(format!("runloom-known-red-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
