--- a/crates/testbed/tests/access_control.rs
+++ b/crates/testbed/tests/access_control.rs
@@ -12,7 +12,7 @@
 use runloom_daemon::tls_credentials::{server_name, TlsPolicy, PLANNER_DNS_NAME, PROXY_DNS_NAME};
 use runloom_event_loop::{BufferLimits, EventLoop, IoEvent, Security};
 use runloom_model::tls_files::TlsFiles;
-use runloom_mqtt::client::{Client as Subscription, ClientEvent, TableFormat};
+use runloom_mqtt::client::{Client as Subscriber, ClientEvent, TableFormat};
 use runloom_mqtt::ProxyInfo;
 use runloom_netconf::tree::Element;
 use runloom_netconf::BASE;
@@ -22,7 +22,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Far beyond what anything here takes.
+/// Far longer than a connection or its rejection takes.
 const TIMEOUT: Duration = Duration::from_secs(40);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -34,7 +34,7 @@
     let security = Security::TlsClient(policy.client_config.clone(), server_name(PLANNER_DNS_NAME));
     let conn = event_loop.dial(planner.addresses.pubsub, &security, BufferLimits::default()).unwrap();
     let info = ProxyInfo { zone: "a".into(), request_rate: 1.0, has_no_table: true };
-    let mut client = Subscription::new(event_loop.now(), "p", name, &info, TableFormat::Weights, vec![]);
+    let mut client = Subscriber::new(event_loop.now(), "p", name, &info, TableFormat::Weights, vec![]);
     let end = Instant::now() + TIMEOUT;
     while Instant::now() < end {
         for event in event_loop.wait(Some(event_loop.now() + POLL_INTERVAL)).unwrap() {
@@ -54,7 +54,7 @@
         let bytes = client.take_output();
         event_loop.write(conn, &bytes);
     }
-    panic!("neither connected nor rejected");
+    panic!("the subscriber was neither connected nor rejected");
 }
 
 /// What a holder may do.
@@ -68,7 +68,7 @@
     connect_under_other_name: bool,
 }
 
-/// Requests that [`Permissions::attempt`] makes.
+/// Number of requests that [`Permissions::attempt`] makes.
 const ATTEMPTS_PER_CASE: usize = 6;
 const NO_PERMISSIONS: Permissions = Permissions {
     read: false,
@@ -80,7 +80,7 @@
 };
 
 impl Permissions {
-    /// Tries everything with some credentials. `case` sets the names of what it writes apart from other cases'.
+    /// Makes all requests with some credentials. Names of what it writes contain `case`, so that they differ by case.
     fn attempt(
         planner: &PlannerWithOperator,
         name: &str,
@@ -88,9 +88,9 @@
         case: usize,
     ) -> Permissions {
         let trusting = trust_planner(credentials.clone(), PLANNER_ID);
-        // Credentials without an identity are rejected by the client's own side; without rules they reach the planner.
+        // The client itself rejects credentials that have rules but no identity; without rules they reach the planner.
         let policy = TlsPolicy::load(&trusting).or_else(|_| TlsPolicy::load(credentials)).unwrap();
-        let ask = |operation: Element| {
+        let call = |operation: Element| {
             let client = Client::open(planner.addresses.edits, &policy, REQUEST_TIMEOUT);
             client.and_then(|mut client| client.call(operation, None)).map_err(|error| error.to_string())
         };
@@ -99,24 +99,25 @@
         let fleet_edit = edit_config("running", set_weight(&format!("w{case}")));
         let list_edit = edit_config("running", list_servers(&[&format!("l{case}")]));
         Permissions {
-            read: ask(get_config()).is_ok(),
-            edit_fleet: ask(fleet_edit).is_ok(),
-            edit_endpoint_list: ask(list_edit).is_ok(),
-            // Only a holder that may end sessions learns that this one does not exist.
-            end_sessions: ask(kill_session).is_err_and(|error| error.contains("invalid-value")),
+            read: call(get_config()).is_ok(),
+            edit_fleet: call(fleet_edit).is_ok(),
+            edit_endpoint_list: call(list_edit).is_ok(),
+            // Only a holder that may end sessions is told that this one does not exist.
+            end_sessions: call(kill_session).is_err_and(|error| error.contains("invalid-value")),
             connect_under_own_name: may_connect(planner, &trusting, name),
             connect_under_other_name: may_connect(planner, &trusting, "f2"),
         }
     }
 }
 
-/// A holder's name, its credentials, and what it may do.
+/// A holder's name, its credentials, and what it is expected to be allowed.
 struct AccessCase {
     name: &'static str,
     credentials: TlsFiles,
     expected: Permissions,
 }
 
+/// Certificates with one SPIFFE ID, of which some are granted nothing by the access rules.
 fn valid_cases(issuer: &Issuer) -> Vec<AccessCase> {
     let case = |name, file: &str, id: &str, expected| AccessCase {
         name,
@@ -139,7 +140,7 @@
     ]
 }
 
-/// Certificates that are no valid identity; their holders may do nothing.
+/// Certificates that are not valid identities; their holders may do nothing.
 fn invalid_cases(planner: &PlannerWithOperator) -> Vec<AccessCase> {
     let issuer = &planner.issuer;
     let second_id = |params: &mut CertificateParams| {
@@ -166,7 +167,7 @@
     ]
 }
 
-/// Fourteen certificates and six requests each. What is rejected changes nothing, and is counted.
+/// Makes six requests with each of fourteen certificates. Rejected requests change nothing, and a metric counts them.
 #[test]
 fn each_certificate_may_do_what_its_identity_may() {
     // Given
@@ -177,10 +178,10 @@
 
     for (number, case) in cases.iter().enumerate() {
         // When
-        let found = Permissions::attempt(&planner, case.name, &case.credentials, number);
+        let actual = Permissions::attempt(&planner, case.name, &case.credentials, number);
 
         // Then
-        assert_eq!(found, case.expected, "{}, case {number}", case.name);
+        assert_eq!(actual, case.expected, "{}, case {number}", case.name);
     }
     let mut client = planner.client();
     assert_eq!(server_names(&mut client, "fleet"), ["w0"]);
@@ -189,7 +190,7 @@
     assert!(metrics["runloom_not_allowed_total"] >= 10.0, "{metrics:?}");
 }
 
-/// Truncated, mismatched and exposed files: they are rejected at the start, and do not replace valid ones later.
+/// Truncated files, mismatched keys and keys that others may read are rejected, and do not replace valid ones in use.
 #[test]
 fn invalid_credentials_are_rejected_and_do_not_replace_those_in_use() {
     // Given
@@ -205,11 +206,11 @@
 
     // When, then
     write(&credentials.certificate, &certificate[..certificate.len() / 2]);
-    assert!(policy.reload().is_err(), "half of a file");
+    assert!(policy.reload().is_err(), "half of a certificate file was accepted");
     write(&credentials.certificate, &certificate);
     let other_key = std::fs::read(issue(&planner.issuer, "y", PLANNER_ID, HOUR).key).unwrap();
     write(&credentials.key, &other_key);
-    assert!(policy.reload().is_err(), "another certificate's key");
+    assert!(policy.reload().is_err(), "another certificate's key was accepted");
     assert_eq!(policy.own_identity().unwrap(), certificate_in_use);
     write(&credentials.key, &key);
     assert!(policy.reload().unwrap());
--- a/crates/testbed/tests/identity_lifetime.rs
+++ b/crates/testbed/tests/identity_lifetime.rs
@@ -1,4 +1,4 @@
-//! What becomes of streams whose identity expires or whose authority is removed.
+//! Streams whose identity expires, or whose certificate authority is removed from the trust bundle.
 
 mod help;
 
@@ -18,9 +18,9 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// A lifetime in seconds, long enough for a slow machine to set up its tables.
+/// An identity's lifetime in seconds, long enough for a proxy on a slow machine to receive its tables.
 const SHORT_LIFETIME: i64 = 14;
-/// Far beyond what anything here takes.
+/// Far longer than any condition here takes.
 const TIMEOUT: Duration = Duration::from_secs(40);
 const RECONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -83,7 +83,7 @@
         while !holds(self) {
             assert!(
                 Instant::now() < end,
-                "waited for: {condition}; table: {:?}, connected: {}",
+                "timed out waiting for {condition}; table: {:?}, connected: {}",
                 self.servers(),
                 self.is_connected()
             );
@@ -92,14 +92,16 @@
     }
 
     fn wait_until_connected_with_all_servers(&mut self) {
-        self.wait_until("its tables", |proxy| proxy.has_servers(&ALL_SERVERS) && proxy.is_connected());
+        self.wait_until("its tables and a connection", |proxy| {
+            proxy.has_servers(&ALL_SERVERS) && proxy.is_connected()
+        });
     }
 
     fn is_connected(&self) -> bool {
         self.runtime.is_connected()
     }
 
-    /// Servers of its table.
+    /// The servers of its table.
     fn servers(&self) -> Vec<String> {
         let entries = self.runtime.proxy().tables().entries("q");
         entries.into_iter().map(|entry| entry.server).collect()
@@ -109,7 +111,7 @@
         self.servers() == servers
     }
 
-    /// All its tables, to compare them.
+    /// All its tables as text, to compare them.
     fn tables(&self) -> String {
         format!("{:?}", self.runtime.proxy().tables())
     }
@@ -143,7 +145,7 @@
     }
 }
 
-/// Identities that expire while a stream is open.
+/// Lifetimes of identities in seconds, of which one expires while a stream is open.
 struct ExpiryCase {
     name: &'static str,
     delivery: TableDelivery,
@@ -172,7 +174,8 @@
     },
 ];
 
-/// A stream ends when either side's identity expires, tables stay, and a new identity resumes it without a restart.
+/// A stream ends when either side's identity expires; tables stay in use, and a new identity resumes the stream without
+/// a restart.
 #[test]
 fn a_stream_ends_with_either_identity_and_resumes_with_a_new_one() {
     std::thread::scope(|scope| {
@@ -187,29 +190,29 @@
     let planner = start_planner(case.name, case.planner_lifetime);
     list_all_servers(&planner);
     let credentials = issue(&planner.issuer, "f1", PROXY_ID, case.proxy_lifetime);
-    // Expiry is in whole seconds. Streams are made again before it, so a disconnect before then is no end.
+    // Expiry is in whole seconds. Streams are renewed before it, so an earlier disconnect is not the end of the stream.
     let lifetime = case.planner_lifetime.min(case.proxy_lifetime) as u64;
     let expired = Instant::now() + Duration::from_secs(lifetime + 1);
     let mut proxy = Proxy::start(&planner, case.delivery, trust_planner(credentials, PLANNER_ID));
     proxy.wait_until_connected_with_all_servers();
 
     // When
-    proxy.wait_until("the end", |proxy| !proxy.is_connected() && Instant::now() >= expired);
+    proxy.wait_until("the end of the stream", |proxy| !proxy.is_connected() && Instant::now() >= expired);
     proxy.run_for(Duration::from_millis(500));
 
     // Then
-    assert!(proxy.has_servers(&ALL_SERVERS), "{}: tables stay", case.name);
+    assert!(proxy.has_servers(&ALL_SERVERS), "{}: tables are lost", case.name);
     assert!(!proxy.is_connected(), "{}: connected with an expired identity", case.name);
 
-    // When new identities are put under the same names.
+    // When new identities are issued to the same files.
     issue(&planner.issuer, "p", PLANNER_ID, HOUR);
     issue(&planner.issuer, "f1", PROXY_ID, HOUR);
 
     // Then
-    proxy.wait_until("connected again", Proxy::is_connected);
+    proxy.wait_until("a new connection", Proxy::is_connected);
     wait_until_operator_connects(&planner);
     drain(&planner, "s2");
-    proxy.wait_until("the drain", |proxy| proxy.has_servers(&["s1", "s3"]));
+    proxy.wait_until("the removal of the drained server", |proxy| proxy.has_servers(&["s1", "s3"]));
 }
 
 fn wait_until_operator_connects(planner: &PlannerWithOperator) {
@@ -218,17 +221,17 @@
     while connect().is_err() && Instant::now() < end {}
 }
 
-/// Files of a change from an old authority to a new one.
+/// Files of a change from an old certificate authority to a new one.
 struct AuthorityChange {
-    /// What the planner trusts: both authorities at first.
+    /// The planner's trust bundle, with both authorities at first.
     planner_trust: PathBuf,
-    /// The new authority alone.
+    /// The trust bundle with the new authority only.
     new_trust: PathBuf,
-    /// A proxy's credentials of the old authority.
+    /// A proxy's credentials, issued by the old authority.
     old_proxy: TlsFiles,
 }
 
-/// Issues the planner's credentials by the new authority, and a proxy's by an old one.
+/// Issues the planner's credentials by the new authority, and a proxy's credentials by an old one.
 fn prepare_authority_change(new: &Issuer) -> (TlsFiles, AuthorityChange) {
     let planner = issue(new, "p", PLANNER_ID, HOUR);
     let old = Issuer::new(&planner.certificate.parent().unwrap().join("old")).unwrap();
@@ -241,8 +244,8 @@
     (planner, AuthorityChange { planner_trust, new_trust, old_proxy })
 }
 
-/// An identity of the old authority is valid while that is trusted, and one of the new authority takes its place. The
-/// proxy trusts only the new authority throughout.
+/// An identity of the old authority is valid while that authority is trusted, and one of the new authority replaces it.
+/// The proxy trusts only the new authority throughout.
 #[test]
 fn removing_an_authority_ends_its_streams_and_a_new_identity_resumes_them() {
     // Given
@@ -272,19 +275,19 @@
     std::fs::copy(&new_trust, &planner_trust).unwrap();
 
     // Then
-    proxy.wait_until("the end", |proxy| !proxy.is_connected());
+    proxy.wait_until("the end of the stream", |proxy| !proxy.is_connected());
     assert!(proxy.has_servers(&ALL_SERVERS));
 
-    // When an identity of the new authority is put where the old one was.
+    // When an identity of the new authority replaces the old one's files.
     let new_proxy = issue(&planner.issuer, "f1", PROXY_ID, HOUR);
     for (from, to) in [(&new_proxy.key, &old_proxy.key), (&new_proxy.certificate, &old_proxy.certificate)] {
         std::fs::rename(from, to).unwrap();
     }
 
     // Then
-    proxy.wait_until("connected again", |proxy| {
+    proxy.wait_until("a new connection", |proxy| {
         proxy.is_connected() && proxy.runtime.session_count() > streams
     });
     drain(&planner, "s2");
-    proxy.wait_until("the drain", |proxy| proxy.has_servers(&["s1", "s3"]));
+    proxy.wait_until("the removal of the drained server", |proxy| proxy.has_servers(&["s1", "s3"]));
 }
--- a/crates/testbed/tests/operator_edits.rs
+++ b/crates/testbed/tests/operator_edits.rs
@@ -1,4 +1,4 @@
-//! Operators' edits at one planner's process: repeated, dropped, locked, unauthorized and rejected ones.
+//! Operators' edits at a planner's process: repeated, interrupted, locked out, unauthorized and rejected ones.
 
 mod help;
 
@@ -14,15 +14,16 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Far beyond what a planner takes to notice the end of a session.
+/// Far longer than a planner takes to notice the end of a session.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Reads the number of servers with an entry in the fleet.
 fn fleet_size(client: &mut Client) -> usize {
     server_names(client, "fleet").len()
 }
 
-/// The planner is killed before the edit is stored, between that and its reply, and after its reply. The client sends it
-/// again under the same id, and it takes effect once.
+/// The planner exits before the edit is stored, between storing it and the reply, or after the reply. The client
+/// repeats the edit with the same id, and it takes effect once.
 #[test]
 fn an_edit_repeated_after_a_kill_at_any_point_takes_effect_once() {
     for crash_point in ["before-kept", "kept", "replied"] {
@@ -44,8 +45,8 @@
         client.call(edit, Some("once")).unwrap();
 
         // Then
-        let found = (fleet_size(&mut client), edit_ids(&mut client));
-        assert_eq!(found, (1, vec!["once".to_string()]), "{crash_point}");
+        let actual = (fleet_size(&mut client), edit_ids(&mut client));
+        assert_eq!(actual, (1, vec!["once".to_string()]), "{crash_point}");
         let other_edit = edit_config("running", create_drained_server("s2"));
         let rejection = client.call(other_edit, Some("once")).unwrap_err();
         assert!(rejection.to_string().contains("edit-id-reused"), "{rejection}");
@@ -69,7 +70,7 @@
     assert_eq!((fleet_size(&mut client), edit_ids(&mut client).len()), (1, 1));
 }
 
-/// RFC 6241, section 8.4: also if the planner restarts.
+/// RFC 6241, section 8.4. A persistent confirmed commit is rolled back when the planner restarts.
 #[test]
 fn a_confirmed_commit_is_rolled_back_when_its_client_or_the_planner_disappears() {
     // Given
@@ -133,8 +134,8 @@
     let planner = PlannerWithOperator::new("garbage");
     let mut not_tls = TcpStream::connect(planner.addresses.edits).unwrap();
     not_tls.write_all(&[0x55; 4096]).unwrap();
-    let mut subscriber = TcpStream::connect(planner.addresses.pubsub).unwrap();
-    subscriber.write_all(&[0x10; 4096]).unwrap();
+    let mut not_tls_subscriber = TcpStream::connect(planner.addresses.pubsub).unwrap();
+    not_tls_subscriber.write_all(&[0x10; 4096]).unwrap();
     let mut half_handshake = TcpStream::connect(planner.addresses.edits).unwrap();
     half_handshake.write_all(&[0x16, 0x03, 0x01]).unwrap();
     let mut half_message = planner.client();
@@ -152,7 +153,7 @@
     assert_eq!(fleet_size(&mut client), 1);
     assert!(
         endless_message.call(operation("get", &[]), None).is_err(),
-        "a message over the size limit ends its session"
+        "a message over the size limit did not end its session"
     );
 }
 
@@ -163,7 +164,7 @@
     let proxy = planner.issuer.issue("f1", Some("proxy.runloom")).unwrap();
     let proxy = TlsPolicy::load(&proxy).unwrap();
     let other_authority = Issuer::new(&planner.folder.0.join("others")).unwrap();
-    let stranger = TlsPolicy::load(&other_authority.issue("staff", None).unwrap()).unwrap();
+    let other_authority_policy = TlsPolicy::load(&other_authority.issue("staff", None).unwrap()).unwrap();
 
     // When
     let mut client = Client::open(planner.addresses.edits, &proxy, REQUEST_TIMEOUT).unwrap();
@@ -171,7 +172,7 @@
 
     // Then
     assert!(rejection.to_string().contains("access-denied"));
-    assert!(Client::open(planner.addresses.edits, &stranger, REQUEST_TIMEOUT).is_err());
+    assert!(Client::open(planner.addresses.edits, &other_authority_policy, REQUEST_TIMEOUT).is_err());
     assert_eq!(fleet_size(&mut planner.client()), 0);
 }
 
