--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios on the whole path with failures: planners as processes, everything else on loopback.
+//! End-to-end scenarios with failures. Planners are processes of their own, and all connections are on loopback.
 
 mod help;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// An operator's drain of a server.
+/// An operator's edit that drains a server; `at` is in seconds.
 fn drain_edit(at: u64, id: &str, server: &str) -> ScheduledEdit {
     ScheduledEdit {
         at: Duration::from_secs(at),
@@ -49,12 +49,12 @@
     }
 }
 
-/// As [`drain_edit`], with a session that is dropped before the first reply.
+/// As [`drain_edit`], with a session that the operator closes before the first reply.
 fn dropped_drain_edit(at: u64, id: &str, server: &str) -> ScheduledEdit {
     ScheduledEdit { drops_connection: true, ..drain_edit(at, id, server) }
 }
 
-/// Plays the same scenario with each delivery, at the same time.
+/// Plays the same scenario with each kind of delivery, in parallel.
 fn play_with_each_delivery(name: &str, scenario: Scenario) -> Vec<ScenarioOutcome> {
     std::thread::scope(|scope| {
         let play_with = |delivery: DeliveryMode| {
@@ -67,7 +67,7 @@
     })
 }
 
-/// Plays a scenario in which no rule may be broken.
+/// Plays a scenario, and checks that no rule was broken and no request took effect twice that must not.
 fn play(name: &str, scenario: Scenario) -> ScenarioOutcome {
     let folder = Folder::new(name);
     let mut testbed = Testbed::new(scenario, 5, &folder.0, &program(), &[]).unwrap();
@@ -76,7 +76,8 @@
     outcome
 }
 
-/// Two proxies do not read their streams while forty others must receive a drain in time.
+/// Guards against proxies that do not read their streams and so delay the others: two do not, while forty others must
+/// receive a drain in time.
 #[test]
 fn a_drain_reaches_forty_proxies_in_time_beside_proxies_that_do_not_read() {
     // Given
@@ -116,7 +117,7 @@
     }
 }
 
-/// The feed drains the only server: the drain holds, and proxies reject requests at once.
+/// The feed drains the only server. The drain stays in force, and proxies reject requests immediately.
 #[test]
 fn requests_are_rejected_at_once_when_the_only_server_drains() {
     // Given
@@ -130,8 +131,8 @@
     assert!(outcome.counts.no_endpoint > 10, "{outcome:?}");
 }
 
-/// Each of two planners, one of which is killed and started again, writes an event log that replays to the same commands,
-/// also in another process, and from which the scenario can be inferred.
+/// Two planners, of which one is killed and restarted, each write an event log. It replays to the same commands, also
+/// in another process, and the scenario can be inferred from it.
 #[test]
 fn event_logs_replay_to_the_same_commands_over_a_kill_and_show_the_faults() {
     // Given
@@ -153,40 +154,44 @@
     let mut starts = 0;
     for planner in 0..2 {
         let log = folder.0.join(format!("record-{planner}"));
-        let days = runloom_event_log::read_runs(&log).unwrap();
-        for (number, entries) in days.iter().enumerate() {
-            assert_replays_to_the_same_commands(&log, entries, days.len() - 1 - number);
+        let runs = runloom_event_log::read_runs(&log).unwrap();
+        for (number, entries) in runs.iter().enumerate() {
+            assert_replays_to_the_same_commands(&log, entries, runs.len() - 1 - number);
         }
-        starts += days.len();
-        assert_scenario_is_inferred(&folder, &days);
+        starts += runs.len();
+        assert_scenario_is_inferred(&folder, &runs);
     }
     assert_eq!(starts, 3);
 }
 
-/// `back` is how many starts before the last one the entries are of.
-fn assert_replays_to_the_same_commands(log: &Path, entries: &[Entry], back: usize) {
+/// `starts_back` is 0 for entries of the log's last start, 1 for those of the one before, and so on.
+fn assert_replays_to_the_same_commands(log: &Path, entries: &[Entry], starts_back: usize) {
     let replay = runloom_replay::exact::replay(entries, runloom_daemon::planner_runtime::BUILD).unwrap();
-    assert_eq!(replay.first_difference, None, "{} {back}", log.display());
+    assert_eq!(replay.first_difference, None, "{} {starts_back}", log.display());
     assert!(replay.steps > 10 && replay.messages >= 3, "{replay:?}");
-    let other_process =
-        std::process::Command::new(program()).arg("again").arg(log).arg(back.to_string()).output().unwrap();
+    let other_process = std::process::Command::new(program())
+        .arg("again")
+        .arg(log)
+        .arg(starts_back.to_string())
+        .output()
+        .unwrap();
     assert_eq!(String::from_utf8(other_process.stdout).unwrap().trim(), replay.digest);
 }
 
-fn assert_scenario_is_inferred(folder: &Folder, days: &[Vec<Entry>]) {
-    let inferred = runloom_replay::scenario_inference::infer(days).unwrap();
+fn assert_scenario_is_inferred(folder: &Folder, runs: &[Vec<Entry>]) {
+    let inferred = runloom_replay::scenario_inference::infer(runs).unwrap();
     let fault = |kind| inferred.faults.iter().find(|fault| fault.kind == kind);
     assert_eq!(fault("crash").map(|crash| crash.servers.len()), Some(2), "{inferred:?}");
-    assert_eq!(fault("planner-kill").is_some(), days.len() == 2, "{inferred:?}");
+    assert_eq!(fault("planner-kill").is_some(), runs.len() == 2, "{inferred:?}");
     assert_eq!((inferred.server_count, inferred.edits.len()), (8, 1), "{inferred:?}");
-    // The testbed can play it.
+    // The testbed can read the inferred scenario.
     let file = folder.0.join("day.xml");
     std::fs::write(&file, inferred.to_xml()).unwrap();
     let read = runloom_testbed::scenario::read(&file.display().to_string()).unwrap();
     assert_eq!((read.server_count, read.faults.len()), (8, inferred.faults.len()));
 }
 
-/// Ten thousand unsafe commands pass through a running planner, and none reaches a proxy, by what the sockets showed.
+/// A running planner's guard rejects ten thousand unsafe commands; by what the sockets show, none reaches a proxy.
 #[test]
 fn ten_thousand_unsafe_commands_reach_no_proxy() {
     // Given
@@ -212,7 +217,7 @@
     assert!(outcome.succeeded * 10 > outcome.requests * 9, "{outcome:?}");
 }
 
-/// The safety guard keeps the rules where commands are corrupted; without it they are broken.
+/// With the safety guard no rule is broken although commands are corrupted; without it rules are broken.
 #[test]
 fn corrupted_commands_break_rules_only_without_the_safety_guard() {
     let cases = [("drop-all", true), ("drop-all", false), ("halves", true), ("halves", false)];
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -1,5 +1,5 @@
 //! Subscribers that disconnect or misbehave, against a planner's process. Each is one proxy on an event loop of its own,
-//! by the program's own side of the protocol.
+//! with the program's own client of the protocol.
 
 mod help;
 
@@ -16,26 +16,27 @@
 use runloom_versioned_publisher::{Key, ReadOutcome, Topic, TopicKind, UpdatePart, UpdateReader};
 use std::time::{Duration, Instant};
 
-/// Far beyond what anything here takes.
+/// Far longer than any condition here takes.
 const TIMEOUT: Duration = Duration::from_secs(40);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 const ALL_SERVERS: [&str; 3] = ["s1", "s2", "s3"];
 
+/// A proxy that subscribes to a planner's tables.
 struct Subscriber {
     event_loop: EventLoop,
     conn: ConnectionId,
     client: Client,
     reader: UpdateReader,
-    /// All parts that it received.
+    /// All update parts that it received.
     parts: Vec<UpdatePart>,
-    /// Whether it acknowledges what it receives.
+    /// Whether it acknowledges or rejects the parts that it receives.
     acknowledges: bool,
-    closed: Option<CloseReason>,
+    close_reason: Option<CloseReason>,
 }
 
 impl Subscriber {
-    /// Connects and subscribes, under the names of planner and proxy that it states.
+    /// Connects and subscribes with the given names of planner and proxy, and with the tables that `reader` holds.
     fn connect(
         planner: &PlannerWithOperator,
         policy: &TlsPolicy,
@@ -51,7 +52,7 @@
         let held = reader.held_versions();
         let now = event_loop.now();
         let client = Client::new(now, planner_name, proxy_name, &info, TableFormat::Weights, held);
-        Subscriber { event_loop, conn, client, reader, parts: vec![], acknowledges: true, closed: None }
+        Subscriber { event_loop, conn, client, reader, parts: vec![], acknowledges: true, close_reason: None }
     }
 
     /// Polls until a condition holds.
@@ -60,16 +61,16 @@
         while !holds(self) {
             assert!(
                 Instant::now() < end,
-                "waited for: {condition}; session: {:?}, connection: {:?}",
+                "timed out waiting for {condition}; session: {:?}, connection: {:?}",
                 self.client.end(),
-                self.closed
+                self.close_reason
             );
             self.poll(POLL_INTERVAL);
         }
     }
 
     fn wait_until_closed(&mut self) {
-        self.wait_until("the connection's end", |subscriber| subscriber.closed.is_some());
+        self.wait_until("the end of the connection", |subscriber| subscriber.close_reason.is_some());
     }
 
     fn wait_until_rejected(&mut self, reason: &str) {
@@ -81,13 +82,13 @@
         self.wait_until(&format!("{servers:?}"), |subscriber| subscriber.has_servers(servers));
     }
 
-    /// Waits for events, at most for a time, and sends what is due.
+    /// Handles events that come within `timeout`, and sends the client's output.
     fn poll(&mut self, timeout: Duration) {
         let until = self.event_loop.now() + timeout;
         for event in self.event_loop.wait(Some(until)).unwrap() {
             match event {
                 IoEvent::Bytes { bytes, .. } => self.handle_bytes(&bytes),
-                IoEvent::Closed { reason, .. } => self.closed = Some(reason),
+                IoEvent::Closed { reason, .. } => self.close_reason = Some(reason),
                 _ => {}
             }
         }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Servers of the table that it is assigned.
+    /// The servers of the table that it is assigned.
     fn servers(&self) -> Vec<String> {
         let assignments = self.reader.held(Topic { kind: TopicKind::Assignments, table: 0 });
         let table = assignments.and_then(|held| held.state.values().next()?.parse().ok());
@@ -133,12 +134,12 @@
         self.parts[count..].iter().any(is_snapshot)
     }
 
-    /// Epoch of the last part.
+    /// The epoch of the last part that it received.
     fn last_epoch(&self) -> u64 {
         self.parts.last().unwrap().epoch
     }
 
-    /// Reports attempts at a server.
+    /// Sends a report of attempts at a server.
     fn report_attempts(&mut self, server: &str) {
         let outcomes = ServerOutcomes { server: server.into(), attempts: 3, ..ServerOutcomes::default() };
         let arrivals = ClassArrivals { class: "q".into(), requests: 3, unanswered: 0 };
@@ -146,7 +147,7 @@
         self.client.send_report(self.event_loop.now(), report::encode(&report));
     }
 
-    /// Drops the connection and keeps what was received.
+    /// Drops the connection, and returns the tables that it received.
     fn disconnect(self) -> UpdateReader {
         let mut reader = self.reader;
         reader.end_session();
@@ -162,13 +163,13 @@
     planner.client().call(edit_config("running", drain_server(server)), Some(id)).unwrap();
 }
 
-/// Waits until an edit is in force, while a subscriber goes on.
+/// Waits until an edit is in force, while a subscriber handles its events.
 fn wait_until_in_force(planner: &PlannerWithOperator, id: &str, subscriber: &mut Subscriber) {
     let state = || edit_state(&mut planner.client(), id);
-    subscriber.wait_until("the edit is in force", |_| state() == "in-force");
+    subscriber.wait_until("the edit to be in force", |_| state() == "in-force");
 }
 
-/// A planner with three servers, and a subscriber that has its tables.
+/// A planner with three servers, and a subscriber that has received its tables.
 struct Subscribed {
     planner: PlannerWithOperator,
     policy: TlsPolicy,
@@ -216,7 +217,7 @@
     // Then
     first.wait_until_rejected("SessionTakenOver");
     first.wait_until_closed();
-    // The end of the first connection does not end the second one's session.
+    // The end of the first connection must not end the second one's session.
     drain(&planner, "s1", "d");
     second.wait_until_table_has(&["s2", "s3"]);
     wait_until_in_force(&planner, "d", &mut second);
@@ -244,8 +245,8 @@
     }
 }
 
-/// The planner is killed between a drain and its acknowledgement. The next one publishes under a later epoch, without
-/// the server, and knows the edit.
+/// The planner is killed between a drain and its acknowledgement. After the restart it publishes tables without the
+/// server under a later epoch, and still has the edit in its history.
 #[test]
 fn a_restarted_planner_publishes_an_unacknowledged_drain_again() {
     // Given
@@ -289,8 +290,8 @@
     wait_until_in_force(&planner, "d", &mut other);
 }
 
-/// A subscriber acknowledges that a server is drained, and its reports still show attempts at it: it receives its tables
-/// again, and then is disconnected.
+/// Guards against a subscriber that acknowledges a drain without applying it, so that its reports still show attempts
+/// at the server: it receives its tables again, and is then disconnected.
 #[test]
 fn a_subscriber_that_does_not_apply_what_it_acknowledges_is_found_by_its_reports() {
     // Given
@@ -302,15 +303,18 @@
 
     // When
     let end = Instant::now() + TIMEOUT;
-    while subscriber.closed.is_none() && Instant::now() < end {
+    while subscriber.close_reason.is_none() && Instant::now() < end {
         subscriber.report_attempts("s3");
         subscriber.poll(REPORT_INTERVAL);
         let has_snapshot = subscriber.received_snapshot_after(received);
-        assert!(subscriber.closed.is_none() || has_snapshot, "a snapshot comes before the end");
+        assert!(
+            subscriber.close_reason.is_none() || has_snapshot,
+            "the subscriber was disconnected without a snapshot"
+        );
     }
 
     // Then
-    assert!(subscriber.closed.is_some() && subscriber.received_snapshot_after(received));
+    assert!(subscriber.close_reason.is_some() && subscriber.received_snapshot_after(received));
 }
 
 #[test]
@@ -324,11 +328,11 @@
     planner.client().edit(Element::new(FLEET, "fleet").with(grace_period), None).unwrap();
 
     // Then
-    subscriber.wait_until("another epoch", |subscriber| {
+    subscriber.wait_until("tables of a later epoch", |subscriber| {
         let last = subscriber.parts.last();
         last.is_some_and(|part| part.epoch > epoch && part.topic.kind == TopicKind::Assignments)
     });
-    assert!(subscriber.closed.is_none() && subscriber.has_servers(&ALL_SERVERS));
+    assert!(subscriber.close_reason.is_none() && subscriber.has_servers(&ALL_SERVERS));
 
     // When
     drain(&planner, "s2", "d");
