--- a/crates/controller/src/admission_control.rs
+++ b/crates/controller/src/admission_control.rs
@@ -34,7 +34,7 @@
 const MIN_FLEET_WEIGHT: f64 = 1e-3;
 /// Endpoints whose last report is older than this do not count in the success rate.
 const REPORT_LIFETIME: Duration = Duration::from_secs(3);
-/// The list is stale if listed endpoints have less than this share of all successes.
+/// The list is stale if endpoints that any list has contained have less than this share of all successes.
 const MIN_LISTED_SHARE: f64 = 0.85;
 /// Each class counts with this many requests per second in addition to its arrivals, so that the sum is not 0.
 const MIN_CLASS_ARRIVAL_RATE: f64 = 1e-6;
@@ -74,7 +74,7 @@
     pub uncapped_pressure: f64,
     /// Successes per second over all endpoints.
     pub success_rate: f64,
-    /// Whether many successes come from endpoints that are not listed.
+    /// Whether many successes come from endpoints that no list has contained.
     pub list_is_stale: bool,
     /// Ticks with reports since the start.
     pub ticks_with_reports: u32,
@@ -89,7 +89,7 @@
     pub changed_at: Duration,
     /// Requests per second over all proxies and classes; `None` admits all.
     pub admission_limit: Option<f64>,
-    /// Isolated classes, one bit each, and their share of the endpoints.
+    /// Isolated classes, one bit each, and their share of the weight of the warm endpoints.
     pub isolated_classes: u64,
     pub isolated_share: f64,
     /// The admission last published for each class; `None` for none.
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Sums the success rates of endpoints with recent reports, and compares the part of listed endpoints with the sum.
+    /// Sums the success rates of endpoints with recent reports, and compares the part of endpoints that any list has
+    /// contained, which have a configured weight, with the sum.
     fn measure_success_rate(&mut self) {
         let recent =
             self.endpoints.iter().filter(|endpoint| self.now < endpoint.last_report + REPORT_LIFETIME);
--- a/crates/controller/src/endpoint.rs
+++ b/crates/controller/src/endpoint.rs
@@ -25,7 +25,7 @@
     SlowStart,
     /// Out of service after failures.
     Ejected,
-    /// Out of service; no failure was seen since it entered this state.
+    /// Out of service; no health check failed since it entered this state.
     Probation,
     /// Out of service for a longer time after repeated ejections.
     LongEjected,
@@ -55,7 +55,7 @@
     /// Whether the list added it as long started, though it was not listed before, and no attempt has succeeded yet.
     pub unverified: bool,
     pub health: HealthState,
-    /// When it entered its health state.
+    /// When it entered its health state. An endpoint that became healthy keeps the time at which its slow start began.
     pub health_since: Duration,
     /// When its process started; `None` for long ago.
     pub started_at: Option<Duration>,
@@ -64,7 +64,7 @@
     pub failures: f32,
     /// Failures since the last success.
     pub consecutive_failures: f32,
-    /// When the last success was reported, and the last outcome of any kind.
+    /// When the last success was reported, and the last outcome of any kind. Both count from the start of service.
     pub last_success: Duration,
     pub last_report: Duration,
     /// Successes per second, by zone of the proxies.
@@ -102,7 +102,8 @@
         matches!(self.health, HealthState::Healthy | HealthState::SlowStart)
     }
 
-    /// Whether the list has it as ready, whether or not it is in service.
+    /// Whether the list has it as ready, whether or not it is in service. An endpoint that stayed in service when it
+    /// disappeared from the list counts as listed.
     pub fn is_listed(&self) -> bool {
         !matches!(self.health, HealthState::Unknown | HealthState::Draining)
     }
@@ -112,7 +113,7 @@
         matches!(self.health, HealthState::Ejected | HealthState::Probation | HealthState::LongEjected)
     }
 
-    /// Enters a health state. Slow start resets the counters of failures.
+    /// Enters a health state. Slow start resets everything that counts towards an ejection.
     pub fn enter(&mut self, health: HealthState, now: Duration) {
         self.health = health;
         self.health_since = now;
@@ -138,7 +139,7 @@
 
     /// Records a health check, and moves an ejected endpoint into or out of probation.
     ///
-    /// An error response counts like a failed attempt of a proxy.
+    /// An error response counts as a failed attempt in the failure rate, but not as a consecutive failure.
     pub fn record_health_check(&mut self, result: HealthCheckResult, now: Duration) {
         match result {
             HealthCheckResult::Success => {
--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -1,9 +1,10 @@
 //! Endpoint lists: applies the records of a list to known and to new endpoints.
 //!
 //! Lists can be wrong. With `EndpointListConfig::only_draining_binds`, an endpoint that is *missing from the list*
-//! stays in service until it fails, and one that is added as long started is *unverified* until its first success. The
-//! list as a whole is *stale* while many successes come from unlisted endpoints. While a list is *unreliable*, proxies
-//! may keep the tables of an earlier planner.
+//! stays in service until it fails, and one that a later list adds as long started is *unverified* until its first
+//! success. The list is *stale* while many successes come from endpoints that no list has contained. With the same
+//! setting the list is *unreliable* as long as it has no draining endpoint: proxies may then keep the tables of an
+//! earlier planner.
 
 use crate::controller::Controller;
 use crate::endpoint::{slot, Endpoint, HealthState};
@@ -43,7 +44,7 @@
     /// Applies a record; returns whether it puts a new process into service.
     fn apply_record(&mut self, record: &EndpointRecord, trust: ListTrust, now: Duration) -> bool {
         let is_known = self.is_same_process(record);
-        // A removal may lack weight and zone, and an endpoint in service may stay in service with its own.
+        // A removal may lack weight and zone. An endpoint in service may stay there, so it keeps its own.
         if record.state != ListedState::Removed || !self.is_in_service() {
             self.apply_properties(record);
         }
@@ -51,7 +52,7 @@
             ListedState::Draining => self.enter(HealthState::Draining, now),
             ListedState::Removed => self.remove_from_list(trust.missing_may_serve, now),
             ListedState::Ready if is_known && self.is_listed() => self.missing_from_list = false,
-            // An earlier list was wrong about it: it is the same process, and its age tells how warm it is.
+            // An earlier list was wrong about it: it is the same process, and keeps its start time and speed factor.
             ListedState::Ready if is_known && trust.missing_may_serve => {
                 self.enter(HealthState::SlowStart, now)
             }
--- a/crates/controller/src/outlier_detection.rs
+++ b/crates/controller/src/outlier_detection.rs
@@ -110,13 +110,13 @@
         self.silence_seconds(now) >= baseline.silence_threshold_seconds()
     }
 
-    /// Whether it fails without ever having had a success, or is missing from the list and silent.
+    /// Whether it failed since its last success, and is either unverified or both missing from the list and silent.
     fn is_absent(&self, baseline: &FleetBaseline, now: Duration) -> bool {
         let lost = self.missing_from_list && self.is_silent(baseline, now);
         self.consecutive_failures >= 1.0 && (self.unverified || lost)
     }
 
-    /// Whether it only fails, which is neither chance nor a short overload, or health checks show that it is gone.
+    /// Whether it only fails, for longer than by chance or in a short overload, or health checks show that it is gone.
     /// A time without a success does not suffice: it may have had no attempts.
     fn is_dead(&self, baseline: &FleetBaseline, now: Duration) -> bool {
         let unanswered = self.unanswered_checks >= UNANSWERED_CHECK_LIMIT
@@ -146,7 +146,8 @@
         self.is_isolated || is_slow
     }
 
-    /// Enters the next health state if the time in the present one is over.
+    /// Enters the next health state if only time, or being warm, is required for it. Without health checks, an ejected
+    /// endpoint enters probation at once.
     fn advance(&mut self, is_warm: bool, health_checks_allowed: bool, now: Duration) {
         let elapsed = now.saturating_sub(self.health_since);
         match self.health {
@@ -205,8 +206,8 @@
         self.eject_failing(&failing, commands);
     }
 
-    /// Ejects failing endpoints, except overloaded ones and those of a zone of which most fails, where the cause is
-    /// shared: these stay in service with half of their weight.
+    /// Ejects failing endpoints, except overloaded ones and those of a zone in which most endpoints fail, since these
+    /// have a shared cause: both stay in service with half of their weight.
     fn eject_failing(&mut self, failing: &[ServerId], commands: &mut Vec<Command>) {
         let mostly_failing = self.zones_mostly_failing(failing);
         for &server in failing {
--- a/crates/controller/src/proxy.rs
+++ b/crates/controller/src/proxy.rs
@@ -12,7 +12,7 @@
 /// of the report.
 const RATE_HALF_LIFE_REQUESTS: f64 = 2.0;
 
-/// One proxy, by index; a proxy that is not connected has the default values.
+/// What the controller knows of one proxy; a proxy that is not connected has the default values.
 #[derive(Debug, Default)]
 pub(crate) struct Proxy {
     pub is_connected: bool,
--- a/crates/controller/src/publication.rs
+++ b/crates/controller/src/publication.rs
@@ -35,8 +35,8 @@
 const REMOVAL_URGENCY: f64 = f64::MAX;
 /// An admission rate that changes by less than this share is not published.
 const MIN_ADMISSION_CHANGE: f64 = 0.07;
-/// A proxy with a previous table waits for this many ticks with reports, after which an unreliable list was compared
-/// with reports.
+/// Under an unreliable list, a proxy keeps the table of an earlier planner until there were this many ticks with
+/// reports: by then the list has been compared with the reports.
 const TICKS_UNTIL_LIST_IS_CHECKED: u32 = 2;
 
 /// What may be sent at this evaluation, and what messages cost.
@@ -48,10 +48,10 @@
     pub is_open: bool,
     /// Entries that only a proxy's first table may use.
     pub first_table_reserve: f64,
-    /// Overhead of a message, in entries, that is reserved for all proxies before an update is composed; else 0.
+    /// Cost of a message beyond its entries (the configured overhead plus 1) if the queue can hold that for all
+    /// proxies: it is reserved before an update is composed. Otherwise 0.
     pub message_cost: f64,
-    /// Overhead of a message, in entries, that is charged for each recipient since the queue cannot hold it for all
-    /// proxies; else 0.
+    /// The same cost if the queue cannot hold it for all proxies: it is charged for each recipient. Otherwise 0.
     pub cost_per_recipient: f64,
 }
 
@@ -116,7 +116,8 @@
         }
         let has_entries = !self.channel.recipients.is_empty();
         let has_reassigned = self.assign_tables(&window, commands);
-        // Reassignments count as updates, or classes that are isolated and joined again would exceed the message limit.
+        // Reassignments count as updates: classes that alternate between isolated and shared would otherwise exceed the
+        // message limit.
         if has_entries || has_reassigned {
             self.channel.last_update = self.now;
         }
--- a/crates/controller/src/retry_policy.rs
+++ b/crates/controller/src/retry_policy.rs
@@ -16,7 +16,7 @@
     Twice = 3,
 }
 
-/// Retries are allowed again once all requests have been admitted for this long.
+/// Retries are allowed again if all requests are admitted and load was last shed at least this long ago.
 const RETRY_RECOVERY: Duration = Duration::from_secs(5);
 /// An admission limit of this many times the arrival rate or more rejects nothing.
 const UNLIMITED_MARGIN: f64 = 1.2;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Allows retries again once all requests have been admitted for [`RETRY_RECOVERY`]; they are the last load to
-    /// return.
+    /// Allows retries again, as the last load to return, if all requests are admitted and load was last shed at
+    /// least [`RETRY_RECOVERY`] ago.
     ///
     /// `arrival_rate` is in requests per second over all proxies and classes.
     pub(crate) fn restore_retries(&mut self, arrival_rate: f64, now: Duration) {
--- a/crates/controller/src/slow_start.rs
+++ b/crates/controller/src/slow_start.rs
@@ -14,6 +14,7 @@
 /// most [`RECOVERY_SECONDS`].
 const WARM_UP_MULTIPLE: f64 = 1.5;
 const MIN_SLOW_START_SECONDS: f64 = 2.0;
+/// Lower bound of the configured warm-up time, which is a divisor.
 const MIN_WARM_UP_SECONDS: f64 = 0.1;
 /// A warming endpoint gets requests once its capacity (0 to 1) reaches this times the square of the fleet's pressure,
 /// within bounds: 0.4 up to a pressure of 1.8, 0.75 at 2.5, full capacity from 2.9 on.
--- a/crates/controller/src/statistics.rs
+++ b/crates/controller/src/statistics.rs
@@ -6,7 +6,7 @@
     *average += (sample - *average) * if *average > 0.0 { weight } else { 1.0 };
 }
 
-/// Whether two optional values are equal, or differ by less than a share of the first.
+/// Whether both values are `None`, or both are given and differ by less than `share` of the first.
 pub(crate) fn is_within(first: Option<f64>, second: Option<f64>, share: f64) -> bool {
     match (first, second) {
         (Some(first), Some(second)) => (second - first).abs() < first * share,
--- a/crates/controller/src/subsetting.rs
+++ b/crates/controller/src/subsetting.rs
@@ -1,7 +1,8 @@
 //! Subsetting: divides endpoints and proxies into subsets that share a table.
 //!
 //! If the channel can publish a table of all endpoints fast enough, there is one subset, and all proxies share that
-//! table. Otherwise there are more, each with a table of its own and one for its isolated classes.
+//! table. Otherwise endpoints and proxies are divided into subsets of about ten endpoints. Each subset has one table
+//! for all classes and one for its isolated classes.
 
 use crate::controller::Controller;
 use crate::event::{ServerId, TableId, ZoneId};
@@ -25,7 +26,7 @@
 const LAST_ENDPOINT_RATIO: f64 = 1.01;
 /// A subset with at most this weight has no usable endpoint.
 const NO_WEIGHT: f64 = 1e-9;
-/// Lower bound of a subset's load, in requests per second, where its weight is divided by it.
+/// Lower bound of a subset's load, in requests per second, when a subset for an orphaned proxy is chosen.
 const MIN_LOAD: f64 = 1e-3;
 /// Time between two relocations of one proxy, if the number of messages is not limited.
 const RELOCATION_INTERVAL: Duration = Duration::from_secs(2);
@@ -49,10 +50,12 @@
 pub(crate) struct Subset {
     /// The preferred zone of its proxies and endpoints; `None` for any zone.
     pub zone: Option<ZoneId>,
-    /// Requests per second that arrive at its proxies; at least a share of the mean load once subsets are assigned.
+    /// Requests per second that arrive at its proxies. A subset with proxies counts with at least [`MIN_LOAD_SHARE`] of
+    /// the mean load.
     pub load: f64,
     /// The sum of its endpoints' weights.
     pub weight: f64,
+    /// Number of its listed endpoints.
     pub endpoint_count: usize,
     pub proxy_count: f64,
     /// The classes isolated in it, one bit each.
@@ -64,7 +67,7 @@
         self.zone.is_some_and(|own| own != zone)
     }
 
-    /// Weight per request per second.
+    /// Weight per request per second; infinite or NaN for a subset without load.
     fn weight_per_load(&self) -> f64 {
         self.weight / self.load
     }
@@ -180,9 +183,8 @@
         self.subsets = (0..count as usize).map(subset).collect();
     }
 
-    /// The number of zones that subsets are divided by; 1 for no division. With planners that may serve the proxies
-    /// of one zone alone, subsets are not divided: such a planner's proxies would share one table of all endpoints
-    /// again.
+    /// The number of zones that subsets are divided by; 1 if they have no zone. They have none if a planner may serve
+    /// the proxies of a single zone: only the subsets of that zone would have proxies, and would get all endpoints.
     fn subset_zones(&self) -> f64 {
         let zones = self.config.zone_count.max(1.0);
         let may_have_one_zone = zones < 2.0 * self.config.planner_count;
@@ -290,8 +292,8 @@
         })
     }
 
-    /// Selects endpoints for isolated classes: the first warm ones, up to the isolated share of the weight. The very
-    /// first stays shared.
+    /// Selects warm endpoints for isolated classes, by index, until they have the isolated share of the weight. The
+    /// first warm endpoint stays shared.
     fn select_isolated_endpoints(&mut self, subset: usize, warm: &[(ServerId, f64)]) {
         let total_weight = warm.iter().map(|(_, weight)| weight).sum::<f64>();
         let mut remaining = total_weight * self.admission.isolated_share;
--- a/crates/controller/src/tests/publication.rs
+++ b/crates/controller/src/tests/publication.rs
@@ -175,7 +175,7 @@
             .filter(|command| matches!(command, Command::AssignTable { .. }))
             .count()
     };
-    // The queue has 4,000 entries, of which 500 are message overhead; an assignment needs eleven.
+    // The queue has 4,000 entries, of which 500 are reserved for messages; an assignment needs eleven.
     assert_eq!(assignments(1500.0, None), 1000 / 11);
     assert_eq!(assignments(2400.0, None), 100 / 11);
     assert_eq!(assignments(2500.0, None), 0);
@@ -209,7 +209,7 @@
 #[test]
 fn first_tables_go_out_though_the_overhead_of_all_messages_exceeds_the_queue() {
     let mut controller = controller((0..10).map(|_| healthy_endpoint(0)).collect());
-    // A message has an overhead of five entries; the queue holds 4,000.
+    // A message costs five entries beyond those that it carries; the queue holds 4,000.
     controller.proxies = (0..1000).map(|_| proxy(None)).collect();
     let (mut shortages, mut is_assigned) = (0, BTreeSet::new());
     for _ in 0..20 {
