--- a/crates/guard/src/capacity.rs
+++ b/crates/guard/src/capacity.rs
@@ -33,7 +33,7 @@
     until: Duration,
 }
 
-/// All servers that were ever listed, and the estimate of their capacity.
+/// All servers that were ever listed or reported on, and the estimate of their capacity.
 #[derive(Debug)]
 pub(crate) struct Servers {
     pub config: GuardConfig,
@@ -88,7 +88,7 @@
         tracked.started = started;
     }
 
-    /// Overrides the configured overload multiple before time `until`.
+    /// Overrides the configured overload multiple up to the time `until`.
     pub fn raise_overload_multiple(&mut self, multiple: f64, until: Duration) {
         self.raised_multiple = Some(RaisedMultiple { multiple, until });
     }
@@ -155,7 +155,7 @@
         let raised = self.raised_multiple.filter(|raised| now < raised.until);
         let multiple = raised.map_or(self.config.overload_multiple, |raised| raised.multiple);
         let planners = self.config.planner_count;
-        let limit_over_planners = multiple * self.config.warm_fraction(tracked.started, now) * planners;
-        Some((limit_over_planners - (planners - 1.0)) * capacity_per_weight * tracked.configured_weight)
+        let limit_for_all_planners = multiple * self.config.warm_fraction(tracked.started, now) * planners;
+        Some((limit_for_all_planners - (planners - 1.0)) * capacity_per_weight * tracked.configured_weight)
     }
 }
--- a/crates/guard/src/guard.rs
+++ b/crates/guard/src/guard.rs
@@ -70,7 +70,7 @@
         &self.rejection_counts
     }
 
-    /// Overrides [`GuardConfig::overload_multiple`], the limit on the load of cold servers, before time `until`.
+    /// Overrides [`GuardConfig::overload_multiple`], the limit on the load of cold servers, up to the time `until`.
     pub fn raise_overload_multiple(&mut self, multiple: f64, until: Duration) {
         self.state.servers.raise_overload_multiple(multiple, until);
     }
--- a/crates/guard/src/rejection.rs
+++ b/crates/guard/src/rejection.rs
@@ -73,7 +73,7 @@
     pub command: Command,
     /// The table that the command would have changed; for an ejection, one of the tables that list the server.
     pub table: TableId,
-    /// Number of proxies assigned to the table; 0 for an unusable value.
+    /// Number of proxies assigned to the table; 0 for a malformed value or too low an admission rate.
     pub proxy_count: usize,
     /// Up to five of these proxies.
     pub first_proxies: Vec<ProxyId>,
--- a/crates/guard/src/rules/cold_overload.rs
+++ b/crates/guard/src/rules/cold_overload.rs
@@ -81,7 +81,7 @@
         let Some(change) = change.filter(LoadChange::is_overload) else { return };
         let raises = |command: &Command| self.raises_entry(command, server);
         if self.reject(RejectionReason::OverloadsColdServer, server, &change, raises, rejections) == 0 {
-            // Its own entry is not raised: the load comes from what other servers lose.
+            // Its own entry is not raised: the load comes from what other servers lose, or from reassigned proxies.
             let shifts = |command: &Command| self.shifts_load_to(command, server);
             self.reject(RejectionReason::ShiftsLoadToColdServer, server, &change, shifts, rejections);
         }
