--- a/crates/versioned-publisher/src/publisher.rs
+++ b/crates/versioned-publisher/src/publisher.rs
@@ -12,7 +12,8 @@
 /// connections by a session number.
 #[derive(Debug)]
 pub struct Publisher {
-    /// Rises with each start of the planner, so that versions published by an earlier start are told apart.
+    /// Rises with each start of the planner and each [`Publisher::restart`], so that versions published before are told
+    /// apart.
     epoch: u64,
     tables: BTreeMap<Topic, PublishedTable>,
     subscribers: BTreeMap<String, Subscriber>,
--- a/crates/versioned-publisher/src/reconnect_queue.rs
+++ b/crates/versioned-publisher/src/reconnect_queue.rs
@@ -12,7 +12,8 @@
 const ADMISSION_FRACTION: f64 = 0.25;
 /// Shortest time, in seconds, over which admissions are spread.
 const MIN_ADMISSION_SECONDS: f64 = 0.001;
-/// The token bucket holds the admissions of one second divided by this, so that a late caller admits no larger burst.
+/// The token bucket holds the admissions of one second divided by this, and at least one, so that a late caller admits
+/// no larger burst.
 const BURSTS_PER_SECOND: f64 = 10.0;
 /// Limit of waiting subscribers, more than a planner has proxies. Any further ones are rejected, and connect again.
 pub const MAX_WAITING_SUBSCRIBERS: usize = 4096;
--- a/crates/versioned-publisher/src/subscriber.rs
+++ b/crates/versioned-publisher/src/subscriber.rs
@@ -8,7 +8,7 @@
 
 /// Limit of messages in flight to one subscriber; at the limit it receives no more until it acknowledges some.
 pub const MAX_IN_FLIGHT: usize = 8;
-/// Limit of tables per subscriber: one for each of 32 traffic classes, as many that it is no longer assigned to and
+/// Limit of tables per subscriber: one for each of 32 traffic classes, another 32 that it is no longer assigned to and
 /// still holds, the ejections, and the assignments.
 pub const MAX_TOPICS: usize = 66;
 
--- a/crates/versioned-publisher/src/update.rs
+++ b/crates/versioned-publisher/src/update.rs
@@ -6,14 +6,14 @@
 /// Version of a table within an epoch, counted up from 0.
 pub type Version = u64;
 
-/// Changes in one part: about 16 KB of text. Parts are this small so that what is buffered for a slow subscriber is no
-/// more than a few of them.
+/// Maximum number of changes in one part: about 16 KB of text. Parts are this small so that the buffer of a slow
+/// subscriber, which holds a few of them, stays small too.
 pub const MAX_CHANGES_PER_PART: usize = 128;
 
 /// A version of a table that a subscriber holds. Older versions order first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeldVersion {
-    /// The publisher's epoch that the version belongs to; a new one begins with each start of the publisher.
+    /// The publisher's epoch that the version belongs to; a new one begins with each start or restart of the publisher.
     pub epoch: u64,
     /// The version within the epoch.
     pub version: Version,
