--- a/crates/distribution/src/distributor.rs
+++ b/crates/distribution/src/distributor.rs
@@ -83,7 +83,8 @@
     removed_servers: BTreeMap<u16, RemovedServers>,
     /// Whether subsets are published, which starts once a proxy that needs them connects.
     publishes_subsets: bool,
-    /// Longest time after a table's change until requests that were in flight at the change have ended.
+    /// Time after a proxy's acknowledgement in which its reports may still contain requests that were in flight: the
+    /// longest request deadline and [`REPORT_TOLERANCE`]. Not the grace period of drains.
     grace_period: Duration,
     /// Resyncs of proxies whose reports contradicted their acknowledgements.
     resync_count: u64,
--- a/crates/distribution/src/distributor/delivery.rs
+++ b/crates/distribution/src/distributor/delivery.rs
@@ -78,7 +78,8 @@
         self.handle_held_versions(now, proxy, number, held)
     }
 
-    /// Handles a proxy's rejection of a message of `topic`, whose next update is a snapshot.
+    /// Handles a proxy's rejection of message `number`, which acknowledges all before it. The next update of `topic` is
+    /// a snapshot; after too many consecutive rejections the verdict is [`Verdict::Disconnect`].
     pub fn reject(&mut self, now: Duration, proxy: ProxyId, number: u64, topic: Topic) -> RejectionOutcome {
         let Some(member) = self.members.get_mut(&proxy) else {
             return RejectionOutcome { newest_in_force: None, verdict: Verdict::Trusted };
--- a/crates/distribution/src/distributor/publication.rs
+++ b/crates/distribution/src/distributor/publication.rs
@@ -108,7 +108,8 @@
         for topic in member.topics(proxy) {
             subscribe(&mut self.publisher, member, topic);
         }
-        // A proxy's first assignments make it drop all tables that they do not name.
+        // A proxy's first assignments make it drop all tables that they do not name, so later subscriptions cannot
+        // resume from versions that it reported when it connected.
         member.held_versions.clear();
     }
 }
--- a/crates/distribution/src/member.rs
+++ b/crates/distribution/src/member.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Discards all state that belongs to the publisher's former epoch.
+    /// Discards the state that belongs to the publisher's former epoch. The counts of rejected messages are kept.
     pub(crate) fn restart(&mut self) {
         self.assignments.clear();
         self.held_versions.clear();
