--- a/crates/control-session/src/action.rs
+++ b/crates/control-session/src/action.rs
@@ -21,8 +21,8 @@
         /// By server name: whether the server was ejected.
         servers: BTreeMap<String, bool>,
     },
-    /// Send one message to one proxy. Proxies assigned to the same tables share the message; its encoding depends on
-    /// the transport.
+    /// Send one message to one proxy. Proxies that need the same changes and keep their assignment share the message;
+    /// its encoding depends on the transport.
     Send {
         /// The recipient.
         proxy: ProxyId,
--- a/crates/control-session/src/published_tables.rs
+++ b/crates/control-session/src/published_tables.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// The tables that a proxy is assigned to, and what it has still to be told of that.
+/// The tables that a proxy is assigned to, and which of the assignments are not sent to it yet.
 #[derive(Debug, Default)]
 struct AssignedTables {
     /// The assigned table of each class.
@@ -55,7 +55,7 @@
     /// Tables of this planner that the proxy was assigned to as of the last message with assignments.
     held_tables: BTreeSet<TableId>,
     /// No assignment was sent since the proxy connected: the first one replaces all that it holds.
-    awaits_first_message: bool,
+    awaits_first_assignment: bool,
 }
 
 impl AssignedTables {
@@ -68,7 +68,7 @@
     }
 
     fn record_sent_assignment(&mut self) {
-        self.awaits_first_message = false;
+        self.awaits_first_assignment = false;
         self.unsent_classes = BTreeSet::new();
         self.unsent_tables = BTreeSet::new();
         self.held_tables = self.tables();
@@ -111,7 +111,7 @@
 
     /// Adds a proxy that is not assigned to any table yet.
     pub fn connect_proxy(&mut self, proxy: ProxyId) {
-        let assigned = AssignedTables { awaits_first_message: true, ..AssignedTables::default() };
+        let assigned = AssignedTables { awaits_first_assignment: true, ..AssignedTables::default() };
         self.assignments.insert(proxy, assigned);
     }
 
@@ -234,7 +234,7 @@
     ) -> Option<(Rc<UpdateMessage>, usize)> {
         let mut changed_tables = Vec::from_iter(assigned.tables());
         changed_tables.retain(|table| self.deltas.contains_key(table));
-        // A proxy without an assignment by this planner learns of ejections from its first message.
+        // A proxy without an assignment by this planner gets all ejections with its first assignment.
         let has_ejections = !self.ejection_changes.is_empty() && !assigned.table_of_class.is_empty();
         if changed_tables.is_empty() && !has_ejections && !is_required {
             return None;
@@ -262,7 +262,7 @@
 
     /// The message for a proxy whose assignment changed.
     fn assignment_message(&self, assigned: &AssignedTables, names: &IndexNames) -> UpdateMessage {
-        let is_first = assigned.awaits_first_message;
+        let is_first = assigned.awaits_first_assignment;
         let mut message = UpdateMessage { replaces_all: is_first, ..UpdateMessage::default() };
         for (class, table) in &assigned.table_of_class {
             if is_first || assigned.unsent_classes.contains(class) {
--- a/crates/control-session/src/recording.rs
+++ b/crates/control-session/src/recording.rs
@@ -133,7 +133,8 @@
 }
 
 /// The entry for a step's outcome; `rejections` is the number of commands that the guard rejected in it. The text of
-/// a message that several proxies share is recorded once.
+/// a message that several proxies share is recorded once. The duration is 0 until the runtime, which measures it, sets
+/// it.
 pub(crate) fn step(session: &ControlSession, actions: &[Action], rejections: usize) -> RecordedEvent {
     let mut texts = Vec::new();
     let mut text_of_message = BTreeMap::new();
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -43,8 +43,8 @@
     pub name: String,
     /// Its speed relative to its weight.
     pub speed_factor: f64,
-    /// When it was last out of service for failures, in milliseconds since 1970: now if it is ejected. `None` if no
-    /// ejection is known.
+    /// When it was last ejected for failures, in milliseconds since 1970, or the present time if it is ejected now.
+    /// `None` if no ejection is known.
     pub last_ejected_ms: Option<u64>,
     /// Whether it is out of service for long, after repeated ejections.
     pub is_long_ejected: bool,
