--- a/crates/platform-protocol/src/health_check.rs
+++ b/crates/platform-protocol/src/health_check.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The time after which a health check without an outcome fails, over all its connections.
+/// A health check that has no outcome this long after its start fails, even if its second connection is younger.
 pub const TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum number of concurrent health checks; each takes a file descriptor.
 pub const MAX_CONCURRENT: usize = 16;
--- a/crates/platform-protocol/src/list_revisions.rs
+++ b/crates/platform-protocol/src/list_revisions.rs
@@ -19,7 +19,7 @@
     Older,
     /// Of the held revision, of which all changes were applied.
     Held,
-    /// Possibly with changes that were not applied.
+    /// Newer than the held revision, or of the held one while some changes may not have been applied.
     New,
 }
 
@@ -84,8 +84,8 @@
 
     /// Records that a list or change from the watch was applied.
     ///
-    /// A malformed entry may contain a drain: changes are requested from the revision before it, up to [`MAX_RETRIES`]
-    /// times.
+    /// A malformed entry may contain a drain: the changes since the last complete revision are requested again, up to
+    /// [`MAX_RETRIES`] times in a row.
     pub fn record_applied(&mut self, revision: u64, has_malformed_entry: bool) {
         self.newest = revision;
         if has_malformed_entry && self.malformed_lists < MAX_RETRIES {
--- a/crates/platform-protocol/src/message.rs
+++ b/crates/platform-protocol/src/message.rs
@@ -179,7 +179,7 @@
         value.ok_or(MalformedMessage::InvalidField(field))
     }
 
-    /// A duration, which the wire has in milliseconds.
+    /// A duration; the field contains it in milliseconds.
     fn duration(&self, field: &'static str) -> Result<Duration, MalformedMessage> {
         self.number(field, MAX_DURATION_MS).map(|ms| Duration::from_secs_f64(ms / 1000.0))
     }
--- a/crates/platform-protocol/src/name_registry.rs
+++ b/crates/platform-protocol/src/name_registry.rs
@@ -5,7 +5,7 @@
 /// The names in the protocol's messages, mapped to the controller's indices.
 #[derive(Debug, Clone, Default)]
 pub struct NameRegistry {
-    /// Zones, in the order of the settings.
+    /// Zones: those of the settings in their order, then those that only endpoint lists name.
     pub zones: IdMap<String>,
     /// Kinds of machines, in the order in which they first appear in endpoint lists.
     pub kinds: IdMap<String>,
--- a/crates/platform-protocol/src/session.rs
+++ b/crates/platform-protocol/src/session.rs
@@ -12,7 +12,7 @@
 ///
 /// The protocol allows closing after one second and requires it within three.
 pub const IDENTIFICATION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The age from which a connection that has sent nothing may be evicted to make room.
+/// The age from which an unidentified connection without a partial message may be evicted to make room.
 const MIN_SILENT_AGE: Duration = Duration::from_millis(100);
 /// The age from which an unidentified connection with a partial message may be evicted to make room.
 const MIN_PARTIAL_AGE: Duration = Duration::from_millis(400);
@@ -27,7 +27,7 @@
 /// The role in which a connection has identified itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// None yet.
+    /// The connection has not identified itself yet.
     Unidentified,
     /// Sends outcome and arrival reports of a zone.
     Collector(ZoneId),
--- a/crates/platform-protocol/src/table_sync.rs
+++ b/crates/platform-protocol/src/table_sync.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The time from a proxy's connection to now, its first acknowledgement; `None` at all further calls.
+    /// The time from a proxy's connection to `now`, when its first acknowledgement arrived; `None` on all later calls.
     pub fn take_table_wait(&mut self, proxy: ProxyId, now: Duration) -> Option<Duration> {
         let since = self.streams.get_mut(&proxy)?.awaiting_table_since.take()?;
         Some(now.saturating_sub(since))
--- a/crates/platform-protocol/src/tests/session.rs
+++ b/crates/platform-protocol/src/tests/session.rs
@@ -58,7 +58,7 @@
     sessions.register_stream(299, 5);
     let evicted = sessions.connections_to_close(ms(400));
 
-    // As many as exceed the limit less one free place, the oldest first.
+    // 38 unidentified connections fit beside the stream and one free place; the others are evicted, oldest first.
     assert_eq!((evicted.len(), evicted[0], evicted.contains(&299)), (299 - 38, 0, false));
 
     evicted.into_iter().for_each(|conn| _ = sessions.remove(conn));
--- a/crates/platform-protocol/src/tests/termination.rs
+++ b/crates/platform-protocol/src/tests/termination.rs
@@ -1,4 +1,4 @@
-//! Tests of streams and partial messages that end. Each forces one particular order of events.
+//! Tests of streams that end and of messages that are never completed. Each forces one particular order of events.
 
 use super::*;
 
--- a/crates/platform-protocol/src/update_message.rs
+++ b/crates/platform-protocol/src/update_message.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Adds admission settings of some classes to an update: to its last part if that has the same settings and no entries,
-/// else as a new part.
+/// Adds admission settings of some classes to an update: to its last part if that has the same settings and changes
+/// neither entries nor ejections, else as a new part.
 pub(crate) fn push_admission(parts: &mut Vec<UpdatePart>, class_mask: u64, admission: AdmissionSettings) {
     let last = parts.last_mut().filter(|part| part.admission == Some(admission) && part.has_no_entries());
     match last {
--- a/crates/platform-protocol/tests/wire_snapshot.rs
+++ b/crates/platform-protocol/tests/wire_snapshot.rs
@@ -70,7 +70,8 @@
     messages
 }
 
-/// An outcome report of a server: one fails in some steps, and all of them in some later ones.
+/// An outcome report of server `s-{id}`: `s-2` fails most attempts in steps 120 to 159, and all servers do in steps 200
+/// to 259.
 fn outcome_report(id: u64, step: u64) -> Value {
     let failing = (120..160).contains(&step) && id == 2 || (200..260).contains(&step);
     let fail = if failing { 25 } else { step * id % 2 };
