--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -19,8 +19,8 @@
     /// The session ended. The outcome of an edit without a reply is unknown; it may be sent again under its id.
     #[error("the session ended: {0}")]
     Ended(String),
-    /// No reply came in time.
-    #[error("no answer within {0:?}")]
+    /// The planner's hello, a reply or a notification was awaited and did not arrive in time.
+    #[error("no answer from the planner within {0:?}")]
     Timeout(Duration),
     /// The planner replied with an error.
     #[error("rejected: {0}")]
--- a/crates/daemon/src/commands/replay.rs
+++ b/crates/daemon/src/commands/replay.rs
@@ -163,7 +163,7 @@
             let (value, low, high) = estimate.into();
             println!("  would be {value:.4}, 95% prediction interval {low:.4} to {high:.4}");
         }
-        None => println!("  would be unknown: the event log holds too few outcomes for an estimate"),
+        None => println!("  would be unknown: the event log shows too few outcomes under the other settings"),
     }
     for class in &service.classes {
         let would = class.changed.map_or("unknown".into(), |would| format!("{would:.4}"));
@@ -173,7 +173,7 @@
         );
     }
     println!(
-        "  support {:.3}; the estimate is valid for {:.0} of {:.0} s",
+        "  support {:.3}; the estimate is valid for the first {:.0} of {:.0} s",
         service.support, service.valid_seconds, comparison.seconds
     );
 }
--- a/crates/daemon/src/platform_runtime/health_checks.rs
+++ b/crates/daemon/src/platform_runtime/health_checks.rs
@@ -60,7 +60,12 @@
     pub(super) fn report_health_check(&mut self, check: &HealthCheck, outcome: HealthCheckOutcome) {
         let elapsed = self.now().saturating_sub(check.started_at);
         if outcome.result != HealthCheckResult::Success {
-            tracing::info!(to = %check.address, found = ?outcome.result, after = ?elapsed, "probed");
+            tracing::info!(
+                to = %check.address,
+                found = ?outcome.result,
+                after = ?elapsed,
+                "health check did not succeed"
+            );
         }
         self.platform.handle_health_check(check.ticket, outcome, elapsed);
     }
--- a/crates/daemon/src/platform_runtime/list_watch.rs
+++ b/crates/daemon/src/platform_runtime/list_watch.rs
@@ -25,7 +25,7 @@
             self.restart_watch();
         }
         for conn in self.watch.take_expired(read_until) {
-            tracing::info!(at = %address, "the watch is silent");
+            tracing::info!(at = %address, "a connection of the watch has timed out and is closed");
             self.event_loop.abort(conn);
         }
         let now = self.now();
