--- a/crates/daemon/src/commands/edit.rs
+++ b/crates/daemon/src/commands/edit.rs
@@ -111,7 +111,8 @@
     client.wait_for_notification(is_edit).or_else(|error| find_in_force(client, id).ok_or(error))
 }
 
-/// The edit in the planner's state, if it is in force there: a repeated edit is notified only once.
+/// Returns the edit from the planner's state, if it is in force there. No notification follows for a repeated edit that
+/// was already in force.
 fn find_in_force(client: &mut Client, id: Option<&str>) -> Option<Element> {
     let reply = client.get(Element::new(STATE_NAMESPACE, "state")).ok()?;
     let state = reply.child("data")?.child("state")?;
--- a/crates/daemon/src/commands/error.rs
+++ b/crates/daemon/src/commands/error.rs
@@ -15,7 +15,7 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// The error of the system.
+        /// The operating system's error.
         source: io::Error,
     },
     /// A file is not well-formed XML.
--- a/crates/daemon/src/commands/guard.rs
+++ b/crates/daemon/src/commands/guard.rs
@@ -58,7 +58,7 @@
     );
 }
 
-/// Checks the case again, and prints the rejection that results.
+/// Checks the case again, and prints whether it is rejected again.
 fn print_verdict(case: &RejectionCase) {
     let server = |server: usize| format!("server {server}");
     let proxy = |proxy: usize| format!("proxy {proxy}");
--- a/crates/daemon/src/commands/guard/tests.rs
+++ b/crates/daemon/src/commands/guard/tests.rs
@@ -27,7 +27,8 @@
     guard
 }
 
-/// A text log holds a case as plain JSON, a JSON log as JSON escaped within a string.
+/// Guards against rejections that are not found in one of the two log formats: a text log holds a case as plain JSON, a
+/// JSON log as JSON escaped within a string.
 #[test]
 fn rejections_are_found_in_text_and_json_logs_and_checked_again() {
     // Given a text log and a JSON log with the same rejection
--- a/crates/daemon/src/config_service.rs
+++ b/crates/daemon/src/config_service.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// The SHA-256 of an edit's content in hexadecimal, by which a repeated edit is recognised.
+/// The SHA-256 of an edit's content in hexadecimal, which distinguishes a repeated edit from another one under its id.
 fn digest(content: &str) -> String {
     let hash = ring::digest::digest(&ring::digest::SHA256, content.as_bytes());
     hash.as_ref().iter().map(|byte| format!("{byte:02x}")).collect()
@@ -292,21 +292,21 @@
 
     // Validation.
 
-    /// Validates new data. Returns the fleet, if it changed, and the change of the endpoint list.
-    fn validate(&self, wanted: &Element) -> Result<(Option<Fleet>, EndpointListChange), Vec<RpcError>> {
-        let Some(fleet_element) = part(wanted, FLEET_PART) else {
+    /// Validates a new datastore. Returns the fleet, if it changed, and the change of the endpoint list.
+    fn validate(&self, datastore: &Element) -> Result<(Option<Fleet>, EndpointListChange), Vec<RpcError>> {
+        let Some(fleet_element) = part(datastore, FLEET_PART) else {
             let error = RpcError::application(Tag::DataMissing, "there must be a <fleet>");
             return Err(vec![error.at("/fleet")]);
         };
         let mut fleet = None;
-        if !is_same_part(wanted, &self.accepted.data, FLEET_PART) {
+        if !is_same_part(datastore, &self.accepted.data, FLEET_PART) {
             self.schema.check(&self.without_valid_servers(fleet_element))?;
             fleet = Some(Fleet::read(fleet_element).map_err(invalid_value)?);
         }
-        let endpoints = if is_same_part(wanted, &self.accepted.data, ENDPOINT_LIST_PART) {
+        let endpoints = if is_same_part(datastore, &self.accepted.data, ENDPOINT_LIST_PART) {
             EndpointListChange::default()
         } else {
-            self.endpoints.difference(wanted, &self.schema)?
+            self.endpoints.difference(datastore, &self.schema)?
         };
         self.check_endpoints_fit(fleet.as_ref(), &endpoints)?;
         if let Some(fleet) = &fleet {
@@ -387,8 +387,8 @@
         std::mem::take(&mut self.state_reply)
     }
 
-    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
-        self.validate(wanted).map(|_| ())
+    fn validate_datastore(&mut self, datastore: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+        self.validate(datastore).map(|_| ())
     }
 
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
@@ -428,8 +428,8 @@
         }
     }
 
-    fn authorize(&mut self, who: &str, access: Access) -> Result<(), RpcError> {
-        self.access.check(self.now, who, access)
+    fn authorize(&mut self, client: &str, access: Access) -> Result<(), RpcError> {
+        self.access.check(self.now, client, access)
     }
 
     fn schemas(&self) -> &[(&'static str, &'static str, &'static str)] {
--- a/crates/daemon/src/config_service/access_control.rs
+++ b/crates/daemon/src/config_service/access_control.rs
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(super) struct AccessControl {
     pub rules: Vec<AccessRule>,
-    /// Whether a client is a proxy, by its name.
+    /// Whether a client is a proxy, by its name. An unknown client counts as a proxy, and so may not edit.
     is_proxy: BTreeMap<String, bool>,
     /// Identities of clients, by name.
     identities: BTreeMap<String, SpiffeId>,
@@ -65,7 +65,8 @@
         Ok(())
     }
 
-    /// Checks that the rules allow at least one of the accesses; if not, records the first as denied.
+    /// Checks that the rules allow at least one of the accesses; without rules all are allowed. If none is allowed, the
+    /// first one is recorded as denied; a client without an identity is denied without a record.
     pub(super) fn check_any(
         &mut self,
         now: Duration,
--- a/crates/daemon/src/config_service/guard_check.rs
+++ b/crates/daemon/src/config_service/guard_check.rs
@@ -1,4 +1,4 @@
-//! The guard's checks of an edit: that servers stay in service, and that a limit is not raised for too long.
+//! The guard's checks of an edit: that usable servers remain, and that a limit is not raised for too long.
 
 use runloom_guard::edit_validation::{validate_edit, PoolServer};
 use runloom_inventory::merge_overrides;
@@ -21,7 +21,7 @@
     Ok(())
 }
 
-/// Checks that an edit leaves at least one server in service.
+/// Checks that an edit leaves a usable server if there was one before it, and a warm one if one was warm.
 pub(super) fn check_servers_remain(before: &[PoolServer], after: &[PoolServer]) -> Result<(), Vec<RpcError>> {
     validate_edit(before, after).map_err(|empties| {
         let first = empties.removed_servers.first().cloned().unwrap_or_default();
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -171,7 +171,7 @@
     headers.iter().map(owned).collect()
 }
 
-/// Writes headers and body without the hop-by-hop headers.
+/// Writes the headers without the hop-by-hop ones, the content length, and the body.
 fn write_headers_and_body(headers: &[Header], body: &[u8], out: &mut Vec<u8>) {
     for (name, value) in headers.iter().filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str())) {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -137,15 +137,15 @@
     /// Second of the event log at which the replay ends.
     #[arg(long = "until", value_name = "UNTIL")]
     until_seconds: Option<f64>,
-    /// Scenario file for runloom-testbed to write in place of a replay, with the sizes, traffic, edits and faults that
-    /// the event log shows.
+    /// Writes a scenario file for runloom-testbed instead of replaying: the sizes, traffic, edits and faults that the
+    /// event log shows.
     #[arg(long = "day", value_name = "DAY")]
     scenario: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum StateCommand {
-    /// Lists the files with version, generation, entries, and bytes at the end that are no complete entry.
+    /// Lists the files with version, generation, number of intact entries, and bytes after the last of these.
     Ls { folder: PathBuf },
     /// Shows the stored fleet and edits, and the learned state of servers with the hints that it gives now.
     Show { folder: PathBuf },
@@ -259,7 +259,7 @@
     }
 }
 
-/// 0, or 1 for a check that found faults.
+/// Exit code 0, or 1 for a check that found faults.
 fn exit_code(is_valid: bool) -> ExitCode {
     if is_valid {
         ExitCode::SUCCESS
--- a/crates/daemon/src/planner_runtime/core.rs
+++ b/crates/daemon/src/planner_runtime/core.rs
@@ -104,7 +104,7 @@
         self.connected.get(&proxy).map(|connected| connected.connection)
     }
 
-    /// Records that a proxy has applied `update` and all before it; `None`: no update is complete yet.
+    /// Records that a proxy has applied `update` and all before it; `None`: no further update is complete yet.
     pub(super) fn update_applied(&mut self, now: Duration, proxy: ProxyId, update: Option<u64>) {
         if let Some(update) = update {
             self.control.acknowledge(now, proxy, update);
--- a/crates/daemon/src/planner_runtime/event_recording.rs
+++ b/crates/daemon/src/planner_runtime/event_recording.rs
@@ -18,13 +18,14 @@
 }
 
 impl EventRecording {
-    /// Opens the event log, if the settings name a folder for it, and records the start.
+    /// Opens the event log, if the settings name a folder for it, and records the start. `started_at_ms` is the
+    /// wall-clock time from which the log counts, in milliseconds since 1970.
     pub(super) fn open(
         settings: &PlannerSettings,
         control: &mut ControlSession,
         config: &ConfigService,
         seed: u64,
-        epoch: u64,
+        started_at_ms: u64,
     ) -> io::Result<EventRecording> {
         let Some(folder) = &settings.record_folder else {
             return Ok(EventRecording { writer: None, is_stopped: false });
@@ -36,14 +37,15 @@
             build: BUILD.to_string(),
             planner: settings.name.clone(),
             seed,
-            epoch_ms: epoch,
+            epoch_ms: started_at_ms,
             fleet: config.persisted_fleet_text(),
         };
         control.recorded_events = Some(vec![(Duration::ZERO, start)]);
         Ok(EventRecording { writer: Some(BackgroundWriter::new(recorder)), is_stopped: false })
     }
 
-    /// Writes the events of an iteration whose controller step began at `iteration_start`.
+    /// Writes the events of an iteration. The time from `iteration_start` to `now` is recorded as the duration of its
+    /// controller step.
     pub(super) fn write(&mut self, control: &mut ControlSession, now: Duration, iteration_start: Duration) {
         let (Some(writer), Some(recorded_events)) = (&mut self.writer, &mut control.recorded_events) else {
             return;
--- a/crates/daemon/src/planner_runtime/operator_sessions.rs
+++ b/crates/daemon/src/planner_runtime/operator_sessions.rs
@@ -154,7 +154,7 @@
     }
 
     /// Aborts the sessions whose pending replies depend on edits that could not be written. Their clients do not learn
-    /// whether these edits were accepted, and retry them with the same edit id.
+    /// whether these edits were accepted, and can send them again under the same edit id.
     pub(super) fn abort_unsaved(&mut self, core: &mut PlannerCore, event_loop: &mut EventLoop) {
         let durable = core.edit_batches.durable;
         let is_unsaved = |operator: &OperatorSession| {
--- a/crates/daemon/src/planner_runtime/proxy_event.rs
+++ b/crates/daemon/src/planner_runtime/proxy_event.rs
@@ -1,4 +1,4 @@
-//! Events of a proxy's session, common to both protocols.
+//! Events of a proxy's session, common to NETCONF and MQTT.
 
 use runloom_distribution::PendingProxy;
 use runloom_event_loop::CloseReason;
--- a/crates/daemon/src/planner_runtime/proxy_session.rs
+++ b/crates/daemon/src/planner_runtime/proxy_session.rs
@@ -1,4 +1,4 @@
-//! One proxy's session, over either of the two protocols.
+//! One proxy's session, over NETCONF or MQTT.
 
 use super::call_home::CallHomeSession;
 use super::core::ProxyId;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends a message of the distributor; ignores one of the other protocol.
+    /// Sends a message of the distributor; ignores one that is for the other protocol.
     pub(super) fn send(&mut self, now: Duration, outgoing: &OutgoingMessage, bodies: &mut BodyCache) {
         match (self, outgoing) {
             (ProxySession::CallHome(session), OutgoingMessage::Edit { number, text, .. }) => {
--- a/crates/daemon/src/planner_runtime/reconfiguration.rs
+++ b/crates/daemon/src/planner_runtime/reconfiguration.rs
@@ -12,7 +12,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The servers as last passed to the controller, and what it takes to restart it with another configuration.
+/// The servers as last passed to the controller, the seed of its random choices, and the files in which the
+/// distributor's epoch is stored when the controller starts over.
 pub(super) struct Reconfiguration {
     inventory: Inventory,
     files: StateFiles,
--- a/crates/daemon/src/planner_runtime/startup.rs
+++ b/crates/daemon/src/planner_runtime/startup.rs
@@ -32,7 +32,7 @@
 }
 
 /// The opened state folder, and what was restored from it.
-struct OpenedState {
+struct OpenedStateFolder {
     files: StateFiles,
     worker: PersistenceWorker,
     restored: RestoredState,
@@ -47,7 +47,7 @@
 ) -> Result<StartedParts, StartError> {
     let files = StateFiles::open(&settings.state_folder)?;
     let tls = TlsPolicy::load(&settings.tls)?;
-    let OpenedState { files, worker, restored, config } = open_state(event_loop, files, settings)?;
+    let OpenedStateFolder { files, worker, restored, config } = open_state(event_loop, files, settings)?;
     let listeners = Listeners::open(event_loop, settings, config.fleet(), &tls)?;
 
     let started_at_ms = wall_ms().saturating_sub(event_loop.now().as_millis() as u64);
@@ -84,13 +84,13 @@
     event_loop: &EventLoop,
     files: StateFiles,
     settings: &PlannerSettings,
-) -> Result<OpenedState, StartError> {
+) -> Result<OpenedStateFolder, StartError> {
     let (opened, mut restored) = PersistenceWorker::open(&settings.state_folder)?;
     let mut config = restore::restore_config(&files, settings, &mut restored)?;
     let worker = opened.start(config.accepted_state(), event_loop.waker())?;
     config.set_rules(settings.tls.rules.clone());
     restore::set_legacy_files_aside(&files)?;
-    Ok(OpenedState { files, worker, restored, config })
+    Ok(OpenedStateFolder { files, worker, restored, config })
 }
 
 /// Passes what an earlier start learned of servers to the controller, as warm-start hints.
--- a/crates/daemon/src/planner_runtime/subscriber.rs
+++ b/crates/daemon/src/planner_runtime/subscriber.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Introduces the proxy, once it has subscribed to all the topics that it takes to apply tables.
+    /// Introduces the proxy, once it has subscribed to all topics that it needs to apply tables.
     fn introduction(&self, connection: ConnectionId, held: Vec<(Topic, HeldVersion)>) -> Option<ProxyEvent> {
         let pending = PendingProxy {
             connection,
--- a/crates/daemon/src/proxy_runtime/datastore.rs
+++ b/crates/daemon/src/proxy_runtime/datastore.rs
@@ -45,8 +45,8 @@
         vec![self.state.clone()]
     }
 
-    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
-        read_tables(wanted).map(|_| ())
+    fn validate_datastore(&mut self, datastore: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+        read_tables(datastore).map(|_| ())
     }
 
     fn commit(&mut self, change: &Change) -> Result<(), Vec<RpcError>> {
--- a/crates/daemon/src/proxy_runtime/planner_link.rs
+++ b/crates/daemon/src/proxy_runtime/planner_link.rs
@@ -60,7 +60,8 @@
     /// A connection to a planner that is being established.
     pub(super) dialing: Option<ConnectionId>,
     pub(super) dial_at: Duration,
-    /// Position of the planner to dial in the list of planners, modulo its length; incremented after each failure.
+    /// Position of the planner to dial in the list of planners, modulo its length; incremented when a dial fails or a
+    /// session is lost.
     pub(super) next_planner: usize,
     /// The tables that were published to the proxy.
     pub(super) published: UpdateReader,
@@ -157,8 +158,9 @@
         self.schedule_redial(now);
     }
 
-    /// Starts a session with this planner, and returns the epoch and version of each topic held from it, from which it
-    /// resumes. Epochs and versions of another planner mean nothing to it, so they are left out.
+    /// Prepares a session with this planner: drops incomplete updates, and returns the epoch and version of each topic
+    /// held from it, from which it resumes. Epochs and versions of another planner mean nothing to it, so they are left
+    /// out.
     pub(super) fn resume_positions(&mut self, planner: &str) -> Vec<(Topic, HeldVersion)> {
         self.published.end_session();
         let is_same_planner = self.published_by == planner;
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A session is replaced after this many thirds of the time until one of its certificates expires: the issuer has
-/// renewed them by then.
+/// A session is replaced after this many thirds of the time until the first of its two certificates expires: the issuer
+/// has renewed it by then.
 const RENEW_AFTER_THIRDS: i64 = 2;
 /// Shortest time, in seconds, until a session is replaced, however soon a certificate expires.
 const MIN_SESSION_SECONDS: i64 = 1;
@@ -118,7 +118,7 @@
         self.write_planner(event_loop);
     }
 
-    /// When to replace a session, in seconds since 1970; `None` if the proxy has no identity, which would expire.
+    /// When to replace a session, in seconds since 1970; `None` if the proxy's certificate holds no identity.
     fn session_renewal_time(&self, planner: &CertificateHolder) -> Option<i64> {
         let own_expiry = self.tls.own_identity()?.not_after;
         let expiry =
--- a/crates/daemon/src/proxy_runtime/reports.rs
+++ b/crates/daemon/src/proxy_runtime/reports.rs
@@ -9,7 +9,7 @@
 use runloom_proxy::Proxy;
 use std::time::Duration;
 
-/// Shortest time that a report covers: rates are computed by dividing by it.
+/// Shortest time that a report is taken to cover, since the arrival rate is divided by it.
 const MIN_REPORT_WINDOW: Duration = Duration::from_millis(1);
 /// Time constant of the arrival rate's moving average, in seconds.
 const ARRIVAL_RATE_SECONDS: f64 = 10.0;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -36,8 +36,8 @@
     ProxyStart(#[from] proxy_runtime::ProxyStartError),
 }
 
-/// An event loop that reports SIGHUP, on which certificates are read again, and SIGTERM and SIGINT, which end the
-/// process in order. Without a handler SIGHUP would end the process, too.
+/// An event loop that reports SIGHUP, on which certificates are read again, and SIGTERM and SIGINT, on which the
+/// process shuts down. Without a handler SIGHUP would end the process at once.
 fn event_loop() -> io::Result<EventLoop> {
     let mut event_loop = EventLoop::new()?;
     for signal in [SIGHUP, SIGTERM, SIGINT] {
--- a/crates/daemon/src/tls_credentials.rs
+++ b/crates/daemon/src/tls_credentials.rs
@@ -100,7 +100,8 @@
     TlsError::Unusable(error.to_string())
 }
 
-/// Disables session resumption: a resumed session is not verified again, and would outlive its identity.
+/// Builds the server side's configuration without session resumption: a resumed session is not verified again, and
+/// would outlive its identity.
 fn build_server_config(credentials: &Arc<ReloadableCredentials>) -> Result<ServerConfig, TlsError> {
     let mut config = ServerConfig::builder_with_provider(credentials.provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
@@ -112,7 +113,7 @@
     Ok(config)
 }
 
-/// Disables session resumption, for the same reason as on the server side.
+/// Builds the client side's configuration, without session resumption for the same reason.
 fn build_client_config(credentials: &Arc<ReloadableCredentials>) -> Result<ClientConfig, TlsError> {
     let mut config = ClientConfig::builder_with_provider(credentials.provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
