--- a/crates/daemon/tests/platform.rs
+++ b/crates/daemon/tests/platform.rs
@@ -196,9 +196,9 @@
 
 #[test]
 fn a_silent_or_unreadable_watch_is_reconnected() {
-    let (listener, at) = listen();
+    let (listener, discovery) = listen();
     let (server, _health_checks) = server();
-    let _planner = Planner::start("silent", &bootstrap(at, server));
+    let _planner = Planner::start("silent", &bootstrap(discovery, server));
     let mut kept = Vec::new();
     // No bytes at all; only a head; another protocol: the planner reconnects each time.
     for reply in ["", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "SSH-2.0-x\r\n", ""] {
--- a/crates/daemon/tests/race_conditions.rs
+++ b/crates/daemon/tests/race_conditions.rs
@@ -16,7 +16,7 @@
 
 /// A discovery agent that sends nothing by itself: the test gets the path and the stream of each watch.
 fn discovery_agent() -> (SocketAddr, Receiver<(String, TcpStream)>) {
-    let (listener, at) = listen();
+    let (listener, address) = listen();
     let (sender, watches) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -27,7 +27,7 @@
             }
         }
     });
-    (at, watches)
+    (address, watches)
 }
 
 /// The head of the reply to a watch, and an empty line.
@@ -61,11 +61,11 @@
 #[test]
 fn input_that_arrived_while_the_planner_was_blocked_is_not_late() {
     let (server, _health_checks) = server();
-    let (at, watches) = discovery_agent();
-    let (near, mut far) = UnixStream::pair().unwrap();
-    let log = Stdio::from(OwnedFd::from(far.try_clone().unwrap()));
-    let mut planner = Planner::spawn_with_log("stood", &bootstrap(at, server), log);
-    let mut log_lines = BufReader::new(near).lines().map(Result::unwrap);
+    let (discovery, watches) = discovery_agent();
+    let (log_reader, mut log_writer) = UnixStream::pair().unwrap();
+    let log = Stdio::from(OwnedFd::from(log_writer.try_clone().unwrap()));
+    let mut planner = Planner::spawn_with_log("stood", &bootstrap(discovery, server), log);
+    let mut log_lines = BufReader::new(log_reader).lines().map(Result::unwrap);
     planner.address = logged_address(&log_lines.find(|line| line.contains("started")).unwrap());
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
@@ -76,7 +76,7 @@
     assert_eq!(unidentified.next_message(), Some(json!({"t": "PONG"})));
 
     // The log is not read, so the planner blocks within an iteration when it logs a line.
-    fill_log(&mut far);
+    fill_log(&mut log_writer);
     planner.signal("HUP");
     std::thread::sleep(Duration::from_millis(500));
     watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
@@ -147,8 +147,8 @@
     let (_, mut watch) = old_watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     planner.stop();
-    for at in [between, new] {
-        std::fs::write(&planner.bootstrap_file, bootstrap(at, server).to_string()).unwrap();
+    for discovery in [between, new] {
+        std::fs::write(&planner.bootstrap_file, bootstrap(discovery, server).to_string()).unwrap();
         planner.signal("HUP");
     }
     planner.signal("CONT");
@@ -160,15 +160,15 @@
 #[test]
 fn an_unreadable_list_line_is_requested_again() {
     let (server, _health_checks) = server();
-    let (at, watches) = discovery_agent();
-    let planner = Planner::start("line", &bootstrap(at, server));
+    let (discovery, watches) = discovery_agent();
+    let planner = Planner::start("line", &bootstrap(discovery, server));
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
     // The unreadable line contains a drain. Without a new request, the readable line after it would hide that loss.
     let malformed = list(42, &[member("s-2", server, "DRAINING")]).to_string().replace("42", "4x");
-    let behind = list(43, &[member("s-9", server, "SERVING")]).to_string();
-    watch.write_all(&[chunk(&malformed), chunk(&behind)].concat()).unwrap();
+    let next_line = list(43, &[member("s-9", server, "SERVING")]).to_string();
+    watch.write_all(&[chunk(&malformed), chunk(&next_line)].concat()).unwrap();
     let (path, mut next_watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
 
     assert_eq!(path, watch_path(41));
@@ -183,8 +183,8 @@
 #[test]
 fn a_change_with_a_malformed_entry_is_requested_again() {
     let (server, _health_checks) = server();
-    let (at, watches) = discovery_agent();
-    let planner = Planner::start("entry", &bootstrap(at, server));
+    let (discovery, watches) = discovery_agent();
+    let planner = Planner::start("entry", &bootstrap(discovery, server));
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
@@ -192,8 +192,8 @@
     let mut malformed = member("s-2", server, "DRAINING");
     malformed["phase"] = json!(7);
     let line = list(42, &[malformed, member("s-1", server, "DRAINING")]).to_string();
-    let behind = list(43, &[member("s-9", server, "SERVING")]).to_string();
-    watch.write_all(&[chunk(&line), chunk(&behind)].concat()).unwrap();
+    let next_line = list(43, &[member("s-9", server, "SERVING")]).to_string();
+    watch.write_all(&[chunk(&line), chunk(&next_line)].concat()).unwrap();
     proxy.read_until_entry(1, json!(["s-1", 0.0]));
     let (path, mut next_watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
 
@@ -209,8 +209,8 @@
 #[test]
 fn an_agent_with_reset_revisions_is_asked_for_the_complete_list() {
     let (server, _health_checks) = server();
-    let (at, watches) = discovery_agent();
-    let planner = Planner::start("anew", &bootstrap(at, server));
+    let (discovery, watches) = discovery_agent();
+    let planner = Planner::start("anew", &bootstrap(discovery, server));
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
@@ -263,8 +263,8 @@
 #[test]
 fn a_termination_signal_among_other_events_ends_the_planner_and_its_connections() {
     let (server, _health_checks) = server();
-    let (at, watches) = discovery_agent();
-    let mut planner = Planner::start("term", &bootstrap(at, server));
+    let (discovery, watches) = discovery_agent();
+    let mut planner = Planner::start("term", &bootstrap(discovery, server));
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
@@ -358,8 +358,8 @@
 #[test]
 fn a_proxy_that_reconnects_during_a_drain_gets_a_table_without_that_server() {
     let (server, _health_checks) = server();
-    let (at, watches) = discovery_agent();
-    let planner = Planner::start("rejoin", &bootstrap(at, server));
+    let (discovery, watches) = discovery_agent();
+    let planner = Planner::start("rejoin", &bootstrap(discovery, server));
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     let proxy = connected_proxy(&planner, 1);
@@ -397,8 +397,8 @@
 #[test]
 fn a_repeated_complete_list_removes_no_server_twice() {
     let (server, _health_checks) = server();
-    let (at, watches) = discovery_agent();
-    let planner = Planner::start("whole", &bootstrap(at, server));
+    let (discovery, watches) = discovery_agent();
+    let planner = Planner::start("whole", &bootstrap(discovery, server));
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -27,7 +27,7 @@
     assert_eq!(output, std::fs::read_to_string(&path).unwrap(), "{}", path.display());
 }
 
-/// A copy of the fixture's state folder, since a planner that reads it may rename files.
+/// A copy of the fixture's state folder, so that the commands under test cannot change the fixture.
 fn state_folder(name: &str) -> PathBuf {
     let copy = std::env::temp_dir().join(format!("runloom-stored-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&copy);
