--- a/crates/inventory/src/edit_history.rs
+++ b/crates/inventory/src/edit_history.rs
@@ -7,8 +7,8 @@
 /// Number of edits that are kept: an hour at one edit every four seconds. An older edit that is sent again counts as
 /// new.
 pub const MAX_EDITS: usize = 1024;
-/// Time after which a decided edit needs no further updates. Updates are published once a second, and the rest allows
-/// for the update channel: a server that no update was about by then did not change.
+/// How long a decided edit waits for updates about its servers. Updates are published once a second, and the rest
+/// allows for the update channel. If there was no update about a server by then, its table entries need no change.
 pub const PUBLICATION_TIMEOUT: Duration = Duration::from_millis(1250);
 
 /// Result of looking up an edit's id.
@@ -46,8 +46,8 @@
     pub decided_at: Option<Duration>,
     /// When all proxies concerned had applied it; `None` until then.
     pub in_force_at: Option<Duration>,
-    /// Number of proxies that updates about its servers were sent to, without those that disconnected before they
-    /// acknowledged one.
+    /// Number of proxies that updates about its servers were sent to. A proxy that disconnects before it acknowledges
+    /// its update is no longer counted; one that gets another update after its acknowledgement is counted again.
     pub proxy_count: usize,
     /// Servers whose table entries it may change and that no update was about yet.
     unpublished_servers: BTreeSet<String>,
--- a/crates/store/src/accepted_state.rs
+++ b/crates/store/src/accepted_state.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Encodes a value made of texts, numbers and lists. Their encoding cannot fail, so an error yields no bytes.
+/// Encodes a value made of texts, numbers and lists. Their encoding cannot fail, so the empty fallback is never used.
 pub(crate) fn encode(value: &impl Serialize) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
--- a/crates/store/src/description.rs
+++ b/crates/store/src/description.rs
@@ -25,11 +25,12 @@
     pub size: usize,
     /// What the file holds; `None` if its header is corrupt.
     pub summary: Option<FileSummary>,
-    /// Bytes after the last intact entry; all bytes if the header is corrupt.
+    /// Bytes from the first damaged or incomplete entry on; all bytes if the header is corrupt.
     pub trailing_bytes: usize,
 }
 
-/// Describes all snapshots and journals in a folder, also those that cannot be read.
+/// Describes all snapshots and journals in a folder, also those that cannot be read. Incomplete snapshots (`.new`) and
+/// corrupt files that were set aside (`.broken`) are among them.
 pub fn describe_files(disk: &impl Disk) -> Result<Vec<FileDescription>, StoreError> {
     let mut descriptions = Vec::new();
     for file in disk.list()?.into_iter().filter(|file| is_store_file(file)) {
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -53,7 +53,8 @@
     }
 
     /// Opens an existing folder for reading. Renames succeed without effect, so that recovery can report a corrupt
-    /// snapshot; creating and removing files fails.
+    /// snapshot. Creating and removing files fails, and so does the recovery of a journal with entries behind damage,
+    /// since it copies the journal.
     pub fn open_read_only(path: &Path) -> io::Result<Folder> {
         fs::read_dir(path)?;
         Ok(Folder { path: path.to_path_buf(), open_files: BTreeMap::new(), is_read_only: true })
--- a/crates/store/src/framing.rs
+++ b/crates/store/src/framing.rs
@@ -7,8 +7,8 @@
 const MAGIC: [u8; 4] = *b"RLST";
 /// Size in bytes of a frame's length field, and of its checksum field.
 const FIELD_SIZE: usize = 4;
-/// Largest frame body, in bytes: twice the largest message that can carry an edit, and enough for a fleet of thousands
-/// of servers.
+/// Largest frame body, in bytes: far more than a NETCONF message with an edit may have (2 MiB), and enough for the
+/// snapshot of a fleet of thousands of servers.
 const MAX_FRAME_SIZE: usize = 64 << 20;
 
 /// Whether a file is a snapshot or a journal. The order of the variants is part of the stored form.
@@ -29,7 +29,7 @@
 /// The readable part of a file.
 pub(crate) struct FileContent {
     pub header: Header,
-    /// Bodies of the intact frames after the header.
+    /// Bodies of the frames after the header, up to the first incomplete or corrupt one.
     pub frames: Vec<Vec<u8>>,
     /// Bytes after the last of these frames.
     pub trailing_bytes: usize,
--- a/crates/store/src/generation.rs
+++ b/crates/store/src/generation.rs
@@ -36,7 +36,7 @@
         format!("{name}.{kind}.{}", self.generation)
     }
 
-    /// Parses a file name; `None` for files of other layouts and temporary files.
+    /// Parses a file name; `None` for files of other layouts, temporary files and `.broken` files.
     fn parse(file: &str, name: &str) -> Option<FileId> {
         let (kind, generation) = file.strip_prefix(name)?.strip_prefix('.')?.split_once('.')?;
         let kind = match kind {
@@ -66,7 +66,7 @@
     Ok(disk.list()?.into_iter().filter(is_temporary).collect())
 }
 
-/// Whether a file has the name of a snapshot or a journal of any layout.
+/// Whether a file is named like a snapshot or a journal of any layout, also with `.new` or `.broken` at the end.
 pub(crate) fn is_store_file(file: &str) -> bool {
     file.contains(".state.") || file.contains(".journal.")
 }
--- a/crates/store/src/learned_servers.rs
+++ b/crates/store/src/learned_servers.rs
@@ -40,7 +40,8 @@
 }
 
 impl LearnedServer {
-    /// Estimated probability that it still fails, from 0 to 1; 0 if the clock was set back to before the ejection.
+    /// Estimated probability that it still fails, from 0 to 1; 0 if it was never ejected, or if the clock was set back
+    /// to before the ejection.
     fn suspicion(&self, now_ms: u64) -> f64 {
         let ejected_ago = self.last_ejected_ms.and_then(|at| now_ms.checked_sub(at));
         let multiple = if self.is_long_ejected { LONG_EJECTION_MULTIPLE } else { 1 };
@@ -109,8 +110,8 @@
         self
     }
 
-    /// Returns what still applies at `now_ms` to a server that is listed with this address and start time; `None` if
-    /// the process is another one or nothing significant remains.
+    /// Returns what still applies at `now_ms` to a server that is listed with this address and start time. `None` if
+    /// nothing was learned about this process, nothing significant remains, or the age is unknown.
     pub fn hint(
         &self,
         now_ms: u64,
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -61,7 +61,7 @@
         files.map(|(id, file)| (*id, file.clone())).collect()
     }
 
-    /// Reads the newest intact snapshot and returns its generation. Corrupt ones on the way are renamed.
+    /// Reads the newest intact snapshot and returns its generation. Corrupt newer ones are renamed.
     fn read_newest_snapshot(&mut self) -> Result<Option<u64>, StoreError> {
         for (id, file) in self.files_of(FileKind::Snapshot).into_iter().rev() {
             match self.read(&file, id)? {
--- a/crates/store/src/tests/flaky_disk.rs
+++ b/crates/store/src/tests/flaky_disk.rs
@@ -35,7 +35,7 @@
 
 /// How an operation fails.
 enum Fault {
-    /// Half of it is done, and the machine keeps running.
+    /// An append writes half of its bytes, any other operation does nothing; the machine keeps running.
     HalfDone,
     /// The machine is off: this and all later operations do nothing.
     PowerCut,
@@ -52,7 +52,7 @@
     pub operations: usize,
     /// All operations after this one fail without effect.
     pub power_cut_after: Option<usize>,
-    /// These operations fail half way.
+    /// Numbers of the operations that fail with [`Fault::HalfDone`], counted from 1.
     pub faulty_operations: Vec<usize>,
     pub synced_names: BTreeMap<String, usize>,
 }
