--- a/crates/event-log/src/entry.rs
+++ b/crates/event-log/src/entry.rs
@@ -7,7 +7,7 @@
 
 /// Version of newly written segments.
 pub const VERSION: u32 = 3;
-/// Oldest version that is read. It has no [`RecordedEvent::ClassOutcomes`].
+/// Oldest version that is read. It has neither [`RecordedEvent::ClassOutcomes`] nor the kinds after it.
 pub const OLDEST_VERSION: u32 = 1;
 
 /// A server with its values in an endpoint list.
@@ -125,7 +125,7 @@
     }
 }
 
-/// An input of the control session, or a step of the controller.
+/// An input of the control session, a step of the controller, or an event that a replay of the session does not use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RecordedEvent {
     /// The planner started.
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -235,7 +235,8 @@
         }
     }
 
-    /// Writes what is buffered, waits for all conversions, and ends the log. Returns the failed conversions.
+    /// Writes what is buffered, waits for all conversions, and ends the log. Returns the failed conversions. The buffer
+    /// is lost if the disk fails, or failed less than `RETRY_INTERVAL` ago.
     pub fn finish(mut self, now: Duration) -> Vec<ConversionError> {
         self.write(now);
         if let Some(journal) = &self.journal {
--- a/crates/event-log/src/segment.rs
+++ b/crates/event-log/src/segment.rs
@@ -114,8 +114,8 @@
     columns::read_content(file).map_err(|e| ReadError::Columns(path.to_path_buf(), e))
 }
 
-/// Reads a segment that a running planner may have converted, or removed as too old, since the folder was listed;
-/// `None` if it was removed.
+/// Reads a segment that a running planner may have converted, or removed beyond its limits, since the folder was
+/// listed; `None` if it was removed.
 pub(crate) fn read_live_segment(segment: &Segment) -> Result<Option<Vec<Entry>>, ReadError> {
     match read_segment(segment) {
         Ok(content) => Ok(Some(content.entries)),
