--- a/crates/replay/src/estimate/interval.rs
+++ b/crates/replay/src/estimate/interval.rs
@@ -17,9 +17,8 @@
 const DEFAULT_T_QUANTILE: f64 = 2.0;
 
 impl Estimate {
-    /// The interval that is to contain the outcome of another such period. The variance is that of resampled blocks,
-    /// and at least that of the number of attempts. It counts twice: once for the estimate and once for the other
-    /// period.
+    /// The interval that is to contain the outcome of another such period. Its variance is the larger of the
+    /// bootstrap's and [`attempt_variance`]. It counts twice: once for the estimate and once for the other period.
     pub(super) fn interval(&self, blocks: &[Block], value: f64, seed: u64) -> IntervalEstimate {
         let variance = self.bootstrap_variance(blocks, value, seed).max(attempt_variance(blocks, value));
         let deviation = (2.0 * variance).sqrt();
--- a/crates/replay/src/estimate/mod.rs
+++ b/crates/replay/src/estimate/mod.rs
@@ -316,8 +316,8 @@
         self.class_names.iter().enumerate().map(class_service).collect()
     }
 
-    /// The first block in which a server would have had far more load than it had, and a load whose effect the log does
-    /// not show: from there on its latencies are unknown. [`u64::MAX`] if there is none.
+    /// The first block in which a server would have had far more load than it had, and the log does not show the effect
+    /// of that load, or the server had none: from there on its latencies are unknown. [`u64::MAX`] if there is none.
     fn first_invalid_block(&self, curve: &LoadCurve) -> u64 {
         let negligible = NEGLIGIBLE_LOAD_PER_SECOND * BLOCK_DURATION.as_secs_f64();
         let is_unknown = |load: &ServerLoad| {
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -100,7 +100,9 @@
             }
             RecordedEvent::EntriesLost { entries } => {
                 self.has_gap = true;
-                Ok(Some(format!("{entries} entries were lost because the disk was full or too slow")))
+                Ok(Some(format!(
+                    "the record has lost {entries} entries here (0 stands for an unknown number)"
+                )))
             }
             event => {
                 let is_known = replay_event(&mut self.session, time_of(entry), event);
--- a/crates/replay/src/rule_tracker/cold_servers.rs
+++ b/crates/replay/src/rule_tracker/cold_servers.rs
@@ -1,5 +1,6 @@
-//! Rule 4: the tables send no cold server more than a multiple of its capacity, which is estimated as the safety guard
-//! estimates it.
+//! Rule 4: the tables send no cold server more than a multiple of its capacity. Like the safety guard, it is judged
+//! from the tables in force, with the success rate of warm servers as the measure of capacity; unlike the guard's, this
+//! estimate does not decay.
 
 use super::RuleTracker;
 use std::collections::BTreeMap;
--- a/crates/replay/src/scenario_inference/server_names.rs
+++ b/crates/replay/src/scenario_inference/server_names.rs
@@ -34,8 +34,7 @@
     observation.servers[server].zone.as_str()
 }
 
-/// Servers of a zone, sorted by the length of their names and then by name: those whose names differ in a number at the
-/// end come in its order.
+/// Servers of a zone, sorted by the length of their names and then by name, so that `s2` comes before `s10`.
 fn servers_of_zone<'a>(observation: &'a LogObservation, zone: &str) -> Vec<&'a String> {
     let all = observation.first_servers.iter();
     let mut servers: Vec<&String> = all.filter(|server| zone_of(observation, server) == zone).collect();
--- a/crates/replay/src/tests/rule_tracker.rs
+++ b/crates/replay/src/tests/rule_tracker.rs
@@ -113,8 +113,8 @@
     tracker.violations()
 }
 
-/// A warm server was seen to serve ten requests a second; a cold one may be sent eight at its start, and thirteen some
-/// seconds later.
+/// A warm server was seen to serve ten requests a second. A cold one may be sent eight at its start, and about 24 at
+/// the last check, 4.5 s later. Of the proxy's thirty, the two weights give it seven and 27.
 #[test]
 fn a_cold_server_that_tables_overload_violates_rule_four() {
     assert_eq!(violations_with_cold_weight(0.3), Vec::<String>::new());
