--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -17,7 +17,7 @@
 const MAX_PACKET_BYTES: u32 = 256 << 10;
 /// A ping is sent after this many seconds without another packet.
 const KEEP_ALIVE_SECONDS: u16 = 10;
-/// Maximum time until the planner answers `CONNECT`, `SUBSCRIBE` and `PINGREQ`.
+/// Maximum time from the start of the connection to `SUBACK`, and from a ping to the planner's next packet.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time until the planner acknowledges a report or sends another packet. A proxy that receives nothing must not
 /// consider itself connected, since it no longer learns of drains.
--- a/crates/mqtt/src/connection_end.rs
+++ b/crates/mqtt/src/connection_end.rs
@@ -3,9 +3,10 @@
 /// Why a connection ended; used by both sides.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// One side sent `DISCONNECT`, or the protocol library requested to close the connection.
+    /// The proxy sent `DISCONNECT`, or the protocol library requested to close the connection.
     Disconnected,
-    /// One side violated the protocol or requested something that is not allowed; contains the reason.
+    /// One side violated the protocol or requested something that is not allowed, the planner sent `DISCONNECT`, or
+    /// another connection of the proxy took over; contains the reason.
     Rejected(String),
     /// The peer sent nothing within the time limit.
     TimedOut,
--- a/crates/mqtt/src/session/publications.rs
+++ b/crates/mqtt/src/session/publications.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl Session {
-    /// Accepts the proxy's own reports only; retained messages and quality of service 2 end the connection.
+    /// Accepts the proxy's own reports only. A message on another topic is rejected in its `PUBACK`; with quality of
+    /// service 0, which has no `PUBACK`, it ends the connection. So do retained messages and quality of service 2.
     pub(super) fn handle_publish(&mut self, now: Duration, packet: &v5_0::Publish) -> Option<SessionEvent> {
         let is_own_report = packet.topic_name() == topics::report_topic(&self.planner, &self.proxy);
         if packet.retain() {
--- a/crates/mqtt/src/tests.rs
+++ b/crates/mqtt/src/tests.rs
@@ -461,7 +461,8 @@
         prop_assert!(session.take_output().len() < 4096);
     }
 
-    /// Compares granted filters with the matching rules of MQTT: they match the proxy's own tables and no other topic.
+    /// By the matching rules of MQTT, a granted filter must match no topic of another proxy or planner, and the same of
+    /// the proxy's own tables as the parsed filter.
     #[test]
     fn a_granted_filter_matches_only_the_proxys_own_tables(
         levels in prop::collection::vec(prop_oneof![
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -56,8 +56,8 @@
 pub struct ServiceLimits {
     /// Maximum number of concurrent sessions. Operators, tools and feeds are few.
     pub max_sessions: usize,
-    /// Rate and burst size of the edits of each session, per second. The default is twice what one core can parse and
-    /// commit.
+    /// Edits per second that each session may send, and the number that it may send at once. The default is twice what
+    /// one core can parse and commit.
     pub edits_per_second: f64,
 }
 
@@ -161,7 +161,7 @@
     }
 
     /// Closes a session. Releases its locks, discards the candidate if the session had locked it, and rolls back its
-    /// confirmed commit if no other session can confirm it.
+    /// confirmed commit unless that has a `<persist>` value.
     pub fn close_session(&mut self, session: SessionId, host: &mut dyn Host) {
         self.sessions.remove(&session);
         if self.locks.get(&Datastore::Candidate) == Some(&session) {
--- a/crates/netconf/src/service/commit.rs
+++ b/crates/netconf/src/service/commit.rs
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Whether this commit was accepted before. The content of a commit is the candidate. Once it is committed there is
-    /// none, so that a repeated commit is recognized by its edit-id alone.
+    /// Whether this commit was accepted before. The content of a commit is the candidate. After the commit there is no
+    /// candidate, so a repeated commit is recognized by its edit-id alone.
     fn is_repeated_commit(
         &self,
         request: &Request,
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// ServiceLimits of a session.
+/// Limits of a session.
 #[derive(Debug, Clone, Copy)]
 pub struct SessionLimits {
     /// Maximum size of a received message. A fleet of 600 proxies and as many servers takes about 400 KB as XML.
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -54,8 +54,8 @@
     fn state(&mut self) -> Vec<Element> {
         vec![Element::new("urn:test:state", "state").with_leaf("up", 1)]
     }
-    fn validate_datastore(&mut self, wanted: &Arc<Element>) -> Result<(), Vec<RpcError>> {
-        if wanted.to_text().contains(">bad<") {
+    fn validate_datastore(&mut self, datastore: &Arc<Element>) -> Result<(), Vec<RpcError>> {
+        if datastore.to_text().contains(">bad<") {
             let error = RpcError::application(runloom_netconf::error::Tag::InvalidValue, "bad size");
             return Err(vec![error.at("/top/item")]);
         }
