--- a/crates/identity/src/denial_log.rs
+++ b/crates/identity/src/denial_log.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Denials of the same access to the same identity get one entry within this time.
+/// Denials of the same access, requested by the same identity, get one entry within this time.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(10);
 /// The maximum number of remembered entries. Beyond it the oldest is dropped, and the same denial may be logged again
 /// before [`REPEAT_INTERVAL`] is over.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data models: XSDs that validate settings and edits, YANG modules for NETCONF tools, and typed views of the data.
 //!
 //! The XSDs are authoritative: the [`Schema`] for `<edit-config>` is derived from them, and a test checks that the YANG
-//! modules have the same nodes.
+//! modules contain all nodes of the XSDs.
 
 mod deployment_config;
 pub mod fleet;
--- a/crates/model/src/planner_settings.rs
+++ b/crates/model/src/planner_settings.rs
@@ -14,7 +14,7 @@
 
 /// Default size limit of the event log in bytes.
 const DEFAULT_MAX_RECORD_BYTES: u64 = 2 << 30;
-/// A mebibyte is 2 to the power of this in bytes.
+/// Shifting a number of mebibytes to the left by this many bits converts it to bytes.
 const MEBIBYTE_SHIFT: u32 = 20;
 
 /// A planner's own settings.
--- a/crates/model/src/traffic_class.rs
+++ b/crates/model/src/traffic_class.rs
@@ -10,7 +10,7 @@
 pub enum RetrySafety {
     /// A repeated execution does no harm.
     Safe,
-    /// Servers recognise a repeated request by its key. Proxies retry it no more than an unsafe one.
+    /// Servers recognize a repeated request by its key. Proxies retry it no more than an unsafe one.
     Keyed,
     /// A repeated execution may do harm.
     Unsafe,
