--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -14,7 +14,7 @@
 struct PlannerInstance {
     controller: Controller,
     translator: Translator,
-    /// Events of the current batch, after an event that starts the controller in the first one.
+    /// Events of the current batch. Before those of its first batch is the event that starts the controller.
     events: Vec<Event>,
 }
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -35,7 +35,7 @@
     /// A timer fired.
     #[serde(rename = "TIMER")]
     TimerFired { planner: u64, token: u64 },
-    /// A proxy applied the update with an ack token, and all updates before it.
+    /// A proxy applied the update with this ack token, and all updates before it.
     #[serde(rename = "TOOK_EFFECT")]
     UpdateAcknowledged(UpdateAcknowledged),
     /// An entry of a slice's table in the shared store.
@@ -310,7 +310,8 @@
         /// Bytes as hexadecimal digits.
         payload: String,
     },
-    /// Asks proxies to acknowledge the update; with `all_proxies`, also those that it does not change.
+    /// Asks each proxy that gets a message from this step to acknowledge it. With `all_proxies`, proxies for which the
+    /// step changes nothing get a message too.
     #[serde(rename = "FENCE_POST")]
     RequestAck {
         planner: u64,
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Runs one iteration: polls until something is ready or `until` is reached, and returns the events. Returns
-    /// without events if it woke only for a deadline check.
+    /// Runs one iteration: polls until something is ready or `until` is reached, and returns the events. There may be
+    /// none, for example if the poll ended for a deadline check or was ended by a [`Waker`].
     pub fn wait(&mut self, until: Option<Duration>) -> io::Result<Vec<IoEvent>> {
         if let Some(since) = self.busy_since.take() {
             self.iteration_micros.saturating_record(since.elapsed().as_micros() as u64);
--- a/crates/event-loop/src/timers.rs
+++ b/crates/event-loop/src/timers.rs
@@ -8,7 +8,8 @@
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl EventLoop {
-    /// How long the poller may block: until `until`, the end of an accept backoff or the next deadline check.
+    /// How long the poller may block: until `until`, the end of an accept backoff or the next deadline check, whichever
+    /// comes first. Zero if events are already pending.
     pub(crate) fn poll_timeout(
         &self,
         until: Option<Duration>,
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Capacity of the bucket, in seconds of the admission rate.
+/// Capacity of the bucket: as many tokens as accumulate at the admission rate in this many seconds.
 const BURST_SECONDS: f64 = 1.0;
 /// Minimum capacity of the bucket: one request, even at the lowest rates.
 const MIN_BURST: f64 = 1.0;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,5 @@
-//! Request handling of the proxy, without I/O. All routing decisions follow from the published route tables.
+//! Request handling of the proxy, without I/O. Requests go only to endpoints in its route tables, which a planner
+//! publishes; until it does, to those in a table of static endpoints.
 //!
 //! [`Proxy`] selects an endpoint for each request ([`balancer`]), skips endpoints with several consecutive failures
 //! ([`circuit_breaker`]), admits requests at the published rate, and retries failed attempts within the published
--- a/crates/proxy/src/published_tables.rs
+++ b/crates/proxy/src/published_tables.rs
@@ -13,7 +13,7 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The topic that assigns each traffic class to a table. A proxy sees its own under number 0.
+/// The topic that assigns each traffic class to a table. At a proxy its number is 0, whatever number the planner uses.
 pub const ASSIGNMENTS: Topic = Topic { kind: TopicKind::Assignments, table: 0 };
 /// The topic of ejected servers, which get no requests even if a table has an entry of them.
 pub const EJECTIONS: Topic = Topic { kind: TopicKind::Ejections, table: 0 };
--- a/crates/proxy/src/route_tables.rs
+++ b/crates/proxy/src/route_tables.rs
@@ -94,7 +94,7 @@
         RouteTable { entries, admission_limits, credits }
     }
 
-    /// Reads `<table>`.
+    /// Reads `<table>`: its entries and admission limits.
     fn read(element: &Element) -> Result<RouteTable, TableError> {
         let entries = element.named("line").map(|line| read_entry(line));
         let limits = element.named("level").map(|level| read_admission_limit(level));
@@ -102,7 +102,7 @@
     }
 }
 
-/// Reads `<line>`.
+/// Reads `<line>`: the address and weight of a server.
 fn read_entry(line: &Element) -> Result<TableEntry, TableError> {
     let server = line.text_of("server").unwrap_or_default().to_string();
     let Ok(address) = line.text_of("address").unwrap_or_default().parse() else {
