--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -17,8 +17,8 @@
 /// Stands for a missing value in a load report.
 const MISSING_VALUE: &str = "-";
 
-/// Number of successful attempts by latency: bucket `k` counts those of at least 2^(k-1) and below 2^k microseconds, and
-/// bucket 0 those below 1 microsecond. The highest bucket has no upper bound.
+/// Number of successful attempts by latency: bucket `k` counts those of at least 2^(k-1) and below 2^k microseconds,
+/// and bucket 0 those below 1 microsecond. The highest bucket has no upper bound.
 pub type LatencyBuckets = BTreeMap<u8, u64>;
 
 /// The bucket of a latency: the bit length of its microseconds, at most [`MAX_LATENCY_BUCKET`].
