--- a/crates/daemon/src/platform_runtime/list_watch.rs
+++ b/crates/daemon/src/platform_runtime/list_watch.rs
@@ -25,7 +25,7 @@
             self.restart_watch();
         }
         for conn in self.watch.take_expired(read_until) {
-            tracing::info!(at = %address, "a connection of the watch has timed out and is closed");
+            tracing::info!(at = %address, "the watch is silent");
             self.event_loop.abort(conn);
         }
         let now = self.now();
@@ -74,7 +74,7 @@
             tracing::info!(%at, "watching");
         }
         if output.is_unreadable || must_request_again {
-            tracing::info!(%at, "the watch cannot be read");
+            tracing::info!(%at, "the watch can't be read");
         }
         if output.should_close {
             self.event_loop.abort(conn);
