--- a/crates/testbed/src/soak/checker.rs
+++ b/crates/testbed/src/soak/checker.rs
@@ -8,7 +8,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Within this time, a draining server must have left all tables; `drainGraceS` of the settings.
+/// A server must have left all tables within this time of the announcement that it drains or is deleted; `drainGraceS`
+/// of the settings.
 const DRAIN_LIMIT: Duration = Duration::from_millis(2000);
 /// The longest that a proxy may have no server; `unservedMaxS` of the settings.
 const UNSERVED_LIMIT: Duration = Duration::from_millis(2500);
@@ -18,8 +19,8 @@
 const START_SLACK: Duration = Duration::from_secs(1);
 /// Time limits count from this long after SIGHUP at the earliest.
 const SIGHUP_SLACK: Duration = Duration::from_secs(4);
-/// After the agent restarts its revision numbers, drain limits count from this long later: for six seconds a planner
-/// may take it for an agent that lags, and then it reconnects.
+/// Drain limits count from this long after the agent restarted its revision numbers at the earliest: for six seconds
+/// the planner may take the agent for one that lags, and only then reconnects.
 const RESET_SLACK: Duration = Duration::from_millis(7500);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
--- a/crates/testbed/src/soak/endpoint_list.rs
+++ b/crates/testbed/src/soak/endpoint_list.rs
@@ -33,7 +33,7 @@
     pub phase: ServerPhase,
     /// The revision that changed its state last.
     pub revision: u64,
-    /// When this state was first sent to the current process; `None` if it was not yet.
+    /// When this state was first sent to the current process in a valid line; `None` if it has not been sent yet.
     pub announced_at: Option<Instant>,
     up_since_ms: u64,
 }
@@ -56,7 +56,8 @@
 }
 
 impl EndpointList {
-    /// A list of `count` serving servers, at revision 40, from which changes are known.
+    /// A list of `count` serving servers without start times, so that none counts as recently started. Its revision is
+    /// 40, from which changes are known.
     pub fn new(count: usize, health_address: SocketAddr) -> EndpointList {
         let mut list = EndpointList {
             revision: 40,
@@ -140,8 +141,8 @@
         json!({"revision": self.revision, "complete": true, "members": members})
     }
 
-    /// Records that all states up to a revision were sent, unless revision numbers were restarted since the line was
-    /// made, when they had been restarted `revision_resets` times.
+    /// Records that a line with all states up to `revision` was sent. Does nothing if the revision numbers were
+    /// restarted after the line was made; `revision_resets` is the number of restarts at that time.
     pub fn mark_announced(&mut self, revision: u64, revision_resets: u64) {
         if revision_resets != self.revision_resets {
             return;
--- a/crates/testbed/src/soak/proxy_client.rs
+++ b/crates/testbed/src/soak/proxy_client.rs
@@ -51,7 +51,7 @@
     pub state: Mutex<ProxyState>,
     /// Number of requests so far to reset its stream.
     pub reset_requests: AtomicU64,
-    /// From now on it sends each acknowledgement, valid and without much delay.
+    /// If set, it acknowledges each update after a few milliseconds, with a valid message.
     pub is_well_behaved: AtomicBool,
 }
 
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -50,7 +50,7 @@
 }
 
 impl RunReport {
-    /// A run that could not be started, which counts as failed.
+    /// The report of a run for which a stand-in or a process could not be started; it counts as failed.
     pub fn not_run(cause: String) -> RunReport {
         RunReport { violations: vec![format!("not run: {cause}")], ..RunReport::default() }
     }
@@ -307,7 +307,10 @@
         }
         let peak_kib = process.peak_kib();
         if peak_kib > MEMORY_LIMIT_MB * 1024 {
-            self.checker.add_violation(format!("memory: the peak is {peak_kib} KiB"));
+            self.checker.add_violation(format!(
+                "memory: the peak is {peak_kib} KiB, at most {} KiB are allowed",
+                MEMORY_LIMIT_MB * 1024
+            ));
         }
         if let Some(status) = process.exit_status() {
             self.checker.add_violation(format!("the process exited unexpectedly: {status}"));
@@ -320,7 +323,8 @@
             self.checker.add_violation(format!("the process exited unexpectedly: {status}"));
         }
         *lock(&self.checker.process) = ProcessTimes::default();
-        // The next process's configurations all contain the list as of now, although it may change meanwhile.
+        // All configuration files of the next process contain the list as of now, also those that a discovery move
+        // writes after the list has changed.
         self.configuration.known_list = lock(&self.list).complete();
         self.append_to_log(&format!("{ending:?}"));
         match ending {
--- a/crates/testbed/src/soak/unidentified_clients.rs
+++ b/crates/testbed/src/soak/unidentified_clients.rs
@@ -106,7 +106,7 @@
     while connected_at.elapsed() < GIVE_UP_AFTER {
         match stream.read(&mut buffer) {
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // Any bytes are a NACK, since this client has requested nothing.
+            // The connection has ended, or bytes have arrived: a NACK, since no other answer is due to this client.
             _ => break,
         }
         if kind == UnidentifiedClient::Endless && stream.write_all(b"aaaaaaaaaaaaaaaa").is_err() {
