--- a/crates/testbed/src/benchmarks/edit_throughput.rs
+++ b/crates/testbed/src/benchmarks/edit_throughput.rs
@@ -18,7 +18,8 @@
 const FEED_EDIT_COUNT: u32 = 10_000;
 const OPERATOR_EDIT_COUNT: u32 = 3_000;
 
-/// Measures edits of one server each, as the feed and as an operator: framed, parsed, applied, validated and committed.
+/// Measures edits of one server each: of the endpoint list, as the feed sends them, and of the fleet, as operators do.
+/// Each is read from its frames, parsed, applied, validated, committed and answered.
 pub(super) fn measure() -> BenchmarkResult {
     let data = Arc::new(Element::parse(&data_xml()).map_err(|e| e.reason)?);
     measure_edits("feed", "roster", FEED_EDIT_COUNT, &data)?;
--- a/crates/testbed/src/benchmarks/estimate_accuracy.rs
+++ b/crates/testbed/src/benchmarks/estimate_accuracy.rs
@@ -1,5 +1,6 @@
-//! The accuracy of a replay's estimates: scenarios are played with their own settings and with others, and the estimate
-//! by the event log of the first run is compared with the service of the second over the same time.
+//! The accuracy of a replay's estimates. Each scenario is played with its own settings and with changed ones. From the
+//! event log of the first run, a replay estimates the service with the changed settings; this is compared with the
+//! service of the second run over the same time.
 
 use super::BenchmarkResult;
 use crate::scenario::BUNDLED_SCENARIOS;
@@ -135,7 +136,7 @@
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Returns a row of the table: the estimate by the base run's event log, and the service of a run with the change.
+/// Returns a row of the table: the estimate from the base run's event log, and the service of a run with the change.
 fn compare_with_estimate(base: &[Entry], run: &Run, change: &SettingsChange) -> Result<String, String> {
     let fleet_xml = change.apply(&recorded_fleet(base)?);
     std::fs::create_dir_all(run.folder).map_err(|e| e.to_string())?;
--- a/crates/testbed/src/benchmarks/figures.rs
+++ b/crates/testbed/src/benchmarks/figures.rs
@@ -42,13 +42,13 @@
         self.0.saturating_record(microseconds);
     }
 
-    /// The quantile of a share (0 to 1), in milliseconds.
+    /// The quantile for a share (0 to 1) of all times, in milliseconds.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         quantile_ms(&self.0, share)
     }
 }
 
-/// The quantile of a share (0 to 1) in milliseconds, of a histogram in microseconds.
+/// The quantile for a share (0 to 1) of all times, in milliseconds; the histogram is in microseconds.
 pub(crate) fn quantile_ms(histogram: &Histogram<u64>, share: f64) -> f64 {
     histogram.value_at_quantile(share) as f64 / MICROSECONDS_PER_MS
 }
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// The quantile of a share (0 to 1) of sorted values; 0 if there are none.
+/// The quantile for a share (0 to 1) of sorted values; 0 if there are none.
 fn quantile(sorted: &[u64], share: f64) -> u64 {
     let position = (sorted.len() as f64 * share) as usize;
     sorted.get(position.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
--- a/crates/testbed/src/benchmarks/identity.rs
+++ b/crates/testbed/src/benchmarks/identity.rs
@@ -15,7 +15,7 @@
 /// Rules that do not match, before the one that does.
 const NON_MATCHING_RULE_COUNT: usize = 99;
 const CHECK_COUNT: u32 = 1_000_000;
-/// All streams are renewed at about the same time, twice within this time.
+/// Lifetime of planners' and proxies' identities: all streams are renewed at about the same time, twice in [`SECONDS`].
 const IDENTITY_LIFETIME: Duration = Duration::from_secs(15);
 const SECONDS: u64 = 22;
 const SEED: u64 = 1;
--- a/crates/testbed/src/benchmarks/mod.rs
+++ b/crates/testbed/src/benchmarks/mod.rs
@@ -1,4 +1,5 @@
-//! Benchmarks, which print one figure per line as `name value unit`. The names contain the sizes.
+//! Benchmarks, which print one figure per line as `name value unit`. Names of figures that depend on the size of the
+//! fleet contain it: `592x544` stands for 592 proxies and 544 servers.
 
 mod edit_throughput;
 mod end_to_end;
--- a/crates/testbed/src/benchmarks/recording.rs
+++ b/crates/testbed/src/benchmarks/recording.rs
@@ -21,8 +21,9 @@
 const MAX_WRITING_TIME: Duration = Duration::from_secs(60);
 const EVENTS_PER_WRITE: u64 = 7;
 
-/// Measures the share of a core that 592 x 544 at 2,600 requests per second take: a session that handles the same
-/// reports without and with an event log, and the writing of the log.
+/// Measures the time of one core, per second, that 592 proxies with four requests per second each take: a session that
+/// handles the same reports without and with an event log, and the writing of the log, which a planner leaves to a
+/// separate thread.
 pub(super) fn measure(folder: &Path) -> BenchmarkResult {
     let fleet = runloom_replay::parse_fleet(&small_fleet_xml("z")).map_err(|e| e.to_string())?;
     let unrecorded = run_session(folder, fleet.clone(), false)?;
--- a/crates/testbed/src/benchmarks/restart.rs
+++ b/crates/testbed/src/benchmarks/restart.rs
@@ -22,7 +22,7 @@
 /// The speed factor that wrong hints give to healthy servers.
 const WRONG_SPEED_FACTOR: f64 = 0.5;
 
-/// A case of what hints a planner finds in its state folder when it restarts.
+/// A kind of warm-start hints that a planner finds in its state folder when it restarts.
 struct HintCase {
     name: &'static str,
     /// Changes the hints that the planner wrote into its state folder.
@@ -61,7 +61,7 @@
     });
 }
 
-/// Writes hints that suspect healthy servers and know nothing of the others.
+/// Replaces the hints by ones that suspect healthy servers, without entries for the others.
 fn write_wrong_hints(state: &Path) {
     // The endpoint list is taken from the planner's settings, since it does not change in this scenario.
     let Some(settings) = state.parent().map(|folder| folder.join("planner-0.xml")) else { return };
--- a/crates/testbed/src/benchmarks/table_delivery.rs
+++ b/crates/testbed/src/benchmarks/table_delivery.rs
@@ -339,7 +339,7 @@
 }
 
 /// Measures 592 x 544 over sockets, with none, a tenth and half of the subscribers reading only once a second: how much
-/// later than the first the other subscribers receive a version of a table.
+/// later than the first subscriber the ones that are not slow receive a version of a table.
 pub(super) fn measure_slow_readers(folder: &Path, program: &Path) -> BenchmarkResult {
     for share in SLOW_READER_SHARES {
         let scenario = scenario(DeliveryMode::Pubsub, SLOW_READER_SECONDS);
