--- a/crates/testbed/tests/event_log.rs
+++ b/crates/testbed/tests/event_log.rs
@@ -1,4 +1,4 @@
-//! An event log whose writer is killed at any moment.
+//! An event log whose writer is killed at any moment must read back without gaps.
 
 mod help;
 
@@ -14,10 +14,10 @@
     list_segments(log).ok()?.last().map(|segment| segment.number)
 }
 
-/// Starts a writer and kills it after it has written some segments and a part of another one.
+/// Starts a writer, and kills it up to 3 ms after it has begun `kill % 6` new segments.
 ///
-/// When it is killed depends on the segments that it has written: at its start, in its first segment or as it closes
-/// one. On a busy machine, a time limit would kill it before it writes anything.
+/// Kills so hit its start, its first segment and the closing of a segment. They wait for segments, since after a fixed
+/// time a writer on a busy machine may not have written anything yet.
 fn write_and_kill(log: &Path, kill: u64) {
     let newest_before = newest_segment(log).unwrap_or(0);
     let mut writer = Command::new(program()).arg("writes").arg("--folder").arg(log).spawn().unwrap();
--- a/crates/testbed/tests/operator_edits.rs
+++ b/crates/testbed/tests/operator_edits.rs
@@ -70,7 +70,8 @@
     assert_eq!((fleet_size(&mut client), edit_ids(&mut client).len()), (1, 1));
 }
 
-/// RFC 6241, section 8.4. A persistent confirmed commit is rolled back when the planner restarts.
+/// RFC 6241, section 8.4: a confirmed commit without `persist` is rolled back when its session ends, and any confirmed
+/// commit is rolled back when the planner restarts.
 #[test]
 fn a_confirmed_commit_is_rolled_back_when_its_client_or_the_planner_disappears() {
     // Given
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -67,7 +67,7 @@
     })
 }
 
-/// Plays a scenario, and checks that no rule was broken and no request took effect twice that must not.
+/// Plays a scenario, and checks that no rule was broken and that no request took effect twice that must not.
 fn play(name: &str, scenario: Scenario) -> ScenarioOutcome {
     let folder = Folder::new(name);
     let mut testbed = Testbed::new(scenario, 5, &folder.0, &program(), &[]).unwrap();
@@ -76,8 +76,7 @@
     outcome
 }
 
-/// Guards against proxies that do not read their streams and so delay the others: two do not, while forty others must
-/// receive a drain in time.
+/// Two proxies that do not read their streams must not delay a drain at the forty others.
 #[test]
 fn a_drain_reaches_forty_proxies_in_time_beside_proxies_that_do_not_read() {
     // Given
@@ -131,8 +130,8 @@
     assert!(outcome.counts.no_endpoint > 10, "{outcome:?}");
 }
 
-/// Two planners, of which one is killed and restarted, each write an event log. It replays to the same commands, also
-/// in another process, and the scenario can be inferred from it.
+/// Two planners, of which one is killed and restarted, each write an event log. Each start in a log replays to the same
+/// commands, also in another process, and the scenario can be inferred from each log.
 #[test]
 fn event_logs_replay_to_the_same_commands_over_a_kill_and_show_the_faults() {
     // Given
--- a/crates/testbed/tests/subscribers.rs
+++ b/crates/testbed/tests/subscribers.rs
@@ -82,7 +82,7 @@
         self.wait_until(&format!("{servers:?}"), |subscriber| subscriber.has_servers(servers));
     }
 
-    /// Handles events that come within `timeout`, and sends the client's output.
+    /// Waits for events for at most `timeout`, handles them, and sends the client's output.
     fn poll(&mut self, timeout: Duration) {
         let until = self.event_loop.now() + timeout;
         for event in self.event_loop.wait(Some(until)).unwrap() {
