--- a/crates/testbed/src/command_corruption.rs
+++ b/crates/testbed/src/command_corruption.rs
@@ -47,7 +47,8 @@
     let mut batch_number = 0usize;
     Some(Box::new(move |now, commands| {
         seen.record(commands);
-        // Only batches that are sent to proxies anyway; the others request no acknowledgement.
+        // Only batches of the periodic evaluation, which sets the next timer: these are sent to proxies anyway, and the
+        // others request no acknowledgement.
         let is_sent_to_proxies = commands.iter().any(|command| matches!(command, Command::SetTimer { .. }));
         if now < CORRUPTION_START || !is_sent_to_proxies {
             return;
@@ -154,7 +155,8 @@
                 (0..FLOOD_REPETITIONS).for_each(|_| corrupt(corruption, seen, batch_number, commands));
             }
         }
-        // Ejects servers with odd and with even indices in turn: each batch leaves half of the servers.
+        // Ejects servers with odd and with even indices in turn: each batch leaves half of the servers, and two
+        // successive ones would leave none.
         "halves" => commands.extend(seen.eject(|server| server % 2 == batch_number % 2)),
         // "to-all-ever": adds every server that ever had an entry, also draining and removed ones.
         _ => commands.extend(seen.set_all(1.0)),
--- a/crates/testbed/src/fake_servers.rs
+++ b/crates/testbed/src/fake_servers.rs
@@ -28,8 +28,8 @@
 /// Bounds of one request's service time, as multiples of the mean.
 const MIN_SERVICE_TIME_FACTOR: f64 = 0.01;
 const MAX_SERVICE_TIME_FACTOR: f64 = 1000.0;
-/// Weight of a new sample in the moving average of the utilization, per second since the last poll, and the lower bound
-/// of that weight.
+/// Weight of a new sample in the moving average of the utilization, per second since the last poll (one second at
+/// most), and the lower bound of that weight.
 const UTILIZATION_WEIGHT_PER_SECOND: f64 = 0.5;
 const MIN_UTILIZATION_WEIGHT: f64 = 0.05;
 /// Time after which idle connections are closed.
@@ -44,7 +44,7 @@
     Normal,
     /// Accepts them and never answers.
     Hanging,
-    /// Does not respond at all, as if its machine were down.
+    /// Never answers, and reads nothing from new connections, as if its machine were unreachable.
     Unreachable,
     /// Answers this share (0 to 1) of them with an error immediately.
     Failing(f64),
@@ -154,7 +154,7 @@
     }
 
     /// Counts a request, and returns whether it overloads the server while it is cold.
-    fn is_overloaded_by_request(&mut self, resources: &ServerCapacity, now: Duration) -> bool {
+    fn is_overloaded_by_request(&mut self, capacity: &ServerCapacity, now: Duration) -> bool {
         if !self.has_cold_start {
             return false;
         }
@@ -162,24 +162,22 @@
         while self.recent_arrivals.front().is_some_and(|at| *at + OVERLOAD_WINDOW < now) {
             self.recent_arrivals.pop_front();
         }
-        let service_seconds = resources.service_time.as_secs_f64();
+        let service_seconds = capacity.service_time.as_secs_f64();
         let received_seconds: f64 = self.recent_arrivals.iter().map(|_| service_seconds).sum();
-        let share = self.capacity_share(resources.warm_up, now);
-        let limit_seconds =
-            OVERLOAD_MULTIPLE * share * resources.cores as f64 * OVERLOAD_WINDOW.as_secs_f64();
+        let share = self.capacity_share(capacity.warm_up, now);
+        let limit_seconds = OVERLOAD_MULTIPLE * share * capacity.cores as f64 * OVERLOAD_WINDOW.as_secs_f64();
         share < 1.0 && received_seconds > limit_seconds + OVERLOAD_SLACK_REQUESTS * service_seconds
     }
 
     /// Draws the service time of a request that starts now.
-    fn draw_service_time(&self, resources: &ServerCapacity, now: Duration, rng: &mut StdRng) -> Duration {
+    fn draw_service_time(&self, capacity: &ServerCapacity, now: Duration, rng: &mut StdRng) -> Duration {
         let is_expensive =
             self.expensive_request_factor > 1.0 && rng.random::<f64>() < EXPENSIVE_REQUEST_SHARE;
         let cost_factor = if is_expensive { self.expensive_request_factor } else { 1.0 };
         let random_factor =
             LogNormal::new(SERVICE_TIME_MU, SERVICE_TIME_SIGMA).map_or(1.0, |d| d.sample(rng));
-        let factor =
-            random_factor * self.slowdown * cost_factor / self.capacity_share(resources.warm_up, now);
-        resources.service_time.mul_f64(factor.clamp(MIN_SERVICE_TIME_FACTOR, MAX_SERVICE_TIME_FACTOR))
+        let factor = random_factor * self.slowdown * cost_factor / self.capacity_share(capacity.warm_up, now);
+        capacity.service_time.mul_f64(factor.clamp(MIN_SERVICE_TIME_FACTOR, MAX_SERVICE_TIME_FACTOR))
     }
 
     /// Removes and returns a finished job; `None` if there is none.
@@ -194,7 +192,7 @@
         self.utilization += (busy_share - self.utilization) * weight.max(MIN_UTILIZATION_WEIGHT);
     }
 
-    /// The load report that each response carries: requests running or queued, and utilization.
+    /// The load report that each response with status 200 carries: requests running or queued, and utilization.
     fn load_headers(&self) -> Vec<(String, String)> {
         let unfinished = self.running.len() + self.queue.len();
         vec![("runloom-load".into(), format!("{unfinished},{:.3}", self.utilization))]
@@ -412,7 +410,7 @@
         }
     }
 
-    /// Number of request keys that took effect more than once, of the class that must not.
+    /// Number of keys that took effect more than once, among those of requests that must not run twice.
     pub fn duplicated_effects(&self) -> usize {
         self.effects.values().filter(|count| **count > 1).count()
     }
--- a/crates/testbed/src/issuer.rs
+++ b/crates/testbed/src/issuer.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a certificate issuer: one authority, which issues certificates by SPIFFE identity or DNS name.
+//! A stand-in for a certificate issuer: one authority, whose certificates hold a SPIFFE identity or DNS names.
 
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, KeyPair, KeyUsagePurpose,
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -88,8 +88,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The longest time between two arrivals, in seconds.
 const MAX_ARRIVAL_GAP_SECONDS: f64 = 60.0;
-/// Exponent of the skew by which some proxies get far more requests than others, as those of clients with unequal
-/// loads do.
+/// Exponent by which requests are distributed unequally: a value above 1 gives proxies with low indices far more
+/// requests than the others, as happens when clients differ in load.
 const PROXY_SKEW_EXPONENT: f64 = 1.5;
 
 #[derive(Debug, Clone)]
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Counts a failed attempt, and retries it once where that is safe.
+    /// Counts a failed attempt, and schedules one retry of the request where that is safe.
     fn handle_failure(&mut self, now: Duration, request: ClientRequest, cause: &str) {
         *self.totals.failures.entry(cause.to_string()).or_default() += 1;
         if CLASSES[request.class].is_repeatable && !request.is_retry {
--- a/crates/testbed/src/planner_process.rs
+++ b/crates/testbed/src/planner_process.rs
@@ -116,7 +116,7 @@
 
 /// A planner's process, which is killed when the value is dropped.
 pub struct PlannerProcess {
-    /// `None` once the process has ended.
+    /// `None` after [`PlannerProcess::kill`] or [`PlannerProcess::wait`].
     child: Option<Child>,
     /// Where the planner listens.
     pub addresses: PlannerAddresses,
@@ -157,12 +157,13 @@
         }
     }
 
-    /// The process id; `None` if the process does not run.
+    /// The process id; `None` after [`PlannerProcess::kill`] or [`PlannerProcess::wait`].
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Memory and processor time of the process up to now; zeros if it does not run.
+    /// Memory and processor time of the process up to now; zeros after [`PlannerProcess::kill`] or
+    /// [`PlannerProcess::wait`].
     pub fn resource_usage(&self) -> ResourceUsage {
         self.id().map(ResourceUsage::of_process).unwrap_or_default()
     }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: sizes, traffic, and scheduled faults and edits, read from XML that a schema validates.
+//! Scenarios: sizes, traffic, and scheduled faults and edits, read from XML that is validated against a schema.
 
 use runloom_model::schema::SchemaValidator;
 use runloom_netconf::tree::Element;
@@ -127,7 +127,7 @@
     Netconf,
     /// All proxies subscribe to whole tables.
     Pubsub,
-    /// Every other proxy subscribes; the rest receive NETCONF edits.
+    /// Every other proxy subscribes to whole tables; the rest receive NETCONF edits.
     Mixed,
     /// All proxies subscribe to subsets of tables.
     Subsets,
@@ -156,7 +156,7 @@
     pub warm_up: Duration,
     /// Time for which proxies may still send to a server after it was drained.
     pub drain_grace_period: Duration,
-    /// Time for which a proxy's table may have no entry for a traffic class.
+    /// Time for which a connected proxy may have no table entry for a traffic class.
     pub empty_table_grace_period: Duration,
     /// Time from a change of the servers until the feed sends it.
     pub feed_delay: Duration,
--- a/crates/testbed/src/testbed/endpoint_listing.rs
+++ b/crates/testbed/src/testbed/endpoint_listing.rs
@@ -18,7 +18,8 @@
     pub removed: BTreeSet<String>,
     /// Servers that are not listed although they run.
     pub falsely_removed: BTreeSet<String>,
-    /// Servers whose processes have ended. The feed does not detect unreachable or hanging servers.
+    /// Servers that a fault crashed and that have not been started again. The feed detects no other failures:
+    /// unreachable, hanging and overloaded servers stay listed.
     pub crashed: BTreeSet<String>,
 }
 
--- a/crates/testbed/src/testbed/report.rs
+++ b/crates/testbed/src/testbed/report.rs
@@ -24,7 +24,7 @@
     /// Value of the responses, as a share (0 to 1) of the value if every request were answered within its latency
     /// objective.
     pub service: f64,
-    /// Number of request keys that took effect twice, of the class that must not.
+    /// Number of keys that took effect more than once, among those of requests that must not run twice.
     pub duplicated_effects: usize,
     /// Violations of the five safety rules, one sentence each.
     pub violations: Vec<String>,
--- a/crates/testbed/src/testbed/restart_observation.rs
+++ b/crates/testbed/src/testbed/restart_observation.rs
@@ -20,7 +20,7 @@
     failing_servers: BTreeSet<String>,
     /// Servers that were slow at the restart.
     slow_servers: BTreeSet<String>,
-    /// Time from when the planner listened again until all proxies had received an update; `None` if some have not.
+    /// Time from when the planner listened again until all proxies had received an update; `None` until then.
     pub recovery_time: Option<Duration>,
     /// Time from the start of the process until it listened.
     pub start_duration: Duration,
--- a/crates/testbed/src/testbed/setup.rs
+++ b/crates/testbed/src/testbed/setup.rs
@@ -110,7 +110,7 @@
     ) -> Result<Testbed, String> {
         let issuer = Issuer::new(&folder.join("papers"))?;
         let mut event_loop = EventLoop::new().map_err(|e| e.to_string())?;
-        // The limit is meant for one component per loop; here all proxies share a loop.
+        // The limit of handshakes per iteration is meant for a loop with one component; here all proxies share a loop.
         event_loop.max_handshakes = usize::MAX;
         let servers = start_servers(&mut event_loop, &scenario).map_err(|e| e.to_string())?;
         let mut testbed = Testbed {
