--- a/crates/testbed/src/rule_checker.rs
+++ b/crates/testbed/src/rule_checker.rs
@@ -1,11 +1,12 @@
 //! Checks the five safety rules against what was observed at the sockets: requests at servers, effects by key, updates
 //! at proxies, and what planners acknowledged to the feed and the operators.
 //!
-//! 1. A connected proxy has table entries for every traffic class while a warm server is listed.
+//! 1. A connected proxy lacks table entries for a traffic class at most for a grace period, while a warm server is
+//!    listed.
 //! 2. A request that must not run twice takes effect at most once.
-//! 3. Proxies stop sending to a server within the grace period after it was drained.
-//! 4. A cold server is not overloaded.
-//! 5. The update channel stays within its limits of queued entries and messages.
+//! 3. Proxies stop sending to a server within the grace period after it was drained or removed from the endpoint list.
+//! 4. A cold server whose start has been known to a planner for the grace period is not overloaded.
+//! 5. The update channel stays within its limits of queued entries and of messages to each proxy.
 
 use crate::load_generator::CLASSES;
 use crate::management_clients::{Notification, NotifiedState};
@@ -90,7 +91,7 @@
     pub notifications: Vec<Notification>,
     /// When every planner listed a ready and warm server.
     pub warm_server_listed: Vec<TimeRange>,
-    /// Number of request keys that took effect twice, of the class that must not.
+    /// Number of keys that took effect more than once, among those of requests that must not run twice.
     pub duplicated_effects: usize,
     /// Servers that received too many requests while cold.
     pub overloaded_servers: Vec<OverloadedServer>,
@@ -158,11 +159,11 @@
 /// Rule 2: a request that must not run twice takes effect at most once.
 fn check_duplicated_effects(observations: &Observations) -> Option<String> {
     let count = observations.duplicated_effects;
-    (count > 0).then(|| format!("rule 2: {count} keys took effect twice"))
+    (count > 0).then(|| format!("rule 2: {count} request keys took effect more than once"))
 }
 
-/// Rule 3: connected proxies do not send to a server once the grace period has passed since their planner was told of
-/// its drain, or since they connected.
+/// Rule 3: connected proxies do not send to a server that was drained or removed, once the grace period has passed
+/// since their planner was told of it or since they connected, whichever was later.
 fn check_drains(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let mut violations = Vec::new();
     let mut reported: BTreeSet<&str> = BTreeSet::new();
@@ -172,7 +173,7 @@
         let allowed_until = drain.at.max(connection.since) + limits.drain_grace_period;
         if arrival.at > allowed_until && reported.insert(&arrival.server) {
             violations.push(format!(
-                "rule 3: f{} sent a request to {} at {:.1} s, which was {} since {:.1} s",
+                "rule 3: f{} sent a request to {} at {:.1} s; that server was {} since {:.1} s",
                 arrival.proxy,
                 arrival.server,
                 arrival.at.as_secs_f64(),
@@ -204,7 +205,8 @@
     [last_by(false), last_by(true)].into_iter().flatten().filter(is_binding).min_by_key(|n| n.at)
 }
 
-/// Rule 4: no cold server is overloaded, if a planner had the grace period to react to its start.
+/// Rule 4: no cold server is overloaded once a planner has been told of its start for longer than
+/// [`RuleLimits::drain_grace_period`].
 fn check_overload(observations: &Observations, limits: &RuleLimits) -> Vec<String> {
     let was_known = |overload: &&OverloadedServer| {
         observations.notifications.iter().any(|n| {
@@ -234,7 +236,9 @@
         let exceeded = times.windows(limit + 1).find(|window| window[limit] < window[0] + MESSAGE_WINDOW);
         if let Some(window) = exceeded {
             let seconds = window[0].as_secs_f64();
-            violations.push(format!("rule 5: too many messages to f{proxy} from {seconds:.1} s"));
+            violations.push(format!(
+                "rule 5: f{proxy} received more than {limit} messages within ten seconds, from {seconds:.1} s on"
+            ));
         }
     }
     violations
--- a/crates/testbed/src/testbed/mod.rs
+++ b/crates/testbed/src/testbed/mod.rs
@@ -41,7 +41,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time for which the testbed waits, after the last arrival, for requests and edits in progress.
 const DRAIN_TIME: Duration = Duration::from_secs(5);
-/// A slow reader reads its stream in one of this many observation intervals.
+/// Period of a slow reader in observation intervals; it reads its stream during one of them.
 const SLOW_READER_PERIOD: usize = 10;
 /// Highest update lag that the histogram resolves, in microseconds.
 const MAX_UPDATE_LAG_US: u64 = 60_000_000;
@@ -180,7 +180,7 @@
         while !self.proxies.iter().all(has_tables) {
             self.renew_identities()?;
             if self.event_loop.now() > begin + SETTLE_TIMEOUT {
-                return Err("the proxies did not receive their tables within a minute".into());
+                return Err("not all proxies received their tables from a planner within a minute".into());
             }
             self.poll(self.event_loop.now() + OBSERVATION_INTERVAL)?;
         }
@@ -229,7 +229,8 @@
         (self.slow_reader_share * self.proxies.len() as f64) as usize
     }
 
-    /// Makes each slow reader read in its own one of [`SLOW_READER_PERIOD`] intervals, and stalls it in the others.
+    /// Lets each slow reader read in one of every [`SLOW_READER_PERIOD`] observation intervals, and stalls it in the
+    /// others. The readers take turns.
     fn update_slow_readers(&mut self, now: Duration) {
         let interval = (now.as_millis() / OBSERVATION_INTERVAL.as_millis()) as usize;
         for proxy in 0..self.slow_reader_count() {
