--- a/crates/control-session/src/endpoint_directory.rs
+++ b/crates/control-session/src/endpoint_directory.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Returns the weight of a record, or for a removed server the last one listed, and remembers it.
+    /// Returns and stores the server's weight: that of the record or, if the record removes the server, the last one
+    /// listed.
     pub fn update_weight(&mut self, record: &EndpointRecord) -> f64 {
         let weight = if record.state == ListedState::Removed {
             self.weights.get(&record.server).copied().unwrap_or(DEFAULT_WEIGHT)
--- a/crates/control-session/src/session.rs
+++ b/crates/control-session/src/session.rs
@@ -81,7 +81,7 @@
     pub(crate) success_rates: BTreeMap<(ServerId, ZoneId), f64>,
     controller: Controller,
     proxies: IdMap<String>,
-    /// Time of the newest call that passed one, for the record.
+    /// Time of the newest call that had a `now` argument. Recorded events get this time.
     now: Duration,
     wall_clock: WallClock,
 }
--- a/crates/controller/src/admission_control.rs
+++ b/crates/controller/src/admission_control.rs
@@ -86,7 +86,7 @@
     pub capacity_knee: f64,
     pub retries_disabled: bool,
     /// When load was last shed.
-    pub changed_at: Duration,
+    pub last_shed_at: Duration,
     /// Requests per second over all proxies and classes; `None` admits all.
     pub admission_limit: Option<f64>,
     /// Isolated classes, one bit each, and their share of the weight of the warm endpoints.
@@ -156,7 +156,7 @@
         let rejects_arrivals = admission.admission_limit.is_some_and(|limit| limit < arrival_rate);
         let is_limited = rejects_arrivals || admission.isolated_classes != 0;
         let settle_time = if is_limited { SETTLE_TIME_LIMITED } else { SETTLE_TIME };
-        let has_settled = now >= admission.changed_at + settle_time;
+        let has_settled = now >= admission.last_shed_at + settle_time;
         let demand = Demand { fleet_weight, arrival_rate, limits_request_rate, has_settled };
         admission.update_capacity_estimate(&demand, is_limited);
         let pressure = admission.shared.overload_pressure;
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Sums the success rates of endpoints with recent reports, and compares the part of endpoints that any list has
-    /// contained, which have a configured weight, with the sum.
+    /// Sums the success rates of endpoints with recent reports. The list is stale if too small a part of the sum comes
+    /// from endpoints that any list has contained; these are the endpoints with a configured weight.
     fn measure_success_rate(&mut self) {
         let recent =
             self.endpoints.iter().filter(|endpoint| self.now < endpoint.last_report + REPORT_LIFETIME);
--- a/crates/controller/src/admission_control/capacity.rs
+++ b/crates/controller/src/admission_control/capacity.rs
@@ -25,8 +25,8 @@
 
     /// Updates the capacity estimate and the sustained rate, once per tick.
     ///
-    /// The capacity is the present success rate per unit of weight, scaled up the more the lower the pressure is. The
-    /// estimate of an idle limited fleet grows instead, since it would otherwise fall together with the limit.
+    /// The capacity is the present success rate per unit of weight, divided by the square root of the pressure. While a
+    /// limited fleet is idle, the estimate grows instead, since it would otherwise fall together with the limit.
     pub(super) fn update_capacity_estimate(&mut self, demand: &Demand, is_limited: bool) {
         let pressure = self.shared.overload_pressure;
         let capacity =
--- a/crates/controller/src/admission_control/limiter.rs
+++ b/crates/controller/src/admission_control/limiter.rs
@@ -4,8 +4,8 @@
 use crate::event::ClassId;
 use std::time::Duration;
 
-/// A tightened limit is a share of the success rate, so that queues drain: 1 minus this for each unit of pressure,
-/// within bounds.
+/// A tightened limit is a share of the success rate, so that queues drain. The share is 1 minus this constant times the
+/// pressure, clamped to [`TIGHTEN_SHARE_LIMITS`].
 const TIGHTEN_SHARE_PER_PRESSURE: f64 = 0.15;
 const TIGHTEN_SHARE_LIMITS: (f64, f64) = (0.5, 0.9);
 /// The success rate that a limit is computed from is at least this share of the capacity knee.
@@ -44,7 +44,7 @@
             self.tighten_isolation(lowest_class);
         }
         self.retries_disabled = true;
-        self.changed_at = now;
+        self.last_shed_at = now;
     }
 
     fn tighten_limit(&mut self, demand: &Demand) {
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -118,7 +118,7 @@
             }
             Event::WarmStart { hints } => self.apply_hints(hints),
             Event::ServerReleased { server } => *slot(&mut self.endpoints, *server) = Endpoint::default(),
-            Event::TimerFired { token } if *token == self.timer_token => self.set_timer(commands),
+            Event::TimerFired { token } if *token == self.timer_token => self.schedule_evaluations(commands),
             Event::TimerFired { .. }
             | Event::SliceArrivalReport { .. }
             | Event::SliceOwnership { .. }
@@ -130,14 +130,14 @@
     fn start(&mut self, seed: u64, config: &DeploymentConfig, commands: &mut Vec<Command>) {
         *self = Controller { now: self.now, config: config.clone(), ..Controller::default() };
         self.random = Some(WyRand::new_seed(seed));
-        self.set_timer(commands);
+        self.schedule_evaluations(commands);
         if self.config.endpoint_list.needs_watch {
             commands.push(Command::WatchEndpoints { enabled: true });
         }
     }
 
-    /// Triggers an evaluation in this step, and the next one by a timer.
-    fn set_timer(&mut self, commands: &mut Vec<Command>) {
+    /// Triggers an evaluation in this step, and sets the timer that triggers the next one.
+    fn schedule_evaluations(&mut self, commands: &mut Vec<Command>) {
         self.timer_token += 1;
         self.needs_evaluation = true;
         commands.push(Command::SetTimer { after: EVALUATION_INTERVAL, token: self.timer_token });
--- a/crates/controller/src/ejection_report.rs
+++ b/crates/controller/src/ejection_report.rs
@@ -37,7 +37,8 @@
 
     /// Formats the log line with the endpoint's name.
     ///
-    /// The wording is stable: logs, records and the adapter's wire contain this line, and a replay compares it.
+    /// The wording is stable: logs, records and the adapter's replies to the simulator contain this line, and a
+    /// replay compares it.
     pub fn log_line(&self, server_name: &str) -> String {
         let state = match self.health {
             HealthState::LongEjected => "Held",
--- a/crates/controller/src/endpoint.rs
+++ b/crates/controller/src/endpoint.rs
@@ -52,7 +52,8 @@
     pub configured_weight: f64,
     /// Whether it disappeared from the list and stays in service all the same.
     pub missing_from_list: bool,
-    /// Whether the list added it as long started, though it was not listed before, and no attempt has succeeded yet.
+    /// Whether a list other than the first added it without a start time, and no attempt has succeeded shortly before
+    /// that or since: the list may be wrong about it.
     pub unverified: bool,
     pub health: HealthState,
     /// When it entered its health state. An endpoint that became healthy keeps the time at which its slow start began.
@@ -64,7 +65,8 @@
     pub failures: f32,
     /// Failures since the last success.
     pub consecutive_failures: f32,
-    /// When the last success was reported, and the last outcome of any kind. Both count from the start of service.
+    /// When the last success, and the last outcome of any kind, was reported. Both are set to the present time when
+    /// the endpoint is put into service.
     pub last_success: Duration,
     pub last_report: Duration,
     /// Successes per second, by zone of the proxies.
--- a/crates/controller/src/endpoint_list.rs
+++ b/crates/controller/src/endpoint_list.rs
@@ -1,10 +1,10 @@
 //! Endpoint lists: applies the records of a list to known and to new endpoints.
 //!
 //! Lists can be wrong. With `EndpointListConfig::only_draining_binds`, an endpoint that is *missing from the list*
-//! stays in service until it fails, and one that a later list adds as long started is *unverified* until its first
-//! success. The list is *stale* while many successes come from endpoints that no list has contained. With the same
-//! setting the list is *unreliable* as long as it has no draining endpoint: proxies may then keep the tables of an
-//! earlier planner.
+//! stays in service until it fails, and one that a list other than the first adds without a start time is *unverified*
+//! until its first success. The list is *stale* while many successes come from endpoints that no list has contained. It
+//! is *unreliable* if `only_draining_binds` is set and it has no draining endpoint: proxies may then keep the tables of
+//! an earlier planner.
 
 use crate::controller::Controller;
 use crate::endpoint::{slot, Endpoint, HealthState};
@@ -71,8 +71,8 @@
         self.configured_weight = if is_usable { record.weight } else { DEFAULT_WEIGHT };
     }
 
-    /// Puts a new process into service. One that is listed as long started counts as warm if it is on the first list
-    /// or answered before it was listed; otherwise, where lists can be wrong, it is unverified.
+    /// Puts a new process into service. One without a start time, which counts as started long ago, is warm if it is on
+    /// the first list or answered before it was listed; otherwise, where lists can be wrong, it is unverified.
     fn begin_service(&mut self, record: &EndpointRecord, trust: ListTrust, now: Duration) {
         let answered_recently = trust.missing_may_serve && now < self.last_success + RECENT_SUCCESS;
         let is_running = trust.is_first || answered_recently;
--- a/crates/controller/src/id_map.rs
+++ b/crates/controller/src/id_map.rs
@@ -41,8 +41,8 @@
         index
     }
 
-    /// Releases an index for reuse by another name, so that the map stays bounded while names are replaced all day.
-    /// An index without a name is ignored.
+    /// Releases an index for reuse by another name, so that the map stays bounded however often names are
+    /// replaced. An index without a name is ignored.
     pub fn release(&mut self, index: usize) {
         if let Some(name) = self.names.get_mut(index).and_then(Option::take) {
             self.index.remove(&name);
--- a/crates/controller/src/outlier_detection.rs
+++ b/crates/controller/src/outlier_detection.rs
@@ -116,8 +116,8 @@
         self.consecutive_failures >= 1.0 && (self.unverified || lost)
     }
 
-    /// Whether it only fails, for longer than by chance or in a short overload, or health checks show that it is gone.
-    /// A time without a success does not suffice: it may have had no attempts.
+    /// Whether all of its attempts fail, for longer than chance or a short overload explains, or health checks show
+    /// that it is gone. A time without a success is not enough: the endpoint may have had no attempts.
     fn is_dead(&self, baseline: &FleetBaseline, now: Duration) -> bool {
         let unanswered = self.unanswered_checks >= UNANSWERED_CHECK_LIMIT
             && self.silence_seconds(now) >= UNANSWERED_SILENCE_SECONDS;
--- a/crates/controller/src/publication.rs
+++ b/crates/controller/src/publication.rs
@@ -16,8 +16,8 @@
 /// The share of the queue that stays free, since acknowledgements are delayed and a slow channel is noticed late.
 /// As it is a half, it is also the share that updates may use.
 const RESERVED_QUEUE_SHARE: f64 = 0.5;
-/// The share of the queue, out of the reserve, that proxies without a table may use: the time in which they have to get
-/// one is limited by the rules.
+/// The share of the queue, out of the reserve, that first tables may use: the time for which a proxy may be without a
+/// table is limited (`ServiceLimits::max_unserved_seconds`).
 const FIRST_TABLE_QUEUE_SHARE: f64 = 0.25;
 /// The window of the message limit if the settings give none, and the margin that is added to it.
 const DEFAULT_MESSAGE_WINDOW: Duration = Duration::from_secs(10);
--- a/crates/controller/src/retry_policy.rs
+++ b/crates/controller/src/retry_policy.rs
@@ -39,6 +39,6 @@
     pub(crate) fn restore_retries(&mut self, arrival_rate: f64, now: Duration) {
         let admits_all = self.admission_limit.is_none_or(|limit| limit >= arrival_rate * UNLIMITED_MARGIN);
         let sheds_no_requests = admits_all && self.isolated_classes == 0;
-        self.retries_disabled &= !sheds_no_requests || now < self.changed_at + RETRY_RECOVERY;
+        self.retries_disabled &= !sheds_no_requests || now < self.last_shed_at + RETRY_RECOVERY;
     }
 }
--- a/crates/controller/src/slow_start.rs
+++ b/crates/controller/src/slow_start.rs
@@ -16,8 +16,9 @@
 const MIN_SLOW_START_SECONDS: f64 = 2.0;
 /// Lower bound of the configured warm-up time, which is a divisor.
 const MIN_WARM_UP_SECONDS: f64 = 0.1;
-/// A warming endpoint gets requests once its capacity (0 to 1) reaches this times the square of the fleet's pressure,
-/// within bounds: 0.4 up to a pressure of 1.8, 0.75 at 2.5, full capacity from 2.9 on.
+/// A warming endpoint gets requests only if its capacity (0 to 1) is at least this constant times the square of the
+/// fleet's pressure; the product is clamped to between [`MIN_CAPACITY_TO_SERVE`] and 1. The required capacity is 0.4 up
+/// to a pressure of 1.8, 0.75 at 2.5, and full capacity from 2.9 on.
 const CAPACITY_PER_SQUARED_PRESSURE: f64 = 0.12;
 const MIN_CAPACITY_TO_SERVE: f64 = 0.4;
 /// A warming endpoint has less capacity and is slower as well: its share of the weight is its capacity to this power,
--- a/crates/controller/src/speed_estimation.rs
+++ b/crates/controller/src/speed_estimation.rs
@@ -22,7 +22,7 @@
 /// The gain for load reports of an endpoint that has just started and is slower than estimated: its queue grows until
 /// the estimate is right. One that looks faster may do so only because its queue is still empty.
 const UPDATE_GAIN_SLOW_NEW_ENDPOINT: f64 = 0.3;
-/// An endpoint with a known start time has just started until this long after its slow start began.
+/// An endpoint with a known start time counts as just started for this long after its slow start began.
 const NEW_ENDPOINT_TIME: Duration = Duration::from_secs(10);
 /// Bound of the difference to the peers that an update takes into account, as a logarithm.
 const MAX_LOG_DIFFERENCE: f64 = 1.0;
--- a/crates/controller/src/subsetting.rs
+++ b/crates/controller/src/subsetting.rs
@@ -11,7 +11,8 @@
 
 /// There is one subset if the channel can publish a table of all endpoints to all proxies in less than this time.
 const MAX_PUBLISH_SECONDS: f64 = 0.15;
-/// Target number of endpoints in a subset: few enough that connections stay open, and enough to lose some.
+/// Target number of endpoints in a subset: few enough that connections stay open, and enough that a subset
+/// can lose some of them.
 const SUBSET_SIZE: f64 = 10.0;
 /// A subset with proxies counts as having at least this share of the mean load. That gives it about three endpoints, so
 /// that it may lose one.
@@ -22,7 +23,7 @@
 /// Endpoints move only between subsets whose weights per load differ by at least this factor: less is within the noise
 /// of a few seconds of reports, and a move costs connections.
 const REBALANCE_RATIO: f64 = 1.35;
-/// A subset with no more than this many times the weight of an endpoint consists of that endpoint.
+/// An endpoint counts as the last one of its subset if the subset's weight is at most this many times its own.
 const LAST_ENDPOINT_RATIO: f64 = 1.01;
 /// A subset with at most this weight has no usable endpoint.
 const NO_WEIGHT: f64 = 1e-9;
@@ -183,8 +184,8 @@
         self.subsets = (0..count as usize).map(subset).collect();
     }
 
-    /// The number of zones that subsets are divided by; 1 if they have no zone. They have none if a planner may serve
-    /// the proxies of a single zone: only the subsets of that zone would have proxies, and would get all endpoints.
+    /// The number of zones that subsets are divided by; 1 if subsets have no zone. They have none if a planner may have
+    /// proxies of one zone only: the subsets of that zone would be the only ones with proxies, and get all endpoints.
     fn subset_zones(&self) -> f64 {
         let zones = self.config.zone_count.max(1.0);
         let may_have_one_zone = zones < 2.0 * self.config.planner_count;
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,7 +1,8 @@
 //! Reads the platform's settings, which are JSON, into a typed configuration.
 //!
-//! The adapter and the planner on the platform both read their settings with this crate, so that the same settings
-//! give the same configuration. The module `wire` has the names of the settings on the wire.
+//! The adapter, which connects planners to the simulator, and the planner on the platform both read their settings with
+//! this crate, so that the same settings give the same configuration. The module `wire` has the names of the settings
+//! on the wire.
 
 #![warn(missing_docs)]
 
--- a/crates/distribution/src/distributor.rs
+++ b/crates/distribution/src/distributor.rs
@@ -84,8 +84,8 @@
     /// Whether subsets are published, which starts once a proxy that needs them connects.
     publishes_subsets: bool,
     /// Time after a proxy's acknowledgement in which its reports may still contain requests that were in flight: the
-    /// longest request deadline and [`REPORT_TOLERANCE`]. Not the grace period of drains.
-    grace_period: Duration,
+    /// longest request deadline plus [`REPORT_TOLERANCE`]. It is independent of the grace period of drains.
+    report_grace_period: Duration,
     /// Resyncs of proxies whose reports contradicted their acknowledgements.
     resync_count: u64,
 }
@@ -104,7 +104,7 @@
             shared_edits: BTreeMap::new(),
             removed_servers: BTreeMap::new(),
             publishes_subsets: false,
-            grace_period: longest_deadline + REPORT_TOLERANCE,
+            report_grace_period: longest_deadline + REPORT_TOLERANCE,
             resync_count: 0,
         }
     }
@@ -114,7 +114,7 @@
     pub fn restart(&mut self, epoch: u64, drain_grace_period: Duration, longest_deadline: Duration) {
         self.publisher.restart(epoch);
         self.reconnect_queue.set_grace_period(drain_grace_period);
-        self.grace_period = longest_deadline + REPORT_TOLERANCE;
+        self.report_grace_period = longest_deadline + REPORT_TOLERANCE;
         self.shared_edits.clear();
         self.removed_servers.clear();
         self.ready_proxies.clear();
--- a/crates/distribution/src/distributor/publication.rs
+++ b/crates/distribution/src/distributor/publication.rs
@@ -77,7 +77,7 @@
         let mut required: Vec<(Topic, Version)> =
             member.topics(proxy).into_iter().filter_map(unacknowledged).collect();
         if required.is_empty() && !member.assignments.is_empty() {
-            // The proxy holds everything: a version without changes gets its acknowledgement.
+            // The proxy holds everything: a version without changes is sent to it, only to be acknowledged.
             let assignments = assignment_topic(proxy);
             required.push((assignments, self.publisher.advance_unchanged(assignments)));
         }
--- a/crates/distribution/src/distributor/reports.rs
+++ b/crates/distribution/src/distributor/reports.rs
@@ -34,7 +34,7 @@
             tables.any(|(_, state)| state.contains_key(&key))
         };
         let unlisted = removed.into_iter().filter(|server| !is_listed(server));
-        let verdict = member.report_checker.check_report(now, window, self.grace_period, unlisted);
+        let verdict = member.report_checker.check_report(now, window, self.report_grace_period, unlisted);
         if verdict == Verdict::Resync {
             self.resync(proxy, &topics);
         }
--- a/crates/distribution/src/suspicion.rs
+++ b/crates/distribution/src/suspicion.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Consecutive suspicious reports after which a proxy is resynced or disconnected. One is not enough: its window may
-/// have been cut differently by the proxy's clock.
+/// Consecutive suspicious reports after which a proxy is resynced or disconnected. One is not enough: by the
+/// proxy's clock, its window may have begun earlier than assumed here.
 const SUSPICIOUS_REPORT_LIMIT: u32 = 2;
 /// Limit on the acknowledged removals remembered for each proxy: more than a deployment causes in the few minutes that
 /// matter.
@@ -91,19 +91,19 @@
         self.acknowledged_removals.contains_key(server)
     }
 
-    /// Checks a report over `window`. `attempted` are those of its servers that are in none of the proxy's tables.
+    /// Checks a report over `window`. `unlisted` are those of its servers that are in none of the proxy's tables.
     /// Requests in flight when a table changed may end up to `grace_period` later, and are not suspicious.
     pub(crate) fn check_report<'a>(
         &mut self,
         now: Duration,
         window: Duration,
         grace_period: Duration,
-        mut attempted: impl Iterator<Item = &'a str>,
+        mut unlisted: impl Iterator<Item = &'a str>,
     ) -> Verdict {
         let is_suspicious = |server: &str| {
             self.acknowledged_removals.get(server).is_some_and(|at| now >= *at + grace_period + window)
         };
-        if !attempted.any(is_suspicious) {
+        if !unlisted.any(is_suspicious) {
             self.suspicious_reports = 0;
             return Verdict::Trusted;
         }
--- a/crates/guard/src/replay.rs
+++ b/crates/guard/src/replay.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The time at which a case is replayed: later than any replayed server age.
+/// The time at which a case is replayed: late enough that all replayed servers start after the clock's zero.
 const REPLAY_TIME: Duration = Duration::from_secs(10_000_000);
 /// Upper bound of a replayed server age or warm-up time, in seconds.
 const MAX_REPLAYED_SECONDS: f64 = 1e6;
--- a/crates/guard/src/rules.rs
+++ b/crates/guard/src/rules.rs
@@ -52,7 +52,7 @@
 
 impl<'a> TableCheck<'a> {
     /// The table's entries after the batch.
-    fn next(&self) -> &'a Entries {
+    fn staged_entries(&self) -> &'a Entries {
         self.staged.tables.get(&self.table).unwrap_or(self.published)
     }
 }
--- a/crates/guard/src/rules/cold_overload.rs
+++ b/crates/guard/src/rules/cold_overload.rs
@@ -65,7 +65,7 @@
 impl TableCheck<'_> {
     /// Rejects the commands that would overload cold servers of the table.
     pub(super) fn reject_cold_overload(&self, cold_servers: &ColdServers, rejections: &mut Rejections) {
-        for server in self.next().keys() {
+        for server in self.staged_entries().keys() {
             if self.state.servers.is_cold(*server, self.now) && self.state.is_open(*server) {
                 self.check_cold_server(*server, cold_servers, rejections);
             }
@@ -159,7 +159,7 @@
         let stays_warm =
             |server: ServerId| is_open_and_warm(server) && !self.staged.ejected.contains(&server);
         self.has_first_assignment()
-            && !usable_servers(self.state, self.next(), &self.staged.ejected).any(stays_warm)
+            && !usable_servers(self.state, self.staged_entries(), &self.staged.ejected).any(stays_warm)
     }
 
     /// Whether the batch gives a proxy that has no table yet its first assignment, and does so to this table.
@@ -172,11 +172,11 @@
 
     /// The server's share of the table's requests, limited by its fair share among the usable servers.
     fn share_change(&self, server: ServerId) -> LoadChange {
-        let usable = usable_servers(self.state, self.next(), &self.staged.ejected);
+        let usable = usable_servers(self.state, self.staged_entries(), &self.staged.ejected);
         let total: f64 = usable.map(|server| self.warm_weight(server)).sum();
         LoadChange {
             before: share(&without_ejected(self.published, &self.state.ejected), server),
-            after: share(&without_ejected(self.next(), &self.staged.ejected), server),
+            after: share(&without_ejected(self.staged_entries(), &self.staged.ejected), server),
             limit: MAX_FAIR_SHARE_MULTIPLE * self.warm_weight(server) / total.max(f64::MIN_POSITIVE),
         }
     }
--- a/crates/guard/src/rules/empty_table.rs
+++ b/crates/guard/src/rules/empty_table.rs
@@ -15,7 +15,9 @@
     /// Rejects the commands that would leave the table without a usable server, if proxies use it.
     pub(super) fn reject_emptying(&self, rejections: &mut Rejections) {
         let is_used = self.state.assigned_count(self.table, self.staged) > 0;
-        if !is_used || usable_servers(self.state, self.next(), &self.staged.ejected).next().is_some() {
+        if !is_used
+            || usable_servers(self.state, self.staged_entries(), &self.staged.ejected).next().is_some()
+        {
             return;
         }
         let usable: BTreeSet<ServerId> =
--- a/crates/guard/src/tracked_table.rs
+++ b/crates/guard/src/tracked_table.rs
@@ -84,7 +84,7 @@
         self.users.values().filter(|user| !user.is_leaving).count()
     }
 
-    /// The servers that any version that may be in force lists.
+    /// The servers with an entry in at least one version that may be in force.
     pub fn possible_servers(&self) -> BTreeSet<ServerId> {
         let older = self.older_versions.iter().flat_map(|older| older.shares.keys());
         self.entries.keys().chain(older).copied().collect()
--- a/crates/platform-protocol/src/endpoint_watch.rs
+++ b/crates/platform-protocol/src/endpoint_watch.rs
@@ -136,7 +136,7 @@
     }
 
     /// Changes the agent's address, which is dialed at once. The current connection becomes the previous one and is
-    /// read to its end; returns the one that was the previous one so far, which the caller has to close.
+    /// read to its end. The caller has to close the returned connection, which was the previous one until now.
     pub fn change_address(&mut self, address: SocketAddr, now: Duration) -> Option<ConnectionId> {
         let reader = std::mem::take(&mut self.reader);
         let current = self.conn.take();
--- a/crates/platform-protocol/src/platform.rs
+++ b/crates/platform-protocol/src/platform.rs
@@ -24,8 +24,8 @@
 const ACK_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 /// Upper bound of the channel delay that the acknowledgement timeout is computed from.
 const MAX_CHANNEL_DELAY: Duration = Duration::from_secs(60);
-/// Maximum number of proxies, and the default where the settings give none: the simulator's protocol can number no
-/// more.
+/// Maximum number of proxies, and the default where the settings give none: the protocol of the simulator, which has
+/// the same settings, can number no more.
 const MAX_PROXIES: f64 = 65536.0;
 
 /// Default for the number of entries that may wait in the channel.
@@ -148,9 +148,9 @@
 
     /// Handles a line of the endpoint watch; an empty line is a heartbeat.
     ///
-    /// A line that cannot be parsed may contain a drain: it returns an error, upon which the caller requests the
-    /// changes since the held revision again. After a few attempts it is skipped without an error, so that it does not
-    /// block the lines that follow.
+    /// A line that cannot be parsed may contain a drain: the result is an error, and the caller has to request the
+    /// changes since the held revision again. After a few such errors in a row the line is skipped without one, so that
+    /// it does not block the lines that follow.
     pub fn handle_list_line(&mut self, line: &[u8], now: Duration) -> Result<(), MalformedWatchData> {
         if line.trim_ascii().is_empty() {
             return Ok(());
--- a/crates/platform-protocol/src/session.rs
+++ b/crates/platform-protocol/src/session.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Removes a connection that another one has replaced in the remaining indices.
+    /// Removes a connection that another one has replaced as a stream or collector; `streams` no longer contains it.
     fn remove_replaced(&mut self, conn: ConnectionId) {
         self.by_connection.remove(&conn);
         self.with_deadline.remove(&conn);
--- a/crates/platform-protocol/src/update_message.rs
+++ b/crates/platform-protocol/src/update_message.rs
@@ -7,10 +7,11 @@
 use runloom_controller::{RetryPolicy, ServerId};
 use serde::Serialize;
 
-/// The protocol's limit on the number of parts of one update.
+/// The protocol's limit on the number of messages, in its terms parts, of one update. Each message is an
+/// [`UpdateChunk`].
 const MAX_PARTS: usize = 64;
-/// Maximum number of table entries in one part. With names of 128 bytes, the longest that discovery may give, and a
-/// weight for each, they take some 600 KiB of the 1 MiB that a part may have.
+/// Maximum number of table entries in one such message. With names of 128 bytes, the longest that discovery may give,
+/// and a weight for each, they take some 600 KiB of the 1 MiB that a message may have.
 const MAX_ENTRIES_PER_PART: usize = 4096;
 /// Maximum number of traffic classes: a class mask has one bit for each.
 const MAX_CLASSES: usize = 64;
@@ -24,7 +25,8 @@
     pub retry_policy: RetryPolicy,
 }
 
-/// One part of an update.
+/// One part of an update: changes for the same classes. It is sent as one message, or as several if it has too many
+/// entries.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct UpdatePart {
     /// The classes that the part changes, one bit each; 0 for all.
@@ -78,8 +80,8 @@
     }
 }
 
-/// A range of a part's entries. The first chunk says whether the table is replaced; the last one contains all other
-/// fields.
+/// A range of the entries of an [`UpdatePart`], sent as one message. The first chunk says whether the table is
+/// replaced; the last one contains all other fields of the part.
 struct UpdateChunk<'a> {
     part: &'a UpdatePart,
     entries: &'a [(ServerId, f64)],
@@ -145,7 +147,7 @@
 
     /// Encodes an update as frames.
     ///
-    /// Servers whose name is no longer known and parts beyond the protocol's limit are left out. Neither occurs with
+    /// Servers whose name is no longer known and messages beyond the protocol's limit are left out. Neither occurs with
     /// the controller's updates.
     pub(crate) fn encode(&self, parts: &[UpdatePart], names: &NameRegistry) -> Vec<u8> {
         let chunks: Vec<UpdateChunk> = parts.iter().flat_map(UpdatePart::chunks).take(MAX_PARTS).collect();
--- a/crates/platform-protocol/src/watch_reader.rs
+++ b/crates/platform-protocol/src/watch_reader.rs
@@ -5,7 +5,7 @@
 
 /// Maximum length of a response head, bytes; a usual one has a few hundred.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Maximum length of a line and of a chunk, bytes; a line has some hundred for each server.
+/// Maximum length of a line and of a chunk, bytes; a line has some hundred bytes for each server.
 const MAX_LINE_BYTES: usize = 1 << 20;
 /// Maximum length of a chunk's size line with its extensions, bytes.
 const MAX_CHUNK_HEADER_BYTES: usize = 64;
