--- a/crates/daemon/src/commands/error.rs
+++ b/crates/daemon/src/commands/error.rs
@@ -66,7 +66,7 @@
     #[error("no edit {0} is known")]
     UnknownEdit(String),
     /// The log has no rejection of that number.
-    #[error("the log has {count} rejections")]
+    #[error("no such rejection: the log has {count}")]
     NoSuchRejection {
         /// Number of rejections in the log.
         count: usize,
@@ -87,9 +87,9 @@
     #[error("{0}")]
     Page(String),
     /// The event log holds fewer starts of the planner than `--back` asks for.
-    #[error("the event log has no such start")]
+    #[error("the event log holds fewer starts of the planner than --back asks for")]
     NoSuchStart,
-    /// A replay with the recorded settings issues other commands than the record holds.
+    /// A replay with the recorded settings issues other commands than the event log holds.
     #[error("the replay differs from the event log: {0}")]
     Diverged(String),
     /// The state folder cannot be read.
--- a/crates/daemon/src/config_service/guard_check.rs
+++ b/crates/daemon/src/config_service/guard_check.rs
@@ -9,8 +9,8 @@
 /// Longest time for which an edit may raise a limit of the guard, in milliseconds; a mass restart is over by then.
 const MAX_RAISE_MS: u64 = 3_600_000;
 
-/// Checks that a limit that the edit raises ends after `wall_ms`, the time now in milliseconds since 1970, and within
-/// [`MAX_RAISE_MS`].
+/// If the edit raises a limit, checks the time until which it is raised: it must be later than now, by at most
+/// [`MAX_RAISE_MS`]. `wall_ms` is the time now in milliseconds since 1970.
 pub(super) fn check_raised_limit(before: &Fleet, after: &Fleet, wall_ms: u64) -> Result<(), Vec<RpcError>> {
     let is_changed = before.raised_multiple != after.raised_multiple;
     let Some(raised) = after.raised_multiple.filter(|_| is_changed) else { return Ok(()) };
@@ -23,11 +23,11 @@
 
 /// Checks that an edit leaves a usable server if there was one before it, and a warm one if one was warm.
 pub(super) fn check_servers_remain(before: &[PoolServer], after: &[PoolServer]) -> Result<(), Vec<RpcError>> {
-    validate_edit(before, after).map_err(|empties| {
-        let first = empties.removed_servers.first().cloned().unwrap_or_default();
+    validate_edit(before, after).map_err(|emptied_pool| {
+        let first = emptied_pool.removed_servers.first().cloned().unwrap_or_default();
         let message = format!(
             "no open server would be left: one of {} has to stay",
-            empties.removed_servers.join(", ")
+            emptied_pool.removed_servers.join(", ")
         );
         let error = RpcError::application(Tag::OperationFailed, message).with_app_tag("empties-pool");
         vec![error.at(format!("/fleet/server[name='{first}']")).with_info("bad-element", "drain")]
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -56,7 +56,7 @@
     },
     /// Validates settings files: prints each fault on a line, and exits with 1 if there is any.
     Check { files: Vec<PathBuf> },
-    /// Edits a planner's fleet, with a file or with one of the short forms.
+    /// Edits a planner's fleet: applies a file, drains or undrains a server, or sets a zone's share.
     Edit(EditArguments),
     /// Explains rejections of the guard.
     Guard {
--- a/crates/daemon/src/planner_runtime/listeners.rs
+++ b/crates/daemon/src/planner_runtime/listeners.rs
@@ -15,7 +15,7 @@
 const SILENT_REPORT_PERIODS: u32 = 4;
 /// Shortest idle timeout of a proxy that called home, however short its report period is.
 const MIN_PROXY_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Unsent bytes that a subscriber's connection may buffer: its window of update parts.
+/// Unsent bytes that a subscriber's connection may buffer: enough for all update parts in flight to one subscriber.
 const SUBSCRIBER_BUFFER_BYTES: usize = 4 << 20;
 const METRICS_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_METRICS_CONNECTIONS: usize = 16;
--- a/crates/daemon/src/planner_runtime/proxy_sessions.rs
+++ b/crates/daemon/src/planner_runtime/proxy_sessions.rs
@@ -146,6 +146,7 @@
         );
         session.set_proxy(proxy);
         core.distributor.connect(proxy, pending);
+        // Messages of the proxy's earlier session are no longer acknowledged, so edits must not wait for them.
         core.config.edit_history.disconnect_proxy(proxy);
         tracing::info!(
             proxy = %connected.name,
--- a/crates/daemon/src/platform_runtime.rs
+++ b/crates/daemon/src/platform_runtime.rs
@@ -190,6 +190,7 @@
         };
         match check.handle_closed() {
             Some(outcome) => self.report_health_check(&check, outcome),
+            // The connection failed before an outcome was known: the check is repeated on a new connection.
             None => self.dial_health_check(check),
         }
     }
--- a/crates/daemon/src/platform_runtime/bootstrap_file.rs
+++ b/crates/daemon/src/platform_runtime/bootstrap_file.rs
@@ -10,6 +10,7 @@
 const RELOAD_INTERVAL: Duration = Duration::from_millis(250);
 /// Time after SIGHUP for which these attempts are made.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
+
 /// A reload of the bootstrap file that failed and is to be retried.
 pub(super) struct PendingReload {
     pub(super) next_attempt: Duration,
--- a/crates/daemon/src/platform_runtime/error.rs
+++ b/crates/daemon/src/platform_runtime/error.rs
@@ -15,6 +15,6 @@
     ReadBootstrap { path: PathBuf, source: std::io::Error },
     #[error("{}: {source}", .path.display())]
     InvalidBootstrap { path: PathBuf, source: BootstrapError },
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen { address: SocketAddr, source: std::io::Error },
 }
--- a/crates/daemon/src/proxy_runtime/planner_session.rs
+++ b/crates/daemon/src/proxy_runtime/planner_session.rs
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A session is replaced after this many thirds of the time until the first of its two certificates expires: the issuer
-/// has renewed it by then.
+/// A session is replaced after two thirds of the time until the proxy's or the planner's certificate expires, whichever
+/// is first. The issuer renews a certificate earlier than that.
 const RENEW_AFTER_THIRDS: i64 = 2;
 /// Shortest time, in seconds, until a session is replaced, however soon a certificate expires.
 const MIN_SESSION_SECONDS: i64 = 1;
--- a/crates/daemon/src/proxy_runtime/reports.rs
+++ b/crates/daemon/src/proxy_runtime/reports.rs
@@ -55,8 +55,8 @@
         let arrivals: u64 = report.arrivals.iter().map(|arrivals| arrivals.requests).sum();
         let rate = arrivals as f64 / window.as_secs_f64();
         let is_first = self.arrival_rate == 0.0;
-        let share = (window.as_secs_f64() / ARRIVAL_RATE_SECONDS).min(1.0);
-        self.arrival_rate += (rate - self.arrival_rate) * if is_first { 1.0 } else { share };
+        let smoothing_factor = (window.as_secs_f64() / ARRIVAL_RATE_SECONDS).min(1.0);
+        self.arrival_rate += (rate - self.arrival_rate) * if is_first { 1.0 } else { smoothing_factor };
     }
 }
 
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -199,12 +199,12 @@
     }
 
     /// Suspends the process and waits until it is suspended.
-    pub fn stop(&self) {
+    pub fn suspend(&self) {
         self.signal("STOP");
         let file = format!("/proc/{}/stat", self.child.id());
-        let is_stopped =
+        let is_suspended =
             || std::fs::read_to_string(&file).unwrap().split(") ").nth(1).unwrap().starts_with('T');
-        while !is_stopped() {
+        while !is_suspended() {
             std::thread::yield_now();
         }
     }
--- a/crates/daemon/tests/race_conditions.rs
+++ b/crates/daemon/tests/race_conditions.rs
@@ -146,7 +146,7 @@
     let planner = Planner::start("twice", &bootstrap(old, server));
     let (_, mut watch) = old_watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
-    planner.stop();
+    planner.suspend();
     for discovery in [between, new] {
         std::fs::write(&planner.bootstrap_file, bootstrap(discovery, server).to_string()).unwrap();
         planner.signal("HUP");
@@ -268,7 +268,7 @@
     let (_, mut watch) = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     watch.write_all(WATCH_HEAD).unwrap();
     let mut proxy = connected_proxy(&planner, 1);
-    planner.stop();
+    planner.suspend();
     // One iteration gets all of this: an acknowledgement, connecting proxies of which one takes over a stream, a
     // partial message, a drain, SIGHUP and SIGTERM.
     watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
@@ -295,7 +295,7 @@
     let mut bootstrap = bootstrap(discovery.address, server);
     bootstrap["settings"]["familyInfo"]["proxies"] = json!(60);
     let mut planner = Planner::start("behind", &bootstrap);
-    planner.stop();
+    planner.suspend();
     let mut waiting: Vec<Client> =
         (0..60).map(|id| Client::open(&planner, &[connect_message(id, true)])).collect();
     planner.signal("KILL");
@@ -364,7 +364,7 @@
     watch.write_all(WATCH_HEAD).unwrap();
     let proxy = connected_proxy(&planner, 1);
     // The end of the old stream, the drain and the new stream reach the planner in one iteration.
-    planner.stop();
+    planner.suspend();
     drop(proxy);
     watch.write_all(&chunk(&list(42, &[member("s-2", server, "DRAINING")]).to_string())).unwrap();
     let mut reconnected = Client::open(&planner, &[connect_message(1, false)]);
@@ -382,7 +382,7 @@
     let (server, _health_checks) = server();
     let discovery = Discovery::start();
     let planner = Planner::start("both", &bootstrap(discovery.address, server));
-    planner.stop();
+    planner.suspend();
     let mut streams = [0, 1].map(|_| Client::open(&planner, &[connect_message(1, true)]));
     planner.signal("CONT");
     let first_messages: Vec<Option<Value>> = streams.iter_mut().map(Client::next_message).collect();
--- a/crates/event-loop/src/connection.rs
+++ b/crates/event-loop/src/connection.rs
@@ -222,6 +222,7 @@
     fn finish_connecting(&mut self, outcome: &mut IoOutcome) {
         match (self.stream.take_error(), self.stream.peer_addr()) {
             (Ok(None), Ok(_)) => self.state = State::after_connecting(self.tls.is_some()),
+            // No error, but no peer either: the connection is still being established.
             (Ok(None), Err(_)) => {}
             _ => outcome.closed = Some(CloseReason::Refused),
         }
--- a/crates/event-loop/src/event_loop.rs
+++ b/crates/event-loop/src/event_loop.rs
@@ -140,8 +140,13 @@
             self.pending_events.push(IoEvent::Closed { conn: id, reason: CloseReason::Refused });
             return Ok(id);
         }
-        let connection =
-            Connection::new(socket.into(), security.start()?, limits, Origin::Dialed, self.now());
+        let connection = Connection::new(
+            socket.into(),
+            security.new_tls_connection()?,
+            limits,
+            Origin::Dialed,
+            self.now(),
+        );
         // SAFETY: the socket is deleted from the poller in `remove`, before it is closed.
         unsafe { self.poller.add_with_mode(connection.socket(), Event::all(id), PollMode::Level)? };
         self.connections.insert(id, connection);
--- a/crates/event-loop/src/limits.rs
+++ b/crates/event-loop/src/limits.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Holds four of the largest messages.
+/// Holds four NETCONF messages of the maximum size, 2 MiB.
 const DEFAULT_MAX_UNSENT_BYTES: usize = 8 << 20;
-/// Holds any ordinary message, and takes little time compared with an iteration.
+/// Most messages are no longer than this, and handling that many bytes takes only a small part of an iteration.
 const DEFAULT_READ_BYTES_PER_POLL: usize = 64 << 10;
 /// Enough for three round trips over a bad network.
 const DEFAULT_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/event-loop/src/listener.rs
+++ b/crates/event-loop/src/listener.rs
@@ -44,7 +44,7 @@
     fn new_connection(&self, stream: TcpStream, id: ConnectionId, now: Duration) -> io::Result<Connection> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        let tls = self.security.start()?;
+        let tls = self.security.new_tls_connection()?;
         Ok(Connection::new(stream, tls, self.limits, Origin::Accepted { listener: id }, now))
     }
 }
@@ -65,8 +65,8 @@
         let socket = TcpListener::from(socket);
         let id = self.next_id();
         let bound_address = socket.local_addr()?;
-        // SAFETY: the listener is deleted from the poller before it is closed, in `close_listener`, in
-        // `close_listeners`, or when both are dropped.
+        // SAFETY: `close_listener` and `close_listeners` delete the socket from the poller before it is closed. Any
+        // other listener is closed only when the event loop is dropped, after which nothing polls.
         unsafe { self.poller.add_with_mode(&socket, Event::readable(id), PollMode::Level)? };
         let listener = Listener {
             socket,
--- a/crates/event-loop/src/security.rs
+++ b/crates/event-loop/src/security.rs
@@ -23,7 +23,7 @@
 
 impl Security {
     /// Creates the TLS state of a new connection; `None` for a plain one.
-    pub(crate) fn start(&self) -> io::Result<Option<TlsConnection>> {
+    pub(crate) fn new_tls_connection(&self) -> io::Result<Option<TlsConnection>> {
         let mut connection: TlsConnection = match self {
             Security::Plain => return Ok(None),
             Security::TlsServer(config) => {
--- a/crates/event-loop/src/timers.rs
+++ b/crates/event-loop/src/timers.rs
@@ -24,7 +24,7 @@
         earliest.saturating_sub(now)
     }
 
-    /// Closes connections whose deadline has passed; does nothing between two deadline checks.
+    /// Closes connections whose deadline has passed; does nothing within [`DEADLINE_CHECK_INTERVAL`] of the last check.
     pub(crate) fn close_overdue(&mut self) {
         let now = self.now();
         if now < self.last_deadline_check + DEADLINE_CHECK_INTERVAL {
--- a/crates/mqtt/src/client.rs
+++ b/crates/mqtt/src/client.rs
@@ -98,7 +98,10 @@
         };
         match client.connect_packet(info) {
             Some(packet) => client.send(now, packet),
-            None => client.end = Some(ConnectionEnd::rejected("the proxy's name or zone fits no packet")),
+            None => {
+                client.end =
+                    Some(ConnectionEnd::rejected("CONNECT cannot be encoded with the proxy's name and zone"))
+            }
         }
         client
     }
@@ -215,7 +218,9 @@
         }
         match self.subscribe_packet() {
             Some(packet) => self.send(now, packet),
-            None => self.end = Some(ConnectionEnd::rejected("the held topics fit no packet")),
+            None => {
+                self.end = Some(ConnectionEnd::rejected("SUBSCRIBE cannot be encoded with the held topics"))
+            }
         }
     }
 
--- a/crates/netconf/src/edit.rs
+++ b/crates/netconf/src/edit.rs
@@ -68,7 +68,7 @@
     let mut errors = Vec::new();
     for top in &config.children {
         let config = Element { children: vec![top.clone()], ..Element::new(BASE, "config") };
-        match merge_children(schema, &tree, &config, default, "") {
+        match apply_children(schema, &tree, &config, default, "") {
             Ok(changed) => tree = changed,
             Err(error) => {
                 errors.push(error);
@@ -104,7 +104,7 @@
 }
 
 /// Applies the children of `config` to those of `target`.
-fn merge_children(
+fn apply_children(
     schema: &Schema,
     target: &Arc<Element>,
     config: &Element,
@@ -181,14 +181,14 @@
             // Nodes below may have their own operations, so the new node starts empty and they are merged into it.
             None => Arc::new(Element { attributes: vec![], ..self.node.without_children() }),
         };
-        merge_children(self.schema, &target, self.node, Operation::Merge, self.path)
+        apply_children(self.schema, &target, self.node, Operation::Merge, self.path)
     }
 
-    /// Applies the operations below this node to the existing node. Keys only identify the entry.
+    /// Applies the operations below this node to the existing node, except to key leaves, which only identify the entry.
     fn edit_below(&self, existing: &Arc<Element>) -> Result<Arc<Element>, RpcError> {
         let children = self.node.children.iter().filter(|child| !self.schema.is_key(child));
         let below = Element { children: children.cloned().collect(), ..Element::default() };
-        merge_children(self.schema, existing, &below, Operation::None, self.path)
+        apply_children(self.schema, existing, &below, Operation::None, self.path)
     }
 
     /// Builds the node as new data: without `operation` attributes, and with the operations below it applied to an
@@ -202,6 +202,6 @@
             };
         }
         created.text.clear();
-        merge_children(self.schema, &Arc::new(created), self.node, Operation::Merge, self.path)
+        apply_children(self.schema, &Arc::new(created), self.node, Operation::Merge, self.path)
     }
 }
--- a/crates/netconf/src/tree.rs
+++ b/crates/netconf/src/tree.rs
@@ -7,8 +7,8 @@
 
 /// Maximum nesting depth of a document; all models in use are less deep.
 pub const MAX_DEPTH: u32 = 32;
-/// Maximum number of elements in a document: more than the largest lists of servers and proxies need (600 x 12 leaves,
-/// twice).
+/// Maximum number of elements in a document: more than the largest lists need, 600 servers and 600 proxies with 12
+/// leaves each.
 pub const MAX_ELEMENTS: usize = 60_000;
 
 /// A namespace URI; empty for none. Common ones are borrowed instead of allocated.
--- a/crates/netconf/tests/core.rs
+++ b/crates/netconf/tests/core.rs
@@ -92,6 +92,7 @@
 }
 
 impl Server {
+    /// A server without data, and the ids of two open sessions.
     fn new() -> (Server, u32, u32) {
         let mut service = Service::new(schema(), ServiceLimits { max_sessions: 2, edits_per_second: 100.0 });
         let now = Duration::from_secs(1);
--- a/crates/proxy/src/published_tables.rs
+++ b/crates/proxy/src/published_tables.rs
@@ -2,8 +2,8 @@
 //!
 //! Topics are published one at a time. A proxy puts them in force only once they are consistent: the assignments, the
 //! tables that they name and the ejections must all be of the same epoch (one start of one planner). A restarted
-//! planner publishes new tables under numbers already in use before it publishes the assignments that belong to them;
-//! until those arrive, the former tables stay in force.
+//! planner reuses table numbers, and publishes its tables before the assignments of classes to them. Until the
+//! assignments of its epoch arrive, the tables of the earlier epoch stay in force.
 
 use crate::route_tables::{RouteTable, RouteTables, TableEntry, TableError};
 use runloom_model::published_value::{parse_admission_limit, parse_entry};
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -18,7 +18,7 @@
         server: String,
         /// The address that the server listens on.
         address: SocketAddr,
-        /// When the request ends, even if the attempt has not.
+        /// The request's deadline: the caller cancels the request then, even if the attempt is still in flight.
         deadline: Duration,
     },
     /// Send the endpoint's response to the client.
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -10,7 +10,8 @@
     remaining_retries: u32,
     /// A retry requires proof that the request was not executed.
     requires_proof: bool,
-    /// Some attempt may have executed the request; a later attempt's proof to the contrary does not cover it.
+    /// Whether an attempt may have executed the request. Once set, it stays set: a later outcome proves only that the
+    /// later attempt did not execute it.
     may_have_executed: bool,
 }
 
--- a/crates/proxy/src/tests.rs
+++ b/crates/proxy/src/tests.rs
@@ -50,7 +50,7 @@
     RouteTables::read(&Element::parse(&text).unwrap()).unwrap()
 }
 
-/// An admission limit of the class; `pace` is empty for no admission rate.
+/// The `<level>` element of the class; `pace` is a `<pace>` element, or empty for no admission rate.
 fn admission_limit(pace: &str, further_tries: &str) -> String {
     format!("<level><class>q</class>{pace}<further-tries>{further_tries}</further-tries></level>")
 }
