--- a/crates/daemon/src/planner_runtime/identities.rs
+++ b/crates/daemon/src/planner_runtime/identities.rs
@@ -9,8 +9,8 @@
 
 /// Shortest time between two warnings that the planner's own identity expires soon.
 const EXPIRY_WARNING_INTERVAL: Duration = Duration::from_secs(60);
-/// Renewal of the planner's certificate is due in the last third of its lifetime: once less than the lifetime divided by
-/// this is left.
+/// Renewal of the planner's certificate is due in the last third of its lifetime: once less than the lifetime divided
+/// by this is left.
 const RENEWAL_DUE_DIVISOR: i64 = 3;
 
 /// A peer's certificate (DER), and its holder.
--- a/crates/netconf/src/edit.rs
+++ b/crates/netconf/src/edit.rs
@@ -184,7 +184,8 @@
         apply_children(self.schema, &target, self.node, Operation::Merge, self.path)
     }
 
-    /// Applies the operations below this node to the existing node, except to key leaves, which only identify the entry.
+    /// Applies the operations below this node to the existing node. Key leaves are left out: they only identify the
+    /// entry.
     fn edit_below(&self, existing: &Arc<Element>) -> Result<Arc<Element>, RpcError> {
         let children = self.node.children.iter().filter(|child| !self.schema.is_key(child));
         let below = Element { children: children.cloned().collect(), ..Element::default() };
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -13,8 +13,8 @@
 pub struct SessionLimits {
     /// Maximum size of a received message. A fleet of 600 proxies and as many servers takes about 400 KB as XML.
     pub max_message_bytes: usize,
-    /// Maximum size of unsent output, for [`Session::is_over_unsent_limit`]: past it, the caller should end the session.
-    /// The default is two messages of maximum size.
+    /// Maximum size of unsent output, for [`Session::is_over_unsent_limit`]: past it, the caller should end the
+    /// session. The default is two messages of maximum size.
     pub max_unsent_bytes: usize,
     /// Maximum number of events returned by one call. Further messages stay in the buffer, so that one session cannot
     /// starve the others.
