--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -14,7 +14,7 @@
 struct PlannerInstance {
     controller: Controller,
     translator: Translator,
-    /// Events of the current batch. Before those of its first batch is the event that starts the controller.
+    /// Events of the current batch. The first batch begins with the event that starts the controller.
     events: Vec<Event>,
 }
 
--- a/crates/event-log/src/columns.rs
+++ b/crates/event-log/src/columns.rs
@@ -110,7 +110,7 @@
     Version(String),
 }
 
-/// Totals of an entry, which columns of their own hold; 0 for kinds of entries without them.
+/// Totals of an entry, each stored in a column of its own; 0 for kinds of entries that have no such total.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EntryTotals {
     /// Requests that arrived, according to a report.
--- a/crates/event-log/src/columns/checksum.rs
+++ b/crates/event-log/src/columns/checksum.rs
@@ -1,5 +1,5 @@
-//! The checksum of a columnar file. It stands between Parquet's magic number and the first column, where no offset in
-//! the footer refers to, so that all Parquet readers skip it.
+//! The checksum of a columnar file. It is stored between Parquet's magic number and the first column. No offset in the
+//! footer refers to this place, so all Parquet readers skip it.
 //!
 //! It covers the footer too. A checksum in the footer, or the page checksums of Parquet, could be found only by
 //! decoding bytes that may be damaged.
--- a/crates/event-log/src/framing.rs
+++ b/crates/event-log/src/framing.rs
@@ -114,7 +114,7 @@
 /// Finds the intact frames in the bytes after those that [`decode_journal`] could read. `previous_at_us` is the time of
 /// its last entry, and is used for a loss that directly follows it.
 ///
-/// If a length is damaged, the begin of the next frame is unknown, so a frame with a correct checksum is searched for
+/// If a length is damaged, the start of the next frame is unknown, so a frame with a correct checksum is searched for
 /// at every offset.
 pub fn recover_frames(bytes: &[u8], previous_at_us: u64) -> RecoveredFrames {
     let mut recovered = RecoveredFrames::default();
--- a/crates/event-log/src/reader.rs
+++ b/crates/event-log/src/reader.rs
@@ -12,8 +12,8 @@
     Ok(index.map(|index| runs.swap_remove(index)).unwrap_or_default())
 }
 
-/// Returns the entries of all runs, oldest first. The first run may lack its beginning, whose segments the recorder
-/// removes beyond its limits of total size and age.
+/// Returns the entries of all runs, oldest first. The first run may lack its beginning, since the recorder removes old
+/// segments beyond its limits of total size and age.
 pub fn read_runs(folder: &Path) -> Result<Vec<Vec<Entry>>, ReadError> {
     let mut runs: Vec<Vec<Entry>> = Vec::new();
     visit_entries(folder, &mut |run, entry| {
--- a/crates/event-log/src/recorder.rs
+++ b/crates/event-log/src/recorder.rs
@@ -178,7 +178,8 @@
     }
 
     /// Creates the next journal. If its header cannot be written, the file is removed, so that the next attempt can
-    /// use the same number. If it cannot be removed either, the attempt after that uses another number.
+    /// use the same number. If it cannot be removed either, the next attempt fails since the file exists, and the one
+    /// after that uses the next number.
     fn create_journal(&mut self) -> io::Result<OpenJournal> {
         let path = journal_path(&self.folder, self.number);
         let created = OpenOptions::new().create_new(true).append(true).open(&path);
--- a/crates/event-log/src/tests/columns.rs
+++ b/crates/event-log/src/tests/columns.rs
@@ -124,7 +124,7 @@
     assert!(outcomes["contained panic"] > 0, "no panic occurred that could be contained");
 }
 
-/// Other Parquet readers must be able to read a segment despite its checksum, which stands where they do not look.
+/// Other Parquet readers must be able to read a segment despite its checksum, which no offset in the footer refers to.
 #[test]
 fn a_segment_with_a_checksum_is_plain_parquet() {
     use parquet::file::reader::{FileReader, SerializedFileReader};
--- a/crates/inventory/src/inventory.rs
+++ b/crates/inventory/src/inventory.rs
@@ -14,7 +14,7 @@
     pub zone: String,
     /// Kind of machine that it runs on.
     pub kind: String,
-    /// Number of its cell, a group of machines that share something.
+    /// Number of its cell, a group of machines that share some resource.
     pub cell: u64,
     /// Whether it finishes its current requests and must get no new ones.
     pub is_draining: bool,
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -102,8 +102,8 @@
     pub report_period: Duration,
     /// Report entries per second that a planner's controller processes.
     pub reports_per_second: f64,
-    /// Whether a server must be given up only once it is listed as draining. A server that disappears from the list may
-    /// then stay in use.
+    /// Whether proxies must stop sending to a server only if it is listed as draining. If set, a server that disappears
+    /// from the list may stay in use.
     pub only_draining_binds: bool,
     /// Names of the metrics in a server's load report, in their order.
     pub load_metrics: Vec<String>,
--- a/crates/model/src/listed_server.rs
+++ b/crates/model/src/listed_server.rs
@@ -16,7 +16,7 @@
     pub zone: String,
     /// Its kind of machine; empty if not listed.
     pub kind: String,
-    /// Number of its cell, a group of machines that share something; 0 if not listed.
+    /// Number of its cell, a group of machines that share some resource; 0 if not listed.
     pub cell: u64,
     /// Whether it finishes its current requests and accepts no new ones.
     pub is_draining: bool,
--- a/crates/replay/src/estimate/blocks.rs
+++ b/crates/replay/src/estimate/blocks.rs
@@ -83,7 +83,7 @@
     sum
 }
 
-/// The share (0 to 1) of requests whose outcome under the other tables is known; 0 without requests.
+/// The share (0 to 1) of requests whose outcome is known under the tables of the other settings; 0 without requests.
 pub(super) fn support(blocks: &[Block]) -> f64 {
     let (mut known, mut total) = (0.0, 0.0);
     for block in blocks {
--- a/crates/replay/src/estimate/interval.rs
+++ b/crates/replay/src/estimate/interval.rs
@@ -8,8 +8,8 @@
 
 /// Number of bootstrap samples.
 const BOOTSTRAP_SAMPLES: usize = 400;
-/// Attempts in time that are added, and as many late ones (Agresti and Coull): without them a log without a late answer
-/// would have a variance of 0.
+/// Number of attempts in time that are added to those of the log, and number of late attempts likewise (Agresti and
+/// Coull). Without them, a log without a late answer would have a variance of 0.
 const ADDED_ATTEMPTS: f64 = 2.0;
 /// Lower limit of the sum of squared weights, which is a divisor.
 const MIN_SQUARED_WEIGHTS: f64 = 1e-9;
@@ -17,8 +17,10 @@
 const DEFAULT_T_QUANTILE: f64 = 2.0;
 
 impl Estimate {
-    /// The interval that is to contain the outcome of another such period. Its variance is the larger of the
-    /// bootstrap's and [`attempt_variance`]. It counts twice: once for the estimate and once for the other period.
+    /// The interval that is meant to contain the service of one further period with the same traffic.
+    ///
+    /// The variance of the service is taken as the larger of the bootstrap's and [`attempt_variance`]. It is doubled,
+    /// since both the estimate and the service of the further period vary.
     pub(super) fn interval(&self, blocks: &[Block], value: f64, seed: u64) -> IntervalEstimate {
         let variance = self.bootstrap_variance(blocks, value, seed).max(attempt_variance(blocks, value));
         let deviation = (2.0 * variance).sqrt();
@@ -44,7 +46,7 @@
     }
 }
 
-/// The variance of a share that is estimated from so many attempts, by their effective number (Kish).
+/// The variance of `value`, a share of the attempts in the blocks, by the effective number of these attempts (Kish).
 fn attempt_variance(blocks: &[Block], value: f64) -> f64 {
     let totals = || blocks.iter().flat_map(|block| &block.classes);
     let attempts: f64 = totals().map(|totals| totals.attempts).sum();
--- a/crates/replay/src/estimate/mod.rs
+++ b/crates/replay/src/estimate/mod.rs
@@ -1,9 +1,12 @@
-//! Estimates the service under tables that were not in force from the outcomes under those that were.
+//! Estimates the service under tables that were never in force, from the recorded outcomes under the tables that were.
 //!
-//! Uses importance weighting, normalised by its own weights (Swaminathan and Joachims, "The Self-Normalized Estimator
-//! for Counterfactual Learning", NIPS 2015, after Horvitz and Thompson), by class, and corrected for load by what the
-//! log's other servers did at that load. Intervals: the bootstrap over blocks of time (Efron and Tibshirani, 1993),
-//! widened to contain the outcome of another such period and not only its mean.
+//! Each class is estimated with importance weighting, normalised by the sum of the weights (Swaminathan and Joachims,
+//! "The Self-Normalized Estimator for Counterfactual Learning", NIPS 2015, after Horvitz and Thompson). Where a server
+//! would have had another load, its outcomes are corrected by those of other servers in the log that had such a load.
+//!
+//! The interval of an estimate is a prediction interval: it is meant to contain the service of one further period with
+//! the same traffic, and not only the mean. It is computed with the bootstrap over blocks of time (Efron and Tibshirani,
+//! 1993), and widened accordingly.
 
 mod blocks;
 mod interval;
@@ -18,7 +21,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Duration of a block of the bootstrap, longer than the time over which one second affects the next.
+/// Duration of a block of the bootstrap. It is longer than the time over which the outcomes of one second affect those
+/// of later ones.
 const BLOCK_DURATION: Duration = Duration::from_secs(5);
 /// An estimate needs at least this share of requests with a known outcome.
 const MIN_SUPPORT: f64 = 0.8;
@@ -28,11 +32,13 @@
 /// The estimate is valid while no server would get more than this many times its recorded load: up to there the
 /// recorded latencies of a server hold. Beyond, it is valid only where the log shows the effect of such a load.
 const MAX_LOAD_RATIO: f64 = 1.5;
-/// Requests a second by which a server's load may exceed that ratio; so few have no effect on an idle server.
+/// Requests a second that a server may get in addition to [`MAX_LOAD_RATIO`] times its recorded load; so few have no
+/// effect on an idle server.
 const NEGLIGIBLE_LOAD_PER_SECOND: f64 = 10.0;
 /// Blocks that an estimate needs; the interval of fewer would be too narrow.
 const MIN_BLOCKS: usize = 4;
-/// The share (0 to 1) of such periods whose outcome the interval is to contain.
+/// Confidence level of the interval: the probability that it contains the service of one further period with the same
+/// traffic.
 const CONFIDENCE: f64 = 0.95;
 
 /// Shares (0 to 1) of the requests that a proxy's tables give to each server, by the server's name.
@@ -66,7 +72,8 @@
     pub in_time: u64,
 }
 
-/// What a proxy reported of one class, with the tables that were in force on both sides.
+/// What a proxy reported of one class, with the tables that were in force, and those that would have been in force
+/// under the other settings.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportedOutcomes<'a> {
     /// Time of the report since the planner's start.
@@ -88,7 +95,7 @@
 /// Requests of one block, all classes together.
 #[derive(Debug, Clone, Copy, Default)]
 struct BlockRequests {
-    /// Those whose outcome under the other tables is known.
+    /// Requests whose outcome is known under the tables of the other settings.
     known: f64,
     total: f64,
 }
@@ -98,7 +105,7 @@
 struct ServerLoad {
     /// By the recorded tables.
     recorded: f64,
-    /// By the other tables.
+    /// By the tables of the other settings.
     changed: f64,
 }
 
@@ -160,8 +167,8 @@
     /// As recorded, over the time in which the estimate is valid, or over all time if it never is.
     #[serde(rename = "was")]
     pub recorded: f64,
-    /// Under the other settings, with an interval that is to contain the outcome of 95% of such periods; `None` if
-    /// unknown.
+    /// Under the other settings, with a 95% interval for the service of one further period with the same traffic;
+    /// `None` if unknown.
     #[serde(rename = "would")]
     pub changed: Option<IntervalEstimate>,
     /// The share (0 to 1) of requests whose outcome under the other settings is known from the log.
@@ -316,8 +323,10 @@
         self.class_names.iter().enumerate().map(class_service).collect()
     }
 
-    /// The first block in which a server would have had far more load than it had, and the log does not show the effect
-    /// of that load, or the server had none: from there on its latencies are unknown. [`u64::MAX`] if there is none.
+    /// The first block from which on the latencies of some server are unknown; [`u64::MAX`] if there is none.
+    ///
+    /// They are unknown if the server would have had far more load than it had, and either had no load at all, or would
+    /// have had a load whose effect the log does not show.
     fn first_invalid_block(&self, curve: &LoadCurve) -> u64 {
         let negligible = NEGLIGIBLE_LOAD_PER_SECOND * BLOCK_DURATION.as_secs_f64();
         let is_unknown = |load: &ServerLoad| {
--- a/crates/replay/src/exact.rs
+++ b/crates/replay/src/exact.rs
@@ -190,11 +190,11 @@
     if let Some(difference) = recorded_messages.describe_difference(&replayed_messages) {
         Some(difference)
     } else if health_checks != replayed_health_checks {
-        Some("other health checks".into())
+        Some("the health checks differ from the recorded ones".into())
     } else if rejections != replayed_rejections {
-        Some("other commands were rejected".into())
+        Some("the rejected commands differ from the recorded ones".into())
     } else if log != replayed_log {
-        Some("other log lines".into())
+        Some("the log lines differ from the recorded ones".into())
     } else {
         None
     }
--- a/crates/replay/src/html_report.rs
+++ b/crates/replay/src/html_report.rs
@@ -195,10 +195,9 @@
         cumulative_counts_svg(rejected_title, &comparison.rejected_timeline, comparison.seconds)?;
     let shares_plot = server_shares_svg(&comparison.server_shares)?;
     let changed_service = match service.changed {
-        Some(estimate) => format!(
-            "{:.4} (95% of such periods from {:.4} to {:.4})",
-            estimate.value, estimate.lower, estimate.upper
-        ),
+        Some(estimate) => {
+            format!("{:.4} (95% interval: {:.4} to {:.4})", estimate.value, estimate.lower, estimate.upper)
+        }
         None => "unknown: the record does not support an estimate".into(),
     };
     Ok(format!(
--- a/crates/replay/src/rule_tracker/cold_servers.rs
+++ b/crates/replay/src/rule_tracker/cold_servers.rs
@@ -1,12 +1,12 @@
-//! Rule 4: the tables send no cold server more than a multiple of its capacity. Like the safety guard, it is judged
-//! from the tables in force, with the success rate of warm servers as the measure of capacity; unlike the guard's, this
-//! estimate does not decay.
+//! Rule 4: the tables send no cold server more than a multiple of its capacity. Like the safety guard, this check takes
+//! the requests from the tables in force, and estimates the capacity from the success rate of warm servers. Unlike the
+//! guard's, this estimate does not decay.
 
 use super::RuleTracker;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a cold server has to be sent too much until that counts as a violation.
+/// How long a cold server has to be overloaded until that counts as a violation.
 const OVERLOAD_DURATION: Duration = Duration::from_secs(3);
 /// Lower limit of the warm-up time in seconds, which is a divisor.
 const MIN_WARM_UP_SECONDS: f64 = 0.001;
@@ -16,7 +16,7 @@
 pub(super) struct ColdServerLoad {
     /// The highest success rate seen at a warm server, in requests a second per unit of weight; 0 if none was seen.
     warm_capacity: f64,
-    /// Cold servers that are sent too much, with the time since when.
+    /// Cold servers that are overloaded, with the time since when.
     overloaded_since: BTreeMap<String, Duration>,
 }
 
@@ -31,7 +31,7 @@
             .min(1.0)
     }
 
-    /// Records a violation if a cold server has been sent too much for [`OVERLOAD_DURATION`].
+    /// Records a violation if a cold server has been overloaded for [`OVERLOAD_DURATION`].
     pub(super) fn check_cold_servers(&mut self, now: Duration) {
         let mut warm_capacity = self.cold_servers.warm_capacity;
         let mut cold: Vec<(&String, f64)> = vec![];
--- a/crates/replay/src/rule_tracker/mod.rs
+++ b/crates/replay/src/rule_tracker/mod.rs
@@ -1,5 +1,12 @@
 //! Tracks the tables in force at each proxy, from the messages that were sent and acknowledged, and checks which rules
-//! these tables violate.
+//! these tables violate:
+//!
+//! - Rule 1: no class is without an open server for longer than a grace period while a warm server exists.
+//! - Rule 3: the tables drop a closed server within the drain grace period.
+//! - Rule 4: the tables overload no cold server.
+//! - Rule 5: the planner keeps to the limits of the update channel.
+//!
+//! Rule 2 is about requests that take effect more than once, which an event log does not show.
 
 mod cold_servers;
 mod proxy_state;
@@ -28,7 +35,7 @@
 struct ListedServers {
     /// Servers that drain or were removed, with the time since when.
     closed: BTreeMap<String, Duration>,
-    /// Servers that take requests, with their start in milliseconds since 1970; `None` if it is unknown, for which the
+    /// Servers that take requests, with their start in milliseconds since 1970. If the start is unknown (`None`), the
     /// server counts as warm.
     open: BTreeMap<String, Option<u64>>,
     weights: BTreeMap<String, f64>,
--- a/crates/replay/src/scenario_inference/faults.rs
+++ b/crates/replay/src/scenario_inference/faults.rs
@@ -1,4 +1,4 @@
-//! Finds faults that are not of servers, and merges faults that belong together.
+//! Finds faults that do not belong to particular servers, and merges faults that belong together.
 
 use super::observation::LogObservation;
 use super::{InferredFault, SIMULTANEOUS_SECONDS};
@@ -37,7 +37,7 @@
         self.servers.extend(other.servers);
     }
 
-    /// A fault that is not one of servers, with magnitude 1.
+    /// A fault that does not belong to particular servers, with magnitude 1.
     fn global(kind: &'static str, at: f64, duration: f64) -> InferredFault {
         InferredFault { at, kind, duration, magnitude: 1.0, servers: BTreeSet::new(), count: 1 }
     }
--- a/crates/replay/src/scenario_inference/mod.rs
+++ b/crates/replay/src/scenario_inference/mod.rs
@@ -40,7 +40,7 @@
     /// By kind: the factor of the slowdown or of the request rate, or the share (0 to 1) of requests that fail; 1 for
     /// other kinds.
     pub magnitude: f64,
-    /// The affected servers under the testbed's names; empty if the fault is not one of servers.
+    /// The affected servers under the testbed's names; empty if the fault does not belong to particular servers.
     pub servers: BTreeSet<String>,
     /// How many servers or proxies it affects.
     pub count: usize,
--- a/crates/replay/src/scenario_inference/observation.rs
+++ b/crates/replay/src/scenario_inference/observation.rs
@@ -8,8 +8,8 @@
 use runloom_model::fleet::Fleet;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A server is failing in a second in which more than this share of its attempts fails; fewer are errors that a class
-/// has anyway.
+/// A server is failing in a second in which more than this share of its attempts fails; a lower share may be the usual
+/// errors of a traffic class.
 const FAILING_SHARE: f64 = 0.5;
 /// Successes that a second needs to show a server's latency.
 const MIN_SUCCESSES: u64 = 3;
@@ -281,8 +281,8 @@
     fn find_surges(&mut self) {
         let counts = || self.requests.values().map(|count| *count as f64);
         let median_count = median(counts().collect());
-        // If surges took half of the time, the median second is in a surge. Then the median of the seconds below it is
-        // the usual one.
+        // If surges took half of the time, the median second is in a surge. The usual second is then the median of those
+        // with fewer requests.
         let lower_median = median(counts().filter(|count| *count < median_count).collect());
         let usual = if lower_median * SURGE_FACTOR < median_count { lower_median } else { median_count };
         let is_surging = |count: u64| count as f64 > SURGE_FACTOR * usual;
@@ -292,6 +292,7 @@
             if range.duration() >= MIN_FAULT_SECONDS && usual > 0.0 {
                 let within = self.requests.range(range.whole_seconds());
                 let count = median(within.map(|(_, count)| *count as f64).collect());
+                // The factor is a request count until the requests outside of surges are known.
                 surges.push(Surge { range, factor: count });
             }
         }
--- a/crates/replay/src/scenario_inference/server_faults.rs
+++ b/crates/replay/src/scenario_inference/server_faults.rs
@@ -8,14 +8,14 @@
 const SLOW_FACTOR: f64 = 1.4;
 /// Seconds after its listing in which a newly started server may be slow because it warms up.
 const WARM_UP_SECONDS: f64 = 8.0;
-/// A removed server that still succeeds in at least this many seconds after its removal was removed falsely.
-const MIN_SECONDS_AFTER_REMOVAL: usize = 2;
+/// A server was falsely removed from the list if it has successes in at least this many seconds after the removal.
+const MIN_SUCCESSFUL_SECONDS: usize = 2;
 /// A crashed server that is not listed again is assumed to stay down until this many seconds after the log's end.
 const SECONDS_AFTER_END: f64 = 60.0;
 /// Smallest magnitude of an `errors` fault, as a share of requests.
 const MIN_ERROR_SHARE: f64 = 0.5;
 /// Slow times before and after a surge are joined if the earlier one ends at most this many seconds before the surge
-/// begins, and the later one begins at most [`SECONDS_AFTER_SURGE`] after it ends.
+/// begins, and the later one begins at most [`SECONDS_AFTER_SURGE`] after the surge ends.
 const SECONDS_BEFORE_SURGE: f64 = 2.0;
 /// See [`SECONDS_BEFORE_SURGE`].
 const SECONDS_AFTER_SURGE: f64 = 4.0;
@@ -117,7 +117,7 @@
         let is_success = |(second, outcomes): &(f64, &ServerOutcomes)| {
             *second > removed_at + 1.0 && outcomes.successes() > 0
         };
-        after_removal.filter(is_success).count() >= MIN_SECONDS_AFTER_REMOVAL
+        after_removal.filter(is_success).count() >= MIN_SUCCESSFUL_SECONDS
     }
 
     /// Start of the first failing second since the last successful one before a time.
--- a/crates/replay/src/what_if/mod.rs
+++ b/crates/replay/src/what_if/mod.rs
@@ -236,7 +236,8 @@
     fn apply_fixed_fleet(&self, fixed_fleet: &Fleet, server: &mut RecordedServer) {
         let recorded = self.recorded_fleet.overrides.get(&server.name);
         let fixed = fixed_fleet.overrides.get(&server.name);
-        // Where an operator set the weight, the feed's own is unknown: 1 is the weight in a list without weights.
+        // Where an operator set the weight, the weight in the feed is unknown. It is assumed to be 1, as for servers
+        // that are listed without a weight.
         let feed_weight = match recorded.and_then(|entry| entry.weight) {
             Some(_) => 1.0,
             None => server.weight / self.recorded_fleet.zone_share(&server.zone),
--- a/crates/store/src/accepted_state.rs
+++ b/crates/store/src/accepted_state.rs
@@ -1,4 +1,5 @@
 //! Result of the operators' edits: the fleet's entries, the accepted edits, and what a confirmed commit rolls back to.
+//! An entry here is a child element of `<fleet>`, as XML.
 //!
 //! Each batch of edits is stored as a patch of the entries: an edit takes some hundred bytes, however large the fleet
 //! is. The order of fields and variants is part of the stored form.
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -53,7 +53,7 @@
     }
 
     /// Opens an existing folder for reading. Renames succeed without effect, so that recovery can report a corrupt
-    /// snapshot. Creating and removing files fails, and so does the recovery of a journal with entries behind damage,
+    /// snapshot. Creating and removing files fails, and so does the recovery of a journal with entries after damage,
     /// since it copies the journal.
     pub fn open_read_only(path: &Path) -> io::Result<Folder> {
         fs::read_dir(path)?;
--- a/crates/store/src/learned_servers.rs
+++ b/crates/store/src/learned_servers.rs
@@ -1,7 +1,7 @@
 //! What a planner learned about its servers, and how much of that applies after a restart.
 //!
-//! It yields only warm-start hints that decay with age; the health state of a server is never restored from it. The
-//! order of fields is part of the stored form.
+//! A restarted planner gets only warm-start hints from it, which decay with age; the health state of a server is never
+//! restored. The order of fields is part of the stored form.
 
 use crate::accepted_state::encode;
 use crate::error::DecodeError;
--- a/crates/store/src/tests/durability.rs
+++ b/crates/store/src/tests/durability.rs
@@ -30,7 +30,7 @@
     disk: FlakyDisk,
     /// Numbers that the store confirmed.
     confirmed: Vec<u8>,
-    /// Numbers of the batch that failed last, of which any first part may be on disk.
+    /// Numbers of the batch that failed last; any prefix of them may be on disk.
     unconfirmed: Vec<u8>,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl WriteOutcome {
-    /// Asserts that a disk has all confirmed numbers, once and in order, followed by at most a first part of the failed
+    /// Asserts that a disk has all confirmed numbers, once and in order, followed by at most a prefix of the failed
     /// batch.
     fn assert_durable(&self, disk: FlakyDisk, case: impl std::fmt::Display) {
         let (_, opened) = Store::open(disk, LAYOUT).unwrap_or_else(|e| panic!("{case}: {e}"));
--- a/crates/versioned-publisher/src/published_table.rs
+++ b/crates/versioned-publisher/src/published_table.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// The history holds at most as many changes as the table has keys, since a snapshot is shorter than more changes.
-/// Small tables keep up to this many, which cost little.
+/// The history holds at most as many changes as the table has keys, since a snapshot is shorter than an update with
+/// more changes. Tables with fewer keys than this keep this many changes, which cost little.
 const MIN_HISTORY_CHANGES: usize = 64;
 
 /// The keys that one version changed.
--- a/crates/versioned-publisher/src/subscriber.rs
+++ b/crates/versioned-publisher/src/subscriber.rs
@@ -63,7 +63,8 @@
     }
 
     /// Returns the update to send; `None` if the subscriber lacks nothing. An update of which no part has been sent is
-    /// computed again: an outdated assignment must not be sent after the table that the newest one names.
+    /// computed again from the current table. Otherwise an outdated assignment could be sent after the table that the
+    /// newest assignment names.
     pub(crate) fn prepare(&mut self, table: &mut PublishedTable) -> Option<&OutgoingUpdate> {
         let has_begun = self.outgoing.as_ref().is_some_and(OutgoingUpdate::has_begun);
         if !has_begun {
