--- a/crates/daemon/src/platform_runtime/list_watch.rs
+++ b/crates/daemon/src/platform_runtime/list_watch.rs
@@ -74,7 +74,7 @@
             tracing::info!(%at, "watching");
         }
         if output.is_unreadable || must_request_again {
-            tracing::info!(%at, "the watch's data are invalid or incomplete: they are requested again");
+            tracing::info!(%at, "the watch can't be read: its data are requested again");
         }
         if output.should_close {
             self.event_loop.abort(conn);
