--- a/crates/daemon/src/commands/error.rs
+++ b/crates/daemon/src/commands/error.rs
@@ -60,7 +60,7 @@
     #[error("the value of --share must have the form zone=0.5")]
     MalformedShare,
     /// The subject of `show` is not `state`, `fleet` or `roster`.
-    #[error("there is no {0} to show")]
+    #[error("show: unknown subject {0}; it must be state, fleet or roster")]
     UnknownSubject(String),
     /// The planner knows no such edit.
     #[error("no edit {0} is known")]
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -37,13 +37,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// It is not valid HTTP/1.1.
-    #[error("the message is malformed")]
+    #[error("the HTTP message is malformed: its head cannot be parsed, or its content-length is invalid or ambiguous")]
     Malformed,
     /// Its head or its body is too long.
-    #[error("the message is too long")]
+    #[error("the HTTP message is too long: its head or its body exceeds the limit")]
     TooLarge,
     /// It has a transfer encoding; only bodies with a length are supported.
-    #[error("the message has a transfer encoding")]
+    #[error("the HTTP message has a transfer encoding; only bodies with a content-length are supported")]
     LengthRequired,
 }
 
--- a/crates/daemon/src/planner_runtime/durability.rs
+++ b/crates/daemon/src/planner_runtime/durability.rs
@@ -106,7 +106,7 @@
             }
             PersistenceResult::Probed(Err(_)) => {}
             PersistenceResult::WriteFailed { what, error } => {
-                tracing::warn!(what, why = %error, "could not be written");
+                tracing::warn!(what, why = %error, "a snapshot could not be written to the state folder");
             }
         }
     }
--- a/crates/daemon/src/tls_credentials/error.rs
+++ b/crates/daemon/src/tls_credentials/error.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HolderError {
     /// It has no DNS name besides those of roles.
-    #[error("it has no DNS name of a holder")]
+    #[error("the certificate has no DNS name that identifies its holder")]
     NoName,
     /// It is not a valid X509-SVID.
     #[error(transparent)]
--- a/crates/daemon/src/tls_credentials/files.rs
+++ b/crates/daemon/src/tls_credentials/files.rs
@@ -111,7 +111,7 @@
 fn read_own_authorities(files: &TlsFiles) -> Result<Vec<Vec<u8>>, TlsError> {
     let certificates = read_certificates(&files.trust)?;
     if certificates.is_empty() {
-        return Err(file_error(&files.trust, "it has no certificate"));
+        return Err(file_error(&files.trust, "the trust bundle contains no certificate"));
     }
     Ok(certificates.iter().map(|certificate| certificate.to_vec()).collect())
 }
--- a/crates/event-log/src/error.rs
+++ b/crates/event-log/src/error.rs
@@ -40,6 +40,6 @@
     #[error("{0}: {1}")]
     Encode(PathBuf, ColumnError),
     /// The entries that the columnar file reads back differ from those of the journal.
-    #[error("{0}: it has other entries than its journal")]
+    #[error("{0}: the entries of the columnar file differ from those of its journal")]
     ReadBack(PathBuf),
 }
--- a/crates/identity/src/svid.rs
+++ b/crates/identity/src/svid.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSvid {
     /// It cannot be parsed, or bytes follow it.
-    #[error("it is no certificate")]
+    #[error("the certificate cannot be parsed as X.509, or bytes follow it")]
     Malformed,
     /// Its subject alternative name has no URI, or several.
     #[error("the certificate has {0} URIs in its subject alternative name; one is required")]
